--- a/crates/core/tests/recording/main.rs
+++ b/crates/core/tests/recording/main.rs
@@ -11,8 +11,10 @@
 use world::World;
 
 const MS: Micros = 1000;
-const FRONT_ENDS: usize = 2;
 const STEPS: usize = 1200;
+/// Front ends that share the workers of a day, few and many.
+const FEW: usize = 2;
+const MANY: usize = 30;
 
 /// Short windows, so that each closes many times within a day of half a minute.
 const BASE: &str = "balancers=2\nclasses.count=3\nclasses.0.aim=600\nclasses.0.effect=idempotent\n\
@@ -33,8 +35,16 @@
     wire::parse_settings(&format!("{BASE}{more}")).unwrap()
 }
 
-/// Kinds of deployments, by name, and whether their day is a quiet one.
-fn table() -> Vec<(&'static str, bool, Settings)> {
+/// One recorded day.
+struct Day {
+    name: &'static str,
+    quiet: bool,
+    front_ends: usize,
+    settings: Settings,
+}
+
+/// Kinds of deployments: each with two front ends, two of them with thirty.
+fn table() -> Vec<Day> {
     let probes = "limits.probes=true\nload_info.via=on_probe\nload_info.fields=rif,x0\ntariffs.probe=0.01\n";
     let inline = "load_info.via=inline\nload_info.fields=busy\nregistry_mode=subscribe\nbalancers=6\n";
     let queues =
@@ -49,18 +59,22 @@
     let retry_budget = RetryBudget { window: 2000 * MS, free: 3.0, share: 0.1 };
     let budget = Settings { retry_budget, ..settings(&[ORDERS, tenants].concat()) };
     let one = "limits.most_tries=1\nlimits.second_copies=false\nlimits.cancel=false\n";
+    let day = |name, quiet, settings| Day { name, quiet, front_ends: FEW, settings };
+    let crowd = |name, settings| Day { name, quiet: false, front_ends: MANY, settings };
     vec![
-        ("load on miss", false, settings("")),
-        ("load on miss, quiet", true, settings("")),
-        ("load on miss, tenants", false, settings(&[tenants, inline].concat())),
-        ("load on miss, orders", false, settings(&[ORDERS, queues, "specifics.if_cold=load\n"].concat())),
-        ("load on miss, cancels, quiet", true, settings("limits.second_copies=false\n")),
-        ("miss only", false, settings(&[ORDERS, inline].concat())),
-        ("miss only, late orders, probes", false, late),
-        ("miss only, retry budget", false, budget),
-        ("miss only, many front ends", false, settings(&[ORDERS, alone].concat())),
-        ("streams", false, settings(&[ORDERS, streams, "specifics.loads_within=0\n"].concat())),
-        ("miss only, one attempt", false, settings(&[ORDERS, one].concat())),
+        day("load on miss", false, settings("")),
+        day("load on miss, quiet", true, settings("")),
+        day("load on miss, tenants", false, settings(&[tenants, inline].concat())),
+        day("load on miss, orders", false, settings(&[ORDERS, queues, "specifics.if_cold=load\n"].concat())),
+        day("load on miss, cancels, quiet", true, settings("limits.second_copies=false\n")),
+        day("miss only", false, settings(&[ORDERS, inline].concat())),
+        day("miss only, late orders, probes", false, late),
+        day("miss only, retry budget", false, budget),
+        day("miss only, many front ends", false, settings(&[ORDERS, alone].concat())),
+        day("streams", false, settings(&[ORDERS, streams, "specifics.loads_within=0\n"].concat())),
+        day("miss only, one attempt", false, settings(&[ORDERS, one].concat())),
+        crowd("load on miss, thirty front ends", settings("balancers=30\n")),
+        crowd("miss only, thirty front ends", settings(&[ORDERS, inline, "balancers=30\n"].concat())),
     ]
 }
 
@@ -101,11 +115,37 @@
     }
 }
 
+/// An action as text. The words are part of the recording: they stay when the types are renamed.
+fn text(action: &Action) -> String {
+    match action {
+        Action::Send { request, worker, timeout } => {
+            format!("Send {{ request: {request}, worker: {worker}, timeout: {timeout} }}")
+        }
+        Action::Refuse { request, retry_after } => {
+            format!("Refuse {{ request: {request}, retry_after: {retry_after} }}")
+        }
+        Action::Fail { request } => format!("Fail {{ request: {request} }}"),
+        Action::Cancel { request, attempt } => format!("Cancel {{ request: {request}, attempt: {attempt} }}"),
+        Action::Timer { after, token } => format!("Timer {{ after: {after}, token: {token} }}"),
+        Action::Probe { worker } => format!("Probe {{ worker: {worker} }}"),
+        Action::CloseIdle { worker } => format!("CloseIdle {{ worker: {worker} }}"),
+        Action::Tell { peer, bytes } => format!("Tell {{ peer: {peer:?}, bytes: {bytes:?} }}"),
+        Action::Log { text } => format!("Log {{ text: {text:?} }}"),
+        Action::Watch { on } => format!("Watch {{ on: {on} }}"),
+        Action::Fetch => "Fetch".to_string(),
+        Action::Load { worker, function, copies } => {
+            format!("Load {{ worker: {worker}, function: {function}, copies: {copies} }}")
+        }
+        Action::Drop { worker, function } => format!("Drop {{ worker: {worker}, function: {function} }}"),
+    }
+}
+
 /// Plays one day; tells its digest and what it was made of.
-fn play(settings: &Settings, quiet: bool, seed: u64) -> (u64, Counts) {
-    let mut world = World::new(settings, seed, FRONT_ENDS, quiet);
+fn play(day: &Day, seed: u64) -> (u64, Counts) {
+    let Day { settings, quiet, front_ends, .. } = day;
+    let mut world = World::new(settings, seed, *front_ends, *quiet);
     let mut fronts: Vec<FrontEnd> =
-        (0..FRONT_ENDS).map(|k| FrontEnd::new(settings.clone(), seed + 100 * k as u64, world.now)).collect();
+        (0..*front_ends).map(|k| FrontEnd::new(settings.clone(), seed + 100 * k as u64, world.now)).collect();
     let (mut digest, mut counts) = (Digest(0xcbf2_9ce4_8422_2325), Counts::default());
     for _ in 0..STEPS {
         world.step();
@@ -115,7 +155,8 @@
             front.handle(world.now, &events, &mut out);
             counts.batches += 1;
             counts.events += events.len();
-            digest.add(&format!("{k} {} {out:?}\n", world.now));
+            let texts: Vec<String> = out.iter().map(text).collect();
+            digest.add(&format!("{k} {} [{}]\n", world.now, texts.join(", ")));
             for action in &out {
                 *counts.kinds.entry(kind(action)).or_default() += 1;
                 world.act(k, action);
@@ -153,11 +194,11 @@
     let mut text = String::new();
     let mut all: BTreeMap<&str, usize> = BTreeMap::new();
     let mut batches = 0;
-    for (at, (name, quiet, settings)) in table().iter().enumerate() {
-        let (digest, counts) = play(settings, *quiet, 7919 + at as u64);
+    for (at, day) in table().iter().enumerate() {
+        let (digest, counts) = play(day, 7919 + at as u64);
         let kinds: Vec<String> = counts.kinds.iter().map(|(kind, n)| format!("{kind} {n}")).collect();
         let (played, events) = (counts.batches, counts.events);
-        writeln!(text, "{name}: {digest:016x}, {played} batches, {events} events; {}", kinds.join(", "))
+        writeln!(text, "{}: {digest:016x}, {played} batches, {events} events; {}", day.name, kinds.join(", "))
             .unwrap();
         counts.kinds.iter().for_each(|(kind, n)| *all.entry(kind).or_default() += n);
         batches += counts.batches;
@@ -170,7 +211,7 @@
 
 #[test]
 fn another_seed_gives_another_digest() {
-    let (_, quiet, settings) = &table()[0];
-    assert_eq!(play(settings, *quiet, 1).0, play(settings, *quiet, 1).0);
-    assert_ne!(play(settings, *quiet, 1).0, play(settings, *quiet, 2).0);
+    let day = &table()[0];
+    assert_eq!(play(day, 1).0, play(day, 1).0);
+    assert_ne!(play(day, 1).0, play(day, 2).0);
 }
--- a/crates/keeper/src/keep/mod.rs
+++ b/crates/keeper/src/keep/mod.rs
@@ -11,6 +11,6 @@
 mod run;
 mod serve;
 mod tend;
-mod wire;
+pub(crate) mod wire;
 
 pub use run::{run, Parts};
--- a/crates/keeper/src/lib.rs
+++ b/crates/keeper/src/lib.rs
@@ -20,6 +20,8 @@
 mod kinds;
 mod start;
 mod store;
+#[cfg(test)]
+mod tests;
 
 pub use error::KeeperError;
 pub use figures::Figures;
--- a/crates/keeper/src/store/tests/mod.rs
+++ b/crates/keeper/src/store/tests/mod.rs
@@ -1,6 +1,7 @@
 //! What was acknowledged is there after any loss of power, and a disk that stalls holds up its own writes only.
 
 mod disk;
+mod golden;
 
 use super::machine::State;
 use super::open::judge;
--- /dev/null
+++ b/crates/registry/tests/golden.rs
@@ -0,0 +1,132 @@
+//! Golden bytes: every message between a front end and the leader, every command and the whole replicated state in
+//! postcard, as the build before the renaming of the packages wrote them. postcard counts fields and variants by
+//! position, so a reordered variant shows here. `golden/messages.txt` never changes with the code.
+
+use serde::{de::DeserializeOwned, Serialize};
+use stagehoist_registry::*;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::{Debug, Write};
+
+#[derive(Default)]
+struct Golden {
+    text: String,
+}
+
+impl Golden {
+    /// Encodes a value as a line, and checks that the bytes are read back as the same value.
+    fn add<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, value: &T) {
+        let bytes = postcard::to_stdvec(value).unwrap();
+        assert_eq!(&postcard::from_bytes::<T>(&bytes).unwrap(), value);
+        let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+        writeln!(self.text, "{name} {hex}").unwrap();
+    }
+}
+
+fn member(incarnation: u64) -> Member {
+    Member { name: format!("a/{incarnation}"), incarnation }
+}
+
+fn retirement(mode: Mode) -> Retirement {
+    Retirement {
+        function: "free-times".into(),
+        generation: 3,
+        successor: Some("later".into()),
+        reason: "replaced".into(),
+        mode,
+        asked_ms: 1_700_000_000_123,
+    }
+}
+
+fn pools() -> Vec<Pool> {
+    let reservations = vec![Reservation { tenant: "clinics".into(), lanes: 40 }];
+    let fixed = Pool { name: "calls".into(), functions: vec!["f*".into()], size: Size::Lanes(100), reservations };
+    let by_workers =
+        Pool { name: "rest".into(), functions: vec!["g".into()], size: Size::ByWorkers, reservations: vec![] };
+    vec![fixed, by_workers]
+}
+
+fn view() -> View {
+    let proposed =
+        Tombstone { retirement: retirement(Mode::Strict), state: State::Proposed, proposed: 7, in_force: None };
+    let in_force = Tombstone {
+        retirement: retirement(Mode::Available),
+        state: State::InForce { but_for: BTreeSet::from([member(4)]) },
+        proposed: 8,
+        in_force: Some(9),
+    };
+    let tombstones = BTreeMap::from([("free-times".into(), proposed), ("later".into(), in_force)]);
+    View { version: 12, tombstones, edition: 2, pools: pools() }
+}
+
+fn keys() -> Vec<MessageKey> {
+    vec![MessageKey { reply_to: "replies".into(), correlation: "c0-17".into(), message: "m-1".into() }]
+}
+
+fn known() -> Vec<Known> {
+    vec![Known::None, Known::MayHaveRun, Known::NotKnown]
+}
+
+fn requests(golden: &mut Golden) {
+    let (name, member) = ("a/1".to_string(), Some(member(1)));
+    let hello = ToKeeper::Hello { protocol: PROTOCOL, name, member, at_least: 5, edition: 2, pools: pools() };
+    golden.add("request-hello", &hello);
+    let demand =
+        Demand { pool: "calls".into(), tenant: "clinics".into(), in_use: 3, waiting: 2, applied: 700 };
+    let report = Report { number: 300, confirmed: 12, ready_lanes: 64, demand: vec![demand] };
+    golden.add("request-report", &ToKeeper::Report(report));
+    golden.add("request-retire", &ToKeeper::Retire(retirement(Mode::Strict)));
+    golden.add("request-leave", &ToKeeper::Leave);
+    golden.add("request-ask", &ToKeeper::Ask { number: 1, turn: 2, to: vec!["b/0".into()], keys: keys() });
+    golden.add("request-answer", &ToKeeper::Answer { to: self::member(2), number: 1, known: known() });
+}
+
+fn responses(golden: &mut Golden) {
+    let terms = Terms { lease: 2_000_000, drift_ppm: 10_000, quorum: 250_000, remember: 3_600_000_000 };
+    golden.add("response-elsewhere", &ToMember::Elsewhere { leader: Some(3) });
+    golden.add("response-welcome", &ToMember::Welcome { member: member(1), terms, before: Some(6) });
+    golden.add("response-view", &ToMember::View(view()));
+    let lanes = vec![("calls".to_string(), "clinics".to_string(), 9)];
+    golden.add("response-grant", &ToMember::Grant(Grant { number: 300, version: 12, lease: 2_000_000, lanes }));
+    golden.add("response-refused", &ToMember::Refused { why: "full".into() });
+    let not_retired = ToMember::NotRetired { function: "f".into(), generation: 2, why: "older".into() };
+    golden.add("response-not-retired", &not_retired);
+    golden.add("response-asked", &ToMember::Asked { number: 1, turn: 2, of: vec!["b/0".into()] });
+    golden.add("response-ask", &ToMember::Ask { from: member(2), number: 1, keys: keys() });
+    golden.add("response-answer", &ToMember::Answer { from: "b/0".into(), number: 1, known: known() });
+}
+
+fn commands(golden: &mut Golden) {
+    golden.add("command-join", &Command::Join { name: "a/1".into(), at_least: 5 });
+    golden.add("command-leave", &Command::Leave(member(1)));
+    golden.add("command-retire", &Command::Retire(retirement(Mode::Available)));
+    let but_for = BTreeSet::from([member(4)]);
+    golden.add("command-in-force", &Command::InForce { function: "f".into(), generation: 3, but_for });
+    golden.add("command-forget", &Command::Forget { function: "f".into(), generation: 3 });
+    golden.add("command-pools", &Command::Pools { edition: 2, pools: pools() });
+    golden.add("outcome-joined", &Done::Joined(member(1)));
+    golden.add("outcome-changed", &Done::Changed);
+    golden.add("outcome-unchanged", &Done::Unchanged);
+    golden.add("outcome-refused", &Done::Refused { why: "full".into() });
+}
+
+#[test]
+fn every_message_and_the_state_have_the_bytes_that_they_had() {
+    let mut golden = Golden::default();
+    requests(&mut golden);
+    responses(&mut golden);
+    commands(&mut golden);
+    let mut state = Record::default();
+    for (version, name) in [(1, "a/0"), (2, "b/0"), (3, "a/0"), (4, "c/0")] {
+        state.apply(version, &Command::Join { name: name.into(), at_least: 0 });
+    }
+    state.apply(5, &Command::Leave(Member { name: "c/0".into(), incarnation: 1 }));
+    state.apply(6, &Command::Retire(retirement(Mode::Strict)));
+    state.apply(7, &Command::Pools { edition: 2, pools: pools() });
+    golden.add("state", &state);
+    golden.add("state-empty", &Record::default());
+    assert!(
+        golden.text == include_str!("golden/messages.txt"),
+        "the bytes changed; now they are\n{}",
+        golden.text
+    );
+}
