--- a/crates/judge/tests/doctored.rs
+++ b/crates/checker/tests/doctored.rs
@@ -6,7 +6,7 @@
 use scene::{broken, Scene, BROKER, MS, NOT_RUN, S, W1, W1_B, W2};
 use stagehoist_amqp::codec::{put_method, PROTOCOL_HEADER};
 use stagehoist_amqp::{connection, short, AMQPClass};
-use stagehoist_judge::Way;
+use stagehoist_checker::Way;
 
 #[test]
 fn a_good_day_breaks_nothing_and_is_counted() {
--- a/crates/judge/tests/doctored_pools.rs
+++ b/crates/checker/tests/doctored_pools.rs
@@ -3,8 +3,8 @@
 mod scene;
 
 use scene::{broken, Scene, BROKER, MS, S, W1, W1_B};
-use stagehoist_judge::rules::{Charter, PoolRule, Verdict};
-use stagehoist_judge::Micros;
+use stagehoist_checker::rules::{Charter, PoolRule, Verdict};
+use stagehoist_checker::Micros;
 
 const OK: Option<(u16, &str)> = Some((200, ""));
 
--- a/crates/judge/tests/doctored_retired.rs
+++ b/crates/checker/tests/doctored_retired.rs
@@ -3,8 +3,8 @@
 mod scene;
 
 use scene::{broken, Scene, MS, S, W1, W1_B};
-use stagehoist_judge::rules::{Charter, Retired};
-use stagehoist_judge::Micros;
+use stagehoist_checker::rules::{Charter, Retired};
+use stagehoist_checker::Micros;
 
 /// `safe` is retired from 2 s; front end 1 counts from `second`, where told.
 fn retire(second: Option<Micros>) -> impl Fn(&mut Charter) {
--- a/crates/judge/tests/doctored_workers.rs
+++ b/crates/checker/tests/doctored_workers.rs
@@ -3,7 +3,7 @@
 mod scene;
 
 use scene::{broken, Scene, MS, S, W1};
-use stagehoist_judge::rules::WorkerStart;
+use stagehoist_checker::rules::WorkerStart;
 
 #[test]
 fn rule_3_broken_by_a_call_or_a_load_later_than_the_grace() {
--- a/crates/judge/tests/scene/mod.rs
+++ b/crates/checker/tests/scene/mod.rs
@@ -4,8 +4,8 @@
 use bytes::{Bytes, BytesMut};
 use stagehoist_amqp::codec::{put_content, put_method, PROTOCOL_HEADER};
 use stagehoist_amqp::{basic, long, short, AMQPClass, BasicProperties, FieldTable};
-use stagehoist_judge::rules::{judge, Charter, ClassRule, Effect, Verdict};
-use stagehoist_judge::{Capture, Link, Micros, Peer, Record, Story, Way, What};
+use stagehoist_checker::rules::{judge, Charter, ClassRule, Effect, Verdict};
+use stagehoist_checker::{Capture, Link, Micros, Peer, Record, Story, Way, What};
 
 pub const MS: Micros = 1000;
 pub const S: Micros = 1_000_000;
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -4,7 +4,7 @@
 
 use clap::Args;
 use shown::{account, shower};
-use stagehoist_stage::{measure, play_on, Day, Stack, StageError};
+use stagehoist_harness::{measure, play_on, Day, Stack, StageError};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
@@ -176,7 +176,7 @@
         Ok(binary) => binary,
         Err(e) => return fail(&e),
     };
-    let mut show = |m: &stagehoist_stage::Measured| {
+    let mut show = |m: &stagehoist_harness::Measured| {
         if json {
             println!("{}", serde_json::to_string(m).unwrap_or_default());
             return;
--- a/crates/cli/src/demo/shown.rs
+++ b/crates/cli/src/demo/shown.rs
@@ -2,7 +2,7 @@
 
 use super::fail;
 use indicatif::{ProgressBar, ProgressStyle};
-use stagehoist_stage::{Ledger, Progress};
+use stagehoist_harness::{Ledger, Progress};
 use std::process::ExitCode;
 
 /// Shows progress on standard error: a bar on a terminal, lines elsewhere.
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,10 +1,10 @@
 //! A process as part of a fleet: its sessions with the keepers started, tied to its front ends, and ended after them.
 
+use stagehoist_cluster_state::{Limits, Pool, Reservation, Size, Terms, FLOOR_SHARE};
 use stagehoist_config::{Config, Fleet};
+use stagehoist_consensus::{Keep, KeeperError, Options, Pace, Running, Session};
 use stagehoist_gateway::clock::Clock;
 use stagehoist_gateway::fleet::{retirements, Link, Others, Told};
-use stagehoist_keeper::{Keep, KeeperError, Options, Pace, Running, Session};
-use stagehoist_registry::{Limits, Pool, Reservation, Size, Terms, FLOOR_SHARE};
 use std::path::PathBuf;
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
@@ -74,7 +74,7 @@
     fleet: &Fleet,
     clock: Clock,
 ) -> Result<(Joined, Vec<Option<Link>>), KeeperError> {
-    let mut running = stagehoist_keeper::start(options(config, fleet), Arc::new(move || clock.now()))?;
+    let mut running = stagehoist_consensus::start(options(config, fleet), Arc::new(move || clock.now()))?;
     let mut tasks = JoinSet::new();
     let (mut links, mut sessions) = (Vec::new(), std::mem::take(&mut running.sessions));
     for number in 0..config.front_ends {
@@ -102,7 +102,7 @@
 async fn pass_on(mut news: watch::Receiver<Told>, session: Session) {
     while news.changed().await.is_ok() {
         let Told { confirmed, ready_lanes, demand } = news.borrow_and_update().clone();
-        session.told.send_replace(stagehoist_keeper::Told { confirmed, ready_lanes, demand });
+        session.told.send_replace(stagehoist_consensus::Told { confirmed, ready_lanes, demand });
     }
     // The session's ends are kept until the members leave: what was told last stands.
     std::future::pending::<()>().await;
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -3,10 +3,10 @@
 use clap::{Args, Subcommand, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
 use stagehoist_gateway::state::{module, Decider};
-use stagehoist_load::amqp::{Manners, Target};
-use stagehoist_load::stand::StandOptions;
-use stagehoist_load::sweep::{Point, SweepOptions};
-use stagehoist_load::{baseline, plot, sweep, LoadError, Mix, Plan, Report, Shape};
+use stagehoist_load_generator::amqp::{Manners, Target};
+use stagehoist_load_generator::stand::StandOptions;
+use stagehoist_load_generator::sweep::{Point, SweepOptions};
+use stagehoist_load_generator::{baseline, plot, sweep, LoadError, Mix, Plan, Report, Shape};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -48,7 +48,7 @@
 }
 
 fn shape(text: &str) -> Result<Shape, String> {
-    text.parse().map_err(|e: stagehoist_load::PlanError| e.to_string())
+    text.parse().map_err(|e: stagehoist_load_generator::PlanError| e.to_string())
 }
 
 #[derive(Args)]
@@ -238,10 +238,14 @@
     bar.enable_steady_tick(Duration::from_millis(200));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|source| LoadError::Start { what: "a runtime".into(), source })?;
-    let report =
-        runtime.block_on(stagehoist_load::amqp::run(&target, plan, args.seed, &mut |sent, in_aim| {
+    let report = runtime.block_on(stagehoist_load_generator::amqp::run(
+        &target,
+        plan,
+        args.seed,
+        &mut |sent, in_aim| {
             bar.set_message(format!("sent {sent}, served in aim {in_aim}"));
-        }))?;
+        },
+    ))?;
     bar.finish_and_clear();
     if args.pace.json {
         println!("{}", serde_json::to_string(&report).unwrap_or_default());
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -1,10 +1,10 @@
 //! `standin`: each stand-in by itself, on a told address, until SIGINT or SIGTERM.
 
 use clap::Subcommand;
-use stagehoist_standin::broker::{self, Broker, BrokerOptions};
-use stagehoist_standin::list::{Listed, Registry};
-use stagehoist_standin::store::{self, StoreOptions};
-use stagehoist_standin::worker::{self, Catalogue, Program, Spec, WorkerOptions};
+use stagehoist_emulator::broker::{self, Broker, BrokerOptions};
+use stagehoist_emulator::list::{Listed, Registry};
+use stagehoist_emulator::store::{self, StoreOptions};
+use stagehoist_emulator::worker::{self, Catalogue, Program, Spec, WorkerOptions};
 use std::collections::BTreeMap;
 use std::io;
 use std::process::ExitCode;
@@ -131,7 +131,7 @@
         }
         Standin::Proxy { listen: address, to } => {
             let targets = to.split(',').map(str::to_string).collect();
-            stagehoist_standin::proxy::serve(listen("proxy", &address).await?, targets).await
+            stagehoist_emulator::proxy::serve(listen("proxy", &address).await?, targets).await
         }
         Standin::List { listen: address, file } => {
             let registry = Registry::new();
--- a/crates/cli/tests/fleet_days.rs
+++ b/crates/cli/tests/fleet_days.rs
@@ -4,8 +4,8 @@
 mod alone;
 
 use alone::alone;
-use stagehoist_judge::{judge, Capture, Charter, Peer, Record, Story, Way, What};
-use stagehoist_stage::{play, record_on, Day, Ledger, Stack};
+use stagehoist_checker::{judge, Capture, Charter, Peer, Record, Story, Way, What};
+use stagehoist_harness::{play, record_on, Day, Ledger, Stack};
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::time::Duration;
--- a/crates/cli/tests/overload.rs
+++ b/crates/cli/tests/overload.rs
@@ -4,9 +4,9 @@
 mod alone;
 
 use alone::alone;
-use stagehoist_load::amqp::{self, Manners, Target};
-use stagehoist_load::stand::{Stand, StandOptions};
-use stagehoist_load::{Mix, Plan, Report, Shape};
+use stagehoist_load_generator::amqp::{self, Manners, Target};
+use stagehoist_load_generator::stand::{Stand, StandOptions};
+use stagehoist_load_generator::{Mix, Plan, Report, Shape};
 use std::path::Path;
 use std::process::Command;
 use std::thread::JoinHandle;
--- a/crates/cli/tests/platform/bad_clients.rs
+++ b/crates/cli/tests/platform/bad_clients.rs
@@ -1,8 +1,8 @@
 //! Clients that keep no rule.
 
 use crate::stage::{ms, served, Stage, KEYS, LOOK};
-use stagehoist_standin::platform::client::array;
-use stagehoist_standin::platform::{Client, Fault};
+use stagehoist_emulator::platform::client::array;
+use stagehoist_emulator::platform::{Client, Fault};
 use std::time::Instant;
 
 /// Each kind of bad client is answered or closed within 3 s (6 s with a large body), never served, and the usual one goes on.
--- a/crates/cli/tests/platform/calls.rs
+++ b/crates/cli/tests/platform/calls.rs
@@ -1,9 +1,9 @@
 //! Calls served, and answers that are spoilt.
 
 use crate::stage::{ms, served, settle, Stage, KEYS, LOOK};
-use stagehoist_standin::platform::bus::record;
-use stagehoist_standin::platform::client::array;
-use stagehoist_standin::platform::{Executor, Fault, What};
+use stagehoist_emulator::platform::bus::record;
+use stagehoist_emulator::platform::client::array;
+use stagehoist_emulator::platform::{Executor, Fault, What};
 use std::time::Instant;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/cli/tests/platform/closes.rs
+++ b/crates/cli/tests/platform/closes.rs
@@ -3,8 +3,8 @@
 use crate::stage::{config_classes, ms, Stage, KEYS};
 use rustix::process::Signal;
 use socket2::{Domain, Socket, Type};
-use stagehoist_standin::platform::client::array;
-use stagehoist_standin::platform::{Fault, What};
+use stagehoist_emulator::platform::client::array;
+use stagehoist_emulator::platform::{Fault, What};
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/cli/tests/platform/descriptors.rs
+++ b/crates/cli/tests/platform/descriptors.rs
@@ -3,8 +3,8 @@
 use crate::stage::{ms, own_address, served, Stage, LOOK};
 use rustix::process::{getrlimit, prlimit, Pid, Resource, Rlimit};
 use serde_json::json;
-use stagehoist_standin::platform::client::array;
-use stagehoist_standin::platform::{Client, EventBus};
+use stagehoist_emulator::platform::client::array;
+use stagehoist_emulator::platform::{Client, EventBus};
 use std::time::{Duration, Instant};
 
 /// Descriptors that the process may have, though it was told of more: so the system refuses, and not its own bounds.
--- a/crates/cli/tests/platform/ending.rs
+++ b/crates/cli/tests/platform/ending.rs
@@ -2,8 +2,8 @@
 
 use crate::stage::{config_classes, ms, Stage, KEYS};
 use rustix::process::Signal;
-use stagehoist_standin::platform::client::array;
-use stagehoist_standin::platform::{Asked, Client, Fault, What};
+use stagehoist_emulator::platform::client::array;
+use stagehoist_emulator::platform::{Asked, Client, Fault, What};
 use std::time::{Duration, Instant};
 
 /// From SIGTERM to SIGKILL at the earliest, where the longest deadline is 3 s or more.
--- a/crates/cli/tests/platform/leaving.rs
+++ b/crates/cli/tests/platform/leaving.rs
@@ -3,8 +3,8 @@
 use crate::stage::{ms, Stage, KEYS};
 use rustix::process::Signal;
 use serde_json::json;
-use stagehoist_standin::platform::client::array;
-use stagehoist_standin::platform::{after_leaving, Fault, What};
+use stagehoist_emulator::platform::client::array;
+use stagehoist_emulator::platform::{after_leaving, Fault, What};
 use std::net::SocketAddr;
 use std::time::Instant;
 use tokio::io::AsyncReadExt;
--- a/crates/cli/tests/platform/lists.rs
+++ b/crates/cli/tests/platform/lists.rs
@@ -2,8 +2,8 @@
 
 use crate::stage::{config, ms, served, Stage};
 use rustix::process::Signal;
-use stagehoist_standin::platform::bus::Mood;
-use stagehoist_standin::platform::EventBus;
+use stagehoist_emulator::platform::bus::Mood;
+use stagehoist_emulator::platform::EventBus;
 use std::time::Instant;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/cli/tests/platform/reload.rs
+++ b/crates/cli/tests/platform/reload.rs
@@ -2,8 +2,8 @@
 
 use crate::stage::{config, ms, served, Stage};
 use rustix::process::Signal;
-use stagehoist_standin::platform::client::array;
-use stagehoist_standin::platform::EventBus;
+use stagehoist_emulator::platform::client::array;
+use stagehoist_emulator::platform::EventBus;
 use std::time::Instant;
 
 /// Half a file at the signal, the whole one later without another: it is read all the same. Then SIGTERM between two SIGHUPs
--- a/crates/cli/tests/platform/restart.rs
+++ b/crates/cli/tests/platform/restart.rs
@@ -2,8 +2,8 @@
 
 use crate::stage::{config, ms, own_address, KEYS};
 use serde_json::json;
-use stagehoist_standin::platform::client::array;
-use stagehoist_standin::platform::{Client, EventBus, Executor};
+use stagehoist_emulator::platform::client::array;
+use stagehoist_emulator::platform::{Client, EventBus, Executor};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
--- a/crates/cli/tests/platform/shutdown.rs
+++ b/crates/cli/tests/platform/shutdown.rs
@@ -2,7 +2,7 @@
 
 use crate::stage::{ms, served, Stage};
 use rustix::process::Signal;
-use stagehoist_standin::platform::Fault;
+use stagehoist_emulator::platform::Fault;
 use std::time::Instant;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/cli/tests/platform/stage.rs
+++ b/crates/cli/tests/platform/stage.rs
@@ -2,9 +2,9 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::json;
-use stagehoist_standin::platform::bus::record;
-use stagehoist_standin::platform::client::array;
-use stagehoist_standin::platform::{judge, Answered, Asked, Client, EventBus, Executor, Told, What};
+use stagehoist_emulator::platform::bus::record;
+use stagehoist_emulator::platform::client::array;
+use stagehoist_emulator::platform::{judge, Answered, Asked, Client, EventBus, Executor, Told, What};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/cli/tests/platform/start.rs
+++ b/crates/cli/tests/platform/start.rs
@@ -3,8 +3,8 @@
 use crate::stage::{ms, served, Stage, LOOK};
 use rustix::process::Signal;
 use serde_json::json;
-use stagehoist_standin::platform::bus::record;
-use stagehoist_standin::platform::{Executor, What};
+use stagehoist_emulator::platform::bus::record;
+use stagehoist_emulator::platform::{Executor, What};
 use std::process::Command;
 
 #[test]
--- a/crates/cli/tests/platform/together.rs
+++ b/crates/cli/tests/platform/together.rs
@@ -3,8 +3,8 @@
 
 use crate::stage::{command, ms, Stage, KEYS, LOOK};
 use rustix::process::{kill_process, Pid, Signal};
-use stagehoist_standin::platform::client::array;
-use stagehoist_standin::platform::{after_leaving, Asked, Client, Fault, Seen, What};
+use stagehoist_emulator::platform::client::array;
+use stagehoist_emulator::platform::{after_leaving, Asked, Client, Fault, Seen, What};
 use std::net::SocketAddr;
 use std::process::Child;
 use std::time::{Duration, Instant};
--- a/crates/cli/tests/platform/versions.rs
+++ b/crates/cli/tests/platform/versions.rs
@@ -1,7 +1,7 @@
 //! New versions of a function on a quiet day: executors lose the copies that a front end believes in.
 
 use crate::stage::{ms, Stage, KEYS};
-use stagehoist_standin::platform::{Answered, Client, Executor, What};
+use stagehoist_emulator::platform::{Answered, Client, Executor, What};
 use std::collections::BTreeMap;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
--- a/crates/cli/tests/whole_path.rs
+++ b/crates/cli/tests/whole_path.rs
@@ -4,7 +4,7 @@
 mod alone;
 
 use alone::beside_few;
-use stagehoist_stage::{play, Day, Ledger};
+use stagehoist_harness::{play, Day, Ledger};
 use std::path::Path;
 
 /// Plays a day; every rule must be kept, no message answered twice, and none that was owed an answer left without.
--- a/crates/registry/tests/deal_model/world.rs
+++ b/crates/cluster-state/tests/deal_model/world.rs
@@ -1,7 +1,7 @@
 //! Two front ends, an old and a new leader, what is under way between them, and clocks that run apart.
 
-use stagehoist_registry::deal::{Dealer, Guards, Limits};
-use stagehoist_registry::{
+use stagehoist_cluster_state::deal::{Dealer, Guards, Limits};
+use stagehoist_cluster_state::{
     floor, Command, Demand, Grant, Holder, Member, Micros, Pool, Record, Report, Size, Terms,
 };
 use stateright::{Model, Property};
--- a/crates/registry/tests/deal_world/mod.rs
+++ b/crates/cluster-state/tests/deal_world/mod.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use stagehoist_admission::lanes::{Enter, Lane, Lanes, PoolRules, Woken};
-use stagehoist_registry::{
+use stagehoist_cluster_state::{
     floor, Command, Dealer, Demand, Grant, Holder, Limits, Member, Micros, Pool, Record, Report, Reservation,
     Size, Terms,
 };
@@ -104,7 +104,7 @@
         self.version += 1;
         let join = Command::Join { name: name.into(), at_least: 0 };
         let joined = self.record.apply(self.version, &join);
-        let stagehoist_registry::Done::Joined(member) = joined else { panic!("joins") };
+        let stagehoist_cluster_state::Done::Joined(member) = joined else { panic!("joins") };
         let rate = 1.0 + f64::from(self.random.random_range(0..DRIFT)) / 1e6;
         let now = (self.now as f64 * rate) as Micros;
         let rests = if again { now + LIMITS.longest + LIMITS.longest / 10 } else { now };
--- a/crates/registry/tests/fleet/mod.rs
+++ b/crates/cluster-state/tests/fleet/mod.rs
@@ -4,7 +4,9 @@
 
 mod step;
 
-use stagehoist_registry::{Command, Done, Holder, Lead, Member, Micros, Mode, Record, State, Terms, Version};
+use stagehoist_cluster_state::{
+    Command, Done, Holder, Lead, Member, Micros, Mode, Record, State, Terms, Version,
+};
 use stateright::{Model, Property};
 use std::collections::BTreeSet;
 use std::sync::Arc;
--- a/crates/registry/tests/fleet/step.rs
+++ b/crates/cluster-state/tests/fleet/step.rs
@@ -1,7 +1,7 @@
 //! What can happen in the model, and what comes of it.
 
 use super::{Action, Fleet, Guard, Keeper, Message, World, FUNCTION};
-use stagehoist_registry::{Command, Grant, Lead, Micros, Report, Retirement};
+use stagehoist_cluster_state::{Command, Grant, Lead, Micros, Report, Retirement};
 
 impl Fleet {
     pub fn choices(&self, world: &World, actions: &mut Vec<Action>) {
--- a/crates/registry/tests/golden.rs
+++ b/crates/cluster-state/tests/golden.rs
@@ -3,7 +3,7 @@
 //! position, so a reordered variant shows here. `golden/messages.txt` never changes with the code.
 
 use serde::{de::DeserializeOwned, Serialize};
-use stagehoist_registry::*;
+use stagehoist_cluster_state::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{Debug, Write};
 
@@ -39,15 +39,24 @@
 
 fn pools() -> Vec<Pool> {
     let reservations = vec![Reservation { tenant: "clinics".into(), lanes: 40 }];
-    let fixed = Pool { name: "calls".into(), functions: vec!["f*".into()], size: Size::Lanes(100), reservations };
-    let by_workers =
-        Pool { name: "rest".into(), functions: vec!["g".into()], size: Size::ByWorkers, reservations: vec![] };
+    let fixed =
+        Pool { name: "calls".into(), functions: vec!["f*".into()], size: Size::Lanes(100), reservations };
+    let by_workers = Pool {
+        name: "rest".into(),
+        functions: vec!["g".into()],
+        size: Size::ByWorkers,
+        reservations: vec![],
+    };
     vec![fixed, by_workers]
 }
 
 fn view() -> View {
-    let proposed =
-        Tombstone { retirement: retirement(Mode::Strict), state: State::Proposed, proposed: 7, in_force: None };
+    let proposed = Tombstone {
+        retirement: retirement(Mode::Strict),
+        state: State::Proposed,
+        proposed: 7,
+        in_force: None,
+    };
     let in_force = Tombstone {
         retirement: retirement(Mode::Available),
         state: State::InForce { but_for: BTreeSet::from([member(4)]) },
@@ -86,7 +95,8 @@
     golden.add("response-welcome", &ToMember::Welcome { member: member(1), terms, before: Some(6) });
     golden.add("response-view", &ToMember::View(view()));
     let lanes = vec![("calls".to_string(), "clinics".to_string(), 9)];
-    golden.add("response-grant", &ToMember::Grant(Grant { number: 300, version: 12, lease: 2_000_000, lanes }));
+    golden
+        .add("response-grant", &ToMember::Grant(Grant { number: 300, version: 12, lease: 2_000_000, lanes }));
     golden.add("response-refused", &ToMember::Refused { why: "full".into() });
     let not_retired = ToMember::NotRetired { function: "f".into(), generation: 2, why: "older".into() };
     golden.add("response-not-retired", &not_retired);
--- a/crates/registry/tests/holder.rs
+++ b/crates/cluster-state/tests/holder.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
-use stagehoist_registry::{
+use stagehoist_cluster_state::{
     Command, Done, Grant, Holder, Lead, Micros, Mode, Record, Report, Retirement, State, Terms, View,
 };
 
--- a/crates/registry/tests/lead.rs
+++ b/crates/cluster-state/tests/lead.rs
@@ -1,7 +1,7 @@
 //! What a leader decides, and what the record takes.
 
-use stagehoist_registry::bounds::{MEMBERS_MOST, NAME_MOST, REPLACED_MOST, TOMBSTONES_MOST};
-use stagehoist_registry::{
+use stagehoist_cluster_state::bounds::{MEMBERS_MOST, NAME_MOST, REPLACED_MOST, TOMBSTONES_MOST};
+use stagehoist_cluster_state::{
     Command, Done, Lead, Member, Micros, Mode, Record, Report, Retirement, State, Terms,
 };
 
--- a/crates/registry/tests/marks.rs
+++ b/crates/cluster-state/tests/marks.rs
@@ -1,7 +1,7 @@
 //! Questions about messages that are delivered again: whose word counts, and when.
 
-use stagehoist_registry::Known::{MayHaveRun, None as Unsent, NotKnown};
-use stagehoist_registry::{Heard, Known, MessageKey, Rounds, ToKeeper};
+use stagehoist_cluster_state::Known::{MayHaveRun, None as Unsent, NotKnown};
+use stagehoist_cluster_state::{Heard, Known, MessageKey, Rounds, ToKeeper};
 
 const MS: i64 = 1000;
 
--- a/crates/registry/tests/retire_model.rs
+++ b/crates/cluster-state/tests/retire_model.rs
@@ -4,7 +4,7 @@
 mod fleet;
 
 use fleet::{Fleet, Guard};
-use stagehoist_registry::Mode;
+use stagehoist_cluster_state::Mode;
 use stateright::{Checker, Model};
 
 const PROMISE: &str = "in force: nobody serves it";
--- a/crates/keeper/src/client.rs
+++ b/crates/consensus/src/client.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use retiring::Retiring;
-use stagehoist_registry::{
+use stagehoist_cluster_state::{
     Heard, Holder, Member, Pool, Retirement, Rounds, Said, Standing, Terms, ToKeeper, ToMember, PROTOCOL,
 };
 use std::collections::BTreeMap;
@@ -172,7 +172,7 @@
             Some(ToMember::Welcome { member, terms, before }) => self.joined(member, terms, before).await,
             Some(ToMember::Elsewhere { leader }) => Err(End::Elsewhere(leader)),
             Some(ToMember::Refused { why }) => {
-                tracing::error!(target: "stagehoist_keeper", event = "session", name = %self.client.name,
+                tracing::error!(target: "stagehoist_consensus", event = "session", name = %self.client.name,
                     why, "refused");
                 Err(End::Refused)
             }
@@ -182,7 +182,7 @@
 
     async fn joined(&mut self, member: Member, terms: Terms, before: Option<u64>) -> Result<(), End> {
         if terms != self.client.terms {
-            tracing::error!(target: "stagehoist_keeper", event = "session", name = %self.client.name, ?terms,
+            tracing::error!(target: "stagehoist_consensus", event = "session", name = %self.client.name, ?terms,
                 own = ?self.client.terms, "the keepers are told other terms");
             return Err(End::Refused);
         }
@@ -219,7 +219,7 @@
                 true
             }
             Err(e) => {
-                tracing::error!(target: "stagehoist_keeper", event = "store", name = %self.client.name,
+                tracing::error!(target: "stagehoist_consensus", event = "store", name = %self.client.name,
                     why = %e, "can't keep the session's memory");
                 false
             }
--- a/crates/keeper/src/client/lanes.rs
+++ b/crates/consensus/src/client/lanes.rs
@@ -5,7 +5,7 @@
 
 use super::{State, REPORT_GAP};
 use crate::Told;
-use stagehoist_registry::{Demand, Grant};
+use stagehoist_cluster_state::{Demand, Grant};
 use std::collections::HashMap;
 use std::hash::Hash;
 use std::time::Duration;
--- a/crates/keeper/src/client/retiring.rs
+++ b/crates/consensus/src/client/retiring.rs
@@ -4,7 +4,7 @@
 mod tests;
 
 use rand::{Rng, RngExt};
-use stagehoist_registry::{Retirement, View};
+use stagehoist_cluster_state::{Retirement, View};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -66,7 +66,7 @@
         let retirement = self.open.pop_front()?;
         self.open.push_back(retirement.clone());
         if self.pause == AGAIN.1 && !std::mem::replace(&mut self.is_told, true) {
-            tracing::warn!(target: "stagehoist_keeper", event = "retirement", waiting = self.open.len(),
+            tracing::warn!(target: "stagehoist_consensus", event = "retirement", waiting = self.open.len(),
                 function = %retirement.function, generation = retirement.generation,
                 "not taken by the record yet, and not in force; proposed again until it is");
         }
--- a/crates/keeper/src/client/retiring/tests.rs
+++ b/crates/consensus/src/client/retiring/tests.rs
@@ -1,7 +1,7 @@
 use super::{Retiring, AGAIN};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use stagehoist_registry::{Command, Mode, Record, Retirement, View};
+use stagehoist_cluster_state::{Command, Mode, Record, Retirement, View};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/keeper/src/client/talk.rs
+++ b/crates/consensus/src/client/talk.rs
@@ -4,7 +4,7 @@
 use crate::frames::{decode, encode, Frames, WRITE_MOST};
 use futures_util::{SinkExt, StreamExt};
 use rand::RngExt;
-use stagehoist_registry::{Heard, Known, Report, Retirement, Said, ToKeeper, ToMember};
+use stagehoist_cluster_state::{Heard, Known, Report, Retirement, Said, ToKeeper, ToMember};
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
@@ -50,7 +50,7 @@
                         }
                         Some(ToMember::NotRetired { function, generation, why }) => {
                             self.retiring.refused(&function, generation);
-                            tracing::error!(target: "stagehoist_keeper", event = "retirement",
+                            tracing::error!(target: "stagehoist_consensus", event = "retirement",
                                 name = %self.client.name, function, generation, why, "refused by the record");
                         }
                         Some(ToMember::Elsewhere { leader }) => return End::Elsewhere(leader),
@@ -147,7 +147,7 @@
     }
 
     /// A view came: kept on disk first, then shown.
-    async fn show(&mut self, view: stagehoist_registry::View) -> bool {
+    async fn show(&mut self, view: stagehoist_cluster_state::View) -> bool {
         if view.version > self.holder.version() {
             let shown = view.clone();
             if !self.keep(move |m| m.view = view).await {
--- a/crates/keeper/src/frames.rs
+++ b/crates/consensus/src/frames.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use stagehoist_registry::ToKeeper;
+use stagehoist_cluster_state::ToKeeper;
 use std::time::Duration;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
--- a/crates/keeper/src/keep/desk.rs
+++ b/crates/consensus/src/keep/desk.rs
@@ -8,7 +8,7 @@
 use crate::kinds::{Applied, Metrics, Raft};
 use crate::Now;
 use bytes::Bytes;
-use stagehoist_registry::{Limits, Micros, Terms, ToKeeper};
+use stagehoist_cluster_state::{Limits, Micros, Terms, ToKeeper};
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
--- a/crates/keeper/src/keep/desk_state.rs
+++ b/crates/consensus/src/keep/desk_state.rs
@@ -12,7 +12,9 @@
 use agree::QUEUE_MOST;
 use bytes::Bytes;
 use openraft::ServerState;
-use stagehoist_registry::{Command, Lead, Member, Micros, Report, ToKeeper, ToMember, Version, PROTOCOL};
+use stagehoist_cluster_state::{
+    Command, Lead, Member, Micros, Report, ToKeeper, ToMember, Version, PROTOCOL,
+};
 use std::collections::{BTreeMap, VecDeque};
 use std::future::Future;
 use std::pin::Pin;
@@ -106,7 +108,7 @@
         }
         if metrics.current_leader != self.leader {
             self.leader = metrics.current_leader;
-            tracing::info!(target: "stagehoist_keeper", event = "following", keeper = self.tools.own, term,
+            tracing::info!(target: "stagehoist_consensus", event = "following", keeper = self.tools.own, term,
                 leader = self.leader, "who leads has changed");
         }
         self.term = term;
@@ -118,7 +120,7 @@
                 Some(limits) => lead.dealing(limits),
                 None => lead,
             });
-            tracing::info!(target: "stagehoist_keeper", event = "leading", keeper = self.tools.own, term,
+            tracing::info!(target: "stagehoist_consensus", event = "leading", keeper = self.tools.own, term,
                 "leading");
         }
     }
@@ -127,7 +129,7 @@
         self.lead = None;
         self.queue.clear();
         self.flight = None;
-        tracing::info!(target: "stagehoist_keeper", event = "following", keeper = self.tools.own,
+        tracing::info!(target: "stagehoist_consensus", event = "following", keeper = self.tools.own,
             term = self.term,
             "no longer leading");
         for conn in self.conns.keys().copied().collect::<Vec<_>>() {
@@ -170,7 +172,7 @@
         if let Some(old) = self.names.insert(member.name.clone(), conn) {
             self.close(old, "its front end came anew");
         }
-        tracing::info!(target: "stagehoist_keeper", event = "session", name = %member.name,
+        tracing::info!(target: "stagehoist_consensus", event = "session", name = %member.name,
             incarnation = member.incarnation, "joined");
         let mut before = None;
         if let Some(at) = self.conns.get_mut(&conn) {
--- a/crates/keeper/src/keep/desk_state/agree.rs
+++ b/crates/consensus/src/keep/desk_state/agree.rs
@@ -3,7 +3,7 @@
 use super::{Agreed, Desk, For};
 use crate::frames::{encode, SAID_MOST};
 use crate::kinds::{Batch, CHANGES_MOST};
-use stagehoist_registry::{Command, Done, Lead, ToMember};
+use stagehoist_cluster_state::{Command, Done, Lead, ToMember};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -60,7 +60,7 @@
                 (For::Join(conn), None) => self.close(conn, "not agreed on"),
                 (For::Leave(conn), _) => self.close(conn, "left"),
                 (For::Nobody, Some(Done::Refused { why })) => {
-                    tracing::warn!(target: "stagehoist_keeper", event = "retirement", why,
+                    tracing::warn!(target: "stagehoist_consensus", event = "retirement", why,
                         "a change is refused");
                 }
                 _ => {}
@@ -68,7 +68,7 @@
             if let (Command::InForce { function, generation, but_for }, Some(Done::Changed)) =
                 (command, results.get(at))
             {
-                tracing::info!(target: "stagehoist_keeper", event = "retirement", %function, generation,
+                tracing::info!(target: "stagehoist_consensus", event = "retirement", %function, generation,
                     ?but_for,
                     "in force");
             }
--- a/crates/keeper/src/keep/desk_state/asks.rs
+++ b/crates/consensus/src/keep/desk_state/asks.rs
@@ -5,8 +5,8 @@
 
 use super::Desk;
 use crate::keep::serve::OUT_MOST;
-use stagehoist_registry::marks::KEYS_MOST;
-use stagehoist_registry::{Known, Member, MessageKey, Micros, ToMember};
+use stagehoist_cluster_state::marks::KEYS_MOST;
+use stagehoist_cluster_state::{Known, Member, MessageKey, Micros, ToMember};
 use std::collections::BTreeSet;
 
 /// Its word of who has to answer counts while a majority answered it within this; with the 100 ms that an asker gives it, less
--- a/crates/keeper/src/keep/desk_state/out.rs
+++ b/crates/consensus/src/keep/desk_state/out.rs
@@ -3,7 +3,7 @@
 use super::Desk;
 use crate::frames::encode;
 use bytes::Bytes;
-use stagehoist_registry::ToMember;
+use stagehoist_cluster_state::ToMember;
 
 impl Desk {
     /// Sends the newest view, where it was not sent yet.
@@ -63,7 +63,7 @@
             if self.names.get(&member.name) == Some(&conn) {
                 self.names.remove(&member.name);
             }
-            tracing::info!(target: "stagehoist_keeper", event = "session", name = %member.name,
+            tracing::info!(target: "stagehoist_consensus", event = "session", name = %member.name,
                 incarnation = member.incarnation, why, "left");
         }
     }
--- a/crates/keeper/src/keep/desk_state/retiring.rs
+++ b/crates/consensus/src/keep/desk_state/retiring.rs
@@ -2,7 +2,7 @@
 
 use super::{Desk, For};
 use crate::frames::VIEW_MOST;
-use stagehoist_registry::{Command, Retirement, ToMember};
+use stagehoist_cluster_state::{Command, Retirement, ToMember};
 
 impl Desk {
     pub(super) fn retire(&mut self, conn: u64, asked: Retirement) {
@@ -12,7 +12,7 @@
         if self.view.1.len() > VIEW_MOST / 2 {
             return self.refuse(conn, asked, "the record is full");
         }
-        tracing::info!(target: "stagehoist_keeper", event = "retirement", function = %asked.function,
+        tracing::info!(target: "stagehoist_consensus", event = "retirement", function = %asked.function,
             generation = asked.generation, "proposed");
         self.propose(For::Retire(conn), Command::Retire(asked));
     }
@@ -31,13 +31,13 @@
         if std::mem::replace(&mut self.is_full, true) {
             return;
         }
-        tracing::warn!(target: "stagehoist_keeper", event = "retirement", function = %asked.function,
+        tracing::warn!(target: "stagehoist_consensus", event = "retirement", function = %asked.function,
             generation = asked.generation, tombstones, why, "not taken; there is no room for now");
     }
 
     /// Tells who asked for a retirement that it can't be taken.
     fn not_retired(&mut self, conn: u64, asked: Retirement, why: String) {
-        tracing::warn!(target: "stagehoist_keeper", event = "retirement", function = %asked.function,
+        tracing::warn!(target: "stagehoist_consensus", event = "retirement", function = %asked.function,
             generation = asked.generation, why, "refused");
         let (function, generation) = (asked.function, asked.generation);
         self.say(conn, &ToMember::NotRetired { function, generation, why });
--- a/crates/keeper/src/keep/form.rs
+++ b/crates/consensus/src/keep/form.rs
@@ -70,19 +70,19 @@
                 // All begin with the same set; Raft takes it where nothing is there yet.
                 let nodes = numbers.iter().map(|n| (*n, openraft::EmptyNode::default()));
                 if let Err(e) = raft.initialize(nodes.collect::<BTreeMap<_, _>>()).await {
-                    tracing::debug!(target: "stagehoist_keeper", why = %e, "a membership was there already");
+                    tracing::debug!(target: "stagehoist_consensus", why = %e, "a membership was there already");
                 }
             }
             Choice::Join => gate.set(State::Open),
             Choice::Return(bound) => match store.keep_bound(Some(bound)).await {
                 Ok(()) => gate.set(State::Returning { bound }),
                 Err(e) => {
-                    tracing::error!(target: "stagehoist_keeper", event = "store", why = %e, "store fails");
+                    tracing::error!(target: "stagehoist_consensus", event = "store", why = %e, "store fails");
                 }
             },
             Choice::Ask => {
                 if asked.is_multiple_of(TOLD_EVERY) {
-                    tracing::warn!(target: "stagehoist_keeper", event = "store", answered = answers.len(),
+                    tracing::warn!(target: "stagehoist_consensus", event = "store", answered = answers.len(),
                         of = peers.numbers().len(), "nothing in the store; waiting for the others");
                 }
                 asked += 1;
@@ -91,7 +91,7 @@
         }
     }
     if let State::Returning { bound } = gate.state() {
-        tracing::warn!(target: "stagehoist_keeper", event = "store", bound, "returning without its log");
+        tracing::warn!(target: "stagehoist_consensus", event = "store", bound, "returning without its log");
         while !gate.is_back(applied.borrow_and_update().last) {
             for number in peers.numbers() {
                 peers.call(number, Ask::Raise { above: bound }, ANSWER_MOST).await;
@@ -99,11 +99,11 @@
             let _ = tokio::time::timeout(RAISED_EVERY, applied.wait_for(|a| gate.is_back(a.last))).await;
         }
         while let Err(e) = store.keep_bound(None).await {
-            tracing::error!(target: "stagehoist_keeper", event = "store", why = %e, "store fails");
+            tracing::error!(target: "stagehoist_consensus", event = "store", why = %e, "store fails");
             tokio::time::sleep(RAISED_EVERY).await;
         }
         gate.set(State::Open);
-        tracing::info!(target: "stagehoist_keeper", event = "store", bound, "its log came back");
+        tracing::info!(target: "stagehoist_consensus", event = "store", bound, "its log came back");
     }
     raft.runtime_config().elect(true);
 }
--- a/crates/keeper/src/keep/listen.rs
+++ b/crates/consensus/src/keep/listen.rs
@@ -29,7 +29,7 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, from)) if tasks.len() >= CONNECTIONS_MOST => {
-                    tracing::warn!(target: "stagehoist_keeper", event = "session", %from,
+                    tracing::warn!(target: "stagehoist_consensus", event = "session", %from,
                         most = CONNECTIONS_MOST,
                         "too many connections");
                     drop(stream);
@@ -39,7 +39,7 @@
                     tasks.spawn(greet(stream, conn, own, host.clone(), desk.clone()));
                 }
                 Err(e) => {
-                    tracing::warn!(target: "stagehoist_keeper", why = %e, "can't accept");
+                    tracing::warn!(target: "stagehoist_consensus", why = %e, "can't accept");
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
             },
@@ -58,9 +58,9 @@
             peer(frames, from, &host).await;
         }
         Some(First::Peer { protocol, from, to }) => {
-            tracing::error!(target: "stagehoist_keeper", protocol, from, to, own, "a keeper was turned away");
+            tracing::error!(target: "stagehoist_consensus", protocol, from, to, own, "a keeper was turned away");
         }
-        None => tracing::warn!(target: "stagehoist_keeper", conn, "a first frame that says nothing"),
+        None => tracing::warn!(target: "stagehoist_consensus", conn, "a first frame that says nothing"),
     }
 }
 
--- a/crates/keeper/src/keep/serve.rs
+++ b/crates/consensus/src/keep/serve.rs
@@ -4,7 +4,7 @@
 use crate::frames::{apart, decode, Frames, WRITE_MOST};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use stagehoist_registry::ToKeeper;
+use stagehoist_cluster_state::ToKeeper;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
@@ -26,7 +26,7 @@
             frame = timeout(SILENT_MOST, stream.next()) => {
                 let Ok(Some(Ok(frame))) = frame else { break };
                 let Some(said) = decode::<ToKeeper>(&frame) else {
-                    tracing::warn!(target: "stagehoist_keeper", event = "session", conn,
+                    tracing::warn!(target: "stagehoist_consensus", event = "session", conn,
                         "a frame that says nothing");
                     break;
                 };
@@ -44,7 +44,7 @@
                     SinkExt::<Bytes>::flush(&mut sink).await
                 });
                 if !matches!(written.await, Ok(Ok(()))) {
-                    tracing::warn!(target: "stagehoist_keeper", event = "session", conn, "it does not read");
+                    tracing::warn!(target: "stagehoist_consensus", event = "session", conn, "it does not read");
                     break;
                 }
             }
--- a/crates/keeper/src/keep/tend.rs
+++ b/crates/consensus/src/keep/tend.rs
@@ -34,16 +34,18 @@
             continue;
         }
         differed = 0;
-        tracing::warn!(target: "stagehoist_keeper", event = "membership", ?present, ?told,
+        tracing::warn!(target: "stagehoist_consensus", event = "membership", ?present, ?told,
             "changing the keepers");
         let changed = timeout(CHANGE_MOST, change(&raft, &present, &told)).await;
         match changed {
-            Ok(Ok(())) => tracing::info!(target: "stagehoist_keeper", event = "membership", ?told, "changed"),
+            Ok(Ok(())) => {
+                tracing::info!(target: "stagehoist_consensus", event = "membership", ?told, "changed")
+            }
             Ok(Err(why)) => {
-                tracing::warn!(target: "stagehoist_keeper", event = "membership", why, "not changed")
+                tracing::warn!(target: "stagehoist_consensus", event = "membership", why, "not changed")
             }
             Err(_) => {
-                tracing::warn!(target: "stagehoist_keeper", event = "membership", "not changed in time")
+                tracing::warn!(target: "stagehoist_consensus", event = "membership", "not changed in time")
             }
         }
     }
@@ -76,7 +78,7 @@
         if !leads(&metrics.borrow_and_update()) {
             continue;
         }
-        tracing::info!(target: "stagehoist_keeper", event = "membership", above, "yielding for a later term");
+        tracing::info!(target: "stagehoist_consensus", event = "membership", above, "yielding for a later term");
         raft.runtime_config().heartbeat(false);
         let _ = timeout(SILENT_MOST, metrics.wait_for(|m| !leads(m))).await;
         raft.runtime_config().heartbeat(true);
--- a/crates/keeper/src/kept.rs
+++ b/crates/consensus/src/kept.rs
@@ -5,7 +5,7 @@
 
 use crate::store::sum;
 use serde::{Deserialize, Serialize};
-use stagehoist_registry::View;
+use stagehoist_cluster_state::View;
 use std::fmt::Write as _;
 use std::fs::File;
 use std::io::{Error, ErrorKind, Result, Write as _};
@@ -35,7 +35,7 @@
                 Some(memory) => memory,
                 None => {
                     let aside = set_aside(&path)?;
-                    tracing::error!(target: "stagehoist_keeper", event = "store", path = %path.display(),
+                    tracing::error!(target: "stagehoist_consensus", event = "store", path = %path.display(),
                         aside = %aside.display(), "memory of a session is damaged and set aside");
                     Memory::default()
                 }
--- a/crates/keeper/src/kinds.rs
+++ b/crates/consensus/src/kinds.rs
@@ -1,7 +1,7 @@
 //! What Raft carries here.
 
 use serde::{Deserialize, Serialize};
-use stagehoist_registry::{Command, Done, Record};
+use stagehoist_cluster_state::{Command, Done, Record};
 use std::sync::Arc;
 
 /// Numbers of changes that each entry takes up, so that each change has its own: the record compares them.
--- a/crates/keeper/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -27,7 +27,7 @@
 pub use figures::Figures;
 pub use start::{start, Running};
 
-use stagehoist_registry::{
+use stagehoist_cluster_state::{
     Demand, Heard, Limits, Member, Micros, Pool, Retirement, Said, Standing, Terms, Version,
 };
 use std::collections::BTreeMap;
--- a/crates/keeper/src/start.rs
+++ b/crates/consensus/src/start.rs
@@ -5,7 +5,7 @@
 use crate::kept::Kept;
 use crate::store;
 use crate::{Figures, KeeperError, Now, Options, Session, Told};
-use stagehoist_registry::{Holder, Retirement};
+use stagehoist_cluster_state::{Holder, Retirement};
 use std::collections::BTreeMap;
 use std::net::TcpListener;
 use std::thread::JoinHandle;
@@ -46,7 +46,7 @@
         self.stop.send_replace(true);
         if let Some(thread) = self.thread.take() {
             if thread.join().is_err() {
-                tracing::error!(target: "stagehoist_keeper", "the keeper's thread failed");
+                tracing::error!(target: "stagehoist_consensus", "the keeper's thread failed");
             }
         }
     }
@@ -92,7 +92,7 @@
         runtime.shutdown_timeout(END_MOST);
     };
     let thread = std::thread::Builder::new()
-        .name("stagehoist-keeper".into())
+        .name("stagehoist-consensus".into())
         .spawn(work)
         .map_err(KeeperError::Thread)?;
     let running = Running { sessions, figures, stop, thread: Some(thread) };
--- a/crates/keeper/src/store/machine.rs
+++ b/crates/consensus/src/store/machine.rs
@@ -6,7 +6,7 @@
 use openraft::{EntryPayload, OptionalSend, RaftSnapshotBuilder, Snapshot, SnapshotMeta};
 use redb::Durability;
 use serde::{Deserialize, Serialize};
-use stagehoist_registry::Record;
+use stagehoist_cluster_state::Record;
 use std::io::Cursor;
 use std::sync::Arc;
 use tokio::sync::watch;
--- a/crates/keeper/src/store/open.rs
+++ b/crates/consensus/src/store/open.rs
@@ -66,7 +66,7 @@
         Found::Damaged(why) => why,
     };
     let aside = set_aside(&path).map_err(|e| told(e.to_string()))?;
-    tracing::error!(target: "stagehoist_keeper", event = "store", path = %path.display(),
+    tracing::error!(target: "stagehoist_consensus", event = "store", path = %path.display(),
         aside = %aside.display(), why = %wrong, "store set aside");
     let db = match try_open(&path)? {
         Found::Whole(db) => Arc::new(db),
--- a/crates/keeper/src/store/tests/golden.rs
+++ b/crates/consensus/src/store/tests/golden.rs
@@ -5,7 +5,7 @@
 use crate::kinds::{Batch, Entry, LogId, Vote};
 use openraft::storage::{RaftLogStorage, RaftStateMachine};
 use openraft::{EntryPayload, LeaderId, Membership, RaftLogReader, RaftSnapshotBuilder};
-use stagehoist_registry::{Command, Member, Mode, Retirement};
+use stagehoist_cluster_state::{Command, Member, Mode, Retirement};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
--- a/crates/keeper/src/store/tests/mod.rs
+++ b/crates/consensus/src/store/tests/mod.rs
@@ -11,7 +11,7 @@
 use openraft::storage::{RaftLogStorage, RaftStateMachine};
 use openraft::{EntryPayload, LeaderId, RaftSnapshotBuilder};
 use redb::Database;
-use stagehoist_registry::{Command, Mode, Retirement};
+use stagehoist_cluster_state::{Command, Mode, Retirement};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::Path;
--- a/crates/keeper/src/tests.rs
+++ b/crates/consensus/src/tests.rs
@@ -11,7 +11,7 @@
 };
 use openraft::{EmptyNode, EntryPayload, LeaderId, Membership, SnapshotMeta, StoredMembership};
 use serde::{de::DeserializeOwned, Serialize};
-use stagehoist_registry::{Command, Done, Member, ToKeeper, View};
+use stagehoist_cluster_state::{Command, Done, Member, ToKeeper, View};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{Debug, Write};
 
--- a/crates/keeper/tests/agree.rs
+++ b/crates/consensus/tests/agree.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{clock, in_force, is_fresh, retirement, shown, terms, wait, Fleet};
-use stagehoist_keeper::{start, KeeperError, Options};
-use stagehoist_registry::Mode;
+use stagehoist_cluster_state::Mode;
+use stagehoist_consensus::{start, KeeperError, Options};
 use std::time::Duration;
 
 #[test]
--- a/crates/keeper/tests/away.rs
+++ b/crates/consensus/tests/away.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{clock, in_force, retirement, shown, wait, Fleet};
-use stagehoist_keeper::{start, Options};
-use stagehoist_registry::Mode;
+use stagehoist_cluster_state::Mode;
+use stagehoist_consensus::{start, Options};
 
 #[test]
 fn a_keeper_that_was_away_for_long_is_brought_back_by_a_snapshot() {
--- a/crates/keeper/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -4,8 +4,8 @@
 pub mod relay;
 
 use relay::Relay;
-use stagehoist_keeper::{start, Keep, Now, Options, Pace, Running, Session};
-use stagehoist_registry::{Mode, Retirement, State, Terms, Tombstone};
+use stagehoist_cluster_state::{Mode, Retirement, State, Terms, Tombstone};
+use stagehoist_consensus::{start, Keep, Now, Options, Pace, Running, Session};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpListener;
 use std::path::PathBuf;
--- a/crates/keeper/tests/cut.rs
+++ b/crates/consensus/tests/cut.rs
@@ -4,8 +4,8 @@
 
 use common::relay::{Relay, Way};
 use common::{clock, confirm, in_force, is_fresh, retirement, shown, terms, wait, Fleet};
-use stagehoist_keeper::{start, Options};
-use stagehoist_registry::{Mode, State, Terms};
+use stagehoist_cluster_state::{Mode, State, Terms};
+use stagehoist_consensus::{start, Options};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
--- a/crates/keeper/tests/full.rs
+++ b/crates/consensus/tests/full.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{clock, retirement, shown, terms, Fleet};
-use stagehoist_keeper::{start, Options, Session};
-use stagehoist_registry::{Mode, Retirement, Terms};
+use stagehoist_cluster_state::{Mode, Retirement, Terms};
+use stagehoist_consensus::{start, Options, Session};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
--- a/crates/keeper/tests/hostile.rs
+++ b/crates/consensus/tests/hostile.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{retirement, Fleet};
-use stagehoist_keeper::Session;
-use stagehoist_registry::{Mode, Retirement, State, ToKeeper, PROTOCOL};
+use stagehoist_cluster_state::{Mode, Retirement, State, ToKeeper, PROTOCOL};
+use stagehoist_consensus::Session;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
--- a/crates/keeper/tests/lost.rs
+++ b/crates/consensus/tests/lost.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{retirement, shown, Fleet};
-use stagehoist_keeper::Session;
-use stagehoist_registry::{Mode, State};
+use stagehoist_cluster_state::{Mode, State};
+use stagehoist_consensus::Session;
 use std::path::Path;
 
 fn copy(from: &Path, to: &Path) {
@@ -110,7 +110,7 @@
     std::fs::copy(old.join("record.redb"), fleet.store(3).join("record.redb")).unwrap();
     std::fs::copy(old.join("guard"), fleet.store(3).join("guard")).unwrap();
     let options = fleet.keeper_options(3);
-    let running = stagehoist_keeper::start(options, common::clock()).unwrap();
+    let running = stagehoist_consensus::start(options, common::clock()).unwrap();
     assert_eq!(set_aside(&fleet, 3), 1);
     running.stop();
 }
--- a/crates/keeper/tests/many.rs
+++ b/crates/consensus/tests/many.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{clock, confirm, in_force, is_fresh, retirement, wait, Fleet};
-use stagehoist_keeper::{start, Options};
-use stagehoist_registry::Mode;
+use stagehoist_cluster_state::Mode;
+use stagehoist_consensus::{start, Options};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
--- a/crates/core/tests/recording/main.rs
+++ b/crates/core/tests/recording/main.rs
@@ -198,8 +198,13 @@
         let (digest, counts) = play(day, 7919 + at as u64);
         let kinds: Vec<String> = counts.kinds.iter().map(|(kind, n)| format!("{kind} {n}")).collect();
         let (played, events) = (counts.batches, counts.events);
-        writeln!(text, "{}: {digest:016x}, {played} batches, {events} events; {}", day.name, kinds.join(", "))
-            .unwrap();
+        writeln!(
+            text,
+            "{}: {digest:016x}, {played} batches, {events} events; {}",
+            day.name,
+            kinds.join(", ")
+        )
+        .unwrap();
         counts.kinds.iter().for_each(|(kind, n)| *all.entry(kind).or_default() += n);
         batches += counts.batches;
     }
--- a/crates/standin/tests/broker.rs
+++ b/crates/emulator/tests/broker.rs
@@ -4,7 +4,7 @@
 use lapin::options::*;
 use lapin::types::{AMQPValue, FieldTable, LongString, ShortString};
 use lapin::{BasicProperties, Confirmation, Connection, ConnectionProperties, ExchangeKind};
-use stagehoist_standin::broker::{self, Broker, BrokerOptions, Cut, Faults, Handle};
+use stagehoist_emulator::broker::{self, Broker, BrokerOptions, Cut, Faults, Handle};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/standin/tests/split.rs
+++ b/crates/emulator/tests/split.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use proptest::prelude::*;
 use stagehoist_amqp::{basic, queue, short, AMQPClass, BasicProperties, Client, ClientOptions};
-use stagehoist_standin::broker::{Broker, BrokerOptions};
+use stagehoist_emulator::broker::{Broker, BrokerOptions};
 
 /// What an ordinary client says while it declares, publishes, consumes and acknowledges, and what it hears.
 fn script() -> (Vec<u8>, Vec<u8>) {
--- a/crates/standin/tests/versions.rs
+++ b/crates/emulator/tests/versions.rs
@@ -1,7 +1,7 @@
 //! A worker on its socket: a version of a model is loaded, asked and unloaded apart from the model's first.
 
-use stagehoist_standin::store;
-use stagehoist_standin::worker::{self, Catalogue, Program, Spec, WorkerOptions};
+use stagehoist_emulator::store;
+use stagehoist_emulator::worker::{self, Catalogue, Program, Spec, WorkerOptions};
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/standin/tests/worker.rs
+++ b/crates/emulator/tests/worker.rs
@@ -1,7 +1,7 @@
 //! What a stand-in worker holds and does, by time alone.
 
-use stagehoist_standin::worker::model::{Found, Model, Refusal, Step};
-use stagehoist_standin::worker::{Program, Spec};
+use stagehoist_emulator::worker::model::{Found, Model, Refusal, Step};
+use stagehoist_emulator::worker::{Program, Spec};
 
 const MS: i64 = 1000;
 const S: i64 = 1_000_000;
--- a/crates/membership/tests/membership.rs
+++ b/crates/endpoints/tests/membership.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use stagehoist::{Lifecycle, RosterForm, RosterRow};
-use stagehoist_membership::blocking::{Answer, Blocking};
-use stagehoist_membership::{Entry, Members, Told, Update, GONE_KEEP, WORKERS_MOST};
+use stagehoist_endpoints::blocking::{Answer, Blocking};
+use stagehoist_endpoints::{Entry, Members, Told, Update, GONE_KEEP, WORKERS_MOST};
 
 const S: i64 = 1_000_000;
 
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -6,7 +6,7 @@
 use crate::fleet::{tell, Link};
 use crate::state::{Command, Core, News};
 use stagehoist::Micros;
-use stagehoist_registry::Standing;
+use stagehoist_cluster_state::Standing;
 use std::future::Future;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
--- a/crates/gateway/src/fleet/entrance.rs
+++ b/crates/gateway/src/fleet/entrance.rs
@@ -4,8 +4,8 @@
 use super::names::outer_name;
 use stagehoist::{Micros, Request, RequestId};
 use stagehoist_admission::lanes::{Enter, Lane, Lanes, PoolRules, Woken};
+use stagehoist_cluster_state::{floor, Demand, Limits, Pool, Reservation, Size, Standing, FLOOR_SHARE};
 use stagehoist_config::Config;
-use stagehoist_registry::{floor, Demand, Limits, Pool, Reservation, Size, Standing, FLOOR_SHARE};
 use std::collections::HashMap;
 use std::rc::Rc;
 
--- a/crates/gateway/src/fleet/gate.rs
+++ b/crates/gateway/src/fleet/gate.rs
@@ -2,8 +2,8 @@
 
 use super::names::{inner_name, outer_name};
 use stagehoist::Micros;
+use stagehoist_cluster_state::{Standing, Tombstone, View};
 use stagehoist_config::Config;
-use stagehoist_registry::{Standing, Tombstone, View};
 use std::rc::Rc;
 
 /// A front end looks at the clock four times a second, and a turn is short: after a longer gap it did not run.
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -28,7 +28,7 @@
 
 use crate::clock::Clock;
 use stagehoist::Micros;
-use stagehoist_registry::{Demand, Heard, Said, Standing, Version};
+use stagehoist_cluster_state::{Demand, Heard, Said, Standing, Version};
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
--- a/crates/gateway/src/fleet/part.rs
+++ b/crates/gateway/src/fleet/part.rs
@@ -3,7 +3,7 @@
 use super::desk::Desk;
 use super::names::outer_name;
 use stagehoist::{Micros, RequestId, WorkerId};
-use stagehoist_registry::{State, Version};
+use stagehoist_cluster_state::{State, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
--- a/crates/gateway/src/fleet/retirements.rs
+++ b/crates/gateway/src/fleet/retirements.rs
@@ -9,8 +9,8 @@
 //! taken out of the file: a retirement is for good.
 
 use super::states;
+use stagehoist_cluster_state::{Mode, Retirement, Standing, View};
 use stagehoist_config::Config;
-use stagehoist_registry::{Mode, Retirement, Standing, View};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
--- a/crates/gateway/src/fleet/starting.rs
+++ b/crates/gateway/src/fleet/starting.rs
@@ -8,7 +8,7 @@
 use super::first;
 use stagehoist::{Lifecycle, Micros, Outcome, RosterForm, WorkerId};
 use stagehoist_config::{Config, Recover};
-use stagehoist_membership::Update;
+use stagehoist_endpoints::Update;
 use stagehoist_recovery::stages::{Admission, Limits, Seen, Stage};
 use stagehoist_recovery::Stages;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/gateway/src/fleet/states.rs
+++ b/crates/gateway/src/fleet/states.rs
@@ -12,7 +12,7 @@
 //! The time is when a process that wrote the file first saw that state, in milliseconds since 1970. Several processes may
 //! keep one file: what is there is replaced only by a later view, or where it is lost or damaged.
 
-use stagehoist_registry::{State, Tombstone, View};
+use stagehoist_cluster_state::{State, Tombstone, View};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
--- a/crates/gateway/src/list/file.rs
+++ b/crates/gateway/src/list/file.rs
@@ -8,7 +8,7 @@
 use super::{Kind, ToList, LIST_MOST};
 use crate::state::News;
 use stagehoist::Micros;
-use stagehoist_membership::Entry;
+use stagehoist_endpoints::Entry;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::sync::mpsc;
--- a/crates/gateway/src/marked.rs
+++ b/crates/gateway/src/marked.rs
@@ -8,7 +8,7 @@
 use crate::workers::Workers;
 use stagehoist::{Effect, Micros, Outcome, RequestId, WorkerId};
 use stagehoist_config::Config;
-use stagehoist_marks::{Done, Mark, Marks, Reply};
+use stagehoist_intent_log::{Done, Mark, Marks, Reply};
 use stagehoist_recovery::marked::{AttemptId, Limits, Step, Why};
 use stagehoist_recovery::{Identity, Marked};
 use std::collections::{HashMap, HashSet};
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -11,7 +11,7 @@
 use crate::ways::AmqpWays;
 use metrics_exporter_prometheus::PrometheusHandle;
 use stagehoist_config::Config;
-use stagehoist_marks::{Marks, Options, Place};
+use stagehoist_intent_log::{Marks, Options, Place};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -127,7 +127,7 @@
     let name = fleet.map_or(format!("front-end-{number}"), |f| format!("{}/{number}", f.member));
     let place = Place { folder: PathBuf::from(&told.folder), name, alone: fleet.is_none() };
     let options = Options { keep: told.keep, most: told.most, ..Options::default() };
-    let opened = stagehoist_marks::start(&place, options);
+    let opened = stagehoist_intent_log::start(&place, options);
     opened.map(Some).map_err(|source| GatewayError::Marks { folder: told.folder.clone(), source })
 }
 
--- a/crates/gateway/src/shards.rs
+++ b/crates/gateway/src/shards.rs
@@ -13,7 +13,7 @@
 use fnv::FnvHashSet;
 use stagehoist::{Lifecycle, Micros, RosterForm, RosterRow, WorkerId};
 use stagehoist_config::{Config, Consume, Sharding};
-use stagehoist_membership::Update;
+use stagehoist_endpoints::Update;
 use stagehoist_sharding::{ranked, Assignment, Division, Divisions, Homes, Key, Member, Shard, Transition};
 use std::collections::BTreeMap;
 
--- a/crates/gateway/src/shards/listed.rs
+++ b/crates/gateway/src/shards/listed.rs
@@ -4,7 +4,7 @@
 use crate::list::front_ends::Entry;
 use fnv::FnvHashSet;
 use stagehoist::{Micros, RosterForm};
-use stagehoist_membership::Update;
+use stagehoist_endpoints::Update;
 
 impl Shards {
     /// A whole list of front ends came. Gives own shards and what the module is told, where own shards changed.
--- a/crates/gateway/src/state/core/fleet.rs
+++ b/crates/gateway/src/state/core/fleet.rs
@@ -5,7 +5,7 @@
 use crate::fleet::{Closed, Desk, Gated, Part, Told};
 use bytes::Bytes;
 use stagehoist::{Effect, Event, FunctionId, Micros, Outcome, RequestId, WorkerId};
-use stagehoist_registry::Standing;
+use stagehoist_cluster_state::Standing;
 use std::rc::Rc;
 
 impl Core {
--- a/crates/gateway/src/state/core/mod.rs
+++ b/crates/gateway/src/state/core/mod.rs
@@ -17,7 +17,7 @@
 use held::Outside;
 use stagehoist::{Action, Event, Micros, Outcome, RequestId, WorkerId};
 use stagehoist_admission::lanes::Lane;
-use stagehoist_membership::{Members, WORKERS_MOST};
+use stagehoist_endpoints::{Members, WORKERS_MOST};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tracing::Span;
 use workers::Leaving;
--- a/crates/gateway/src/state/core/workers.rs
+++ b/crates/gateway/src/state/core/workers.rs
@@ -5,7 +5,7 @@
 use crate::list::front_ends::Entry as FrontEnd;
 use crate::shards::{Owned, Shards};
 use stagehoist::{Event, Lifecycle, Micros, RosterForm, WorkerId};
-use stagehoist_membership::{Entry, Update, WORKERS_MOST};
+use stagehoist_endpoints::{Entry, Update, WORKERS_MOST};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -14,10 +14,10 @@
     Action, Event, FrontEnd, FunctionId, Micros, Note, Outcome, Report, RequestId, RosterForm, Settings,
     WorkerId,
 };
+use stagehoist_cluster_state::Standing;
 use stagehoist_config::Config;
-use stagehoist_membership::Told;
+use stagehoist_endpoints::Told;
 use stagehoist_recovery::Identity;
-use stagehoist_registry::Standing;
 use std::rc::Rc;
 
 /// What chooses for a front end: the module, or a policy to measure it against on the same stack.
@@ -49,7 +49,7 @@
     pub zones: Vec<String>,
     /// How long a worker's own word that it drains counts against the list.
     pub announcement_keep: Micros,
-    /// Workers kept of a list; None: [`stagehoist_membership::WORKERS_MOST`].
+    /// Workers kept of a list; None: [`stagehoist_endpoints::WORKERS_MOST`].
     pub workers_most: Option<usize>,
     /// Calls that may be unanswered at once.
     pub held_most: u64,
@@ -166,7 +166,7 @@
         outcome: Outcome,
         copies: u8,
     },
-    List(Vec<stagehoist_membership::Entry>),
+    List(Vec<stagehoist_endpoints::Entry>),
     ListFailed,
     /// A whole list of front ends, where the fleet is divided by it; None: it could not be had.
     FrontEnds(Option<Vec<crate::list::front_ends::Entry>>),
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -5,14 +5,14 @@
 
 use bytes::Bytes;
 use stagehoist::{Micros, Note, Outcome};
+use stagehoist_cluster_state::{self as registry, Mode, Record, Retirement, Standing, View};
 use stagehoist_config::{parse, Config};
+use stagehoist_endpoints::Entry;
 use stagehoist_gateway::amqp::message::reply;
 use stagehoist_gateway::fleet::{Desk, Entrance, Gate};
 use stagehoist_gateway::state::{
     module, Answer, Arrival, Attempt, AttemptResult, CallFigures, Command, Core, Decider, Figures, News,
 };
-use stagehoist_membership::Entry;
-use stagehoist_registry::{self as registry, Mode, Record, Retirement, Standing, View};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
--- a/crates/gateway/tests/core.rs
+++ b/crates/gateway/tests/core.rs
@@ -3,10 +3,10 @@
 use bytes::Bytes;
 use stagehoist::{Micros, Note, Outcome};
 use stagehoist_config::{parse, Config};
+use stagehoist_endpoints::Entry;
 use stagehoist_gateway::state::{
     Answer, Arrival, Attempt, AttemptResult, CallFigures, Command, Core, Figures, News,
 };
-use stagehoist_membership::Entry;
 
 const MS: Micros = 1000;
 
--- a/crates/gateway/tests/divided/mod.rs
+++ b/crates/gateway/tests/divided/mod.rs
@@ -4,10 +4,10 @@
 use bytes::Bytes;
 use stagehoist_amqp::{basic, header_text, long, queue, short, AMQPClass, BasicProperties, Client};
 use stagehoist_amqp::{ClientEvent, ClientOptions, FieldTable};
+use stagehoist_emulator::broker::{self, Broker, BrokerOptions, Handle};
+use stagehoist_emulator::list::{Listed, Registry};
 use stagehoist_gateway::shards;
 use stagehoist_sharding::{Homes, Key, Shard};
-use stagehoist_standin::broker::{self, Broker, BrokerOptions, Handle};
-use stagehoist_standin::list::{Listed, Registry};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
--- a/crates/gateway/tests/first_list_sockets.rs
+++ b/crates/gateway/tests/first_list_sockets.rs
@@ -5,10 +5,10 @@
 
 use caller::{Caller, LONG};
 use stagehoist_config::parse;
+use stagehoist_emulator::broker::{self, Broker, BrokerOptions, Faults, Handle};
+use stagehoist_emulator::list::{Listed, Registry};
 use stagehoist_gateway::driver::FrontEndState;
 use stagehoist_gateway::{metrics_page, serve, Running};
-use stagehoist_standin::broker::{self, Broker, BrokerOptions, Faults, Handle};
-use stagehoist_standin::list::{Listed, Registry};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/gateway/tests/front.rs
+++ b/crates/gateway/tests/front.rs
@@ -3,8 +3,8 @@
 
 mod world;
 
+use stagehoist_endpoints::Entry;
 use stagehoist_gateway::state::{Core, Figures, News};
-use stagehoist_membership::Entry;
 use world::*;
 
 #[test]
--- a/crates/gateway/tests/front_marks.rs
+++ b/crates/gateway/tests/front_marks.rs
@@ -8,7 +8,7 @@
 use stagehoist_gateway::marked::Marker;
 use stagehoist_gateway::state::{Attempt, News};
 use stagehoist_gateway::workers::Workers;
-use stagehoist_marks::{start, Done, Marks, Options, Place};
+use stagehoist_intent_log::{start, Done, Marks, Options, Place};
 use stagehoist_recovery::inquiry::{Patience, Told};
 use stagehoist_recovery::marked::Limits;
 use tokio::io::AsyncReadExt;
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -3,10 +3,10 @@
 use bytes::Bytes;
 use stagehoist::{Action, Event, Lifecycle, Micros, Outcome, RosterForm, RosterRow, Settings, WorkerId};
 use stagehoist_config::{parse, Config};
+use stagehoist_endpoints::Told;
 use stagehoist_gateway::state::{
     module, Arrival, Attempt, AttemptResult, CallFigures, Command, Core, Decide, Figures, News, Ticket,
 };
-use stagehoist_membership::Told;
 use std::cell::RefCell;
 use std::collections::HashMap;
 
--- a/crates/gateway/tests/retirements.rs
+++ b/crates/gateway/tests/retirements.rs
@@ -1,9 +1,9 @@
 //! The watched file of retired functions, and the file of states beside it.
 
+use stagehoist_cluster_state::{Command, Member, Mode, Record, Retirement, Standing, View};
 use stagehoist_config::{parse as configured, Config};
 use stagehoist_gateway::fleet::retirements::{follow, parse, Proposer};
 use stagehoist_gateway::fleet::states;
-use stagehoist_registry::{Command, Member, Mode, Record, Retirement, Standing, View};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::Arc;
--- a/crates/gateway/tests/shards.rs
+++ b/crates/gateway/tests/shards.rs
@@ -6,9 +6,9 @@
 use common::{attempts, entries, MS};
 use stagehoist::{Lifecycle, RosterForm, RosterRow, WorkerId};
 use stagehoist_config::Consume;
+use stagehoist_endpoints::Update;
 use stagehoist_gateway::shards::{own, queue, Places, Shards};
 use stagehoist_gateway::state::{AttemptResult, CallFigures, Core, Figures, News};
-use stagehoist_membership::Update;
 use stagehoist_sharding::{Homes, Key, Place, Shard};
 use std::collections::{BTreeMap, BTreeSet};
 use world::*;
@@ -194,7 +194,7 @@
         }
     }
     let subset = |list: &[&str]| -> BTreeSet<WorkerId> {
-        let mut members = stagehoist_membership::Members::new(vec![], vec![], 0);
+        let mut members = stagehoist_endpoints::Members::new(vec![], vec![], 0);
         let update = members.listed(entries(list), 0);
         let mut shards = Shards::new(&config).unwrap();
         shards.heard(update, |w| members.name(w), 0).rows.iter().map(|r| r.worker).collect()
--- a/crates/gateway/tests/shards_follow.rs
+++ b/crates/gateway/tests/shards_follow.rs
@@ -1,10 +1,10 @@
 //! The list of front ends as it is followed: by a file and by blocking queries, through failures and after them.
 
 use stagehoist_config::{parse, Config};
+use stagehoist_emulator::list::{Listed, Registry};
 use stagehoist_gateway::clock::Clock;
 use stagehoist_gateway::list::front_ends::follow;
 use stagehoist_gateway::state::News;
-use stagehoist_standin::list::{Listed, Registry};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
--- a/crates/gateway/tests/shards_list_sockets.rs
+++ b/crates/gateway/tests/shards_list_sockets.rs
@@ -5,10 +5,10 @@
 
 use divided::*;
 use stagehoist_config::{parse, Config};
+use stagehoist_emulator::list::Registry;
 use stagehoist_gateway::list::front_ends::Entry;
 use stagehoist_gateway::{serve, shards};
 use stagehoist_sharding::{Division, Homes, Key, Shard};
-use stagehoist_standin::list::Registry;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
--- a/crates/gateway/tests/shards_whole.rs
+++ b/crates/gateway/tests/shards_whole.rs
@@ -3,8 +3,8 @@
 mod world;
 
 use stagehoist::{Lifecycle, RosterForm, RosterRow, WorkerId};
+use stagehoist_endpoints::Update;
 use stagehoist_gateway::shards::{own, Shards};
-use stagehoist_membership::Update;
 use std::collections::BTreeMap;
 use world::*;
 
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -1,8 +1,8 @@
 //! The gateway as a library over sockets: brokers tried in turn, each mechanism, a list in a file, and an orderly end.
 
 use stagehoist_config::parse;
+use stagehoist_emulator::broker::{self, Broker, BrokerOptions, Faults, Handle};
 use stagehoist_gateway::{serve, Running};
-use stagehoist_standin::broker::{self, Broker, BrokerOptions, Faults, Handle};
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
--- a/crates/gateway/tests/starting.rs
+++ b/crates/gateway/tests/starting.rs
@@ -5,12 +5,12 @@
 use bytes::Bytes;
 use common::{answers, attempts, ended, in_force, retire, MS};
 use stagehoist::{Micros, Outcome};
+use stagehoist_cluster_state::{Record, Standing};
 use stagehoist_config::{parse, Config};
+use stagehoist_endpoints::Entry;
 use stagehoist_gateway::fleet::{Desk, Gate, Starting, Witness};
 use stagehoist_gateway::state::{Arrival, CallFigures, Command, Core, Figures, News};
-use stagehoist_membership::Entry;
 use stagehoist_recovery::stages::Stage;
-use stagehoist_registry::{Record, Standing};
 use std::rc::Rc;
 use std::sync::Arc;
 
--- a/crates/stage/src/fleet.rs
+++ b/crates/harness/src/fleet.rs
@@ -97,7 +97,8 @@
             let known = |word: &&str| matches!(*word, "leading" | "following");
             let event = text("event").or(text("message")).filter(known)?;
             let keeper = line.get("keeper")?.as_u64()?;
-            let ours = text("target")?.starts_with("stagehoist_keeper") && keeper == u64::from(front_end) + 1;
+            let ours =
+                text("target")?.starts_with("stagehoist_consensus") && keeper == u64::from(front_end) + 1;
             ours.then(|| (event == "leading", text("timestamp").unwrap_or_default().to_string()))
         });
         // Time stamps are of one clock and one width, so they compare as text.
--- a/crates/stage/src/fleet/tests.rs
+++ b/crates/harness/src/fleet/tests.rs
@@ -55,7 +55,7 @@
     let named = |event: &str, message: &str, at: u32| {
         format!(
             "{{\"timestamp\":\"2026-01-01T00:00:00.{at:06}Z\",\"event\":\"{event}\",\"keeper\":1,\"message\":\"{message}\",\
-             \"target\":\"stagehoist_keeper\"}}\n"
+             \"target\":\"stagehoist_consensus\"}}\n"
         )
     };
     let leading = named("following", "who leads has changed", 1) + &named("leading", "leading", 2);
@@ -66,7 +66,7 @@
 
 #[test]
 fn the_leader_is_whoever_said_last_that_it_leads_and_took_nothing_back() {
-    let ours = "stagehoist_keeper::node";
+    let ours = "stagehoist_consensus::node";
     let find = |logs: &[&str]| leader(logs.iter().enumerate().map(|(n, log)| (n as u32, *log)));
     let one = word(1, "leading", 1, ours) + &word(5, "following", 1, ours);
     let two = word(2, "following", 2, ours) + &word(4, "leading", 2, ours) + "not json\n";
--- a/crates/stage/src/lateness.rs
+++ b/crates/harness/src/lateness.rs
@@ -1,7 +1,7 @@
 //! How late the machine ran a thread of the stage's own: what a judge may hold against the machine, and no more.
 
-use stagehoist_judge::capture::Recorder;
-use stagehoist_judge::Micros;
+use stagehoist_checker::capture::Recorder;
+use stagehoist_checker::Micros;
 use std::sync::mpsc::{sync_channel, RecvTimeoutError, SyncSender};
 use std::thread::JoinHandle;
 use std::time::Duration;
--- a/crates/stage/src/layout.rs
+++ b/crates/harness/src/layout.rs
@@ -2,8 +2,8 @@
 
 use crate::day::Day;
 use crate::division::Division;
-use stagehoist_judge::rules::{Charter, ClassRule, Effect};
-use stagehoist_standin::worker::{Catalogue, Program, Spec};
+use stagehoist_checker::rules::{Charter, ClassRule, Effect};
+use stagehoist_emulator::worker::{Catalogue, Program, Spec};
 use std::sync::Arc;
 
 const MS: i64 = 1000;
--- a/crates/stage/src/measure.rs
+++ b/crates/harness/src/measure.rs
@@ -11,9 +11,9 @@
 use hyper::Request;
 use hyper_util::rt::TokioIo;
 use serde::Serialize;
-use stagehoist_judge::capture::{Link, Peer, Recorder};
-use stagehoist_judge::streams::{connections, http};
-use stagehoist_judge::{tap, Story};
+use stagehoist_checker::capture::{Link, Peer, Recorder};
+use stagehoist_checker::streams::{connections, http};
+use stagehoist_checker::{tap, Story};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
 use std::path::Path;
@@ -224,18 +224,18 @@
             let mut tasks = tokio::task::JoinSet::new();
             let Ok(store) = TcpListener::bind("127.0.0.1:0").await else { return };
             let store_address = store.local_addr().map(|a| a.to_string()).unwrap_or_default();
-            tasks.spawn_local(stagehoist_standin::store::serve(store, Default::default(), Arc::default()));
+            tasks.spawn_local(stagehoist_emulator::store::serve(store, Default::default(), Arc::default()));
             for (i, worker) in plan.workers.iter().enumerate() {
                 let Ok(listener) = TcpListener::bind("127.0.0.1:0").await else { return };
                 addresses.push(listener.local_addr().map(|a| a.to_string()).unwrap_or_default());
-                let options = stagehoist_standin::worker::WorkerOptions {
+                let options = stagehoist_emulator::worker::WorkerOptions {
                     name: worker.name.clone(),
                     spec: plan.spec.clone(),
                     catalogue: plan.catalogue.clone(),
                     store: store_address.clone(),
                     seed: i as u64,
                 };
-                tasks.spawn_local(stagehoist_standin::worker::run(listener, options, Arc::default(), true));
+                tasks.spawn_local(stagehoist_emulator::worker::run(listener, options, Arc::default(), true));
             }
             let _ = tell.send(addresses);
             while stopped.try_recv().is_err() {
--- a/crates/stage/src/play/begin.rs
+++ b/crates/harness/src/play/begin.rs
@@ -4,8 +4,8 @@
 use crate::callers::Pace;
 use crate::day::{Cut, Trouble};
 use crate::stack::StageError;
-use stagehoist_judge::tap::Trouble as Tapped;
-use stagehoist_standin::broker::{Cut as BrokerCut, Faults};
+use stagehoist_checker::tap::Trouble as Tapped;
+use stagehoist_emulator::broker::{Cut as BrokerCut, Faults};
 use std::time::{Duration, Instant};
 
 impl Player<'_> {
--- a/crates/stage/src/play/end.rs
+++ b/crates/harness/src/play/end.rs
@@ -4,9 +4,9 @@
 use crate::callers::Pace;
 use crate::stack::StageError;
 use rustix::process::Signal;
-use stagehoist_judge::rules::WorkerStart;
-use stagehoist_judge::tap::Trouble as Tapped;
-use stagehoist_standin::broker::Faults;
+use stagehoist_checker::rules::WorkerStart;
+use stagehoist_checker::tap::Trouble as Tapped;
+use stagehoist_emulator::broker::Faults;
 use std::time::{Duration, Instant};
 
 impl Player<'_> {
--- a/crates/stage/src/play/ledger.rs
+++ b/crates/harness/src/play/ledger.rs
@@ -2,7 +2,7 @@
 
 use crate::day::{Fleet, Pool};
 use crate::layout::GIVE_UP;
-use stagehoist_judge::rules::PoolRule;
+use stagehoist_checker::rules::PoolRule;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/stage/src/play/loss.rs
+++ b/crates/harness/src/play/loss.rs
@@ -3,8 +3,8 @@
 use crate::day::Fleet;
 use crate::layout::GIVE_UP;
 use serde::Serialize;
-use stagehoist_judge::story::Call;
-use stagehoist_judge::Story;
+use stagehoist_checker::story::Call;
+use stagehoist_checker::Story;
 
 const S: i64 = 1_000_000;
 /// How often the store's fetches are noted.
--- a/crates/stage/src/play/mod.rs
+++ b/crates/harness/src/play/mod.rs
@@ -17,9 +17,9 @@
 use ledger::{percentiles, pools};
 pub use loss::Loss;
 use serde::Serialize;
-use stagehoist_judge::rules::{judge, served_times, Charter, Verdict};
-use stagehoist_judge::tap::Trouble as Tapped;
-use stagehoist_judge::{Capture, Story};
+use stagehoist_checker::rules::{judge, served_times, Charter, Verdict};
+use stagehoist_checker::tap::Trouble as Tapped;
+use stagehoist_checker::{Capture, Story};
 use std::collections::{BTreeMap, VecDeque};
 use std::path::Path;
 use std::sync::atomic::Ordering;
@@ -230,7 +230,7 @@
         self.undo.push((Instant::now() + after, undo));
     }
 
-    fn taps(&self, worker: Option<&str>, with: impl Fn(&stagehoist_judge::tap::Controls)) {
+    fn taps(&self, worker: Option<&str>, with: impl Fn(&stagehoist_checker::tap::Controls)) {
         let own = |name: &String| worker.is_none_or(|w| w == name);
         self.stack.worker_taps.iter().filter(|((_, n), _)| own(n)).for_each(|(_, controls)| with(controls));
     }
--- a/crates/stage/src/play/tenants.rs
+++ b/crates/harness/src/play/tenants.rs
@@ -3,8 +3,8 @@
 use super::percentiles;
 use crate::day::Fleet;
 use serde::Serialize;
-use stagehoist_judge::story::Call;
-use stagehoist_judge::Story;
+use stagehoist_checker::story::Call;
+use stagehoist_checker::Story;
 use std::collections::BTreeMap;
 
 /// Calls of one tenant.
--- a/crates/stage/src/retired.rs
+++ b/crates/harness/src/retired.rs
@@ -4,8 +4,8 @@
 
 use crate::fleet::front_end;
 use serde::Serialize;
-use stagehoist_judge::rules::Retired;
-use stagehoist_judge::Micros;
+use stagehoist_checker::rules::Retired;
+use stagehoist_checker::Micros;
 use std::collections::BTreeMap;
 
 /// Front ends that are not yet known to have confirmed are not held to a retirement at all.
--- a/crates/stage/src/stack/host.rs
+++ b/crates/harness/src/stack/host.rs
@@ -1,7 +1,7 @@
 //! Threads and loopback sockets of the stand-ins.
 
 use super::StageError;
-use stagehoist_standin::worker;
+use stagehoist_emulator::worker;
 use std::net::TcpListener as StdListener;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/stage/src/stack/workers.rs
+++ b/crates/harness/src/stack/workers.rs
@@ -2,8 +2,8 @@
 
 use super::host::StartWorker;
 use super::{unix_ms, Stack};
-use stagehoist_standin::list::Listed;
-use stagehoist_standin::worker;
+use stagehoist_emulator::list::Listed;
+use stagehoist_emulator::worker;
 use std::sync::Arc;
 
 impl Stack {
--- a/crates/marks/tests/golden.rs
+++ b/crates/intent-log/tests/golden.rs
@@ -1,7 +1,7 @@
 //! A store of marks and the number of its last run, as the build before the renaming of the packages wrote them: opened,
 //! asked and continued. `golden/` never changes with the code.
 
-use stagehoist_marks::{start, witness, Done, Mark, Options, Place, Witness};
+use stagehoist_intent_log::{start, witness, Done, Mark, Options, Place, Witness};
 use stagehoist_recovery::Told;
 use std::path::Path;
 use tokio::sync::mpsc::unbounded_channel;
--- a/crates/marks/tests/store.rs
+++ b/crates/intent-log/tests/store.rs
@@ -4,7 +4,7 @@
 
 use disk::{Disk, Draw};
 use redb::Database;
-use stagehoist_marks::{start, witness, Batch, Done, Mark, MarksError, Options, Place, Store, Witness};
+use stagehoist_intent_log::{start, witness, Batch, Done, Mark, MarksError, Options, Place, Store, Witness};
 use stagehoist_recovery::Told;
 
 const KEEP: i64 = 1_000_000;
--- a/crates/load/src/stand.rs
+++ b/crates/load-generator/src/stand.rs
@@ -3,7 +3,7 @@
 use crate::LoadError;
 use stagehoist::Micros;
 use stagehoist_config::Broker;
-use stagehoist_stage::process::{cpu_us, metrics, metrics_told, sum};
+use stagehoist_harness::process::{cpu_us, metrics, metrics_told, sum};
 use std::io::{BufRead, BufReader, Read};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
--- a/crates/load/src/sweep.rs
+++ b/crates/load-generator/src/sweep.rs
@@ -6,7 +6,7 @@
 use crate::{LoadError, Mix, Plan, Report, Shape};
 use serde::Serialize;
 use stagehoist::Micros;
-use stagehoist_stage::process::sum;
+use stagehoist_harness::process::sum;
 use std::path::Path;
 use std::time::Duration;
 
--- a/crates/load/tests/load.rs
+++ b/crates/load-generator/tests/load.rs
@@ -1,6 +1,6 @@
 //! Plans and ledgers by time alone.
 
-use stagehoist_load::*;
+use stagehoist_load_generator::*;
 
 const S: i64 = 1_000_000;
 const MS: i64 = 1000;
--- a/crates/platform/src/replay.rs
+++ b/crates/platform/src/replay.rs
@@ -3,7 +3,7 @@
 
 use crate::roster::Event;
 use stagehoist::{Lifecycle, RosterForm, WorkerId};
-use stagehoist_membership::Told;
+use stagehoist_endpoints::Told;
 use std::collections::BTreeMap;
 
 /// Events told anew so far.
--- a/crates/platform/src/roster.rs
+++ b/crates/platform/src/roster.rs
@@ -3,7 +3,7 @@
 
 use serde::Deserialize;
 use stagehoist::{Lifecycle, Micros, RosterForm, RosterRow, WorkerId};
-use stagehoist_membership::Told;
+use stagehoist_endpoints::Told;
 use std::net::Ipv4Addr;
 
 /// Bytes of one record in a frame.
--- a/crates/platform/tests/crossings/attempt.rs
+++ b/crates/platform/tests/crossings/attempt.rs
@@ -1,8 +1,8 @@
 //! One attempt between the executors' lines, the state and the module, with all that can become of it.
 
 use stagehoist::{Action, Event, Lifecycle, Micros, RosterForm, RosterRow};
+use stagehoist_endpoints::Told as Row;
 use stagehoist_gateway::state::{module, Arrival, CallFigures, Command, Core, Decide, News};
-use stagehoist_membership::Told as Row;
 use stagehoist_platform::line::{End, Line, What};
 use stagehoist_platform::Told;
 use std::cell::RefCell;
--- a/crates/platform/tests/crossings/keyed.rs
+++ b/crates/platform/tests/crossings/keyed.rs
@@ -4,8 +4,8 @@
 use crate::stage::{listen, on_one_thread, Side, Stage};
 use bytes::Bytes;
 use stagehoist::{Lifecycle, Micros, Outcome, RosterForm, RosterRow};
+use stagehoist_endpoints::Told as Row;
 use stagehoist_gateway::state::{Arrival, Attempt, AttemptResult, CallFigures, Command, Core, News};
-use stagehoist_membership::Told as Row;
 use stagehoist_platform::Told;
 use std::time::Duration;
 
--- a/crates/platform/tests/crossings/stage.rs
+++ b/crates/platform/tests/crossings/stage.rs
@@ -4,9 +4,9 @@
 use bytes::Bytes;
 use socket2::{Domain, SockAddr, SockRef, Socket, Type};
 use stagehoist::{Lifecycle, Micros, Outcome, RosterForm, RosterRow};
+use stagehoist_endpoints::Told;
 use stagehoist_gateway::clock::Clock;
 use stagehoist_gateway::state::{Attempt, News, Ticket};
-use stagehoist_membership::Told;
 use stagehoist_platform::bounds::Bounds;
 use stagehoist_platform::clients::{Clients, Shared};
 use stagehoist_platform::executors::{Executors, Limits};
--- a/crates/scale/src/front_end/subset.rs
+++ b/crates/scale-tests/src/front_end/subset.rs
@@ -3,8 +3,8 @@
 use super::division::Divided;
 use super::scene::{Scene, SECOND};
 use stagehoist::{Lifecycle, Micros, RosterForm, RosterRow, WorkerId};
+use stagehoist_endpoints::Update;
 use stagehoist_gateway::shards;
-use stagehoist_membership::Update;
 use stagehoist_sharding::{Assignment, Divisions, Key, Member, Shard};
 
 /// As long as a call of a scene or a load lasts at most.
--- a/crates/scale/src/list/follower.rs
+++ b/crates/scale-tests/src/list/follower.rs
@@ -4,8 +4,8 @@
 use crate::front_end::Scene;
 use crate::meter::spent;
 use stagehoist::{Event, FrontEnd, RosterForm};
+use stagehoist_endpoints::{Members, Update};
 use stagehoist_gateway::list::consul::parse;
-use stagehoist_membership::{Members, Update};
 use stagehoist_platform::bus::Bus;
 use std::rc::Rc;
 
--- a/crates/scale/src/list/rows.rs
+++ b/crates/scale-tests/src/list/rows.rs
@@ -8,7 +8,7 @@
 use crate::letter::*;
 use crate::plan::{Measure, Plan};
 use crate::row::{Resource, Role, Row, Subject};
-use stagehoist_membership::WORKERS_MOST;
+use stagehoist_endpoints::WORKERS_MOST;
 
 pub const MEASURES: &[Measure] = &[
     Measure { name: "list-kept", run: list_kept },
--- a/crates/scale/src/main.rs
+++ b/crates/scale-tests/src/main.rs
@@ -1,8 +1,8 @@
-//! `stagehoist-scale quick | full | small`: rows with measured figures, the ranking, the verdict.
+//! `stagehoist-scale-tests quick | full | small`: rows with measured figures, the ranking, the verdict.
 
 use clap::{Parser, Subcommand};
-use stagehoist_scale::plan::lanes;
-use stagehoist_scale::{lanes as apart, measures, report, Measure, Plan, Row, ScaleError, Size};
+use stagehoist_scale_tests::plan::lanes;
+use stagehoist_scale_tests::{lanes as apart, measures, report, Measure, Plan, Row, ScaleError, Size};
 use std::process::ExitCode;
 use std::time::Instant;
 
@@ -62,7 +62,7 @@
         Sizes::Quick => Size::Quick,
         Sizes::Full => Size::Full,
         Sizes::Record { part, told } => {
-            stagehoist_scale::record::part(part, told)?;
+            stagehoist_scale_tests::record::part(part, told)?;
             return Ok(true);
         }
     };
--- a/crates/scale/src/record/apart.rs
+++ b/crates/scale-tests/src/record/apart.rs
@@ -7,7 +7,7 @@
 use crate::letter::{CHANGES, DAY};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stagehoist_registry::{Micros, Mode, Terms};
+use stagehoist_cluster_state::{Micros, Mode, Terms};
 use std::collections::VecDeque;
 use world::World;
 
--- a/crates/scale/src/record/apart/world.rs
+++ b/crates/scale-tests/src/record/apart/world.rs
@@ -4,7 +4,7 @@
 use crate::record::fault::Outcome;
 use crate::record::names::{function_name, member_name};
 use crate::record::state::retirement;
-use stagehoist_registry::{
+use stagehoist_cluster_state::{
     Command, Done, Holder, Lead, Member, Micros, Mode, Record, Report, State, ToMember, View,
 };
 use std::collections::BTreeMap;
--- a/crates/scale/src/record/board.rs
+++ b/crates/scale-tests/src/record/board.rs
@@ -1,8 +1,8 @@
 //! What the hollow front ends of a process see, for whoever waits for all of them.
 
 use serde::{Deserialize, Serialize};
-use stagehoist_keeper::Told;
-use stagehoist_registry::{Demand, Heard, Known, Said, Standing, State};
+use stagehoist_cluster_state::{Demand, Heard, Known, Said, Standing, State};
+use stagehoist_consensus::Told;
 use std::sync::atomic::{AtomicI64, AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/scale/src/record/marks.rs
+++ b/crates/scale-tests/src/record/marks.rs
@@ -3,7 +3,7 @@
 use super::fault::{Fault, Outcome};
 use super::usage::{load, Usage};
 use crate::meter::allocated;
-use stagehoist_marks::{start, Batch, Done, Mark, Options, Place, Store};
+use stagehoist_intent_log::{start, Batch, Done, Mark, Options, Place, Store};
 use stagehoist_recovery::Told;
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/crates/scale/src/record/members.rs
+++ b/crates/scale-tests/src/record/members.rs
@@ -6,8 +6,8 @@
 use super::usage::Usage;
 use super::{clock, Settings};
 use serde::{Deserialize, Serialize};
-use stagehoist_keeper::{start, Session};
-use stagehoist_registry::{MessageKey, Mode, Retirement, Said};
+use stagehoist_cluster_state::{MessageKey, Mode, Retirement, Said};
+use stagehoist_consensus::{start, Session};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -28,7 +28,7 @@
 struct Work {
     sessions: Vec<Session>,
     board: Arc<Board>,
-    now: stagehoist_keeper::Now,
+    now: stagehoist_consensus::Now,
     /// How long a promise is held, in microseconds.
     held: i64,
     told: std::sync::mpsc::Receiver<(u64, usize)>,
--- a/crates/scale/src/record/replica.rs
+++ b/crates/scale-tests/src/record/replica.rs
@@ -5,7 +5,7 @@
 use super::usage::{thread, Usage};
 use super::{clock, Settings};
 use serde::{Deserialize, Serialize};
-use stagehoist_keeper::{start, Figures, Keep, Options};
+use stagehoist_consensus::{start, Figures, Keep, Options};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/scale/src/record/settings.rs
+++ b/crates/scale-tests/src/record/settings.rs
@@ -1,8 +1,8 @@
 //! What replicas and members of a measurement are told alike: the product's defaults, but for what a row varies.
 
 use serde::{Deserialize, Serialize};
-use stagehoist_keeper::{Now, Options, Pace};
-use stagehoist_registry::Terms;
+use stagehoist_cluster_state::Terms;
+use stagehoist_consensus::{Now, Options, Pace};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::Arc;
--- a/crates/scale/src/record/state.rs
+++ b/crates/scale-tests/src/record/state.rs
@@ -2,7 +2,7 @@
 
 use super::fault::Outcome;
 use super::names::{function_name, member_name};
-use stagehoist_registry::{Command, Done, Member, Mode, Record, Retirement, ToMember};
+use stagehoist_cluster_state::{Command, Done, Member, Mode, Record, Retirement, ToMember};
 use std::collections::BTreeSet;
 
 /// A record grown to some size.
--- a/crates/scale/src/traces/marks.rs
+++ b/crates/scale-tests/src/traces/marks.rs
@@ -2,7 +2,7 @@
 
 use crate::error::ScaleError;
 use crate::front_end::hash;
-use stagehoist_marks::{Batch, Mark, Opener, Options, Store};
+use stagehoist_intent_log::{Batch, Mark, Opener, Options, Store};
 
 /// Marks in one commit: what 122 calls a second bring while one runs is less; fewer commits make the same file.
 const BATCH: u64 = 4096;
--- a/crates/scale/tests/ports.rs
+++ b/crates/scale-tests/tests/ports.rs
@@ -1,6 +1,6 @@
 //! A look at a port leaves it free, also while processes are started beside it.
 
-use stagehoist_scale::record::cluster::is_free;
+use stagehoist_scale_tests::record::cluster::is_free;
 use std::net::TcpListener;
 use std::process::Command;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/scale/tests/record.rs
+++ b/crates/scale-tests/tests/record.rs
@@ -1,15 +1,15 @@
 //! The record's measurements at a small size, judged by counts; and with a fault put in, which must make them fall short.
 
-use stagehoist_scale::record::cluster::{Cluster, Shape};
-use stagehoist_scale::record::lines::Program;
-use stagehoist_scale::record::survey::{site, Family, Site};
-use stagehoist_scale::Size;
+use stagehoist_scale_tests::record::cluster::{Cluster, Shape};
+use stagehoist_scale_tests::record::lines::Program;
+use stagehoist_scale_tests::record::survey::{site, Family, Site};
+use stagehoist_scale_tests::Size;
 use std::path::Path;
 
 const MEMBERS: usize = 20;
 
 fn program() -> Program<'static> {
-    Program { path: Path::new(env!("CARGO_BIN_EXE_stagehoist-scale")) }
+    Program { path: Path::new(env!("CARGO_BIN_EXE_stagehoist-scale-tests")) }
 }
 
 fn small(family: Family) -> Site {
--- a/crates/scale/tests/record_state.rs
+++ b/crates/scale-tests/tests/record_state.rs
@@ -1,9 +1,9 @@
 //! The record itself, a region alone in simulated time, and marks: counts, and the faults that change them.
 
-use stagehoist_scale::letter;
-use stagehoist_scale::record::apart::{play, Course, Plan};
-use stagehoist_scale::record::state::{taken, Grown, Taken};
-use stagehoist_scale::record::{marks, Settings};
+use stagehoist_scale_tests::letter;
+use stagehoist_scale_tests::record::apart::{play, Course, Plan};
+use stagehoist_scale_tests::record::state::{taken, Grown, Taken};
+use stagehoist_scale_tests::record::{marks, Settings};
 use std::collections::BTreeSet;
 
 fn cut(members: usize, seconds: i64, strict: f64) -> Plan {
--- a/crates/scale/tests/report.rs
+++ b/crates/scale-tests/tests/report.rs
@@ -1,7 +1,7 @@
 //! Curves, figures at full size, the ranking and the verdict.
 
-use stagehoist_scale::fit::{fit, Curve};
-use stagehoist_scale::{report, Mark, Point, Resource, Role, Row, Size, Subject};
+use stagehoist_scale_tests::fit::{fit, Curve};
+use stagehoist_scale_tests::{report, Mark, Point, Resource, Role, Row, Size, Subject};
 
 fn points(figure: impl Fn(f64) -> f64) -> Vec<Point> {
     [100.0, 300.0, 1000.0, 3000.0].map(|size| Point { size, value: figure(size) }).to_vec()
--- a/crates/scale/tests/small.rs
+++ b/crates/scale-tests/tests/small.rs
@@ -1,8 +1,8 @@
 //! Rows in small, judged by counts, and each with its negative control.
 
-use stagehoist_scale::lanes as apart;
-use stagehoist_scale::plan::lanes;
-use stagehoist_scale::{measures as all_measures, Measure, Plan, Row, Size};
+use stagehoist_scale_tests::lanes as apart;
+use stagehoist_scale_tests::plan::lanes;
+use stagehoist_scale_tests::{measures as all_measures, Measure, Plan, Row, Size};
 use std::process::Command;
 use std::sync::OnceLock;
 
@@ -24,7 +24,7 @@
 /// Rows of the first part, or one of them, out of a process of their own: bytes allocated are counted for a whole process, and this
 /// one's tests run side by side.
 fn measured_apart(plan: &Plan, row: Option<&str>) -> Vec<Row> {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_stagehoist-scale"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_stagehoist-scale-tests"));
     command.args(["small", "--seed", &plan.seed.to_string(), "--lane", "0"]);
     let shards = plan.shards.map(|shards| format!("--shards={shards}"));
     let row = row.map(|name| format!("--row={name}"));
