--- a/crates/admission/src/advice.rs
+++ b/crates/admission/src/advice.rs
@@ -12,39 +12,39 @@
 /// The pace at which answers leave, and advice by it.
 #[derive(Clone, Debug)]
 pub struct Advice {
-    most: Micros,
+    max: Micros,
     /// Calls that left in the present look, and when it began; calls a microsecond, smoothed.
-    left: (u64, Micros),
-    pace: Option<f64>,
+    last_leave: (u64, Micros),
+    interval: Option<f64>,
     random: ChaCha8Rng,
 }
 
 impl Advice {
     /// Advice of at most `most` microseconds; `seed` spreads it.
     pub fn new(most: Micros, seed: u64, now: Micros) -> Advice {
-        Advice { most, left: (0, now), pace: None, random: ChaCha8Rng::seed_from_u64(seed) }
+        Advice { max: most, last_leave: (0, now), interval: None, random: ChaCha8Rng::seed_from_u64(seed) }
     }
 
     /// A held call left with its final answer.
-    pub fn left(&mut self, now: Micros) {
-        self.left.0 += 1;
-        let passed = now - self.left.1;
+    pub fn last_leave(&mut self, now: Micros) {
+        self.last_leave.0 += 1;
+        let passed = now - self.last_leave.1;
         if passed >= LOOK {
-            let pace = self.left.0 as f64 / passed as f64;
-            self.pace = Some(self.pace.map_or(pace, |p| p + GAIN * (pace - p)));
-            self.left = (0, now);
+            let pace = self.last_leave.0 as f64 / passed as f64;
+            self.interval = Some(self.interval.map_or(pace, |p| p + GAIN * (pace - p)));
+            self.last_leave = (0, now);
         }
     }
 
     /// How long to stay away while so many calls are held, in microseconds: the predicted drain, drawn from its half to one
     /// and a half times it; the whole bound where nothing leaves.
     pub fn retry_after(&mut self, held: u64) -> Micros {
-        let drain = match self.pace {
+        let drain = match self.interval {
             Some(pace) if pace > 0.0 => held as f64 / pace,
-            _ => self.most as f64,
+            _ => self.max as f64,
         };
         let part: f64 = self.random.random();
-        let drain = drain.min(self.most as f64 / 1.5);
+        let drain = drain.min(self.max as f64 / 1.5);
         (drain * (0.5 + part)) as Micros
     }
 }
--- a/crates/admission/src/age.rs
+++ b/crates/admission/src/age.rs
@@ -20,12 +20,12 @@
     first: Option<(Micros, f64)>,
     last: Option<(Micros, f64)>,
     /// This process did not run for a while: silence tells nothing until the broker has answered.
-    doubted: bool,
+    is_doubtful: bool,
 }
 
 impl Default for Age {
     fn default() -> Age {
-        Age { empty: None, taken: 0, consumers: 1, first: None, last: None, doubted: false }
+        Age { empty: None, taken: 0, consumers: 1, first: None, last: None, is_doubtful: false }
     }
 }
 
@@ -38,7 +38,7 @@
     /// The broker may send and sends nothing. That tells of an empty queue only once what was known to wait was taken:
     /// between two parts of a long backlog a broker pauses too.
     pub fn dry(&mut self, now: Micros) {
-        let known = (self.empty.is_some() || self.last.is_some()) && !self.doubted;
+        let known = (self.empty.is_some() || self.last.is_some()) && !self.is_doubtful;
         let left = self.last.is_some_and(|l| ((self.taken * self.consumers) as f64) < l.1);
         if known && !left {
             self.empty(now);
@@ -48,7 +48,7 @@
     /// The broker told the queue's depth (messages ready) and its consumers, as a passive declaration does.
     pub fn depth(&mut self, depth: u64, consumers: u64, now: Micros) {
         self.consumers = consumers.max(1);
-        self.doubted = false;
+        self.is_doubtful = false;
         if depth == 0 {
             return self.empty(now);
         }
@@ -66,12 +66,12 @@
     /// This process did not run for a while. What was sent to it meanwhile comes in parts, with pauses between, so that silence
     /// does not tell of an empty queue; the answer to a question asked now comes after all of it.
     pub fn doubt(&mut self) {
-        self.doubted = true;
+        self.is_doubtful = true;
     }
 
     /// Whether [`Age::doubt`] stands.
     pub fn is_doubted(&self) -> bool {
-        self.doubted
+        self.is_doubtful
     }
 
     /// Whether the depth is worth asking for: the queue was not seen empty for `after` microseconds.
--- a/crates/admission/src/intake.rs
+++ b/crates/admission/src/intake.rs
@@ -18,7 +18,7 @@
 }
 
 /// Whose call it is: the number of its queue, or listener, and its tenant.
-pub type Party = (u32, u32);
+pub type TenantClass = (u32, u32);
 
 /// Why a call is not held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Held {
-    party: Party,
+    tenant_class: TenantClass,
     bytes: u64,
 }
 
@@ -53,12 +53,12 @@
     bounds: Bounds,
     calls: u64,
     bytes: u64,
-    parties: HashMap<Party, (u64, u64)>,
+    tenant_classes: HashMap<TenantClass, (u64, u64)>,
 }
 
 impl Intake {
     pub fn new(bounds: Bounds) -> Intake {
-        Intake { bounds, calls: 0, bytes: 0, parties: HashMap::new() }
+        Intake { bounds, calls: 0, bytes: 0, tenant_classes: HashMap::new() }
     }
 
     /// Calls held.
@@ -72,13 +72,13 @@
     }
 
     /// Parties that hold something.
-    pub fn parties(&self) -> usize {
-        self.parties.len()
+    pub fn tenant_classes(&self) -> usize {
+        self.tenant_classes.len()
     }
 
     /// Room for a call of so many bytes, or why there is none.
-    pub fn admit(&mut self, party: Party, bytes: u64) -> Result<Held, Refusal> {
-        let (calls, held) = self.parties.get(&party).copied().unwrap_or_default();
+    pub fn admit(&mut self, party: TenantClass, bytes: u64) -> Result<Held, Refusal> {
+        let (calls, held) = self.tenant_classes.get(&party).copied().unwrap_or_default();
         let free = self.bounds.calls.saturating_sub(self.calls);
         if free == 0 || calls >= MULTIPLE.saturating_mul(free) {
             return Err(Refusal::Calls);
@@ -90,16 +90,16 @@
         }
         self.calls += 1;
         self.bytes += bytes;
-        self.parties.insert(party, (calls + 1, held + bytes));
-        Ok(Held { party, bytes })
+        self.tenant_classes.insert(party, (calls + 1, held + bytes));
+        Ok(Held { tenant_class: party, bytes })
     }
 
     /// The call was answered or left.
     pub fn release(&mut self, held: Held) {
-        let Some((calls, bytes)) = self.parties.get_mut(&held.party) else { return };
+        let Some((calls, bytes)) = self.tenant_classes.get_mut(&held.tenant_class) else { return };
         (*calls, *bytes) = (calls.saturating_sub(1), bytes.saturating_sub(held.bytes));
         if *calls == 0 {
-            self.parties.remove(&held.party);
+            self.tenant_classes.remove(&held.tenant_class);
         }
         self.calls = self.calls.saturating_sub(1);
         self.bytes = self.bytes.saturating_sub(held.bytes);
--- a/crates/admission/src/lanes/class.rs
+++ b/crates/admission/src/lanes/class.rs
@@ -1,6 +1,6 @@
 //! One pool at one front end, and its classes: each tenant with a reservation, and all others.
 
-use super::Turns;
+use super::TenantQueue;
 use crate::Advice;
 use stagehoist::Micros;
 use std::collections::HashMap;
@@ -16,14 +16,14 @@
 pub struct PoolRules {
     pub name: String,
     /// Lanes that this front end may always use.
-    pub floor: u32,
+    pub guaranteed: u32,
     /// Tenants with a reservation: number at this front end, and name.
     pub reserved: Vec<(u32, String)>,
 }
 
 /// A line of the report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wanted<'a> {
+pub struct PoolDemand<'a> {
     pub pool: &'a str,
     /// Empty: all who have no reservation.
     pub tenant: &'a str,
@@ -37,13 +37,13 @@
 struct Class {
     name: String,
     in_use: u32,
-    lanes: u32,
-    turns: Turns,
+    permits: u32,
+    turns: TenantQueue,
     /// Since when calls wait.
-    since: Option<Micros>,
+    waiting_since: Option<Micros>,
     /// When the last call left, and the smoothed gap between two.
-    left: Option<Micros>,
-    gap: Option<f64>,
+    last_leave: Option<Micros>,
+    mean_interval: Option<f64>,
     advice: Option<Advice>,
 }
 
@@ -51,13 +51,13 @@
 #[derive(Debug)]
 pub(super) struct Pool {
     name: String,
-    floor: u32,
+    guaranteed: u32,
     classes: Vec<Class>,
     tenants: HashMap<u32, usize>,
     in_use: u32,
-    lanes: u32,
+    permits: u32,
     /// Runs beyond the lanes of their class.
-    over: u32,
+    excess: u32,
     waiting: usize,
 }
 
@@ -65,12 +65,12 @@
     pub fn new(name: &str) -> Pool {
         Pool {
             name: name.to_owned(),
-            floor: 0,
+            guaranteed: 0,
             classes: vec![Class::default()],
             tenants: HashMap::new(),
             in_use: 0,
-            lanes: 0,
-            over: 0,
+            permits: 0,
+            excess: 0,
             waiting: 0,
         }
     }
@@ -84,12 +84,12 @@
     }
 
     pub fn close(&mut self) {
-        self.floor = 0;
+        self.guaranteed = 0;
         self.tenants.clear();
     }
 
-    pub fn told(&mut self, rules: &PoolRules, retry_most: Micros, seed: u64, now: Micros) {
-        self.floor = rules.floor;
+    pub fn configure(&mut self, rules: &PoolRules, retry_most: Micros, seed: u64, now: Micros) {
+        self.guaranteed = rules.guaranteed;
         for (tenant, name) in &rules.reserved {
             let class = self.classes.iter().position(|c| c.name == *name).unwrap_or_else(|| {
                 self.classes.push(Class { name: name.clone(), ..Class::default() });
@@ -104,19 +104,19 @@
 
     /// No lanes any more, but those of the floor.
     pub fn clear(&mut self) {
-        self.lanes = 0;
-        self.over = self.in_use;
+        self.permits = 0;
+        self.excess = self.in_use;
         for class in &mut self.classes {
-            class.lanes = 0;
+            class.permits = 0;
         }
     }
 
     pub fn grant(&mut self, tenant: &str, lanes: u32) {
         if let Some(class) = self.classes.iter_mut().find(|c| c.name == tenant) {
-            self.lanes += lanes;
-            self.over -= class.in_use.saturating_sub(class.lanes);
-            class.lanes += lanes;
-            self.over += class.in_use.saturating_sub(class.lanes);
+            self.permits += lanes;
+            self.excess -= class.in_use.saturating_sub(class.permits);
+            class.permits += lanes;
+            self.excess += class.in_use.saturating_sub(class.permits);
         }
     }
 
@@ -125,55 +125,55 @@
     }
 
     fn may_start(&self, class: usize, floored: bool) -> bool {
-        let (floor, of) = (if floored { self.floor } else { 0 }, &self.classes[class]);
-        self.in_use < self.lanes + floor && (of.in_use < of.lanes || self.over < floor)
+        let (floor, of) = (if floored { self.guaranteed } else { 0 }, &self.classes[class]);
+        self.in_use < self.permits + floor && (of.in_use < of.permits || self.excess < floor)
     }
 
     /// Whether a call that comes now may start, ahead of nobody who waits for the same lane.
     pub fn may_pass(&self, class: usize, floored: bool) -> bool {
         let of = &self.classes[class];
-        let first = of.turns.len() == 0 && (of.in_use < of.lanes || self.waiting == 0);
+        let first = of.turns.len() == 0 && (of.in_use < of.permits || self.waiting == 0);
         first && self.may_start(class, floored)
     }
 
     pub fn start(&mut self, class: usize) {
         let of = &mut self.classes[class];
-        self.over += u32::from(of.in_use >= of.lanes);
+        self.excess += u32::from(of.in_use >= of.permits);
         of.in_use += 1;
         self.in_use += 1;
     }
 
     pub fn leave(&mut self, class: usize, now: Micros) {
         let of = &mut self.classes[class];
-        self.over -= u32::from(of.in_use > of.lanes);
+        self.excess -= u32::from(of.in_use > of.permits);
         of.in_use = of.in_use.saturating_sub(1);
         self.in_use = self.in_use.saturating_sub(1);
-        if let Some(left) = of.left.replace(now) {
+        if let Some(left) = of.last_leave.replace(now) {
             let gap = (now - left) as f64;
-            of.gap = Some(of.gap.map_or(gap, |g| g + GAIN * (gap - g)));
+            of.mean_interval = Some(of.mean_interval.map_or(gap, |g| g + GAIN * (gap - g)));
         }
         if let Some(advice) = &mut of.advice {
-            advice.left(now);
+            advice.last_leave(now);
         }
     }
 
     pub fn wait(&mut self, class: usize, tenant: u32, place: u64, call: u64, now: Micros) {
         let of = &mut self.classes[class];
-        of.since.get_or_insert(now);
+        of.waiting_since.get_or_insert(now);
         of.turns.push(tenant, place, call);
         self.waiting += 1;
     }
 
-    pub fn unwait(&mut self, class: usize, tenant: u32, place: u64) {
+    pub fn cancel_wait(&mut self, class: usize, tenant: u32, place: u64) {
         self.classes[class].turns.remove(tenant, place);
-        self.waited(class);
+        self.wait_ended(class);
     }
 
     /// Whether a call would wait in vain, by the pace at which calls of its class left while others waited.
     pub fn is_hopeless(&self, class: usize, latest: Micros, now: Micros) -> bool {
         let of = &self.classes[class];
-        let settled = of.since.is_some_and(|since| now - since >= SETTLED);
-        let waits = of.gap.map_or(0.0, |gap| gap * (of.turns.len() + 1) as f64);
+        let settled = of.waiting_since.is_some_and(|since| now - since >= SETTLED);
+        let waits = of.mean_interval.map_or(0.0, |gap| gap * (of.turns.len() + 1) as f64);
         settled && waits > (latest - now) as f64
     }
 
@@ -192,13 +192,13 @@
         let class =
             order.into_iter().find(|c| self.classes[*c].turns.len() > 0 && self.may_start(*c, floored))?;
         let call = self.classes[class].turns.pop()?;
-        self.waited(class);
+        self.wait_ended(class);
         self.start(class);
         Some((class, call))
     }
 
-    pub fn wanted(&self, applied: u64) -> impl Iterator<Item = Wanted<'_>> {
-        self.classes.iter().map(move |class| Wanted {
+    pub fn wanted(&self, applied: u64) -> impl Iterator<Item = PoolDemand<'_>> {
+        self.classes.iter().map(move |class| PoolDemand {
             pool: &self.name,
             tenant: &class.name,
             in_use: class.in_use,
@@ -207,10 +207,10 @@
         })
     }
 
-    fn waited(&mut self, class: usize) {
+    fn wait_ended(&mut self, class: usize) {
         self.waiting -= 1;
         if self.classes[class].turns.len() == 0 {
-            self.classes[class].since = None;
+            self.classes[class].waiting_since = None;
         }
     }
 }
--- a/crates/admission/src/lanes/mod.rs
+++ b/crates/admission/src/lanes/mod.rs
@@ -10,19 +10,19 @@
 mod queue;
 
 use class::Pool;
-use queue::Turns;
+use queue::TenantQueue;
 use stagehoist::Micros;
 use std::collections::{BTreeSet, HashMap};
 
-pub use class::{PoolRules, Wanted};
+pub use class::{PoolDemand, PoolRules};
 
 /// The word for the reply of a call that is refused here.
-pub const NO_LANE: &str = "no-lane";
+pub const NO_PERMIT: &str = "no-lane";
 
-/// A lane in use; to be given back by [`Lanes::leave`] once all attempts of its call are known to have ended.
+/// A lane in use; to be given back by [`PermitPools::leave`] once all attempts of its call are known to have ended.
 #[derive(Debug, PartialEq, Eq, Hash)]
 #[must_use]
-pub struct Lane {
+pub struct Permit {
     pool: usize,
     class: usize,
 }
@@ -30,71 +30,71 @@
 /// What becomes of a call that asks for a lane.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
-pub enum Enter {
-    Go(Lane),
-    /// Until [`Lanes::ready`] names it.
+pub enum PermitDecision {
+    Granted(Permit),
+    /// Until [`PermitPools::ready`] names it.
     Wait,
-    /// With the reason [`NO_LANE`], and how long the caller had better stay away.
-    Refuse {
+    /// With the reason [`NO_PERMIT`], and how long the caller had better stay away.
+    Rejected {
         retry_after: Micros,
     },
 }
 
 /// A call that waits no longer.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Woken {
-    Go { call: u64, lane: Lane },
-    Refuse { call: u64, retry_after: Micros },
+pub enum WaitOutcome {
+    Granted { call: u64, permit: Permit },
+    Rejected { call: u64, retry_after: Micros },
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Waits {
+struct WaitingCall {
     pool: usize,
     class: usize,
     tenant: u32,
-    place: u64,
-    latest: Micros,
+    position: u64,
+    latest_start: Micros,
 }
 
 /// The gate of one front end.
 #[derive(Debug)]
-pub struct Lanes {
+pub struct PermitPools {
     /// Calls that may wait in one pool.
-    most: usize,
-    retry_most: Micros,
+    max_waiting: usize,
+    max_retry_after: Micros,
     seed: u64,
     /// Until then runs of an earlier run of this front end may go on at workers, on its floor.
-    rests_until: Micros,
+    quiet_until: Micros,
     pools: Vec<Pool>,
     until: Micros,
     applied: u64,
-    waiting: HashMap<u64, Waits>,
+    waiting: HashMap<u64, WaitingCall>,
     deadlines: BTreeSet<(Micros, u64)>,
-    places: u64,
+    next_position: u64,
 }
 
-impl Lanes {
+impl PermitPools {
     /// A gate without pools. `most` calls may wait in each pool, advice is at most `retry_most` microseconds.
-    /// `rests_until`: see [`Lanes::demand`]; the moment of start where workers end a run with its connection,
+    /// `rests_until`: see [`PermitPools::demand`]; the moment of start where workers end a run with its connection,
     /// else the longest run after it.
-    pub fn new(most: usize, retry_most: Micros, rests_until: Micros, seed: u64) -> Lanes {
-        Lanes {
-            most,
-            retry_most,
+    pub fn new(most: usize, retry_most: Micros, rests_until: Micros, seed: u64) -> PermitPools {
+        PermitPools {
+            max_waiting: most,
+            max_retry_after: retry_most,
             seed,
-            rests_until,
+            quiet_until: rests_until,
             pools: Vec::new(),
             until: Micros::MIN,
             applied: 0,
             waiting: HashMap::new(),
             deadlines: BTreeSet::new(),
-            places: 0,
+            next_position: 0,
         }
     }
 
     /// The pools as they stand now, each with this front end's floor. One that is not told any more keeps its
     /// place, without a floor, for the runs under way. Whoever is not seated in the fleet tells floors of 0.
-    pub fn told(&mut self, pools: &[PoolRules], now: Micros) {
+    pub fn configure(&mut self, pools: &[PoolRules], now: Micros) {
         for pool in &mut self.pools {
             pool.close();
         }
@@ -104,13 +104,13 @@
                 self.pools.push(Pool::new(&rules.name));
                 self.pools.len() - 1
             });
-            self.pools[place].told(rules, self.retry_most, self.seed, now);
+            self.pools[place].configure(rules, self.max_retry_after, self.seed, now);
         }
     }
 
     /// Lanes dealt by grant `number`, by names of pool and tenant (empty: those without a reservation), until
     /// that time; they take the place of all dealt before.
-    pub fn granted<'a>(
+    pub fn apply_grant<'a>(
         &mut self,
         number: u64,
         until: Micros,
@@ -127,81 +127,88 @@
         }
     }
 
-    /// The number of a pool, for [`Lanes::enter`].
+    /// The number of a pool, for [`PermitPools::enter`].
     pub fn pool(&self, name: &str) -> Option<usize> {
         self.pools.iter().position(|p| p.name() == name)
     }
 
     /// A call wants to run in a pool, and can be answered in its time only if it starts before `latest`.
-    pub fn enter(&mut self, pool: usize, tenant: u32, call: u64, latest: Micros, now: Micros) -> Enter {
+    pub fn enter(
+        &mut self,
+        pool: usize,
+        tenant: u32,
+        call: u64,
+        latest: Micros,
+        now: Micros,
+    ) -> PermitDecision {
         self.expire(now);
-        let floored = now >= self.rests_until;
+        let floored = now >= self.quiet_until;
         let Some(of) = self.pools.get_mut(pool) else {
-            return Enter::Refuse { retry_after: self.retry_most };
+            return PermitDecision::Rejected { retry_after: self.max_retry_after };
         };
         let class = of.class(tenant);
         if of.may_pass(class, floored) {
             of.start(class);
-            return Enter::Go(Lane { pool, class });
+            return PermitDecision::Granted(Permit { pool, class });
         }
-        if latest <= now || of.waiting() >= self.most || of.is_hopeless(class, latest, now) {
-            return Enter::Refuse { retry_after: of.retry_after(class) };
+        if latest <= now || of.waiting() >= self.max_waiting || of.is_hopeless(class, latest, now) {
+            return PermitDecision::Rejected { retry_after: of.retry_after(class) };
         }
-        self.places += 1;
-        let place = self.places;
+        self.next_position += 1;
+        let place = self.next_position;
         of.wait(class, tenant, place, call, now);
-        self.waiting.insert(call, Waits { pool, class, tenant, place, latest });
+        self.waiting.insert(call, WaitingCall { pool, class, tenant, position: place, latest_start: latest });
         self.deadlines.insert((latest, call));
-        Enter::Wait
+        PermitDecision::Wait
     }
 
     /// A call that waits was answered otherwise; false where it does not wait.
     pub fn cancel(&mut self, call: u64) -> bool {
         let Some(waits) = self.waiting.remove(&call) else { return false };
-        self.deadlines.remove(&(waits.latest, call));
-        self.pools[waits.pool].unwait(waits.class, waits.tenant, waits.place);
+        self.deadlines.remove(&(waits.latest_start, call));
+        self.pools[waits.pool].cancel_wait(waits.class, waits.tenant, waits.position);
         true
     }
 
     /// All attempts of a call are known to have ended.
-    pub fn leave(&mut self, lane: Lane, now: Micros) {
+    pub fn leave(&mut self, lane: Permit, now: Micros) {
         if let Some(pool) = self.pools.get_mut(lane.pool) {
             pool.leave(lane.class, now);
         }
     }
 
     /// Calls that need wait no longer, in order, appended to `woken`. To be asked after any change and at
-    /// [`Lanes::next`].
-    pub fn ready(&mut self, now: Micros, woken: &mut Vec<Woken>) {
+    /// [`PermitPools::next`].
+    pub fn take_ready(&mut self, now: Micros, woken: &mut Vec<WaitOutcome>) {
         self.expire(now);
         while let Some((_, call)) = self.deadlines.first().copied().filter(|(latest, _)| *latest <= now) {
             let Some(waits) = self.waiting.get(&call).copied() else { break };
             self.cancel(call);
             let retry_after = self.pools[waits.pool].retry_after(waits.class);
-            woken.push(Woken::Refuse { call, retry_after });
+            woken.push(WaitOutcome::Rejected { call, retry_after });
         }
-        let floored = now >= self.rests_until;
+        let floored = now >= self.quiet_until;
         for (place, pool) in self.pools.iter_mut().enumerate() {
             while let Some((class, call)) = pool.next(floored) {
                 if let Some(waits) = self.waiting.remove(&call) {
-                    self.deadlines.remove(&(waits.latest, call));
+                    self.deadlines.remove(&(waits.latest_start, call));
                 }
-                woken.push(Woken::Go { call, lane: Lane { pool: place, class } });
+                woken.push(WaitOutcome::Granted { call, permit: Permit { pool: place, class } });
             }
         }
     }
 
-    /// When [`Lanes::ready`] has something though nothing changes.
+    /// When [`PermitPools::ready`] has something though nothing changes.
     pub fn next(&self, now: Micros) -> Option<Micros> {
         let deadline = self.deadlines.first().map(|(latest, _)| *latest);
-        let rested = Some(self.rests_until).filter(|t| *t > now && !self.waiting.is_empty());
+        let rested = Some(self.quiet_until).filter(|t| *t > now && !self.waiting.is_empty());
         deadline.into_iter().chain(rested).min()
     }
 
     /// What to report. While runs of an earlier run may go on the grant in force is not named, so that a
     /// leader that deals anew counts on nothing yet.
-    pub fn demand(&self, now: Micros) -> impl Iterator<Item = Wanted<'_>> {
-        let applied = if now < self.rests_until { 0 } else { self.applied };
+    pub fn demand(&self, now: Micros) -> impl Iterator<Item = PoolDemand<'_>> {
+        let applied = if now < self.quiet_until { 0 } else { self.applied };
         self.pools.iter().flat_map(move |pool| pool.wanted(applied))
     }
 
--- a/crates/admission/src/lanes/queue.rs
+++ b/crates/admission/src/lanes/queue.rs
@@ -8,14 +8,14 @@
 /// Calls in order of their places, tenants in turn. Each step takes O(log n), sweeping apart, which each step
 /// pays a part of.
 #[derive(Debug, Default)]
-pub(super) struct Turns {
+pub(super) struct TenantQueue {
     /// A tenant's stamp tells its turn from those that it left before.
     tenants: HashMap<u32, (u64, BTreeMap<u64, u64>)>,
     turns: VecDeque<(u64, u32)>,
     calls: usize,
 }
 
-impl Turns {
+impl TenantQueue {
     pub fn len(&self) -> usize {
         self.calls
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decisions at a front end's intake, without I/O: how many messages it asks a broker for ([`Window`]), how
 //! long a message has waited where nothing on it tells ([`Age`]), whether a call may be held ([`Intake`]),
 //! and when a caller that is turned away had better return ([`Advice`]), and whether a call may start a run
-//! in a pool that front ends share ([`lanes::Lanes`]).
+//! in a pool that front ends share ([`lanes::PermitPools`]).
 //!
 //! What happens to a call once taken is the module's matter alone.
 #![forbid(unsafe_code)]
@@ -14,5 +14,5 @@
 
 pub use advice::Advice;
 pub use age::Age;
-pub use intake::{Bounds, Held, Intake, Party, Refusal};
+pub use intake::{Bounds, Held, Intake, Refusal, TenantClass};
 pub use window::Window;
--- a/crates/admission/src/window.rs
+++ b/crates/admission/src/window.rs
@@ -15,56 +15,56 @@
 /// The window of one channel.
 #[derive(Clone, Debug)]
 pub struct Window {
-    asked: u32,
+    requested: u32,
     slack: u32,
     /// Deliveries in the present look, and when it began.
-    came: (u32, Micros),
+    arrivals: (u32, Micros),
 }
 
 impl Window {
     /// A window as it is asked for first.
     pub fn new(now: Micros) -> Window {
-        Window { asked: 4 * LEAST, slack: 2 * LEAST, came: (0, now) }
+        Window { requested: 4 * LEAST, slack: 2 * LEAST, arrivals: (0, now) }
     }
 
     /// The prefetch count that the broker was last asked for.
-    pub fn asked(&self) -> u16 {
-        self.asked as u16
+    pub fn requested(&self) -> u16 {
+        self.requested as u16
     }
 
     /// Whether the broker may send another message while so many are unsettled.
     pub fn is_open(&self, unsettled: usize) -> bool {
-        (unsettled as u64) < u64::from(self.asked)
+        (unsettled as u64) < u64::from(self.requested)
     }
 
     /// A message was delivered.
     pub fn delivered(&mut self) {
-        self.came.0 = self.came.0.saturating_add(1);
+        self.arrivals.0 = self.arrivals.0.saturating_add(1);
     }
 
     /// What to ask the broker for now, where that differs from what it was asked for.
     ///
     /// Widened as soon as half the slack is used up; narrowed only when four times too wide, as each change is a round
     /// trip to the broker.
-    pub fn ask(&mut self, unsettled: usize, now: Micros) -> Option<u16> {
-        let passed = now - self.came.1;
+    pub fn next_request(&mut self, unsettled: usize, now: Micros) -> Option<u16> {
+        let passed = now - self.arrivals.1;
         if passed >= LOOK {
-            let in_a_look = f64::from(self.came.0) * LOOK as f64 / passed as f64;
+            let in_a_look = f64::from(self.arrivals.0) * LOOK as f64 / passed as f64;
             let wanted = ((2.0 * in_a_look) as u32).clamp(LEAST, MOST / 4);
             // Grows at once, shrinks slowly: bursts come again.
             self.slack = wanted.max(self.slack - self.slack / 8).max(LEAST);
-            self.came = (0, now);
-        } else if self.came.0 > self.slack {
-            self.slack = (2 * self.came.0).min(MOST / 4);
+            self.arrivals = (0, now);
+        } else if self.arrivals.0 > self.slack {
+            self.slack = (2 * self.arrivals.0).min(MOST / 4);
         }
         let unsettled = u32::try_from(unsettled).unwrap_or(MOST).min(MOST);
         let fit = (unsettled + self.slack).min(MOST);
-        let narrow = self.asked < MOST && self.asked < unsettled + self.slack / 2;
-        let wide = self.asked > 4 * fit;
+        let narrow = self.requested < MOST && self.requested < unsettled + self.slack / 2;
+        let wide = self.requested > 4 * fit;
         if !narrow && !wide {
             return None;
         }
-        self.asked = if narrow { (unsettled + 2 * self.slack).min(MOST) } else { fit };
-        Some(self.asked as u16)
+        self.requested = if narrow { (unsettled + 2 * self.slack).min(MOST) } else { fit };
+        Some(self.requested as u16)
     }
 }
--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -97,7 +97,7 @@
 #[test]
 fn the_window_stands_open_under_growing_load_and_narrows_after_it() {
     let mut window = Window::new(0);
-    let mut asked = window.asked();
+    let mut asked = window.requested();
     let mut unsettled = 0usize;
     let mut shut = 0;
     for ms in 0..4000 {
@@ -111,13 +111,13 @@
             }
             unsettled -= usize::from(n == 0 && unsettled > 0);
         }
-        asked = window.ask(unsettled, ms * MS).unwrap_or(asked);
+        asked = window.next_request(unsettled, ms * MS).unwrap_or(asked);
     }
     assert!(shut < 40, "{shut} of 16,000 waited in the broker");
     assert!(asked as usize > unsettled && (asked as usize) < unsettled + 8_000);
     let mut asks = 0;
     for ms in 4000..20_000 {
-        if let Some(n) = window.ask(0, ms * MS) {
+        if let Some(n) = window.next_request(0, ms * MS) {
             (asked, asks) = (n, asks + 1);
         }
     }
@@ -132,9 +132,9 @@
         if ms % 5 == 0 {
             window.delivered();
         }
-        window.ask(0, ms * MS);
+        window.next_request(0, ms * MS);
     }
-    assert!(window.asked() <= 256, "{}", window.asked());
+    assert!(window.requested() <= 256, "{}", window.requested());
 }
 
 #[test]
@@ -159,7 +159,7 @@
     let large = intake.admit((0, 0), 1000).expect("one call alone may fill all");
     assert_eq!(intake.admit((0, 1), 1), Err(Refusal::Bytes));
     intake.release(large);
-    assert_eq!((intake.calls(), intake.bytes(), intake.parties()), (0, 0, 0));
+    assert_eq!((intake.calls(), intake.bytes(), intake.tenant_classes()), (0, 0, 0));
     assert_eq!(intake.admit((0, 0), 1001), Err(Refusal::Bytes));
 }
 
@@ -169,7 +169,7 @@
     // Nothing left yet: away for long.
     assert!((0..50).all(|_| advice.retry_after(10) > S));
     // 100 a second leave, 50 are held: half a second.
-    (0..400).for_each(|n| advice.left(n * 10 * MS));
+    (0..400).for_each(|n| advice.last_leave(n * 10 * MS));
     let told: Vec<i64> = (0..400).map(|_| advice.retry_after(50)).collect();
     assert!(told.iter().all(|t| (240 * MS..=760 * MS).contains(t)));
     let in_a_tenth = |from: i64| told.iter().filter(|t| (from..from + 50 * MS).contains(*t)).count();
@@ -193,7 +193,7 @@
             prop_assert_eq!(intake.calls(), held.len() as u64);
         }
         held.into_iter().for_each(|h| intake.release(h));
-        prop_assert_eq!((intake.calls(), intake.bytes(), intake.parties()), (0, 0, 0));
+        prop_assert_eq!((intake.calls(), intake.bytes(), intake.tenant_classes()), (0, 0, 0));
     }
 
     #[test]
--- a/crates/admission/tests/lanes.rs
+++ b/crates/admission/tests/lanes.rs
@@ -1,39 +1,39 @@
 //! Which calls may start by lanes and floor, in which order, and which are refused.
 
-use stagehoist_admission::lanes::{Enter, Lane, Lanes, PoolRules, Woken};
+use stagehoist_admission::lanes::{Permit, PermitDecision, PermitPools, PoolRules, WaitOutcome};
 
 const S: i64 = 1_000_000;
 const OWNER: u32 = 7;
 
 fn rules(floor: u32) -> PoolRules {
-    PoolRules { name: "p".into(), floor, reserved: vec![(OWNER, "owner".into())] }
+    PoolRules { name: "p".into(), guaranteed: floor, reserved: vec![(OWNER, "owner".into())] }
 }
 
-fn gate(floor: u32) -> Lanes {
-    let mut lanes = Lanes::new(8, S, 0, 1);
-    lanes.told(&[rules(floor)], 0);
+fn gate(floor: u32) -> PermitPools {
+    let mut lanes = PermitPools::new(8, S, 0, 1);
+    lanes.configure(&[rules(floor)], 0);
     lanes
 }
 
-fn go(lanes: &mut Lanes, tenant: u32, call: u64, now: i64) -> Option<Lane> {
+fn go(lanes: &mut PermitPools, tenant: u32, call: u64, now: i64) -> Option<Permit> {
     match lanes.enter(0, tenant, call, 10 * S, now) {
-        Enter::Go(lane) => Some(lane),
-        Enter::Wait => None,
-        Enter::Refuse { .. } => panic!("call {call} refused"),
+        PermitDecision::Granted(lane) => Some(lane),
+        PermitDecision::Wait => None,
+        PermitDecision::Rejected { .. } => panic!("call {call} refused"),
     }
 }
 
-fn woken(lanes: &mut Lanes, now: i64) -> Vec<Woken> {
+fn woken(lanes: &mut PermitPools, now: i64) -> Vec<WaitOutcome> {
     let mut woken = Vec::new();
-    lanes.ready(now, &mut woken);
+    lanes.take_ready(now, &mut woken);
     woken
 }
 
-fn calls(woken: &[Woken]) -> Vec<u64> {
+fn calls(woken: &[WaitOutcome]) -> Vec<u64> {
     woken
         .iter()
         .map(|w| match w {
-            Woken::Go { call, .. } | Woken::Refuse { call, .. } => *call,
+            WaitOutcome::Granted { call, .. } | WaitOutcome::Rejected { call, .. } => *call,
         })
         .collect()
 }
@@ -43,7 +43,7 @@
     let mut lanes = gate(1);
     let first = go(&mut lanes, 1, 1, 0).expect("the floor");
     assert_eq!(go(&mut lanes, 1, 2, 0), None);
-    lanes.granted(1, S, [("p", "", 2)]);
+    lanes.apply_grant(1, S, [("p", "", 2)]);
     let lent = woken(&mut lanes, 0);
     assert_eq!(calls(&lent), [2]);
     let third = go(&mut lanes, 2, 3, S - 1).expect("floor and two lanes");
@@ -52,7 +52,7 @@
     lanes.leave(first, S);
     assert_eq!(go(&mut lanes, 2, 4, S), None);
     assert_eq!(woken(&mut lanes, S), []);
-    let Some(Woken::Go { lane, .. }) = lent.into_iter().next() else { panic!("went") };
+    let Some(WaitOutcome::Granted { permit: lane, .. }) = lent.into_iter().next() else { panic!("went") };
     lanes.leave(lane, S);
     assert_eq!(calls(&woken(&mut lanes, S)), [4]);
 }
@@ -60,10 +60,10 @@
 #[test]
 fn runs_left_over_from_a_larger_grant_hold_back_those_of_another_tenant() {
     let mut lanes = gate(0);
-    lanes.granted(1, S, [("p", "", 2)]);
-    let held: Vec<Lane> = (0..2).filter_map(|n| go(&mut lanes, 1, n, 0)).collect();
+    lanes.apply_grant(1, S, [("p", "", 2)]);
+    let held: Vec<Permit> = (0..2).filter_map(|n| go(&mut lanes, 1, n, 0)).collect();
     assert_eq!(held.len(), 2);
-    lanes.granted(2, S, [("p", "owner", 2)]);
+    lanes.apply_grant(2, S, [("p", "owner", 2)]);
     assert_eq!(go(&mut lanes, OWNER, 5, 0), None, "four runs would be out of two lanes");
     for lane in held {
         lanes.leave(lane, 0);
@@ -74,7 +74,7 @@
 #[test]
 fn an_owner_goes_by_its_own_lanes_and_first_on_the_floor() {
     let mut lanes = gate(1);
-    lanes.granted(1, S, [("p", "owner", 1)]);
+    lanes.apply_grant(1, S, [("p", "owner", 1)]);
     let lane = go(&mut lanes, 1, 1, 0).expect("the floor is anybody's");
     assert_eq!(go(&mut lanes, 1, 2, 0), None, "the owner's lane is not lent here");
     let _own = go(&mut lanes, OWNER, 3, 0).expect("its own lane");
@@ -95,7 +95,7 @@
         assert_eq!(go(&mut lanes, 2, call, 0), None);
     }
     assert!(lanes.cancel(1) && !lanes.cancel(1));
-    lanes.granted(1, S, [("p", "", 4)]);
+    lanes.apply_grant(1, S, [("p", "", 4)]);
     assert_eq!(calls(&woken(&mut lanes, 0)), [0, 4, 2, 5]);
     assert_eq!(lanes.waiting(), 1);
 }
@@ -103,17 +103,17 @@
 #[test]
 fn a_call_waits_no_longer_than_it_can_be_answered_and_no_more_than_may() {
     let mut lanes = gate(0);
-    assert_eq!(lanes.enter(0, 1, 1, 2 * S, 0), Enter::Wait);
-    assert_eq!(lanes.enter(0, 1, 2, S, 0), Enter::Wait);
-    assert!(matches!(lanes.enter(0, 1, 3, S, S), Enter::Refuse { .. }), "too late already");
+    assert_eq!(lanes.enter(0, 1, 1, 2 * S, 0), PermitDecision::Wait);
+    assert_eq!(lanes.enter(0, 1, 2, S, 0), PermitDecision::Wait);
+    assert!(matches!(lanes.enter(0, 1, 3, S, S), PermitDecision::Rejected { .. }), "too late already");
     assert_eq!(lanes.next(0), Some(S));
     assert_eq!(woken(&mut lanes, S - 1), []);
     let late = woken(&mut lanes, S);
-    assert!(matches!(late[..], [Woken::Refuse { call: 2, retry_after: 1.. }]), "{late:?}");
+    assert!(matches!(late[..], [WaitOutcome::Rejected { call: 2, retry_after: 1.. }]), "{late:?}");
     for call in 10..17 {
         assert_eq!(go(&mut lanes, 1, call, S), None);
     }
-    assert!(matches!(lanes.enter(0, 1, 17, 9 * S, S), Enter::Refuse { .. }), "eight wait");
+    assert!(matches!(lanes.enter(0, 1, 17, 9 * S, S), PermitDecision::Rejected { .. }), "eight wait");
 }
 
 #[test]
@@ -126,22 +126,22 @@
     // One leaves each 400 ms; two still wait.
     for n in 1..=3 {
         lanes.leave(held.take().expect("one at work"), n * 400_000);
-        if let Some(Woken::Go { lane, .. }) = woken(&mut lanes, n * 400_000).pop() {
+        if let Some(WaitOutcome::Granted { permit: lane, .. }) = woken(&mut lanes, n * 400_000).pop() {
             held = Some(lane);
         }
     }
     let now = 3 * 400_000;
-    assert!(matches!(lanes.enter(0, 1, 8, now + 700_000, now), Enter::Refuse { .. }));
-    assert_eq!(lanes.enter(0, 1, 9, now + 900_000, now), Enter::Wait);
+    assert!(matches!(lanes.enter(0, 1, 8, now + 700_000, now), PermitDecision::Rejected { .. }));
+    assert_eq!(lanes.enter(0, 1, 9, now + 900_000, now), PermitDecision::Wait);
     // The owner's class has no such queue.
-    assert_eq!(lanes.enter(0, OWNER, 10, now + 700_000, now), Enter::Wait);
+    assert_eq!(lanes.enter(0, OWNER, 10, now + 700_000, now), PermitDecision::Wait);
 }
 
 #[test]
 fn after_a_restart_the_floor_rests_and_no_grant_is_named() {
-    let mut lanes = Lanes::new(8, S, S, 1);
-    lanes.told(&[rules(1)], 0);
-    lanes.granted(5, 3 * S, []);
+    let mut lanes = PermitPools::new(8, S, S, 1);
+    lanes.configure(&[rules(1)], 0);
+    lanes.apply_grant(5, 3 * S, []);
     assert_eq!(go(&mut lanes, 1, 1, 0), None);
     assert!(lanes.demand(0).all(|w| w.applied == 0));
     assert_eq!(lanes.next(0), Some(S));
@@ -154,10 +154,10 @@
 fn a_pool_told_anew_keeps_its_runs() {
     let mut lanes = gate(1);
     let lane = go(&mut lanes, OWNER, 1, 0).expect("the floor");
-    lanes.told(&[], 0);
+    lanes.configure(&[], 0);
     assert_eq!(go(&mut lanes, OWNER, 2, 0), None);
-    let other = PoolRules { name: "q".into(), floor: 1, reserved: vec![] };
-    lanes.told(&[other, rules(2)], 0);
+    let other = PoolRules { name: "q".into(), guaranteed: 1, reserved: vec![] };
+    lanes.configure(&[other, rules(2)], 0);
     assert_eq!((lanes.pool("p"), lanes.pool("q")), (Some(0), Some(1)));
     assert_eq!(calls(&woken(&mut lanes, 0)), [2]);
     assert_eq!(go(&mut lanes, OWNER, 3, 0), None);
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,10 +1,10 @@
 //! A process as part of a fleet: its sessions with the keepers started, tied to its front ends, and ended after them.
 
-use stagehoist_cluster_state::{Limits, Pool, Reservation, Size, Terms, FLOOR_SHARE};
+use stagehoist_cluster_state::{AllocationLimits, LeaseTerms, Pool, PoolSize, Reservation, GUARANTEED_SHARE};
 use stagehoist_config::{Config, Fleet};
-use stagehoist_consensus::{Keep, KeeperError, Options, Pace, Running, Session};
+use stagehoist_consensus::{ConsensusError, Options, ReplicaOptions, Running, Session, Timing};
 use stagehoist_gateway::clock::Clock;
-use stagehoist_gateway::fleet::{retirements, Link, Others, Told};
+use stagehoist_gateway::fleet::{retirements, PeerInquiry, SessionHandle, SessionReport};
 use std::path::PathBuf;
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
@@ -26,39 +26,39 @@
     let pool = |pool: &stagehoist_config::Pool| Pool {
         name: pool.name.clone(),
         functions: pool.functions.clone(),
-        size: pool.lanes.map_or(Size::ByWorkers, Size::Lanes),
+        size: pool.permits.map_or(PoolSize::ByWorkers, PoolSize::Permits),
         reservations: pool
             .reservations
             .iter()
-            .map(|(tenant, lanes)| Reservation { tenant: tenant.clone(), lanes: *lanes })
+            .map(|(tenant, lanes)| Reservation { tenant: tenant.clone(), permits: *lanes })
             .collect(),
     };
-    let keep = |keep: &stagehoist_config::Keep| Keep {
+    let keep = |keep: &stagehoist_config::Keep| ReplicaOptions {
         number: keep.number,
         listen: keep.listen.clone(),
         store: PathBuf::from(&keep.store),
     };
     Options {
-        keepers: fleet.keepers.clone(),
-        keep: fleet.keep.as_ref().map(keep),
-        terms: Terms {
+        replicas: fleet.keepers.clone(),
+        replica: fleet.keep.as_ref().map(keep),
+        terms: LeaseTerms {
             lease: fleet.view_lease,
             drift_ppm: (fleet.drift * 1e6).round() as u32,
             quorum: (fleet.view_lease / 4).max(QUORUM_LEAST),
-            remember: fleet.remember,
+            tombstone_retention: fleet.remember,
         },
         edition: fleet.pools_edition,
         pools: fleet.pools.iter().map(pool).collect(),
-        dealing: (!fleet.pools.is_empty()).then(|| Limits {
-            fleet: config.fleet_front_ends,
-            floor_share: FLOOR_SHARE,
-            longest: config.longest_run(),
-            every: DEAL_EVERY,
+        allocation: (!fleet.pools.is_empty()).then(|| AllocationLimits {
+            front_ends: config.fleet_front_ends,
+            guaranteed_share: GUARANTEED_SHARE,
+            longest_run: config.longest_run(),
+            interval: DEAL_EVERY,
         }),
         members: (0..config.front_ends).map(|number| member(fleet, number)).collect(),
-        incarnations: fleet.folder.as_ref().map(PathBuf::from),
+        session_folder: fleet.folder.as_ref().map(PathBuf::from),
         seed: config.seed,
-        pace: Pace::default(),
+        timing: Timing::default(),
     }
 }
 
@@ -73,7 +73,7 @@
     config: &Config,
     fleet: &Fleet,
     clock: Clock,
-) -> Result<(Joined, Vec<Option<Link>>), KeeperError> {
+) -> Result<(Joined, Vec<Option<SessionHandle>>), ConsensusError> {
     let mut running = stagehoist_consensus::start(options(config, fleet), Arc::new(move || clock.now()))?;
     let mut tasks = JoinSet::new();
     let (mut links, mut sessions) = (Vec::new(), std::mem::take(&mut running.sessions));
@@ -83,26 +83,31 @@
             continue;
         };
         if let (0, Some(file)) = (number, &fleet.retirements) {
-            let (standing, retire) = (session.standing.clone(), session.retire.clone());
+            let (standing, retire) = (session.status.clone(), session.retire.clone());
             tasks.spawn(retirements::follow(config.clone(), PathBuf::from(file), standing, retire));
         }
-        let (told, news) = watch::channel(Told::default());
+        let (told, news) = watch::channel(SessionReport::default());
         let others = config.marks.as_ref().map(|_| {
             // Nobody says anything by the end that stays with the session.
-            let heard = std::mem::replace(&mut session.heard, mpsc::channel(1).1);
-            Others { said: session.said.clone(), heard }
+            let heard = std::mem::replace(&mut session.inquiry_events, mpsc::channel(1).1);
+            PeerInquiry { requests: session.inquiries.clone(), events: heard }
         });
-        links.push(Some(Link { standing: session.standing.clone(), told, others }));
+        links.push(Some(SessionHandle { status: session.status.clone(), report: told, inquiry: others }));
         tasks.spawn(pass_on(news, session));
     }
     Ok((Joined { running, tasks }, links))
 }
 
 /// What a front end tells, in the keeper's words, until the front end ended.
-async fn pass_on(mut news: watch::Receiver<Told>, session: Session) {
+async fn pass_on(mut news: watch::Receiver<SessionReport>, session: Session) {
     while news.changed().await.is_ok() {
-        let Told { confirmed, ready_lanes, demand } = news.borrow_and_update().clone();
-        session.told.send_replace(stagehoist_consensus::Told { confirmed, ready_lanes, demand });
+        let SessionReport { confirmed, ready_capacity: ready_lanes, demand } =
+            news.borrow_and_update().clone();
+        session.report.send_replace(stagehoist_consensus::SessionReport {
+            confirmed,
+            ready_capacity: ready_lanes,
+            demand,
+        });
     }
     // The session's ends are kept until the members leave: what was told last stands.
     std::future::pending::<()>().await;
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -2,7 +2,7 @@
 
 use clap::{Args, Subcommand, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
-use stagehoist_gateway::state::{module, Decider};
+use stagehoist_gateway::state::{module, PolicyFactory};
 use stagehoist_load_generator::amqp::{Manners, Target};
 use stagehoist_load_generator::stand::StandOptions;
 use stagehoist_load_generator::sweep::{Point, SweepOptions};
@@ -33,7 +33,7 @@
 }
 
 impl Policy {
-    pub fn decider(self) -> Decider {
+    pub fn decider(self) -> PolicyFactory {
         match self {
             Policy::Module => module,
             Policy::RoundRobin => baseline::round_robin,
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -3,7 +3,7 @@
 use crate::fleet;
 use stagehoist_config::load;
 use stagehoist_gateway::clock::Clock;
-use stagehoist_gateway::state::{module, Decider};
+use stagehoist_gateway::state::{module, PolicyFactory};
 use stagehoist_gateway::{metrics_page, serve_with as start, GatewayError};
 use std::path::Path;
 use std::process::ExitCode;
@@ -35,7 +35,7 @@
 }
 
 /// The same with a policy told.
-pub fn serve_with(decider: Decider, conf: &Path) -> ExitCode {
+pub fn serve_with(decider: PolicyFactory, conf: &Path) -> ExitCode {
     let config = match load(conf) {
         Ok(config) => config,
         Err(faults) => {
--- a/crates/cluster-state/src/apply.rs
+++ b/crates/cluster-state/src/apply.rs
@@ -1,33 +1,33 @@
 //! What a command changes in the record.
 
-use crate::bounds::{MEMBERS_MOST, REPLACED_MOST};
-use crate::{Command, Done, Member, Record, Run, State, Tombstone, Version};
+use crate::bounds::{MAX_MEMBERS, MAX_REPLACED};
+use crate::{ClusterState, Command, CommandOutcome, Member, MemberRun, Tombstone, TombstoneState, Version};
 
-impl Record {
+impl ClusterState {
     /// Applies the change with this number.
-    pub fn apply(&mut self, version: Version, command: &Command) -> Done {
+    pub fn apply(&mut self, version: Version, command: &Command) -> CommandOutcome {
         let done = match self.refusal(command) {
-            Some(why) => Done::Refused { why },
+            Some(why) => CommandOutcome::Rejected { reason: why },
             None => self.change(version, command),
         };
-        if matches!(done, Done::Joined(_) | Done::Changed) {
+        if matches!(done, CommandOutcome::Joined(_) | CommandOutcome::Changed) {
             self.version = version;
         }
         done
     }
 
-    fn change(&mut self, version: Version, command: &Command) -> Done {
+    fn change(&mut self, version: Version, command: &Command) -> CommandOutcome {
         match command {
             Command::Join { name, at_least } => self.join(version, name, *at_least),
             Command::Leave(member) => self.leave(version, member),
             Command::Retire(retirement) => {
                 let known = self.view.tombstones.get(&retirement.function);
                 if known.is_some_and(|t| t.retirement.generation >= retirement.generation) {
-                    return Done::Unchanged;
+                    return CommandOutcome::Unchanged;
                 }
                 let tombstone = Tombstone {
                     retirement: retirement.clone(),
-                    state: State::Proposed,
+                    state: TombstoneState::Proposed,
                     proposed: version,
                     in_force: None,
                 };
@@ -35,27 +35,27 @@
                 self.changed(version)
             }
             Command::InForce { function, generation, but_for } => {
-                let state = State::InForce { but_for: but_for.clone() };
+                let state = TombstoneState::InForce { but_for: but_for.clone() };
                 match self.view.tombstones.get_mut(function) {
                     Some(t) if t.retirement.generation == *generation && t.state != state => {
                         t.state = state;
                         t.in_force.get_or_insert(version);
                         self.changed(version)
                     }
-                    _ => Done::Unchanged,
+                    _ => CommandOutcome::Unchanged,
                 }
             }
             Command::Forget { function, generation } => {
                 let known = self.view.tombstones.get(function);
                 if known.is_none_or(|t| t.retirement.generation != *generation) {
-                    return Done::Unchanged;
+                    return CommandOutcome::Unchanged;
                 }
                 self.view.tombstones.remove(function);
                 self.changed(version)
             }
             Command::Pools { edition, pools } => {
                 if *edition <= self.view.edition {
-                    return Done::Unchanged;
+                    return CommandOutcome::Unchanged;
                 }
                 (self.view.edition, self.view.pools) = (*edition, pools.clone());
                 self.changed(version)
@@ -63,42 +63,44 @@
         }
     }
 
-    fn join(&mut self, version: Version, name: &str, at_least: u64) -> Done {
-        let refused = |why: String| Done::Refused { why };
+    fn join(&mut self, version: Version, name: &str, at_least: u64) -> CommandOutcome {
+        let refused = |why: String| CommandOutcome::Rejected { reason: why };
         let last = match self.members.get(name).copied() {
             Some(run) => run,
-            None if self.make_place() => Run { incarnation: self.forgotten, joined: 0, left: Some(version) },
-            None => return refused(format!("{MEMBERS_MOST} members are present already")),
+            None if self.make_place() => {
+                MemberRun { incarnation: self.forgotten, joined: 0, left: Some(version) }
+            }
+            None => return refused(format!("{MAX_MEMBERS} members are present already")),
         };
         if last.left.is_none() {
-            if self.replaced.len() >= REPLACED_MOST {
+            if self.replaced.len() >= MAX_REPLACED {
                 return refused(format!(
-                    "{REPLACED_MOST} runs that ended without leaving may still be at work"
+                    "{MAX_REPLACED} runs that ended without leaving may still be at work"
                 ));
             }
             let member = Member { name: name.into(), incarnation: last.incarnation };
             self.replaced.insert(member, last.joined);
         }
         let incarnation = last.incarnation.max(at_least) + 1;
-        self.members.insert(name.into(), Run { incarnation, joined: version, left: None });
-        Done::Joined(Member { name: name.into(), incarnation })
+        self.members.insert(name.into(), MemberRun { incarnation, joined: version, left: None });
+        CommandOutcome::Joined(Member { name: name.into(), incarnation })
     }
 
-    fn leave(&mut self, version: Version, member: &Member) -> Done {
+    fn leave(&mut self, version: Version, member: &Member) -> CommandOutcome {
         if self.replaced.remove(member).is_some() {
-            return Done::Changed;
+            return CommandOutcome::Changed;
         }
         match self.members.get_mut(&member.name) {
             Some(run) if run.incarnation == member.incarnation && run.left.is_none() => {
                 run.left = Some(version);
-                Done::Changed
+                CommandOutcome::Changed
             }
-            _ => Done::Unchanged,
+            _ => CommandOutcome::Unchanged,
         }
     }
 
-    fn changed(&mut self, version: Version) -> Done {
+    fn changed(&mut self, version: Version) -> CommandOutcome {
         self.view.version = version;
-        Done::Changed
+        CommandOutcome::Changed
     }
 }
--- a/crates/cluster-state/src/bounds.rs
+++ b/crates/cluster-state/src/bounds.rs
@@ -1,42 +1,42 @@
 //! How much the record holds at most; a command beyond it is refused with the reason, alike at every keeper.
 
-use crate::{Command, Member, Pool, Record, Retirement, Run, Size, Tombstone};
+use crate::{ClusterState, Command, Member, MemberRun, Pool, PoolSize, Retirement, Tombstone};
 use std::collections::BTreeSet;
 
 /// Names of members, present and left; beyond it the longest-left are forgotten.
-pub const MEMBERS_MOST: usize = 4096;
+pub const MAX_MEMBERS: usize = 4096;
 /// Runs that another took the place of and that may still be at work.
-pub const REPLACED_MOST: usize = 1024;
-pub const TOMBSTONES_MOST: usize = 4096;
-pub const POOLS_MOST: usize = 256;
+pub const MAX_REPLACED: usize = 1024;
+pub const MAX_TOMBSTONES: usize = 4096;
+pub const MAX_POOLS: usize = 256;
 /// Patterns of one pool, and reservations of one.
-pub const PATTERNS_MOST: usize = 256;
+pub const MAX_PATTERNS: usize = 256;
 /// Bytes of a name, and of the reason of a retirement.
-pub const NAME_MOST: usize = 256;
-pub const REASON_MOST: usize = 1024;
+pub const MAX_NAME_LENGTH: usize = 256;
+pub const MAX_REASON_LENGTH: usize = 1024;
 /// Runs under one name; beyond it somebody remembers nonsense.
-pub const INCARNATION_MOST: u64 = 1 << 48;
+pub const MAX_INCARNATION: u64 = 1 << 48;
 
-impl Record {
+impl ClusterState {
     /// Why a command can't be taken, whatever it would change.
     pub(crate) fn refusal(&self, command: &Command) -> Option<String> {
         match command {
             Command::Join { name, at_least } => name_refusal("member", name).or_else(|| {
-                (*at_least >= INCARNATION_MOST).then(|| format!("incarnation {at_least} is too high"))
+                (*at_least >= MAX_INCARNATION).then(|| format!("incarnation {at_least} is too high"))
             }),
             Command::Retire(retirement) => {
                 let tombstones = &self.view.tombstones;
                 let full =
-                    tombstones.len() >= TOMBSTONES_MOST && !tombstones.contains_key(&retirement.function);
+                    tombstones.len() >= MAX_TOMBSTONES && !tombstones.contains_key(&retirement.function);
                 retirement
                     .fault()
-                    .or_else(|| full.then(|| format!("{TOMBSTONES_MOST} functions are retired already")))
+                    .or_else(|| full.then(|| format!("{MAX_TOMBSTONES} functions are retired already")))
             }
             Command::InForce { but_for, .. } => {
-                too_many("members excepted", but_for.len(), MEMBERS_MOST + REPLACED_MOST)
+                too_many("members excepted", but_for.len(), MAX_MEMBERS + MAX_REPLACED)
             }
             Command::Pools { pools, .. } => {
-                too_many("pools", pools.len(), POOLS_MOST).or_else(|| pools.iter().find_map(pool_refusal))
+                too_many("pools", pools.len(), MAX_POOLS).or_else(|| pools.iter().find_map(pool_refusal))
             }
             Command::Leave(_) | Command::Forget { .. } => None,
         }
@@ -45,11 +45,11 @@
     /// Makes place for one more name: forgets the one that left longest ago and that no tombstone names.
     /// False where all are needed.
     pub(crate) fn make_place(&mut self) -> bool {
-        if self.members.len() < MEMBERS_MOST {
+        if self.members.len() < MAX_MEMBERS {
             return true;
         }
         let excepted: BTreeSet<_> = self.view.tombstones.values().flat_map(Tombstone::excepted).collect();
-        let named = |name: &str, run: &Run| {
+        let named = |name: &str, run: &MemberRun| {
             !excepted.is_empty()
                 && excepted.contains(&Member { name: name.into(), incarnation: run.incarnation })
         };
@@ -72,18 +72,18 @@
         name_refusal("function", &self.function)
             .or_else(|| self.successor.as_ref().and_then(|name| name_refusal("successor", name)))
             .or_else(|| (self.generation == 0).then(|| "generations count from 1".into()))
-            .or_else(|| too_many("bytes of reason", self.reason.len(), REASON_MOST))
+            .or_else(|| too_many("bytes of reason", self.reason.len(), MAX_REASON_LENGTH))
     }
 }
 
 fn pool_refusal(pool: &Pool) -> Option<String> {
     let names = pool.functions.iter().map(|name| ("pattern", name));
     let mut names = names.chain(pool.reservations.iter().map(|r| ("tenant", &r.tenant)));
-    let reserved: u64 = pool.reservations.iter().map(|r| u64::from(r.lanes)).sum();
-    let beyond = matches!(pool.size, Size::Lanes(lanes) if reserved > u64::from(lanes));
+    let reserved: u64 = pool.reservations.iter().map(|r| u64::from(r.permits)).sum();
+    let beyond = matches!(pool.size, PoolSize::Permits(lanes) if reserved > u64::from(lanes));
     name_refusal("pool", &pool.name)
-        .or_else(|| too_many("patterns of a pool", pool.functions.len(), PATTERNS_MOST))
-        .or_else(|| too_many("reservations of a pool", pool.reservations.len(), PATTERNS_MOST))
+        .or_else(|| too_many("patterns of a pool", pool.functions.len(), MAX_PATTERNS))
+        .or_else(|| too_many("reservations of a pool", pool.reservations.len(), MAX_PATTERNS))
         .or_else(|| names.find_map(|(what, name)| name_refusal(what, name)))
         .or_else(|| {
             beyond.then(|| format!("pool {}: {reserved} lanes reserved, more than it has", pool.name))
@@ -94,8 +94,8 @@
     if name.is_empty() {
         return Some(format!("the name of a {what} is empty"));
     }
-    (name.len() > NAME_MOST)
-        .then(|| format!("the name of a {what} has {} bytes, more than {NAME_MOST}", name.len()))
+    (name.len() > MAX_NAME_LENGTH)
+        .then(|| format!("the name of a {what} has {} bytes, more than {MAX_NAME_LENGTH}", name.len()))
 }
 
 fn too_many(what: &str, count: usize, most: usize) -> Option<String> {
--- a/crates/cluster-state/src/deal/mod.rs
+++ b/crates/cluster-state/src/deal/mod.rs
@@ -11,9 +11,9 @@
 mod share;
 mod size;
 
-pub use size::{floor, Limits, FLOOR_SHARE};
+pub use size::{guaranteed_permits, AllocationLimits, GUARANTEED_SHARE};
 
-use crate::{Member, Micros, Pool, Record, Report, Size, Terms, Version};
+use crate::{ClusterState, LeaseTerms, Member, Micros, Pool, PoolSize, Report, Version};
 use account::Account;
 use share::Targets;
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,104 +23,104 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
     /// Promises of earlier leaders are waited for.
-    pub silence: bool,
+    pub takeover_wait: bool,
     /// Runs count after the lease that they began under.
     pub runs: bool,
     /// Floors are never dealt.
-    pub floors: bool,
+    pub guarantees: bool,
     /// A grant stands until the member says that it goes by a later one.
     pub applied: bool,
 }
 
 impl Default for Guards {
     fn default() -> Guards {
-        Guards { silence: true, runs: true, floors: true, applied: true }
+        Guards { takeover_wait: true, runs: true, guarantees: true, applied: true }
     }
 }
 
 /// Deals the lanes of every pool; forgotten with the leadership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Dealer {
-    terms: Terms,
-    limits: Limits,
+pub struct PermitAllocator {
+    terms: LeaseTerms,
+    limits: AllocationLimits,
     guards: Guards,
     began: Micros,
     /// Members that an earlier leader may have promised something.
-    before: BTreeSet<Member>,
+    earlier_members: BTreeSet<Member>,
     accounts: BTreeMap<Member, Account>,
     pools: Vec<Pool>,
     /// Floors by pool of earlier editions, and the change that ended each, until every member has applied
     /// that.
-    old_floors: Vec<(Version, BTreeMap<String, u32>)>,
-    looked: bool,
+    earlier_guarantees: Vec<(Version, BTreeMap<String, u32>)>,
+    has_observed: bool,
     /// No promise of an earlier leader stands any more.
-    open: bool,
-    round: Option<(Micros, BTreeMap<String, Round>)>,
+    may_allocate_all: bool,
+    round: Option<(Micros, BTreeMap<String, AllocationRound>)>,
 }
 
 /// What was reckoned of a pool; within a round only the member that reports is counted anew.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Round {
-    lanes: u32,
-    floor: u32,
-    out: u32,
+struct AllocationRound {
+    permits: u32,
+    guaranteed: u32,
+    outstanding: u32,
     targets: Targets,
 }
 
-impl Dealer {
+impl PermitAllocator {
     /// A leadership begins.
-    pub fn new(terms: Terms, limits: Limits, now: Micros) -> Dealer {
-        Dealer {
+    pub fn new(terms: LeaseTerms, limits: AllocationLimits, now: Micros) -> PermitAllocator {
+        PermitAllocator {
             terms,
             limits,
             guards: Guards::default(),
             began: now,
-            before: BTreeSet::new(),
+            earlier_members: BTreeSet::new(),
             accounts: BTreeMap::new(),
             pools: Vec::new(),
-            old_floors: Vec::new(),
-            looked: false,
-            open: false,
+            earlier_guarantees: Vec::new(),
+            has_observed: false,
+            may_allocate_all: false,
             round: None,
         }
     }
 
     #[doc(hidden)]
-    pub fn with(self, guards: Guards) -> Dealer {
-        Dealer { guards, ..self }
+    pub fn with(self, guards: Guards) -> PermitAllocator {
+        PermitAllocator { guards, ..self }
     }
 
     /// Whether a front end of this name may join. One beyond the told number would have no floor, and could
     /// not know it while it is cut off; so it is turned away at its hello.
-    pub fn admits(&self, record: &Record, name: &str) -> bool {
-        self.admits_beside(record, name, 0)
+    pub fn admits(&self, record: &ClusterState, name: &str) -> bool {
+        self.admits_with(record, name, 0)
     }
 
     /// The same where so many others, not yet in the record, were let in before.
-    pub fn admits_beside(&self, record: &Record, name: &str, others: usize) -> bool {
-        record.present().filter(|m| m.name != name).count() + others < self.limits.fleet as usize
+    pub fn admits_with(&self, record: &ClusterState, name: &str, others: usize) -> bool {
+        record.present().filter(|m| m.name != name).count() + others < self.limits.front_ends as usize
     }
 
     /// A present member reported, and promises may be given: the lanes of the grant that answers, by pool and
     /// tenant. A report that is late or came twice changes nothing and gets none.
     pub fn report(
         &mut self,
-        record: &Record,
+        record: &ClusterState,
         member: &Member,
         report: &Report,
         now: Micros,
     ) -> Vec<(String, String, u32)> {
-        self.look(record, now);
+        self.observe(record, now);
         let account = self.accounts.entry(member.clone()).or_default();
-        if !account.take(report, now, self.guards) {
+        if !account.on_report(report, now, self.guards) {
             return Vec::new();
         }
-        self.open = self.open || self.may_deal(now);
-        self.reckon(record, now);
+        self.may_allocate_all = self.may_allocate_all || self.may_allocate(now);
+        self.recompute(record, now);
         self.count(member, now);
-        let lanes = if self.open { self.deal(member) } else { Vec::new() };
+        let lanes = if self.may_allocate_all { self.allocate(member) } else { Vec::new() };
         if let Some(account) = self.accounts.get_mut(member) {
-            account.give(report.number, now, &lanes);
+            account.on_grant(report.number, now, &lanes);
         }
         self.count(member, now);
         lanes
@@ -128,66 +128,71 @@
 
     /// Whether no lanes that this leader does not know of can be in use: promises of earlier ones have run
     /// out, and every member of before was heard since, or the runs that they began have ended.
-    pub fn may_deal(&self, now: Micros) -> bool {
-        let quiet = self.began + self.terms.silence();
+    pub fn may_allocate(&self, now: Micros) -> bool {
+        let quiet = self.began + self.terms.takeover_wait();
         let known = |m: &Member| self.accounts.get(m).is_some_and(Account::is_known);
-        !self.guards.silence
-            || now >= quiet && (now >= quiet + self.longest() || self.before.iter().all(known))
+        !self.guards.takeover_wait
+            || now >= quiet && (now >= quiet + self.longest() || self.earlier_members.iter().all(known))
     }
 
     /// Lanes of a pool that are counted as out beyond the floors, as last reckoned; and those that may be
     /// dealt.
-    pub fn out(&self, pool: &str) -> (u32, u32) {
+    pub fn outstanding(&self, pool: &str) -> (u32, u32) {
         let round = self.round.as_ref().and_then(|(_, pools)| pools.get(pool));
-        round.map_or((0, 0), |r| (r.out, r.lanes))
+        round.map_or((0, 0), |r| (r.outstanding, r.permits))
     }
 
     /// Follows members and pools.
-    fn look(&mut self, record: &Record, now: Micros) {
+    fn observe(&mut self, record: &ClusterState, now: Micros) {
         // The first look may come late: who is there then may have been given lanes by an earlier leader, and
         // so may a run in whose place another joined.
-        if !self.looked || now < self.began + self.terms.silence() {
-            self.looked = true;
-            self.before.extend(record.present());
-            self.before.extend(record.replaced.keys().cloned());
+        if !self.has_observed || now < self.began + self.terms.takeover_wait() {
+            self.has_observed = true;
+            self.earlier_members.extend(record.present());
+            self.earlier_members.extend(record.replaced.keys().cloned());
         }
         if self.pools != record.view.pools {
-            let floors = self.pools.iter().map(|p| (p.name.clone(), self.floor(&p.name, now))).collect();
-            self.old_floors.push((record.view.version, floors));
+            let floors = self.pools.iter().map(|p| (p.name.clone(), self.guaranteed(&p.name, now))).collect();
+            self.earlier_guarantees.push((record.view.version, floors));
             self.pools = record.view.pools.clone();
             self.round = None;
         }
     }
 
-    /// Counts and shares out anew, at most once in [`Limits::every`].
-    fn reckon(&mut self, record: &Record, now: Micros) {
-        if self.round.as_ref().is_some_and(|(at, _)| now - at < self.limits.every) {
+    /// Counts and shares out anew, at most once in [`AllocationLimits::every`].
+    fn recompute(&mut self, record: &ClusterState, now: Micros) {
+        if self.round.as_ref().is_some_and(|(at, _)| now - at < self.limits.interval) {
             return;
         }
-        let span = self.terms.given() + self.longest();
+        let span = self.terms.grantor_span() + self.longest();
         self.accounts.retain(|m, a| {
             a.forget(now - span);
             // Runs of one that is gone may go on at workers.
-            record.is_present(m) || now < a.heard() + span
+            record.is_present(m) || now < a.heard_at() + span
         });
         // Floors of earlier editions end once all have applied a later one.
         let accounts = &self.accounts;
         let applied =
             |v: Version| record.present().all(|m| accounts.get(&m).is_some_and(|a| a.confirmed() >= v));
-        self.old_floors.retain(|(version, _)| !applied(*version));
+        self.earlier_guarantees.retain(|(version, _)| !applied(*version));
         let mut pools = BTreeMap::new();
         for pool in &self.pools {
-            let floor = self.floor(&pool.name, now);
-            let all = if self.guards.floors { self.limits.fleet.saturating_mul(floor) } else { 0 };
+            let floor = self.guaranteed(&pool.name, now);
+            let all = if self.guards.guarantees { self.limits.front_ends.saturating_mul(floor) } else { 0 };
             let lanes = self.size(pool, now, false).saturating_sub(all);
-            let members: Vec<_> = self.fresh(now).map(|(m, a)| (m, a.wants(&pool.name))).collect();
+            let members: Vec<_> = self.fresh(now).map(|(m, a)| (m, a.wanted(&pool.name))).collect();
             let targets = Targets::reckon(lanes, &pool.reservations, &members);
-            pools.insert(pool.name.clone(), Round { lanes, floor, out: 0, targets });
+            pools.insert(
+                pool.name.clone(),
+                AllocationRound { permits: lanes, guaranteed: floor, outstanding: 0, targets },
+            );
         }
-        let (lease, longest) = (self.terms.given(), self.longest());
+        let (lease, longest) = (self.terms.grantor_span(), self.longest());
         for account in self.accounts.values_mut() {
             for (pool, round) in &mut pools {
-                round.out = round.out.saturating_add(account.count(pool, round.floor, now, lease, longest).1);
+                round.outstanding = round
+                    .outstanding
+                    .saturating_add(account.count(pool, round.guaranteed, now, lease, longest).1);
             }
         }
         self.round = Some((now, pools));
@@ -195,24 +200,24 @@
 
     /// Counts one member anew.
     fn count(&mut self, member: &Member, now: Micros) {
-        let (lease, longest) = (self.terms.given(), self.longest());
+        let (lease, longest) = (self.terms.grantor_span(), self.longest());
         let Some((account, (_, pools))) = self.accounts.get_mut(member).zip(self.round.as_mut()) else {
             return;
         };
         for (pool, round) in pools {
-            let (before, after) = account.count(pool, round.floor, now, lease, longest);
-            round.out = round.out.saturating_sub(before).saturating_add(after);
+            let (before, after) = account.count(pool, round.guaranteed, now, lease, longest);
+            round.outstanding = round.outstanding.saturating_sub(before).saturating_add(after);
         }
     }
 
-    fn deal(&self, member: &Member) -> Vec<(String, String, u32)> {
+    fn allocate(&self, member: &Member) -> Vec<(String, String, u32)> {
         let Some((account, (_, pools))) = self.accounts.get(member).zip(self.round.as_ref()) else {
             return Vec::new();
         };
         let mut lanes = Vec::new();
         for (pool, round) in pools {
-            let others = round.out.saturating_sub(account.counted(pool));
-            let of = round.targets.of(member, round.lanes.saturating_sub(others)).into_iter();
+            let others = round.outstanding.saturating_sub(account.counted(pool));
+            let of = round.targets.of(member, round.permits.saturating_sub(others)).into_iter();
             lanes.extend(of.map(|(tenant, n)| (pool.clone(), tenant, n)));
         }
         lanes
@@ -220,7 +225,7 @@
 
     fn longest(&self) -> Micros {
         if self.guards.runs {
-            self.limits.longest + self.terms.drift(self.limits.longest)
+            self.limits.longest_run + self.terms.drift(self.limits.longest_run)
         } else {
             0
         }
@@ -228,28 +233,28 @@
 
     /// Accounts that are not old.
     fn fresh(&self, now: Micros) -> impl Iterator<Item = (&Member, &Account)> {
-        let late = now - self.terms.given();
-        self.accounts.iter().filter(move |(_, a)| a.heard() > late)
+        let late = now - self.terms.grantor_span();
+        self.accounts.iter().filter(move |(_, a)| a.heard_at() > late)
     }
 
     /// A pool's size. Where it goes by workers, for dealing the lower median of what members told of late:
     /// one front end that sees no workers does not empty the pool, and one that still counts workers that are
     /// gone does not widen it. For floors the greatest, as each member reckons its own by its own count.
     fn size(&self, pool: &Pool, now: Micros, for_floors: bool) -> u32 {
-        if let Size::Lanes(lanes) = pool.size {
+        if let PoolSize::Permits(lanes) = pool.size {
             return lanes;
         }
-        let mut ready: Vec<u32> = self.fresh(now).map(|(_, a)| a.ready_lanes()).collect();
+        let mut ready: Vec<u32> = self.fresh(now).map(|(_, a)| a.ready_capacity()).collect();
         ready.sort_unstable();
         let place = ready.len().saturating_sub(1) / if for_floors { 1 } else { 2 };
         ready.get(place).copied().unwrap_or(0)
     }
 
     /// The greatest floor in a pool that any member may go by.
-    fn floor(&self, pool: &str, now: Micros) -> u32 {
+    fn guaranteed(&self, pool: &str, now: Micros) -> u32 {
         let of = self.pools.iter().find(|p| p.name == pool);
-        let new = of.map_or(0, |p| floor(self.size(p, now, true), &self.limits));
-        let old = self.old_floors.iter().filter_map(|(_, floors)| floors.get(pool)).copied();
+        let new = of.map_or(0, |p| guaranteed_permits(self.size(p, now, true), &self.limits));
+        let old = self.earlier_guarantees.iter().filter_map(|(_, floors)| floors.get(pool)).copied();
         old.fold(new, u32::max)
     }
 }
--- a/crates/cluster-state/src/deal/share.rs
+++ b/crates/cluster-state/src/deal/share.rs
@@ -78,10 +78,10 @@
 
 /// Reservations as they stand where fewer lanes are left than were reserved: in proportion, rounded down.
 fn scaled(lanes: u32, reservations: &[Reservation]) -> Vec<u32> {
-    let all: u64 = reservations.iter().map(|r| u64::from(r.lanes)).sum();
+    let all: u64 = reservations.iter().map(|r| u64::from(r.permits)).sum();
     let part = |r: &Reservation| match all {
-        all if all <= u64::from(lanes) => r.lanes,
-        all => u32::try_from(u64::from(r.lanes) * u64::from(lanes) / all).unwrap_or(lanes),
+        all if all <= u64::from(lanes) => r.permits,
+        all => u32::try_from(u64::from(r.permits) * u64::from(lanes) / all).unwrap_or(lanes),
     };
     reservations.iter().map(part).collect()
 }
--- a/crates/cluster-state/src/holder.rs
+++ b/crates/cluster-state/src/holder.rs
@@ -1,27 +1,27 @@
 //! A front end's side of its session: what it was told, and until when it may rely on it by its own clock.
 
-use crate::{Grant, Micros, Terms, Version, View};
+use crate::{ClusterView, Grant, LeaseTerms, Micros, Version};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
 /// Reports whose answers are still waited for.
-const REPORTS_MOST: usize = 64;
+const MAX_OPEN_REPORTS: usize = 64;
 
 /// What the driver of a front end reads; it never waits for it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Standing {
+pub struct ClusterStatus {
     /// The newest view that came.
-    pub view: Arc<View>,
+    pub view: Arc<ClusterView>,
     /// Until then the view is known to be the newest in force; [`Micros::MIN`] before the first word.
     pub fresh_until: Micros,
     /// Lanes beside the floors, by pool and tenant, and until when.
-    pub lanes: Arc<BTreeMap<(String, String), u32>>,
-    pub lanes_until: Micros,
+    pub permits: Arc<BTreeMap<(String, String), u32>>,
+    pub permits_until: Micros,
     /// Number of the grant that they came with; 0: none came.
-    pub lanes_of: u64,
+    pub permits_grant: u64,
 }
 
-impl Standing {
+impl ClusterStatus {
     /// Whether a function may still be retired without this front end's knowledge.
     pub fn is_stale(&self, now: Micros) -> bool {
         now >= self.fresh_until
@@ -30,28 +30,32 @@
 
 /// Counts promises from when they were asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Holder {
-    terms: Terms,
+pub struct LeaseHolder {
+    terms: LeaseTerms,
     sent: VecDeque<(u64, Micros)>,
     next: u64,
-    standing: Standing,
+    status: ClusterStatus,
 }
 
-impl Holder {
-    pub fn new(terms: Terms) -> Holder {
-        let standing = Standing { fresh_until: Micros::MIN, lanes_until: Micros::MIN, ..Standing::default() };
-        Holder { terms, sent: VecDeque::new(), next: 1, standing }
+impl LeaseHolder {
+    pub fn new(terms: LeaseTerms) -> LeaseHolder {
+        let standing = ClusterStatus {
+            fresh_until: Micros::MIN,
+            permits_until: Micros::MIN,
+            ..ClusterStatus::default()
+        };
+        LeaseHolder { terms, sent: VecDeque::new(), next: 1, status: standing }
     }
 
     /// A connection was lost: answers to what was sent on it will not come. What was promised stands until it
     /// runs out.
-    pub fn lost(&mut self) {
+    pub fn on_connection_lost(&mut self) {
         self.sent.clear();
     }
 
     /// A report is being sent; its number.
-    pub fn ask(&mut self, now: Micros) -> u64 {
-        if self.sent.len() >= REPORTS_MOST {
+    pub fn begin_report(&mut self, now: Micros) -> u64 {
+        if self.sent.len() >= MAX_OPEN_REPORTS {
             self.sent.pop_front();
         }
         let number = self.next;
@@ -61,38 +65,38 @@
     }
 
     /// A view came; an older one than is known changes nothing.
-    pub fn view(&mut self, view: View) -> bool {
-        let newer = view.version > self.standing.view.version;
+    pub fn on_view(&mut self, view: ClusterView) -> bool {
+        let newer = view.version > self.status.view.version;
         if newer {
-            self.standing.view = Arc::new(view);
+            self.status.view = Arc::new(view);
         }
         newer
     }
 
     /// An answer came to a report.
-    pub fn grant(&mut self, grant: Grant) -> bool {
+    pub fn on_grant(&mut self, grant: Grant) -> bool {
         let Some(place) = self.sent.iter().position(|(n, _)| *n == grant.number) else { return false };
         let asked = self.sent[place].1;
         self.sent.drain(..=place);
         let lease = self.terms.lease.min(grant.lease);
-        let until = asked + Terms { lease, ..self.terms }.held();
-        if grant.version == self.standing.view.version {
-            self.standing.fresh_until = self.standing.fresh_until.max(until);
+        let until = asked + LeaseTerms { lease, ..self.terms }.holder_span();
+        if grant.version == self.status.view.version {
+            self.status.fresh_until = self.status.fresh_until.max(until);
         }
-        if until >= self.standing.lanes_until {
-            let lanes = grant.lanes.into_iter().map(|(pool, tenant, lanes)| ((pool, tenant), lanes));
-            self.standing.lanes = Arc::new(lanes.collect());
-            self.standing.lanes_until = until;
-            self.standing.lanes_of = grant.number;
+        if until >= self.status.permits_until {
+            let lanes = grant.permits.into_iter().map(|(pool, tenant, lanes)| ((pool, tenant), lanes));
+            self.status.permits = Arc::new(lanes.collect());
+            self.status.permits_until = until;
+            self.status.permits_grant = grant.number;
         }
         true
     }
 
     pub fn version(&self) -> Version {
-        self.standing.view.version
+        self.status.view.version
     }
 
-    pub fn standing(&self) -> &Standing {
-        &self.standing
+    pub fn status(&self) -> &ClusterStatus {
+        &self.status
     }
 }
--- a/crates/cluster-state/src/lead/due.rs
+++ b/crates/cluster-state/src/lead/due.rs
@@ -1,109 +1,114 @@
 //! When retirements come in force and are forgotten, and when runs that ended without a word leave.
 
-use super::{Course, Lead};
-use crate::{Command, Member, Micros, Mode, Record, State, Tombstone, Version};
+use super::{Leader, RetirementProgress};
+use crate::{ClusterState, Command, Member, Micros, RetirementMode, Tombstone, TombstoneState, Version};
 use std::collections::BTreeSet;
 
 /// A run that may be at work, and has not confirmed all that is retired.
-struct Late {
+struct LaggingRun {
     confirmed: Version,
     joined: Version,
     member: Member,
     /// Until when it may rely on a promise.
-    relies: Micros,
+    relies_until: Micros,
 }
 
 /// What a tombstone is judged by: the late runs that have not confirmed it, whether one of them joined before
 /// it, and whether such a one may rely on a promise.
-struct Found<'a> {
-    behind: &'a [Late],
-    open: bool,
-    reached: bool,
+struct TombstoneEvidence<'a> {
+    lagging: &'a [LaggingRun],
+    has_earlier_run: bool,
+    has_relying_run: bool,
 }
 
-impl Lead {
-    /// When [`Lead::due`] may next have something: `now` where something changed since it was last asked,
+impl Leader {
+    /// When [`Leader::due`] may next have something: `now` where something changed since it was last asked,
     /// else by time alone. None: only a report or a change of the record can bring something.
-    pub fn next(&self, record: &Record, now: Micros) -> Option<Micros> {
-        if self.judged == Some(record.version) {
+    pub fn next_due(&self, record: &ClusterState, now: Micros) -> Option<Micros> {
+        if self.evaluated == Some(record.version) {
             self.wake.map(|wake| wake.max(now))
         } else {
             Some(now)
         }
     }
 
-    /// Changes of the record that are due. Nothing is looked at before [`Lead::next`]; then every run and
+    /// Changes of the record that are due. Nothing is looked at before [`Leader::next`]; then every run and
     /// tombstone once.
-    pub fn due(&mut self, record: &Record, now: Micros) -> Vec<Command> {
-        if self.next(record, now).is_none_or(|next| next > now) {
+    pub fn due_commands(&mut self, record: &ClusterState, now: Micros) -> Vec<Command> {
+        if self.next_due(record, now).is_none_or(|next| next > now) {
             return Vec::new();
         }
-        self.judged = Some(record.version);
-        (self.wake, self.waits) = (None, false);
+        self.evaluated = Some(record.version);
+        (self.wake, self.is_waiting) = (None, false);
         self.sessions.retain(|m, _| record.is_present(m) || record.replaced.contains_key(m));
-        let mut commands = self.let_leave(record, now);
-        let late = self.late(record, now);
+        let mut commands = self.next_leave_check(record, now);
+        let late = self.lagging_runs(record, now);
         // Of the first so many late runs: the oldest joining of all, and of those that may rely on a promise.
         let mut oldest = vec![(Version::MAX, Version::MAX)];
         for run in &late {
             let (all, relying) = oldest[oldest.len() - 1];
-            let relying = if now < run.relies { relying.min(run.joined) } else { relying };
+            let relying = if now < run.relies_until { relying.min(run.joined) } else { relying };
             oldest.push((all.min(run.joined), relying));
         }
-        let mut before = std::mem::take(&mut self.courses);
+        let mut before = std::mem::take(&mut self.progress);
         for (function, tombstone) in &record.view.tombstones {
             let proposed = tombstone.proposed;
-            let mut course =
-                before.remove(&proposed).unwrap_or(Course { seen: now, settled: None, written: None });
+            let mut course = before.remove(&proposed).unwrap_or(RetirementProgress {
+                first_seen: now,
+                confirmed_since: None,
+                proposed: None,
+            });
             let behind = late.partition_point(|run| run.confirmed < proposed);
             // Who joined later was never told less than that it is retired.
-            let found = Found {
-                open: oldest[behind].0 < proposed,
-                reached: oldest[behind].1 < proposed,
-                behind: &late[..behind],
+            let found = TombstoneEvidence {
+                has_earlier_run: oldest[behind].0 < proposed,
+                has_relying_run: oldest[behind].1 < proposed,
+                lagging: &late[..behind],
             };
-            commands.extend(self.judge(record, function, tombstone, &mut course, &found, now));
-            self.courses.insert(proposed, course);
+            commands.extend(self.evaluate(record, function, tombstone, &mut course, &found, now));
+            self.progress.insert(proposed, course);
         }
-        if self.waits {
-            let ends = late.iter().map(|run| run.relies).filter(|end| *end > now);
+        if self.is_waiting {
+            let ends = late.iter().map(|run| run.relies_until).filter(|end| *end > now);
             ends.min().into_iter().for_each(|end| self.wake_at(end));
         }
         commands
     }
 
     /// What is due for one tombstone.
-    fn judge(
+    fn evaluate(
         &mut self,
-        record: &Record,
+        record: &ClusterState,
         function: &str,
         tombstone: &Tombstone,
-        course: &mut Course,
-        found: &Found,
+        course: &mut RetirementProgress,
+        found: &TombstoneEvidence,
         now: Micros,
     ) -> Option<Command> {
         let (function, generation) = (function.to_string(), tombstone.retirement.generation);
         let but_for: BTreeSet<Member> = match (&tombstone.state, tombstone.retirement.mode) {
             // A strict front end stops by itself once its lease has run out.
-            (State::Proposed, Mode::Strict) if found.reached => {
-                self.waits = true;
+            (TombstoneState::Proposed, RetirementMode::Strict) if found.has_relying_run => {
+                self.is_waiting = true;
                 return None;
             }
-            (State::Proposed, Mode::Strict) => BTreeSet::new(),
+            (TombstoneState::Proposed, RetirementMode::Strict) => BTreeSet::new(),
             // An available one goes on until it confirmed. Whoever can be reached is told within a lease,
             // several reports long; who has not confirmed by then is named, so that one long call at work
             // holds up nobody's state.
-            (State::Proposed, Mode::Available) if found.reached && now < course.seen + self.terms.given() => {
-                self.waits = true;
-                self.wake_at(course.seen + self.terms.given());
+            (TombstoneState::Proposed, RetirementMode::Available)
+                if found.has_relying_run && now < course.first_seen + self.terms.grantor_span() =>
+            {
+                self.is_waiting = true;
+                self.wake_at(course.first_seen + self.terms.grantor_span());
                 return None;
             }
-            (State::Proposed, Mode::Available) => {
-                let open = found.behind.iter().filter(|run| run.joined < tombstone.proposed);
+            (TombstoneState::Proposed, RetirementMode::Available) => {
+                let open = found.lagging.iter().filter(|run| run.joined < tombstone.proposed);
                 open.map(|run| run.member.clone()).collect()
             }
             // It only shrinks: a run that confirmed to an earlier leader has confirmed for good.
-            (State::InForce { but_for }, _) => {
+            (TombstoneState::InForce { but_for }, _) => {
                 let open = |m: &&Member| {
                     !self.has_confirmed(m, tombstone.proposed)
                         && (record.is_present(m) || record.replaced.contains_key(m))
@@ -112,14 +117,14 @@
             }
         };
         let excepted = but_for.len();
-        let state = State::InForce { but_for };
+        let state = TombstoneState::InForce { but_for };
         let forget = tombstone.state == state;
         if forget {
-            if found.open {
-                course.settled = None;
+            if found.has_earlier_run {
+                course.confirmed_since = None;
                 return None;
             }
-            let due = *course.settled.get_or_insert(now) + self.terms.remember;
+            let due = *course.confirmed_since.get_or_insert(now) + self.terms.tombstone_retention;
             if now < due {
                 self.wake_at(due);
                 return None;
@@ -127,53 +132,56 @@
         }
         // What was handed out is being agreed on. Each change sends the view to all, so names go from it
         // together.
-        let pause = self.pause();
-        if let Some((at, last)) = course.written {
+        let pause = self.retry_interval();
+        if let Some((at, last)) = course.proposed {
             if now < at + pause && (excepted > 0 || last == 0) {
                 self.wake_at(at + pause);
                 return None;
             }
         }
-        course.written = Some((now, excepted));
+        course.proposed = Some((now, excepted));
         self.wake_at(now + pause);
         Some(match state {
-            State::InForce { but_for } if !forget => Command::InForce { function, generation, but_for },
+            TombstoneState::InForce { but_for } if !forget => {
+                Command::InForce { function, generation, but_for }
+            }
             _ => Command::Forget { function, generation },
         })
     }
 
     /// Runs in whose place another joined and to which no promise stands any more leave.
-    fn let_leave(&mut self, record: &Record, now: Micros) -> Vec<Command> {
-        let (gone, at_work): (Vec<_>, Vec<_>) = record.replaced.keys().partition(|m| self.relies(m) <= now);
-        let next = at_work.into_iter().map(|m| self.relies(m)).min();
+    fn next_leave_check(&mut self, record: &ClusterState, now: Micros) -> Vec<Command> {
+        let (gone, at_work): (Vec<_>, Vec<_>) =
+            record.replaced.keys().partition(|m| self.relies_until(m) <= now);
+        let next = at_work.into_iter().map(|m| self.relies_until(m)).min();
         next.into_iter().for_each(|end| self.wake_at(end));
         if gone.is_empty() {
             return Vec::new();
         }
-        let again = self.let_leave.map_or(now, |at| at + self.pause());
+        let again = self.next_leave_check.map_or(now, |at| at + self.retry_interval());
         if now < again {
             self.wake_at(again);
             return Vec::new();
         }
-        self.let_leave = Some(now);
-        self.wake_at(now + self.pause());
+        self.next_leave_check = Some(now);
+        self.wake_at(now + self.retry_interval());
         gone.into_iter().cloned().map(Command::Leave).collect()
     }
 
     /// Runs that may be at work and have not confirmed all, those that confirmed least first.
-    fn late(&self, record: &Record, now: Micros) -> Vec<Late> {
+    fn lagging_runs(&self, record: &ClusterState, now: Micros) -> Vec<LaggingRun> {
         let newest = record.view.tombstones.values().map(|t| t.proposed).max().unwrap_or(0);
         let present = record.members.iter().filter(|(_, run)| run.left.is_none());
         let present = present
             .map(|(name, run)| (Member { name: name.clone(), incarnation: run.incarnation }, run.joined));
         let replaced = record.replaced.iter().map(|(m, joined)| (m.clone(), *joined));
-        let replaced = replaced.filter(|(m, _)| now < self.relies(m));
+        let replaced = replaced.filter(|(m, _)| now < self.relies_until(m));
         let runs = present.chain(replaced).filter(|(_, joined)| *joined < newest);
-        let mut late: Vec<Late> = runs
-            .map(|(member, joined)| Late {
+        let mut late: Vec<LaggingRun> = runs
+            .map(|(member, joined)| LaggingRun {
                 confirmed: self.sessions.get(&member).map_or(0, |s| s.confirmed),
                 joined,
-                relies: self.relies(&member),
+                relies_until: self.relies_until(&member),
                 member,
             })
             .filter(|run| run.confirmed < newest)
@@ -187,13 +195,13 @@
     }
 
     /// Until when a promise to a member, of this leader or of one before, may stand.
-    fn relies(&self, member: &Member) -> Micros {
-        let own = self.sessions.get(member).map_or(Micros::MIN, |s| s.promised);
-        own.max(self.began + self.terms.silence())
+    fn relies_until(&self, member: &Member) -> Micros {
+        let own = self.sessions.get(member).map_or(Micros::MIN, |s| s.promised_at);
+        own.max(self.began + self.terms.takeover_wait())
     }
 
     /// Between two commands for the same thing, while the first may still be on its way.
-    fn pause(&self) -> Micros {
+    fn retry_interval(&self) -> Micros {
         self.terms.lease / 4
     }
 
--- a/crates/cluster-state/src/lib.rs
+++ b/crates/cluster-state/src/lib.rs
@@ -1,6 +1,6 @@
 //! The record that the processes of one fleet share, and the decisions around it, without I/O.
 //!
-//! - [`record`]: what keepers agree on ([`Command`]) and what it comes to ([`Record`]): members with
+//! - [`record`]: what keepers agree on ([`Command`]) and what it comes to ([`ClusterState`]): members with
 //!   incarnations, tombstones of retired functions, pools with reservations.
 //! - [`bounds`]: how much of each.
 //! - [`lead`]: what only the keeper that leads knows and decides: sessions, leases, when a retirement is in
@@ -12,7 +12,7 @@
 //!
 //! Times are microseconds of the monotonic clock of whoever is called. Two processes' clocks never agree: a
 //! promise is counted by its holder from when it asked, and by its giver from when it gave, with
-//! [`Terms::drift`] between. The clock must go on while its process is stopped.
+//! [`LeaseTerms::drift`] between. The clock must go on while its process is stopped.
 #![forbid(unsafe_code)]
 
 mod apply;
@@ -24,14 +24,15 @@
 pub mod record;
 pub mod wire;
 
-pub use deal::{floor, Dealer, Limits, FLOOR_SHARE};
-pub use holder::{Holder, Standing};
-pub use lead::Lead;
-pub use marks::{Heard, Known, MessageKey, Rounds, Said};
+pub use deal::{guaranteed_permits, AllocationLimits, PermitAllocator, GUARANTEED_SHARE};
+pub use holder::{ClusterStatus, LeaseHolder};
+pub use lead::Leader;
+pub use marks::{InquiryEvent, InquiryMessage, InquiryRounds, MessageKey, MessageKnowledge};
 pub use record::{
-    Command, Done, Member, Mode, Pool, Record, Reservation, Retirement, Run, Size, State, Tombstone, View,
+    ClusterState, ClusterView, Command, CommandOutcome, Member, MemberRun, Pool, PoolSize, Reservation,
+    Retirement, RetirementMode, Tombstone, TombstoneState,
 };
-pub use wire::{Demand, Grant, Report, ToKeeper, ToMember, PROTOCOL};
+pub use wire::{Demand, Grant, Report, SessionRequest, SessionResponse, PROTOCOL};
 
 /// Microseconds of somebody's monotonic clock, or of a span.
 pub type Micros = i64;
@@ -41,7 +42,7 @@
 
 /// What all processes of a fleet are told alike about promises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// How long a view and the lanes dealt with it may be relied on without word from the leader.
     pub lease: Micros,
     /// Most that two clocks differ in rate, in parts of a million.
@@ -49,24 +50,24 @@
     /// Longest time since a majority last answered a leader in which it still gives promises.
     pub quorum: Micros,
     /// How long a tombstone is kept once every member confirmed it: no message may be older.
-    pub remember: Micros,
+    pub tombstone_retention: Micros,
 }
 
-impl Terms {
+impl LeaseTerms {
     /// How long the holder relies on a promise, from when it asked for it.
-    pub fn held(&self) -> Micros {
+    pub fn holder_span(&self) -> Micros {
         self.lease - self.drift(self.lease)
     }
 
     /// How long the giver counts a promise as standing, from when it gave it.
-    pub fn given(&self) -> Micros {
+    pub fn grantor_span(&self) -> Micros {
         self.lease + self.drift(self.lease)
     }
 
     /// How long a new leader counts promises of earlier leaders as standing: the last one gave none later
     /// than `quorum` after a majority answered it, and that majority elected the new one after that answer.
-    pub fn silence(&self) -> Micros {
-        self.given() + self.quorum + self.drift(self.quorum)
+    pub fn takeover_wait(&self) -> Micros {
+        self.grantor_span() + self.quorum + self.drift(self.quorum)
     }
 
     pub(crate) fn drift(&self, span: Micros) -> Micros {
--- a/crates/cluster-state/src/record.rs
+++ b/crates/cluster-state/src/record.rs
@@ -15,7 +15,7 @@
 
 /// What a retirement does where a front end can't know whether it still holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Mode {
+pub enum RetirementMode {
     /// Calls are refused once the view's lease has run out.
     Strict,
     /// Calls go on; the state file names those that have not confirmed.
@@ -31,14 +31,14 @@
     /// For information: no call is passed on to it.
     pub successor: Option<String>,
     pub reason: String,
-    pub mode: Mode,
+    pub mode: RetirementMode,
     /// When it was asked for, in milliseconds since 1970, for people.
-    pub asked_ms: i64,
+    pub requested_ms: i64,
 }
 
 /// How far a retirement has come.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum State {
+pub enum TombstoneState {
     Proposed,
     /// No front end can serve it any more, but for those named.
     InForce {
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Tombstone {
     pub retirement: Retirement,
-    pub state: State,
+    pub state: TombstoneState,
     /// The change that brought it, and the one that put it in force.
     pub proposed: Version,
     pub in_force: Option<Version>,
@@ -61,13 +61,13 @@
     pub name: String,
     /// Names, or beginnings of names with a closing `*`.
     pub functions: Vec<String>,
-    pub size: Size,
+    pub size: PoolSize,
     pub reservations: Vec<Reservation>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Size {
-    Lanes(u32),
+pub enum PoolSize {
+    Permits(u32),
     /// As many as the members report of their ready workers.
     ByWorkers,
 }
@@ -75,12 +75,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Reservation {
     pub tenant: String,
-    pub lanes: u32,
+    pub permits: u32,
 }
 
 /// What a front end is told of the record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct View {
+pub struct ClusterView {
     pub version: Version,
     /// By function; the highest generation retired of each.
     pub tombstones: BTreeMap<String, Tombstone>,
@@ -118,21 +118,21 @@
 
 /// What came of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Done {
+pub enum CommandOutcome {
     Joined(Member),
     Changed,
     /// It held already, or something later overtook it.
     Unchanged,
     /// It is out of bounds; another try would end the same way, but for a retirement without a
     /// [`Retirement::fault`].
-    Refused {
-        why: String,
+    Rejected {
+        reason: String,
     },
 }
 
 /// The last run under a name. Numbers of changes compare with a tombstone's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Run {
+pub struct MemberRun {
     pub incarnation: u64,
     /// The change by which it joined, and the one by which it left.
     pub joined: Version,
@@ -141,20 +141,20 @@
 
 /// The record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Record {
+pub struct ClusterState {
     /// The last command that changed anything.
     pub version: Version,
     /// The present or last run under each name.
-    pub members: BTreeMap<String, Run>,
+    pub members: BTreeMap<String, MemberRun>,
     /// Runs in whose place another joined, and when they had joined. A stopped process may wake: such a run
     /// counts as at work until every promise to it has run out, when the leader lets it leave.
     pub replaced: BTreeMap<Member, Version>,
     /// The highest incarnation of all names that were forgotten.
     pub forgotten: u64,
-    pub view: View,
+    pub view: ClusterView,
 }
 
-impl Record {
+impl ClusterState {
     /// The last run under each name, where it has not left.
     pub fn present(&self) -> impl Iterator<Item = Member> + '_ {
         let present = self.members.iter().filter(|(_, run)| run.left.is_none());
@@ -168,7 +168,7 @@
     }
 }
 
-impl View {
+impl ClusterView {
     /// The tombstone that a call for this generation of a function falls under.
     pub fn retired(&self, function: &str, generation: u32) -> Option<&Tombstone> {
         self.tombstones.get(function).filter(|t| generation <= t.retirement.generation)
@@ -179,8 +179,8 @@
     /// The runs at which it is not in force yet, where it is at all others.
     pub fn excepted(&self) -> impl Iterator<Item = &Member> {
         let but_for = match &self.state {
-            State::InForce { but_for } => Some(but_for),
-            State::Proposed => None,
+            TombstoneState::InForce { but_for } => Some(but_for),
+            TombstoneState::Proposed => None,
         };
         but_for.into_iter().flatten()
     }
--- a/crates/cluster-state/src/wire.rs
+++ b/crates/cluster-state/src/wire.rs
@@ -1,6 +1,8 @@
 //! What a front end and the leading keeper say to each other, one message a frame.
 
-use crate::{Known, Member, MessageKey, Micros, Pool, Retirement, Terms, Version, View};
+use crate::{
+    ClusterView, LeaseTerms, Member, MessageKey, MessageKnowledge, Micros, Pool, Retirement, Version,
+};
 use serde::{Deserialize, Serialize};
 
 /// Of the messages below; a process that speaks another is turned away.
@@ -8,7 +10,7 @@
 
 /// From a front end.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum ToKeeper {
+pub enum SessionRequest {
     /// First on a connection. `member` is set where this run has joined before.
     Hello {
         protocol: u16,
@@ -23,16 +25,16 @@
     /// This run ends in order; it serves nothing any more.
     Leave,
     /// What do others know of these messages? `to`: those who have not said yet; empty: all. `turn` counts askings.
-    Ask {
+    Inquire {
         number: u64,
-        turn: u32,
+        round: u32,
         to: Vec<String>,
         keys: Vec<MessageKey>,
     },
     Answer {
         to: Member,
         number: u64,
-        known: Vec<Known>,
+        known: Vec<MessageKnowledge>,
     },
 }
 
@@ -45,7 +47,7 @@
     /// such a call at work here.
     pub confirmed: Version,
     /// Ready lanes of workers that it knows, for pools sized by workers.
-    pub ready_lanes: u32,
+    pub ready_capacity: u32,
     pub demand: Vec<Demand>,
 }
 
@@ -59,45 +61,45 @@
     pub in_use: u32,
     /// Calls that wait for a lane.
     pub waiting: u32,
-    /// The grant that the front end went by when it counted these ([`crate::Standing::lanes_of`]); 0: none
+    /// The grant that the front end went by when it counted these ([`crate::ClusterStatus::lanes_of`]); 0: none
     /// yet, or runs of an earlier run under its name may go on.
     pub applied: u64,
 }
 
 /// From the leading keeper, or from one that does not lead.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum ToMember {
+pub enum SessionResponse {
     /// The number of the keeper that leads, where it is known.
     Elsewhere {
         leader: Option<u64>,
     },
     Welcome {
         member: Member,
-        terms: Terms,
+        terms: LeaseTerms,
         /// The last run under the name as the record knew it before this one joined.
         before: Option<u64>,
     },
     /// The whole view, whenever it changed.
-    View(View),
+    View(ClusterView),
     Grant(Grant),
     /// The session is refused; another try would end the same way.
-    Refused {
-        why: String,
+    Rejected {
+        reason: String,
     },
     /// A retirement that was asked for can't be taken; another try would end the same way. Nothing is said where only
     /// room is wanting: it is asked for again.
-    NotRetired {
+    RetirementRejected {
         function: String,
         generation: u32,
-        why: String,
+        reason: String,
     },
     /// Who has to say, at this asking.
-    Asked {
+    InquiryMembers {
         number: u64,
-        turn: u32,
-        of: Vec<String>,
+        round: u32,
+        members: Vec<String>,
     },
-    Ask {
+    Inquire {
         from: Member,
         number: u64,
         keys: Vec<MessageKey>,
@@ -105,7 +107,7 @@
     Answer {
         from: String,
         number: u64,
-        known: Vec<Known>,
+        known: Vec<MessageKnowledge>,
     },
 }
 
@@ -118,5 +120,5 @@
     pub version: Version,
     pub lease: Micros,
     /// By pool and tenant (empty: those without a reservation), beside the floor.
-    pub lanes: Vec<(String, String, u32)>,
+    pub permits: Vec<(String, String, u32)>,
 }
--- a/crates/cluster-state/tests/deal.rs
+++ b/crates/cluster-state/tests/deal.rs
@@ -11,7 +11,7 @@
 const RESERVED: u32 = 40;
 /// Four rounds of report and answer (the owner asks, borrowers are told less, their runs end and they tell
 /// so, the owner is told more), and the longest run.
-const BACK: i64 = 4 * (50 + 12 + 10) * MS + LIMITS.longest;
+const BACK: i64 = 4 * (50 + 12 + 10) * MS + LIMITS.longest_run;
 
 fn trouble() -> impl Strategy<Value = Trouble> {
     (0..400u32, 0..200u32, 0..300u32, 0..4u32, 0..10u32)
@@ -59,7 +59,7 @@
         prop_assert!(world.runs() <= 60);
         world.pools(to, to / 3);
         // Leases that stand, the runs under them, and the views that are lost on the way.
-        settled(&mut world, TERMS.lease + LIMITS.longest + 1500 * MS);
+        settled(&mut world, TERMS.lease + LIMITS.longest_run + 1500 * MS);
         for _ in 0..200 {
             world.step();
             prop_assert!(world.runs() <= to as usize, "{} of {to}", world.runs());
--- a/crates/cluster-state/tests/deal_model.rs
+++ b/crates/cluster-state/tests/deal_model.rs
@@ -73,7 +73,7 @@
 
 #[test]
 fn without_silence_a_new_leader_breaks_it() {
-    let guards = Guards { silence: false, ..Guards::default() };
+    let guards = Guards { takeover_wait: false, ..Guards::default() };
     breaks(World::new("no silence", Bounds::NEW_LEADER).with(guards));
 }
 
@@ -90,7 +90,7 @@
 
 #[test]
 fn with_floors_dealt_it_breaks() {
-    let guards = Guards { floors: false, ..Guards::default() };
+    let guards = Guards { guarantees: false, ..Guards::default() };
     breaks(World::new("no floors", Bounds::ONE_LEADER).with(guards));
 }
 
--- a/crates/cluster-state/tests/deal_model/world.rs
+++ b/crates/cluster-state/tests/deal_model/world.rs
@@ -1,8 +1,9 @@
 //! Two front ends, an old and a new leader, what is under way between them, and clocks that run apart.
 
-use stagehoist_cluster_state::deal::{Dealer, Guards, Limits};
+use stagehoist_cluster_state::deal::{AllocationLimits, Guards, PermitAllocator};
 use stagehoist_cluster_state::{
-    floor, Command, Demand, Grant, Holder, Member, Micros, Pool, Record, Report, Size, Terms,
+    guaranteed_permits, ClusterState, Command, Demand, Grant, LeaseHolder, LeaseTerms, Member, Micros, Pool,
+    PoolSize, Report,
 };
 use stateright::{Model, Property};
 use std::sync::Arc;
@@ -12,8 +13,10 @@
 /// What a clock that is right, and one that is slow, gains in a tick.
 const TICK: Micros = 100;
 const SLOW: Micros = 60;
-const TERMS: Terms = Terms { lease: TICK, drift_ppm: 666_667, quorum: TICK, remember: 0 };
-const LIMITS: Limits = Limits { fleet: 2, floor_share: 500, longest: 2 * TICK, every: 0 };
+const TERMS: LeaseTerms =
+    LeaseTerms { lease: TICK, drift_ppm: 666_667, quorum: TICK, tombstone_retention: 0 };
+const LIMITS: AllocationLimits =
+    AllocationLimits { front_ends: 2, guaranteed_share: 500, longest_run: 2 * TICK, interval: 0 };
 
 /// How far a model goes.
 #[derive(Clone, Copy, Debug)]
@@ -52,7 +55,7 @@
     pub name: &'static str,
     pub bounds: Bounds,
     guards: Guards,
-    terms: Terms,
+    terms: LeaseTerms,
     rest: bool,
 }
 
@@ -60,7 +63,7 @@
 struct Front {
     slow: bool,
     member: Member,
-    holder: Holder,
+    holder: LeaseHolder,
     /// When runs began by its clock; of the run before it too, with the flag set.
     runs: Vec<(Micros, bool)>,
     rests_until: Micros,
@@ -74,8 +77,8 @@
     tick: u8,
     fronts: [Front; 2],
     slow_leader: bool,
-    leaders: Vec<(Dealer, u8)>,
-    record: Arc<Record>,
+    leaders: Vec<(PermitAllocator, u8)>,
+    record: Arc<ClusterState>,
     doubled: u8,
     restarts: u8,
 }
@@ -99,11 +102,11 @@
 }
 
 impl Front {
-    fn new(name: &str, incarnation: u64, slow: bool, terms: Terms) -> Front {
+    fn new(name: &str, incarnation: u64, slow: bool, terms: LeaseTerms) -> Front {
         Front {
             slow,
             member: Member { name: name.into(), incarnation },
-            holder: Holder::new(terms),
+            holder: LeaseHolder::new(terms),
             runs: Vec::new(),
             rests_until: Micros::MIN,
             report: None,
@@ -116,10 +119,10 @@
     }
 
     fn may_start(&self, now: Micros) -> bool {
-        let standing = self.holder.standing();
-        let lanes = if now < standing.lanes_until { standing.lanes.values().sum() } else { 0 };
-        let floor = if now < self.rests_until { 0 } else { floor(LANES, &LIMITS) };
-        self.own() < lanes + floor
+        let standing = self.holder.status();
+        let lanes = if now < standing.permits_until { standing.permits.values().sum() } else { 0 };
+        let guaranteed_permits = if now < self.rests_until { 0 } else { guaranteed_permits(LANES, &LIMITS) };
+        self.own() < lanes + guaranteed_permits
     }
 
     fn fill(&mut self, now: Micros) {
@@ -135,13 +138,13 @@
     }
 
     fn granted(&mut self, grant: Grant, now: Micros) {
-        self.holder.grant(grant);
+        self.holder.on_grant(grant);
         self.fill(now);
     }
 
     fn report(&mut self, leader: u8, wants: bool, now: Micros) {
-        let number = self.holder.ask(now);
-        let applied = if now < self.rests_until { 0 } else { self.holder.standing().lanes_of };
+        let number = self.holder.begin_report(now);
+        let applied = if now < self.rests_until { 0 } else { self.holder.status().permits_grant };
         let waiting = if wants { LANES } else { 0 };
         let (pool, tenant) = (POOL.into(), String::new());
         let demand = vec![Demand { pool, tenant, in_use: self.own(), waiting, applied }];
@@ -159,7 +162,7 @@
     }
 
     pub fn without_drift(self) -> World {
-        World { terms: Terms { drift_ppm: 0, ..TERMS }, ..self }
+        World { terms: LeaseTerms { drift_ppm: 0, ..TERMS }, ..self }
     }
 
     pub fn without_rest(self) -> World {
@@ -183,13 +186,14 @@
         state.doubled += u8::from(doubled);
         let dealer = &mut state.leaders[usize::from(leader)].0;
         let lanes = dealer.report(&state.record, &front.member, &report, now);
-        front.grant = Some(Grant { number: report.number, version: 0, lease: self.terms.lease, lanes });
+        front.grant =
+            Some(Grant { number: report.number, version: 0, lease: self.terms.lease, permits: lanes });
         Some(())
     }
 
     fn lead(&self, state: &mut State) {
         let began = clock(state.slow_leader, state.tick);
-        let dealer = Dealer::new(self.terms, LIMITS, began).with(self.guards);
+        let dealer = PermitAllocator::new(self.terms, LIMITS, began).with(self.guards);
         state.leaders.push((dealer, state.tick));
     }
 }
@@ -199,8 +203,8 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let mut record = Record::default();
-        let size = Size::Lanes(LANES);
+        let mut record = ClusterState::default();
+        let size = PoolSize::Permits(LANES);
         record.view.pools = vec![Pool { name: POOL.into(), functions: vec![], size, reservations: vec![] }];
         for (n, name) in (1..).zip(["a", "b"]) {
             record.apply(n, &Command::Join { name: name.into(), at_least: 0 });
@@ -219,7 +223,7 @@
         for state in &mut states {
             self.lead(state);
             // The first leader knows that none was before it.
-            state.leaders[0].0 = Dealer::new(self.terms, LIMITS, -100 * TICK).with(self.guards);
+            state.leaders[0].0 = PermitAllocator::new(self.terms, LIMITS, -100 * TICK).with(self.guards);
         }
         states
     }
@@ -238,7 +242,7 @@
                     }
                 }
             }
-            if front.holder.clone().ask(now) <= self.bounds.reports[n] {
+            if front.holder.clone().begin_report(now) <= self.bounds.reports[n] {
                 for leader in (0..state.leaders.len() as u8).filter(|l| self.gives(state, *l)) {
                     actions.extend([true, false].map(|wants| Action::Report(n, leader, wants)));
                 }
@@ -265,7 +269,7 @@
                 state.tick += 1;
                 for front in &mut state.fronts {
                     let now = clock(front.slow, state.tick);
-                    front.runs.retain(|(began, _)| now - began < LIMITS.longest);
+                    front.runs.retain(|(began, _)| now - began < LIMITS.longest_run);
                 }
             }
             Action::Report(n, leader, wants) => {
@@ -297,7 +301,7 @@
                 let mut front = Front::new(&name, 2, last.fronts[n].slow, self.terms);
                 front.runs = last.fronts[n].runs.iter().map(|(began, _)| (*began, true)).collect();
                 if self.rest {
-                    front.rests_until = clock(front.slow, last.tick) + LIMITS.longest;
+                    front.rests_until = clock(front.slow, last.tick) + LIMITS.longest_run;
                 }
                 state.fronts[n] = front;
                 state.restarts += 1;
--- a/crates/cluster-state/tests/deal_world/mod.rs
+++ b/crates/cluster-state/tests/deal_world/mod.rs
@@ -4,18 +4,20 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stagehoist_admission::lanes::{Enter, Lane, Lanes, PoolRules, Woken};
+use stagehoist_admission::lanes::{Permit, PermitDecision, PermitPools, PoolRules, WaitOutcome};
 use stagehoist_cluster_state::{
-    floor, Command, Dealer, Demand, Grant, Holder, Limits, Member, Micros, Pool, Record, Report, Reservation,
-    Size, Terms,
+    guaranteed_permits, AllocationLimits, ClusterState, Command, Demand, Grant, LeaseHolder, LeaseTerms,
+    Member, Micros, PermitAllocator, Pool, PoolSize, Report, Reservation,
 };
 
 pub const MS: Micros = 1000;
 pub const STEP: Micros = 5 * MS;
 pub const OWNER: u32 = 1;
 const DRIFT: u32 = 50_000;
-pub const TERMS: Terms = Terms { lease: 400 * MS, drift_ppm: DRIFT, quorum: 200 * MS, remember: 0 };
-pub const LIMITS: Limits = Limits { fleet: 5, floor_share: 200, longest: 300 * MS, every: 10 * MS };
+pub const TERMS: LeaseTerms =
+    LeaseTerms { lease: 400 * MS, drift_ppm: DRIFT, quorum: 200 * MS, tombstone_retention: 0 };
+pub const LIMITS: AllocationLimits =
+    AllocationLimits { front_ends: 5, guaranteed_share: 200, longest_run: 300 * MS, interval: 10 * MS };
 const EACH: Micros = 50 * MS;
 
 /// Troubles: chances in a thousand for each message or step.
@@ -31,10 +33,10 @@
 struct Front {
     member: Member,
     rate: f64,
-    holder: Holder,
-    gate: Lanes,
+    holder: LeaseHolder,
+    gate: PermitPools,
     /// Runs with their end, in true time, and whether they are the owner's.
-    runs: Vec<(Micros, bool, Lane)>,
+    runs: Vec<(Micros, bool, Permit)>,
     /// Calls of others and of the owner that are kept at the gate.
     pub load: [usize; 2],
     waiting: [usize; 2],
@@ -50,9 +52,9 @@
     pub now: Micros,
     random: ChaCha8Rng,
     trouble: Trouble,
-    pub record: Record,
+    pub record: ClusterState,
     fronts: Vec<Front>,
-    leaders: Vec<(Dealer, Micros, f64)>,
+    leaders: Vec<(PermitAllocator, Micros, f64)>,
     links: Vec<(Micros, Message)>,
     /// Runs of front ends that are gone.
     orphans: Vec<Micros>,
@@ -61,14 +63,14 @@
 }
 
 fn rules(pool: &Pool) -> PoolRules {
-    let Size::Lanes(size) = pool.size else { panic!("sized by lanes") };
+    let PoolSize::Permits(size) = pool.size else { panic!("sized by lanes") };
     let reserved = pool.reservations.iter().map(|r| (OWNER, r.tenant.clone())).collect();
-    PoolRules { name: pool.name.clone(), floor: floor(size, &LIMITS), reserved }
+    PoolRules { name: pool.name.clone(), guaranteed: guaranteed_permits(size, &LIMITS), reserved }
 }
 
 pub fn pool(lanes: u32, reserved: u32) -> Pool {
-    let reservations = vec![Reservation { tenant: "owner".into(), lanes: reserved }];
-    Pool { name: "p".into(), functions: vec![], size: Size::Lanes(lanes), reservations }
+    let reservations = vec![Reservation { tenant: "owner".into(), permits: reserved }];
+    Pool { name: "p".into(), functions: vec![], size: PoolSize::Permits(lanes), reservations }
 }
 
 impl World {
@@ -77,7 +79,7 @@
             now: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
             trouble,
-            record: Record::default(),
+            record: ClusterState::default(),
             fronts: Vec::new(),
             leaders: Vec::new(),
             links: Vec::new(),
@@ -104,13 +106,13 @@
         self.version += 1;
         let join = Command::Join { name: name.into(), at_least: 0 };
         let joined = self.record.apply(self.version, &join);
-        let stagehoist_cluster_state::Done::Joined(member) = joined else { panic!("joins") };
+        let stagehoist_cluster_state::CommandOutcome::Joined(member) = joined else { panic!("joins") };
         let rate = 1.0 + f64::from(self.random.random_range(0..DRIFT)) / 1e6;
         let now = (self.now as f64 * rate) as Micros;
-        let rests = if again { now + LIMITS.longest + LIMITS.longest / 10 } else { now };
-        let mut gate = Lanes::new(1000, 1_000_000, rests, 1);
-        gate.told(&self.record.view.pools.iter().map(rules).collect::<Vec<_>>(), now);
-        let holder = Holder::new(TERMS);
+        let rests = if again { now + LIMITS.longest_run + LIMITS.longest_run / 10 } else { now };
+        let mut gate = PermitPools::new(1000, 1_000_000, rests, 1);
+        gate.configure(&self.record.view.pools.iter().map(rules).collect::<Vec<_>>(), now);
+        let holder = LeaseHolder::new(TERMS);
         Front {
             member,
             rate,
@@ -148,7 +150,7 @@
 
     fn elect(&mut self) {
         let rate = 1.0 + f64::from(self.random.random_range(0..DRIFT)) / 1e6;
-        let dealer = Dealer::new(TERMS, LIMITS, (self.now as f64 * rate) as Micros);
+        let dealer = PermitAllocator::new(TERMS, LIMITS, (self.now as f64 * rate) as Micros);
         self.leaders.push((dealer, self.now, rate));
     }
 
@@ -190,14 +192,14 @@
         match message {
             Message::Grant(member, grant) => {
                 let Some(front) = self.fronts.iter_mut().find(|f| f.member == member) else { return };
-                front.holder.grant(grant);
-                let standing = front.holder.standing();
+                front.holder.on_grant(grant);
+                let standing = front.holder.status();
                 let lanes =
-                    standing.lanes.iter().map(|((pool, tenant), n)| (pool.as_str(), tenant.as_str(), *n));
-                front.gate.granted(standing.lanes_of, standing.lanes_until, lanes);
+                    standing.permits.iter().map(|((pool, tenant), n)| (pool.as_str(), tenant.as_str(), *n));
+                front.gate.apply_grant(standing.permits_grant, standing.permits_until, lanes);
                 // The view comes on the same connection.
                 let pools: Vec<_> = self.record.view.pools.iter().map(rules).collect();
-                front.gate.told(&pools, (self.now as f64 * front.rate) as Micros);
+                front.gate.configure(&pools, (self.now as f64 * front.rate) as Micros);
             }
             Message::Report(leader, member, report) => {
                 let next = self.leaders.get(leader + 1).map(|(_, elected, _)| *elected);
@@ -210,7 +212,7 @@
                 }
                 let lanes =
                     dealer.report(&self.record, &member, &report, (self.now as f64 * *rate) as Micros);
-                let grant = Grant { number: report.number, version: 0, lease: TERMS.lease, lanes };
+                let grant = Grant { number: report.number, version: 0, lease: TERMS.lease, permits: lanes };
                 self.send(|| Message::Grant(member.clone(), grant.clone()));
             }
         }
@@ -225,11 +227,11 @@
         }
         let mut started = Vec::new();
         let mut woken = Vec::new();
-        self.fronts[n].gate.ready(now, &mut woken);
+        self.fronts[n].gate.take_ready(now, &mut woken);
         for woken in woken {
             let (call, lane) = match woken {
-                Woken::Go { call, lane } => (call, Some(lane)),
-                Woken::Refuse { call, .. } => (call, None),
+                WaitOutcome::Granted { call, permit: lane } => (call, Some(lane)),
+                WaitOutcome::Rejected { call, .. } => (call, None),
             };
             let owner = call % 2 == 1;
             self.fronts[n].waiting[usize::from(owner)] -= 1;
@@ -246,15 +248,15 @@
                 let call = self.calls + u64::from(owner);
                 let tenant = if owner { OWNER } else { 10 + (call % 6) as u32 };
                 match front.gate.enter(0, tenant, call, now + 2_000_000, now) {
-                    Enter::Go(lane) => started.push((owner, lane)),
-                    Enter::Wait => front.waiting[usize::from(owner)] += 1,
-                    Enter::Refuse { .. } => {}
+                    PermitDecision::Granted(lane) => started.push((owner, lane)),
+                    PermitDecision::Wait => front.waiting[usize::from(owner)] += 1,
+                    PermitDecision::Rejected { .. } => {}
                 }
             }
         }
         for (owner, lane) in started {
             // By this front end's clock a run takes no longer than was told.
-            let longest = (LIMITS.longest as f64 / self.fronts[n].rate) as usize;
+            let longest = (LIMITS.longest_run as f64 / self.fronts[n].rate) as usize;
             let run = (10 * MS as usize) + self.draw(longest - 10 * MS as usize);
             self.fronts[n].runs.push((self.now + run as Micros, owner, lane));
         }
@@ -274,8 +276,8 @@
             applied: w.applied,
         });
         let demand = demand.collect();
-        let (number, confirmed) = (front.holder.ask(now), self.record.view.version);
-        let report = Report { number, confirmed, ready_lanes: 0, demand };
+        let (number, confirmed) = (front.holder.begin_report(now), self.record.view.version);
+        let report = Report { number, confirmed, ready_capacity: 0, demand };
         let (leader, member) = (self.leaders.len() - 1, front.member.clone());
         self.send(|| Message::Report(leader, member.clone(), report.clone()));
     }
--- a/crates/cluster-state/tests/fleet/mod.rs
+++ b/crates/cluster-state/tests/fleet/mod.rs
@@ -1,11 +1,12 @@
-//! A model of one fleet around the code that decides in it: [`Lead`], [`Record`] and [`Holder`] as they are,
+//! A model of one fleet around the code that decides in it: [`Leader`], [`ClusterState`] and [`LeaseHolder`] as they are,
 //! and around them true time, clocks at two rates, a network that delivers late, twice, in any order or
 //! never, and an agreed log with two leaders. A stopped process is one that does nothing while its clock goes on; it may wake at any moment.
 
 mod step;
 
 use stagehoist_cluster_state::{
-    Command, Done, Holder, Lead, Member, Micros, Mode, Record, State, Terms, Version,
+    ClusterState, Command, CommandOutcome, Leader, LeaseHolder, LeaseTerms, Member, Micros, RetirementMode,
+    TombstoneState, Version,
 };
 use stateright::{Model, Property};
 use std::collections::BTreeSet;
@@ -35,7 +36,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet {
     pub members: usize,
-    pub mode: Mode,
+    pub mode: RetirementMode,
     pub ticks: Micros,
     /// Reports that all runs together send.
     pub asks: u8,
@@ -55,14 +56,14 @@
 pub struct Process {
     pub member: Member,
     pub rate: Micros,
-    pub holder: Holder,
+    pub holder: LeaseHolder,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Keeper {
     pub rate: Micros,
     pub acked: Micros,
-    pub lead: Lead,
+    pub lead: Leader,
     /// How far its record has come.
     pub applied: usize,
 }
@@ -81,7 +82,7 @@
     /// The last one leads; one before it does not know that.
     pub keepers: Vec<Keeper>,
     /// The record after each agreed change.
-    pub history: Vec<Arc<Record>>,
+    pub history: Vec<Arc<ClusterState>>,
     pub network: BTreeSet<Message>,
     /// Handed out by a leader and not agreed on yet.
     pub pending: Vec<Command>,
@@ -106,15 +107,15 @@
 pub const RATES: [Micros; 2] = [2, 3];
 
 impl Fleet {
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> LeaseTerms {
         let drift_ppm = if self.off == Some(Guard::Drift) { 0 } else { 500_000 };
-        Terms { lease: 8, drift_ppm, quorum: 2, remember: 1000 }
+        LeaseTerms { lease: 8, drift_ppm, quorum: 2, tombstone_retention: 1000 }
     }
 
     fn world(&self, rates: &[Micros]) -> World {
         // Its first leader has led for long and has promised nothing.
         let terms = self.terms();
-        let lead = Lead::new(terms, -terms.silence());
+        let lead = Leader::new(terms, -terms.takeover_wait());
         let first = Keeper { rate: rates[0], acked: 0, lead, applied: 0 };
         let mut world = World {
             time: 0,
@@ -134,16 +135,17 @@
     }
 
     fn join(&self, world: &mut World, name: &str, rate: Micros) {
-        let Done::Joined(member) = self.commit(world, Command::Join { name: name.into(), at_least: 0 })
+        let CommandOutcome::Joined(member) =
+            self.commit(world, Command::Join { name: name.into(), at_least: 0 })
         else {
             panic!("a name joins");
         };
-        let holder = Holder::new(self.terms());
+        let holder = LeaseHolder::new(self.terms());
         world.runs.push(Process { member, rate, holder });
     }
 
-    fn commit(&self, world: &mut World, command: Command) -> Done {
-        let mut record = Record::clone(world.committed());
+    fn commit(&self, world: &mut World, command: Command) -> CommandOutcome {
+        let mut record = ClusterState::clone(world.committed());
         let done = record.apply(world.history.len() as Version, &command);
         if self.off == Some(Guard::Replaced) {
             record.replaced.clear();
@@ -156,17 +158,17 @@
 
     /// Whether a run, woken now, would answer a call for the retired function, by its own clock and view.
     pub fn may_serve(&self, world: &World, run: &Process) -> bool {
-        let standing = run.holder.standing();
+        let standing = run.holder.status();
         let told = standing.fresh_until != Micros::MIN || self.off == Some(Guard::FirstWord);
         let fresh = !standing.is_stale(run.now(world)) || standing.fresh_until == Micros::MIN;
         let replaced = world.committed().members[&run.member.name].incarnation != run.member.incarnation;
-        let goes_on = fresh || (self.mode == Mode::Available && !replaced);
+        let goes_on = fresh || (self.mode == RetirementMode::Available && !replaced);
         standing.view.retired(FUNCTION, 1).is_none() && told && goes_on
     }
 
     fn holds(&self, world: &World) -> bool {
         let tombstone = world.committed().view.tombstones.get(FUNCTION);
-        let Some(State::InForce { but_for }) = tombstone.map(|t| &t.state) else { return true };
+        let Some(TombstoneState::InForce { but_for }) = tombstone.map(|t| &t.state) else { return true };
         world.runs.iter().all(|run| but_for.contains(&run.member) || !self.may_serve(world, run))
     }
 }
@@ -178,7 +180,7 @@
 }
 
 impl World {
-    pub fn committed(&self) -> &Record {
+    pub fn committed(&self) -> &ClusterState {
         &self.history[self.history.len() - 1]
     }
 
@@ -186,7 +188,7 @@
         self.keepers.last_mut().expect("one leads")
     }
 
-    pub fn tombstone(&self) -> Option<&State> {
+    pub fn tombstone(&self) -> Option<&TombstoneState> {
         self.committed().view.tombstones.get(FUNCTION).map(|t| &t.state)
     }
 }
@@ -223,12 +225,13 @@
                 |fleet: &Fleet, world: &World| world.runs.iter().any(|run| fleet.may_serve(world, run)),
             ),
             Property::sometimes("in force by confirmation", |_, world: &World| {
-                world.tombstone().is_some_and(|s| *s != State::Proposed)
+                world.tombstone().is_some_and(|s| *s != TombstoneState::Proposed)
                     && world.runs.iter().all(|run| run.holder.version() > 0)
             }),
             Property::sometimes("in force by the end of a promise", |_, world: &World| {
-                let late = |run: &Process| run.holder.version() == 0 && run.holder.standing().fresh_until > 0;
-                world.tombstone().is_some_and(|s| *s != State::Proposed) && world.runs.iter().any(late)
+                let late = |run: &Process| run.holder.version() == 0 && run.holder.status().fresh_until > 0;
+                world.tombstone().is_some_and(|s| *s != TombstoneState::Proposed)
+                    && world.runs.iter().any(late)
             }),
         ]
     }
--- a/crates/cluster-state/tests/fleet/step.rs
+++ b/crates/cluster-state/tests/fleet/step.rs
@@ -1,7 +1,7 @@
 //! What can happen in the model, and what comes of it.
 
 use super::{Action, Fleet, Guard, Keeper, Message, World, FUNCTION};
-use stagehoist_cluster_state::{Command, Grant, Lead, Micros, Report, Retirement};
+use stagehoist_cluster_state::{Command, Grant, Leader, Micros, Report, Retirement};
 
 impl Fleet {
     pub fn choices(&self, world: &World, actions: &mut Vec<Action>) {
@@ -43,7 +43,7 @@
             Action::Ask { run, keeper } => {
                 let now = world.runs[run].now(world);
                 let process = &mut world.runs[run];
-                let (number, confirmed) = (process.holder.ask(now), process.holder.version());
+                let (number, confirmed) = (process.holder.begin_report(now), process.holder.version());
                 world.asks += 1;
                 let report = Message::Report { run, keeper, number, confirmed, deliveries: 0 };
                 world.network.insert(report);
@@ -56,7 +56,7 @@
                     successor: None,
                     reason: String::new(),
                     mode: self.mode,
-                    asked_ms: 0,
+                    requested_ms: 0,
                 };
                 self.commit(world, Command::Retire(retirement));
             }
@@ -81,7 +81,7 @@
         let record = world.history[newest].clone();
         let leader = world.leader();
         if leader.applied == newest {
-            let due = leader.lead.due(&record, leader.rate * time);
+            let due = leader.lead.due_commands(&record, leader.rate * time);
             if self.late_commits {
                 world.pending.extend(due);
             } else {
@@ -95,9 +95,9 @@
         let rate = world.next_rate;
         let now = rate * world.time;
         let terms = self.terms();
-        let began = if self.off == Some(Guard::Silence) { now - terms.silence() } else { now };
+        let began = if self.off == Some(Guard::Silence) { now - terms.takeover_wait() } else { now };
         let applied = (world.history.len() - 1).saturating_sub(lag);
-        let lead = Lead::new(terms, began);
+        let lead = Leader::new(terms, began);
         world.keepers.push(Keeper { rate, acked: now, lead, applied });
     }
 
@@ -125,11 +125,11 @@
                 let holder = &mut world.runs[run].holder;
                 let version = if self.off == Some(Guard::OwnVersion) { holder.version() } else { version };
                 let lease = self.terms().lease;
-                holder.grant(Grant { number, version, lease, lanes: Vec::new() });
+                holder.on_grant(Grant { number, version, lease, permits: Vec::new() });
             }
             Message::View { run, applied } => {
                 let view = world.history[applied].view.clone();
-                world.runs[run].holder.view(view);
+                world.runs[run].holder.on_view(view);
             }
         }
     }
@@ -143,9 +143,9 @@
             Message::Report { .. } => true,
             Message::Grant { run, number, version } => {
                 let (run, lease) = (&runs[*run], Micros::MAX / 4_000_000);
-                let grant = Grant { number: *number, version: *version, lease, lanes: Vec::new() };
+                let grant = Grant { number: *number, version: *version, lease, permits: Vec::new() };
                 let mut holder = run.holder.clone();
-                holder.grant(grant) && holder.standing().lanes_until > 1000 + run.rate * time
+                holder.on_grant(grant) && holder.status().permits_until > 1000 + run.rate * time
             }
             Message::View { run, applied } => history[*applied].view.version > runs[*run].holder.version(),
         });
--- a/crates/cluster-state/tests/golden.rs
+++ b/crates/cluster-state/tests/golden.rs
@@ -26,97 +26,116 @@
     Member { name: format!("a/{incarnation}"), incarnation }
 }
 
-fn retirement(mode: Mode) -> Retirement {
+fn retirement(mode: RetirementMode) -> Retirement {
     Retirement {
         function: "free-times".into(),
         generation: 3,
         successor: Some("later".into()),
         reason: "replaced".into(),
         mode,
-        asked_ms: 1_700_000_000_123,
+        requested_ms: 1_700_000_000_123,
     }
 }
 
 fn pools() -> Vec<Pool> {
-    let reservations = vec![Reservation { tenant: "clinics".into(), lanes: 40 }];
-    let fixed =
-        Pool { name: "calls".into(), functions: vec!["f*".into()], size: Size::Lanes(100), reservations };
+    let reservations = vec![Reservation { tenant: "clinics".into(), permits: 40 }];
+    let fixed = Pool {
+        name: "calls".into(),
+        functions: vec!["f*".into()],
+        size: PoolSize::Permits(100),
+        reservations,
+    };
     let by_workers = Pool {
         name: "rest".into(),
         functions: vec!["g".into()],
-        size: Size::ByWorkers,
+        size: PoolSize::ByWorkers,
         reservations: vec![],
     };
     vec![fixed, by_workers]
 }
 
-fn view() -> View {
+fn view() -> ClusterView {
     let proposed = Tombstone {
-        retirement: retirement(Mode::Strict),
-        state: State::Proposed,
+        retirement: retirement(RetirementMode::Strict),
+        state: TombstoneState::Proposed,
         proposed: 7,
         in_force: None,
     };
     let in_force = Tombstone {
-        retirement: retirement(Mode::Available),
-        state: State::InForce { but_for: BTreeSet::from([member(4)]) },
+        retirement: retirement(RetirementMode::Available),
+        state: TombstoneState::InForce { but_for: BTreeSet::from([member(4)]) },
         proposed: 8,
         in_force: Some(9),
     };
     let tombstones = BTreeMap::from([("free-times".into(), proposed), ("later".into(), in_force)]);
-    View { version: 12, tombstones, edition: 2, pools: pools() }
+    ClusterView { version: 12, tombstones, edition: 2, pools: pools() }
 }
 
 fn keys() -> Vec<MessageKey> {
     vec![MessageKey { reply_to: "replies".into(), correlation: "c0-17".into(), message: "m-1".into() }]
 }
 
-fn known() -> Vec<Known> {
-    vec![Known::None, Known::MayHaveRun, Known::NotKnown]
+fn known() -> Vec<MessageKnowledge> {
+    vec![MessageKnowledge::None, MessageKnowledge::MayHaveRun, MessageKnowledge::NotKnown]
 }
 
 fn requests(golden: &mut Golden) {
     let (name, member) = ("a/1".to_string(), Some(member(1)));
-    let hello = ToKeeper::Hello { protocol: PROTOCOL, name, member, at_least: 5, edition: 2, pools: pools() };
+    let hello =
+        SessionRequest::Hello { protocol: PROTOCOL, name, member, at_least: 5, edition: 2, pools: pools() };
     golden.add("request-hello", &hello);
     let demand =
         Demand { pool: "calls".into(), tenant: "clinics".into(), in_use: 3, waiting: 2, applied: 700 };
-    let report = Report { number: 300, confirmed: 12, ready_lanes: 64, demand: vec![demand] };
-    golden.add("request-report", &ToKeeper::Report(report));
-    golden.add("request-retire", &ToKeeper::Retire(retirement(Mode::Strict)));
-    golden.add("request-leave", &ToKeeper::Leave);
-    golden.add("request-ask", &ToKeeper::Ask { number: 1, turn: 2, to: vec!["b/0".into()], keys: keys() });
-    golden.add("request-answer", &ToKeeper::Answer { to: self::member(2), number: 1, known: known() });
+    let report = Report { number: 300, confirmed: 12, ready_capacity: 64, demand: vec![demand] };
+    golden.add("request-report", &SessionRequest::Report(report));
+    golden.add("request-retire", &SessionRequest::Retire(retirement(RetirementMode::Strict)));
+    golden.add("request-leave", &SessionRequest::Leave);
+    golden.add(
+        "request-ask",
+        &SessionRequest::Inquire { number: 1, round: 2, to: vec!["b/0".into()], keys: keys() },
+    );
+    golden.add("request-answer", &SessionRequest::Answer { to: self::member(2), number: 1, known: known() });
 }
 
 fn responses(golden: &mut Golden) {
-    let terms = Terms { lease: 2_000_000, drift_ppm: 10_000, quorum: 250_000, remember: 3_600_000_000 };
-    golden.add("response-elsewhere", &ToMember::Elsewhere { leader: Some(3) });
-    golden.add("response-welcome", &ToMember::Welcome { member: member(1), terms, before: Some(6) });
-    golden.add("response-view", &ToMember::View(view()));
+    let terms = LeaseTerms {
+        lease: 2_000_000,
+        drift_ppm: 10_000,
+        quorum: 250_000,
+        tombstone_retention: 3_600_000_000,
+    };
+    golden.add("response-elsewhere", &SessionResponse::Elsewhere { leader: Some(3) });
+    golden.add("response-welcome", &SessionResponse::Welcome { member: member(1), terms, before: Some(6) });
+    golden.add("response-view", &SessionResponse::View(view()));
     let lanes = vec![("calls".to_string(), "clinics".to_string(), 9)];
-    golden
-        .add("response-grant", &ToMember::Grant(Grant { number: 300, version: 12, lease: 2_000_000, lanes }));
-    golden.add("response-refused", &ToMember::Refused { why: "full".into() });
-    let not_retired = ToMember::NotRetired { function: "f".into(), generation: 2, why: "older".into() };
+    golden.add(
+        "response-grant",
+        &SessionResponse::Grant(Grant { number: 300, version: 12, lease: 2_000_000, permits: lanes }),
+    );
+    golden.add("response-refused", &SessionResponse::Rejected { reason: "full".into() });
+    let not_retired =
+        SessionResponse::RetirementRejected { function: "f".into(), generation: 2, reason: "older".into() };
     golden.add("response-not-retired", &not_retired);
-    golden.add("response-asked", &ToMember::Asked { number: 1, turn: 2, of: vec!["b/0".into()] });
-    golden.add("response-ask", &ToMember::Ask { from: member(2), number: 1, keys: keys() });
-    golden.add("response-answer", &ToMember::Answer { from: "b/0".into(), number: 1, known: known() });
+    golden.add(
+        "response-asked",
+        &SessionResponse::InquiryMembers { number: 1, round: 2, members: vec!["b/0".into()] },
+    );
+    golden.add("response-ask", &SessionResponse::Inquire { from: member(2), number: 1, keys: keys() });
+    golden.add("response-answer", &SessionResponse::Answer { from: "b/0".into(), number: 1, known: known() });
 }
 
 fn commands(golden: &mut Golden) {
     golden.add("command-join", &Command::Join { name: "a/1".into(), at_least: 5 });
     golden.add("command-leave", &Command::Leave(member(1)));
-    golden.add("command-retire", &Command::Retire(retirement(Mode::Available)));
+    golden.add("command-retire", &Command::Retire(retirement(RetirementMode::Available)));
     let but_for = BTreeSet::from([member(4)]);
     golden.add("command-in-force", &Command::InForce { function: "f".into(), generation: 3, but_for });
     golden.add("command-forget", &Command::Forget { function: "f".into(), generation: 3 });
     golden.add("command-pools", &Command::Pools { edition: 2, pools: pools() });
-    golden.add("outcome-joined", &Done::Joined(member(1)));
-    golden.add("outcome-changed", &Done::Changed);
-    golden.add("outcome-unchanged", &Done::Unchanged);
-    golden.add("outcome-refused", &Done::Refused { why: "full".into() });
+    golden.add("outcome-joined", &CommandOutcome::Joined(member(1)));
+    golden.add("outcome-changed", &CommandOutcome::Changed);
+    golden.add("outcome-unchanged", &CommandOutcome::Unchanged);
+    golden.add("outcome-refused", &CommandOutcome::Rejected { reason: "full".into() });
 }
 
 #[test]
@@ -125,15 +144,15 @@
     requests(&mut golden);
     responses(&mut golden);
     commands(&mut golden);
-    let mut state = Record::default();
+    let mut state = ClusterState::default();
     for (version, name) in [(1, "a/0"), (2, "b/0"), (3, "a/0"), (4, "c/0")] {
         state.apply(version, &Command::Join { name: name.into(), at_least: 0 });
     }
     state.apply(5, &Command::Leave(Member { name: "c/0".into(), incarnation: 1 }));
-    state.apply(6, &Command::Retire(retirement(Mode::Strict)));
+    state.apply(6, &Command::Retire(retirement(RetirementMode::Strict)));
     state.apply(7, &Command::Pools { edition: 2, pools: pools() });
     golden.add("state", &state);
-    golden.add("state-empty", &Record::default());
+    golden.add("state-empty", &ClusterState::default());
     assert!(
         golden.text == include_str!("golden/messages.txt"),
         "the bytes changed; now they are\n{}",
--- a/crates/cluster-state/tests/retire_model.rs
+++ b/crates/cluster-state/tests/retire_model.rs
@@ -4,14 +4,14 @@
 mod fleet;
 
 use fleet::{Fleet, Guard};
-use stagehoist_cluster_state::Mode;
+use stagehoist_cluster_state::RetirementMode;
 use stateright::{Checker, Model};
 
 const PROMISE: &str = "in force: nobody serves it";
 
 const ALONE: Fleet = Fleet {
     members: 1,
-    mode: Mode::Strict,
+    mode: RetirementMode::Strict,
     ticks: 7,
     asks: 2,
     deliveries: 1,
@@ -78,8 +78,8 @@
 
 #[test]
 fn an_available_function_names_those_who_may_serve_it() {
-    holds("available", Fleet { mode: Mode::Available, ..ALONE });
-    holds("available, restart", Fleet { mode: Mode::Available, restarts: 1, asks: 1, ..ALONE });
+    holds("available", Fleet { mode: RetirementMode::Available, ..ALONE });
+    holds("available, restart", Fleet { mode: RetirementMode::Available, restarts: 1, asks: 1, ..ALONE });
 }
 
 #[test]
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -58,7 +58,7 @@
     /// Names, or beginnings of names with a closing `*`.
     pub functions: Vec<String>,
     /// None: as many as the ready workers have.
-    pub lanes: Option<u32>,
+    pub permits: Option<u32>,
     /// Lanes kept for tenants, by name.
     pub reservations: Vec<(String, u32)>,
 }
@@ -198,7 +198,7 @@
             let expected = "a whole number from 1, or by-workers".to_string();
             stray.push((line.place("lanes"), format!("lanes is {lanes:?}"), expected));
         }
-        pools.push(Pool { name, functions, lanes: size, reservations: Vec::new() });
+        pools.push(Pool { name, functions, permits: size, reservations: Vec::new() });
     }
     if let Some(line) = s.one("pool").filter(|_| s.one("fleet-front-ends").is_none()) {
         let expected = "a fleet-front-ends line: floors are parts of a pool by that number".to_string();
@@ -230,7 +230,7 @@
         };
         pool.reservations.push((tenant, lanes as u32));
         let sum: u64 = pool.reservations.iter().map(|r| u64::from(r.1)).sum();
-        if let Some(most) = pool.lanes.filter(|most| sum > u64::from(*most)) {
+        if let Some(most) = pool.permits.filter(|most| sum > u64::from(*most)) {
             let what = format!("{sum} lanes of pool {name} are reserved");
             stray.push((line.place("lanes"), what, format!("at most its {most}")));
         }
--- a/crates/config/src/grammar.rs
+++ b/crates/config/src/grammar.rs
@@ -4,7 +4,7 @@
 use crate::front_ends_list::FRONT_ENDS_LIST;
 use crate::sharding::SHARDING;
 use crate::value::Kind;
-use stagehoist_sharding::MEMBERS_MOST;
+use stagehoist_sharding::MAX_MEMBERS;
 
 pub const MS: i64 = 1000;
 pub const S: i64 = 1_000_000;
@@ -151,7 +151,7 @@
         ],
         often: Often::Once,
     },
-    one("workers-most", &[must("count", Kind::Count(1, MEMBERS_MOST as u64))]),
+    one("workers-most", &[must("count", Kind::Count(1, MAX_MEMBERS as u64))]),
     one("list-subscribe", YES),
     one("list-ask-within", ANY_DURATION),
     one("list-initial-wait", ANY_DURATION),
--- a/crates/config/src/render.rs
+++ b/crates/config/src/render.rs
@@ -194,7 +194,7 @@
         out.push(format!("asking-most {}", d(self.asking_most)));
         out.extend(self.retirements.as_ref().map(|f| format!("retirements {}", word(f))));
         for pool in &self.pools {
-            let lanes = pool.lanes.map_or("by-workers".to_string(), |n| n.to_string());
+            let lanes = pool.permits.map_or("by-workers".to_string(), |n| n.to_string());
             let functions = word(&pool.functions.join(","));
             out.push(format!("pool {} functions {functions} lanes {lanes}", word(&pool.name)));
             for (tenant, lanes) in &pool.reservations {
--- a/crates/config/src/sharding.rs
+++ b/crates/config/src/sharding.rs
@@ -5,14 +5,14 @@
 use crate::value::Kind;
 use crate::words::word;
 use crate::Position;
-use stagehoist_sharding::{Division, DivisionError, Divisions, Homes, HotFunction, Stage};
-use stagehoist_sharding::{SHARDS_MOST, SHARD_WEIGHT_MOST};
+use stagehoist_sharding::{Division, DivisionError, Divisions, HomeShards, HotFunction, TransitionPhase};
+use stagehoist_sharding::{MAX_SHARDS, MAX_SHARD_WEIGHT};
 use std::collections::BTreeMap;
 
 /// Most shards that one front end may have to serve by what is told.
 const SHARDS_EACH: u32 = 16;
 const STAGES: &[&str] = &["announced", "both", "closing"];
-const SHARDS: Kind = Kind::Count(1, SHARDS_MOST as u64);
+const SHARDS: Kind = Kind::Count(1, MAX_SHARDS as u64);
 
 /// Taken together with those of [`crate::grammar::DIRECTIVES`].
 pub const SHARDING: &[Directive] = &[
@@ -31,8 +31,8 @@
     },
     Directive {
         name: "shard",
-        places: &[must("number", Kind::Count(0, SHARDS_MOST as u64 - 1))],
-        keys: &[must("weight", Kind::Count(1, SHARD_WEIGHT_MOST as u64))],
+        places: &[must("number", Kind::Count(0, MAX_SHARDS as u64 - 1))],
+        keys: &[must("weight", Kind::Count(1, MAX_SHARD_WEIGHT as u64))],
         often: Often::OncePerName,
     },
     Directive {
@@ -122,7 +122,7 @@
         division.map_err(|e| stray.push((line.place(key), e.to_string(), expected(&e).into()))).ok()
     };
     let old = checked(shards, generation, "count")?;
-    let stages = [Stage::Announced, Stage::Both, Stage::Closing];
+    let stages = [TransitionPhase::Announced, TransitionPhase::Both, TransitionPhase::Closing];
     let stage = STAGES.iter().position(|s| stage.as_deref() == Some(s)).map(|at| stages[at]);
     let divisions = match (next, stage) {
         (Some(next), Some(stage)) => {
@@ -194,7 +194,7 @@
         hot.push(HotFunction { name, calls: line.number("calls").unwrap_or(0.0), spread });
     }
     for division in divisions.each() {
-        if let (Err(error), Some(line)) = (Homes::new(division, calls, &hot), s.one("shards")) {
+        if let (Err(error), Some(line)) = (HomeShards::new(division, calls, &hot), s.one("shards")) {
             stray.push((line.at.clone(), error.to_string(), "fewer functions with calls or spread".into()));
             break;
         }
@@ -221,7 +221,7 @@
     pub(crate) fn lines(&self, zones: &[String]) -> Vec<String> {
         let old = self.divisions.old();
         let mut shards = format!("shards {} generation {}", old.shards(), old.generation());
-        if let (Some(next), Some(stage)) = (self.divisions.next(), self.divisions.stage()) {
+        if let (Some(next), Some(stage)) = (self.divisions.next(), self.divisions.phase()) {
             let stage = STAGES[stage as usize];
             shards += &format!(" next {} stage {stage}", next.shards());
         }
--- a/crates/config/tests/fleet.rs
+++ b/crates/config/tests/fleet.rs
@@ -48,7 +48,7 @@
     let keep = fleet.keep.as_ref().unwrap();
     assert_eq!((keep.number, keep.store.as_str()), (2, "keeper-two"));
     assert_eq!(fleet.pools[0].functions, ["free-times", "later*"]);
-    assert_eq!((fleet.pools[0].lanes, fleet.pools[1].lanes), (Some(100), None));
+    assert_eq!((fleet.pools[0].permits, fleet.pools[1].permits), (Some(100), None));
     assert_eq!(fleet.pools[0].reservations, [("clinics".to_string(), 40)]);
     let later = config.function("later").unwrap();
     assert_eq!((later.generation, later.strict), (3, true));
--- a/crates/config/tests/sharding.rs
+++ b/crates/config/tests/sharding.rs
@@ -1,7 +1,7 @@
 //! The directives that divide the fleet into shards.
 
 use stagehoist_config::{parse, Config};
-use stagehoist_sharding::Stage;
+use stagehoist_sharding::TransitionPhase;
 
 const BASE: &str = "\
 class lookup aim 800ms give-up 2.5s
@@ -42,7 +42,7 @@
     let told = config.sharding.as_ref().unwrap();
     let (old, new) = (told.divisions.old(), told.divisions.next().unwrap());
     assert_eq!((old.shards(), old.generation(), new.shards(), new.generation()), (8, 7, 9, 8));
-    assert_eq!((told.divisions.stage(), new.weight(8), new.weight(7)), (Some(Stage::Both), 3, 1));
+    assert_eq!((told.divisions.phase(), new.weight(8), new.weight(7)), (Some(TransitionPhase::Both), 3, 1));
     assert_eq!((told.calls, told.workers, told.first), (1_000.0, Some(24), 6));
     assert_eq!(told.zones, [(0, 14), (1, 10)]);
     assert_eq!((told.hot[0].calls, told.hot[0].spread, told.hot[1].spread), (300.0, None, Some(2)));
@@ -62,7 +62,7 @@
 fn defaults() {
     let config = read(&format!("{FUNCTION}shards 8 generation 1\n"));
     let told = config.sharding.as_ref().unwrap();
-    assert_eq!((told.divisions.stage(), told.calls, told.workers, told.first), (None, 0.0, None, 0));
+    assert_eq!((told.divisions.phase(), told.calls, told.workers, told.first), (None, 0.0, None, 0));
     assert_eq!((&told.zones[..], told.hot.len()), (&[(0, 12), (1, 12)][..], 0));
     assert_eq!(parse("again.conf", &config.render()).unwrap(), config);
 }
--- a/crates/consensus/src/client.rs
+++ b/crates/consensus/src/client.rs
@@ -4,15 +4,18 @@
 mod retiring;
 mod talk;
 
-use crate::frames::{decode, encode_first, frames, First, Frames, CONNECT_MOST, VIEW_MOST, WRITE_MOST};
-use crate::kept::{Kept, Memory};
-use crate::{Now, Told};
+use crate::frames::{
+    decode, encode_first, frames, First, Frames, CONNECT_TIMEOUT, MAX_RESPONSE, WRITE_TIMEOUT,
+};
+use crate::kept::{SessionFile, SessionMemory};
+use crate::{Now, SessionReport};
 use futures_util::{SinkExt, StreamExt};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use retiring::Retiring;
+use retiring::RetirementQueue;
 use stagehoist_cluster_state::{
-    Heard, Holder, Member, Pool, Retirement, Rounds, Said, Standing, Terms, ToKeeper, ToMember, PROTOCOL,
+    ClusterStatus, InquiryEvent, InquiryMessage, InquiryRounds, LeaseHolder, LeaseTerms, Member, Pool,
+    Retirement, SessionRequest, SessionResponse, PROTOCOL,
 };
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,26 +25,26 @@
 
 /// Least time between two reports.
 const REPORT_GAP: Duration = Duration::from_millis(5);
-const WELCOME_MOST: Duration = Duration::from_secs(5);
-const LEAVE_MOST: Duration = Duration::from_secs(1);
+const WELCOME_TIMEOUT: Duration = Duration::from_secs(5);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(300));
 
 /// What a session is made with.
-pub struct Client {
+pub struct SessionClient {
     pub name: String,
-    pub keepers: BTreeMap<u64, String>,
-    pub terms: Terms,
+    pub replicas: BTreeMap<u64, String>,
+    pub terms: LeaseTerms,
     pub edition: u64,
     pub pools: Vec<Pool>,
     pub now: Now,
     pub seed: u64,
-    pub kept: Kept,
-    pub standing: watch::Sender<Standing>,
+    pub file: SessionFile,
+    pub status: watch::Sender<ClusterStatus>,
     pub member: watch::Sender<Option<Member>>,
-    pub told: watch::Receiver<Told>,
+    pub report: watch::Receiver<SessionReport>,
     pub retire: mpsc::Receiver<Retirement>,
-    pub said: mpsc::Receiver<Said>,
-    pub heard: mpsc::Sender<Heard>,
+    pub inquiries: mpsc::Receiver<InquiryMessage>,
+    pub inquiry_events: mpsc::Sender<InquiryEvent>,
     pub stop: watch::Receiver<bool>,
 }
 
@@ -54,30 +57,30 @@
 }
 
 struct State {
-    client: Client,
-    holder: Holder,
+    client: SessionClient,
+    holder: LeaseHolder,
     random: ChaCha8Rng,
-    retiring: Retiring,
+    retirements: RetirementQueue,
     joined: Option<Member>,
     may_retire: bool,
-    may_say: bool,
-    rounds: Rounds,
+    may_inquire: bool,
+    inquiries: InquiryRounds,
     /// The last run under the name before this process's first, where that is still what came before.
     before: Option<u64>,
     welcomed: bool,
     /// What the last report told.
-    reported: Told,
+    reported: SessionReport,
     /// The newest grant with fewer lanes than the one before, until a report names it.
-    shrunk: Option<u64>,
+    released_grant: Option<u64>,
 }
 
 /// Runs a session until it is stopped.
-pub async fn session(client: Client) {
+pub async fn session(client: SessionClient) {
     let mut random = ChaCha8Rng::seed_from_u64(client.seed);
-    let mut holder = Holder::new(client.terms);
-    holder.view(client.kept.memory.view.clone());
-    client.standing.send_replace(holder.standing().clone());
-    let mut numbers: Vec<u64> = client.keepers.keys().copied().collect();
+    let mut holder = LeaseHolder::new(client.terms);
+    holder.on_view(client.file.memory.view.clone());
+    client.status.send_replace(holder.status().clone());
+    let mut numbers: Vec<u64> = client.replicas.keys().copied().collect();
     // Not all begin with the same one.
     let first = random.random_range(0..numbers.len().max(1));
     numbers.rotate_left(first);
@@ -86,15 +89,15 @@
         client,
         holder,
         random,
-        retiring: Retiring::new(),
+        retirements: RetirementQueue::new(),
         joined: None,
         may_retire: true,
-        may_say: true,
-        rounds: Rounds::default(),
+        may_inquire: true,
+        inquiries: InquiryRounds::default(),
         before: None,
         welcomed: false,
-        reported: Told::default(),
-        shrunk: None,
+        reported: SessionReport::default(),
+        released_grant: None,
     };
     let (mut turn, mut next, mut backoff) = (0, None, BACKOFF.0);
     loop {
@@ -106,7 +109,7 @@
             numbers[turn % numbers.len()]
         });
         let end = state.connect(number).await;
-        state.holder.lost();
+        state.holder.on_connection_lost();
         if std::mem::take(&mut state.welcomed) {
             backoff = BACKOFF.0;
         }
@@ -114,7 +117,7 @@
             End::Stopped => return,
             // Told where, and not sent round in a circle.
             End::Elsewhere(Some(leader))
-                if backoff < BACKOFF.1 && state.client.keepers.contains_key(&leader) =>
+                if backoff < BACKOFF.1 && state.client.replicas.contains_key(&leader) =>
             {
                 next = Some(leader);
                 backoff = (backoff * 2).min(BACKOFF.1);
@@ -138,24 +141,24 @@
     }
 
     async fn connect(&mut self, number: u64) -> End {
-        let Some(address) = self.client.keepers.get(&number) else { return End::Broken };
-        let Ok(Ok(stream)) = timeout(CONNECT_MOST, TcpStream::connect(address)).await else {
+        let Some(address) = self.client.replicas.get(&number) else { return End::Broken };
+        let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
             return End::Broken;
         };
-        let mut frames = frames(stream, VIEW_MOST);
-        let hello = ToKeeper::Hello {
+        let mut frames = frames(stream, MAX_RESPONSE);
+        let hello = SessionRequest::Hello {
             protocol: PROTOCOL,
             name: self.client.name.clone(),
             member: self.joined.clone(),
-            at_least: self.client.kept.memory.incarnation,
+            at_least: self.client.file.memory.incarnation,
             edition: self.client.edition,
             pools: self.client.pools.clone(),
         };
         let Ok(hello) = encode_first(&First::Member(hello)) else { return End::Refused };
-        if !matches!(timeout(WRITE_MOST, frames.send(hello)).await, Ok(Ok(()))) {
+        if !matches!(timeout(WRITE_TIMEOUT, frames.send(hello)).await, Ok(Ok(()))) {
             return End::Broken;
         }
-        match timeout(WELCOME_MOST, self.welcome(&mut frames)).await {
+        match timeout(WELCOME_TIMEOUT, self.welcome(&mut frames)).await {
             Ok(Ok(())) => self.talk(frames).await,
             Ok(Err(end)) => end,
             Err(_) => End::Broken,
@@ -169,9 +172,11 @@
             () = stopped(&mut stop) => return Err(End::Stopped),
         };
         match frame.and_then(Result::ok).and_then(|f| decode(&f)) {
-            Some(ToMember::Welcome { member, terms, before }) => self.joined(member, terms, before).await,
-            Some(ToMember::Elsewhere { leader }) => Err(End::Elsewhere(leader)),
-            Some(ToMember::Refused { why }) => {
+            Some(SessionResponse::Welcome { member, terms, before }) => {
+                self.joined(member, terms, before).await
+            }
+            Some(SessionResponse::Elsewhere { leader }) => Err(End::Elsewhere(leader)),
+            Some(SessionResponse::Rejected { reason: why }) => {
                 tracing::error!(target: "stagehoist_consensus", event = "session", name = %self.client.name,
                     why, "refused");
                 Err(End::Refused)
@@ -180,14 +185,14 @@
         }
     }
 
-    async fn joined(&mut self, member: Member, terms: Terms, before: Option<u64>) -> Result<(), End> {
+    async fn joined(&mut self, member: Member, terms: LeaseTerms, before: Option<u64>) -> Result<(), End> {
         if terms != self.client.terms {
             tracing::error!(target: "stagehoist_consensus", event = "session", name = %self.client.name, ?terms,
                 own = ?self.client.terms, "the keepers are told other terms");
             return Err(End::Refused);
         }
         let incarnation = member.incarnation;
-        if !self.keep(move |m| m.incarnation = m.incarnation.max(incarnation)).await {
+        if !self.save(move |m| m.incarnation = m.incarnation.max(incarnation)).await {
             return Err(End::Broken);
         }
         if self.joined.as_ref() != Some(&member) {
@@ -196,9 +201,9 @@
                 // Another run under the name between two of this process: what it did is not known.
                 Some(last) => self.before.filter(|_| before == Some(last.incarnation)),
             };
-            let heard = Heard::Joined { run: member.incarnation, before: self.before };
+            let heard = InquiryEvent::Joined { run: member.incarnation, before: self.before };
             // A front end without marks does not listen.
-            let _ = self.client.heard.try_send(heard);
+            let _ = self.client.inquiry_events.try_send(heard);
         }
         self.client.member.send_replace(Some(member.clone()));
         self.joined = Some(member);
@@ -210,12 +215,12 @@
 impl State {
     /// Writes what is to be known after a kill, on a thread that may wait for the disk: sessions beside this one go
     /// on. Whether it is there.
-    async fn keep(&mut self, change: impl FnOnce(&mut Memory) + Send + 'static) -> bool {
-        let mut kept = self.client.kept.clone();
+    async fn save(&mut self, change: impl FnOnce(&mut SessionMemory) + Send + 'static) -> bool {
+        let mut kept = self.client.file.clone();
         let written = tokio::task::spawn_blocking(move || kept.change(change).map(|()| kept)).await;
         match written.map_err(std::io::Error::other).and_then(|kept| kept) {
             Ok(kept) => {
-                self.client.kept = kept;
+                self.client.file = kept;
                 true
             }
             Err(e) => {
--- a/crates/consensus/src/client/lanes.rs
+++ b/crates/consensus/src/client/lanes.rs
@@ -4,44 +4,44 @@
 mod tests;
 
 use super::{State, REPORT_GAP};
-use crate::Told;
+use crate::SessionReport;
 use stagehoist_cluster_state::{Demand, Grant};
 use std::collections::HashMap;
 use std::hash::Hash;
 use std::time::Duration;
 
 /// Longest time between two reports where there are pools: lanes that are wanted elsewhere are given back no later.
-const LANES_EVERY: Duration = Duration::from_millis(50);
+const PERMIT_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 /// Least time between a report and one for calls that began to wait: under load they begin to all the time.
 const WAITING_GAP: Duration = Duration::from_millis(20);
 
 impl State {
     /// Longest time between two reports.
     pub(super) fn period(&self, lease: Duration) -> Duration {
-        let most = if self.client.pools.is_empty() { Duration::MAX } else { LANES_EVERY };
+        let most = if self.client.pools.is_empty() { Duration::MAX } else { PERMIT_REPORT_INTERVAL };
         (lease / 5).min(most)
     }
 
     /// A grant came.
-    pub(super) fn granted(&mut self, grant: Grant) {
+    pub(super) fn on_grant(&mut self, grant: Grant) {
         let number = grant.number;
-        let before = self.holder.standing().lanes.clone();
-        self.holder.grant(grant);
-        let standing = self.holder.standing();
-        let shrank = before.iter().any(|(of, n)| standing.lanes.get(of).is_none_or(|now| now < n));
-        if standing.lanes_of == number && shrank {
-            self.shrunk = Some(number);
+        let before = self.holder.status().permits.clone();
+        self.holder.on_grant(grant);
+        let standing = self.holder.status();
+        let shrank = before.iter().any(|(of, n)| standing.permits.get(of).is_none_or(|now| now < n));
+        if standing.permits_grant == number && shrank {
+            self.released_grant = Some(number);
         }
         self.publish();
     }
 
     /// How soon after the last report this news goes out; None: with the next one.
-    pub(super) fn urgent(&mut self, told: &Told) -> Option<Duration> {
+    pub(super) fn report_delay(&mut self, told: &SessionReport) -> Option<Duration> {
         let last = &self.reported;
         // The leader deals what was given back once it is told that the smaller grant is gone by.
         let gone_by = |n: u64| told.demand.iter().any(|d| d.applied >= n);
-        let gave_back = self.shrunk.take_if(|n| gone_by(*n)).is_some();
-        if gave_back || (last.confirmed, last.ready_lanes) != (told.confirmed, told.ready_lanes) {
+        let gave_back = self.released_grant.take_if(|n| gone_by(*n)).is_some();
+        if gave_back || (last.confirmed, last.ready_capacity) != (told.confirmed, told.ready_capacity) {
             return Some(REPORT_GAP);
         }
         began(last.demand.iter().map(stood), told.demand.iter().map(stood))
@@ -49,16 +49,16 @@
 }
 
 /// Whose demand it is, lanes in use and calls that wait.
-type Stood<K> = (K, u32, u32);
+type DemandKey<K> = (K, u32, u32);
 
-fn stood(d: &Demand) -> Stood<(&str, &str)> {
+fn stood(d: &Demand) -> DemandKey<(&str, &str)> {
     ((&d.pool, &d.tenant), d.in_use, d.waiting)
 }
 
 /// How soon news of demand goes out: of one that began, or of one whose calls began to wait. Each is looked up once.
 fn began<K: Hash + Eq>(
-    last: impl Iterator<Item = Stood<K>>,
-    now: impl Iterator<Item = Stood<K>>,
+    last: impl Iterator<Item = DemandKey<K>>,
+    now: impl Iterator<Item = DemandKey<K>>,
 ) -> Option<Duration> {
     let mut before = HashMap::new();
     for (whose, in_use, waiting) in last {
--- a/crates/consensus/src/client/lanes/tests.rs
+++ b/crates/consensus/src/client/lanes/tests.rs
@@ -1,4 +1,4 @@
-use super::{began, Stood, REPORT_GAP, WAITING_GAP};
+use super::{began, DemandKey, REPORT_GAP, WAITING_GAP};
 use std::cell::Cell;
 use std::hash::{Hash, Hasher};
 
@@ -23,7 +23,7 @@
     }
 }
 
-fn news(last: &[Stood<u32>], now: &[Stood<u32>]) -> Option<std::time::Duration> {
+fn news(last: &[DemandKey<u32>], now: &[DemandKey<u32>]) -> Option<std::time::Duration> {
     began(last.iter().copied(), now.iter().copied())
 }
 
@@ -45,7 +45,7 @@
 
 #[test]
 fn demands_are_compared_about_once_each() {
-    let last: Vec<Stood<Counted>> = (0..4096).map(|n| (Counted(n), 1, 1)).collect();
+    let last: Vec<DemandKey<Counted>> = (0..4096).map(|n| (Counted(n), 1, 1)).collect();
     COMPARED.set(0);
     assert_eq!(began(last.iter().copied(), last.iter().rev().copied()), None);
     let compared = COMPARED.get();
--- a/crates/consensus/src/client/retiring/tests.rs
+++ b/crates/consensus/src/client/retiring/tests.rs
@@ -1,17 +1,24 @@
-use super::{Retiring, AGAIN};
+use super::{RetirementQueue, RETRY_PAUSES};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use stagehoist_cluster_state::{Command, Mode, Record, Retirement, View};
+use stagehoist_cluster_state::{ClusterState, ClusterView, Command, Retirement, RetirementMode};
 use std::time::Duration;
 use tokio::time::Instant;
 
 fn retirement(function: &str) -> Retirement {
     let (function, reason) = (function.to_string(), "test".to_string());
-    Retirement { function, generation: 1, successor: None, reason, mode: Mode::Available, asked_ms: 0 }
+    Retirement {
+        function,
+        generation: 1,
+        successor: None,
+        reason,
+        mode: RetirementMode::Available,
+        requested_ms: 0,
+    }
 }
 
-fn view(functions: &[&str]) -> View {
-    let mut record = Record::default();
+fn view(functions: &[&str]) -> ClusterView {
+    let mut record = ClusterState::default();
     for (at, function) in functions.iter().enumerate() {
         record.apply(at as u64 + 1, &Command::Retire(retirement(function)));
     }
@@ -21,14 +28,14 @@
 #[test]
 fn pauses_grow_to_a_bound_are_spread_and_begin_anew_where_there_is_room() {
     let mut random = ChaCha8Rng::seed_from_u64(7);
-    let mut retiring = Retiring::new();
+    let mut retiring = RetirementQueue::new();
     for function in ["a", "b", "c"] {
         retiring.proposed(retirement(function));
     }
-    let (mut pause, mut asked, mut drawn) = (AGAIN.0, Vec::new(), Vec::new());
+    let (mut pause, mut asked, mut drawn) = (RETRY_PAUSES.0, Vec::new(), Vec::new());
     for _ in 0..60 {
         let before = Instant::now();
-        asked.push(retiring.again(&mut random).unwrap().function);
+        asked.push(retiring.next_due(&mut random).unwrap().function);
         let due = retiring.due().unwrap();
         pause = (pause * 2).min(Duration::from_secs(5));
         assert!(due >= before + pause / 2 && due <= Instant::now() + pause, "{pause:?}");
@@ -39,17 +46,17 @@
     drawn.dedup();
     assert!(drawn.len() > 5, "spread: {drawn:?}");
     // One of them is taken: those that are left come soon.
-    retiring.shown(&view(&["a", "x"]), &mut random);
-    assert!(retiring.due().unwrap() <= Instant::now() + AGAIN.0);
-    retiring.again(&mut random);
-    retiring.again(&mut random);
-    retiring.again(&mut random);
-    retiring.again(&mut random);
+    retiring.on_view(&view(&["a", "x"]), &mut random);
+    assert!(retiring.due().unwrap() <= Instant::now() + RETRY_PAUSES.0);
+    retiring.next_due(&mut random);
+    retiring.next_due(&mut random);
+    retiring.next_due(&mut random);
+    retiring.next_due(&mut random);
     // A tombstone is forgotten: there may be room.
-    retiring.shown(&view(&["x"]), &mut random);
-    assert!(retiring.due().unwrap() <= Instant::now() + AGAIN.0);
+    retiring.on_view(&view(&["x"]), &mut random);
+    assert!(retiring.due().unwrap() <= Instant::now() + RETRY_PAUSES.0);
     // One is refused for good, the other shown: nothing is left to ask.
-    retiring.refused("b", 1);
-    retiring.shown(&view(&["c"]), &mut random);
-    assert!(retiring.due().is_none() && retiring.again(&mut random).is_none());
+    retiring.on_rejected("b", 1);
+    retiring.on_view(&view(&["c"]), &mut random);
+    assert!(retiring.due().is_none() && retiring.next_due(&mut random).is_none());
 }
--- a/crates/consensus/src/client/talk.rs
+++ b/crates/consensus/src/client/talk.rs
@@ -1,10 +1,12 @@
 //! A session once it is welcomed.
 
-use super::{stopped, End, State, LEAVE_MOST};
-use crate::frames::{decode, encode, Frames, WRITE_MOST};
+use super::{stopped, End, State, LEAVE_TIMEOUT};
+use crate::frames::{decode, encode, Frames, WRITE_TIMEOUT};
 use futures_util::{SinkExt, StreamExt};
 use rand::RngExt;
-use stagehoist_cluster_state::{Heard, Known, Report, Retirement, Said, ToKeeper, ToMember};
+use stagehoist_cluster_state::{
+    InquiryEvent, InquiryMessage, MessageKnowledge, Report, Retirement, SessionRequest, SessionResponse,
+};
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
@@ -15,98 +17,98 @@
         let lease = Duration::from_micros(u64::try_from(self.client.terms.lease).unwrap_or(1_000_000));
         let silent_most = lease.max(Duration::from_secs(1));
         let mut report_at = Instant::now();
-        self.retiring.begin();
+        self.retirements.begin();
         let mut reported = Instant::now();
         let mut granted_at = Instant::now();
         let mut stop = self.client.stop.clone();
         loop {
             let mut message = None;
-            let (until_asked, asks) = (self.until_asked(), self.rounds.due().is_some());
-            let again = self.retiring.due();
+            let (until_asked, asks) = (self.next_inquiry(), self.inquiries.next_due().is_some());
+            let again = self.retirements.due();
             tokio::select! {
                 () = stopped(&mut stop) => {
-                    if let Ok(leave) = encode(&ToKeeper::Leave) {
+                    if let Ok(leave) = encode(&SessionRequest::Leave) {
                         let left = async {
                             sink.send(leave).await?;
                             // The keeper ends the connection once it is agreed on.
                             while let Some(Ok(_)) = stream.next().await {}
                             Ok::<(), std::io::Error>(())
                         };
-                        let _ = timeout(LEAVE_MOST, left).await;
+                        let _ = timeout(LEAVE_TIMEOUT, left).await;
                     }
                     return End::Stopped;
                 }
                 frame = stream.next() => {
                     let Some(Ok(frame)) = frame else { return End::Broken };
-                    match decode::<ToMember>(&frame) {
-                        Some(ToMember::Grant(grant)) => {
+                    match decode::<SessionResponse>(&frame) {
+                        Some(SessionResponse::Grant(grant)) => {
                             granted_at = Instant::now();
-                            self.granted(grant);
+                            self.on_grant(grant);
                         }
-                        Some(ToMember::View(view)) => {
-                            if !self.show(view).await {
+                        Some(SessionResponse::View(view)) => {
+                            if !self.save_view(view).await {
                                 return End::Broken;
                             }
                         }
-                        Some(ToMember::NotRetired { function, generation, why }) => {
-                            self.retiring.refused(&function, generation);
+                        Some(SessionResponse::RetirementRejected { function, generation, reason: why }) => {
+                            self.retirements.on_rejected(&function, generation);
                             tracing::error!(target: "stagehoist_consensus", event = "retirement",
                                 name = %self.client.name, function, generation, why, "refused by the record");
                         }
-                        Some(ToMember::Elsewhere { leader }) => return End::Elsewhere(leader),
-                        Some(ToMember::Refused { .. }) => return End::Refused,
-                        Some(ToMember::Asked { number, turn, of }) => {
-                            let heard = self.rounds.of(number, turn, of, (self.client.now)());
-                            self.hear(heard);
+                        Some(SessionResponse::Elsewhere { leader }) => return End::Elsewhere(leader),
+                        Some(SessionResponse::Rejected { .. }) => return End::Refused,
+                        Some(SessionResponse::InquiryMembers { number, round: turn, members: of }) => {
+                            let heard = self.inquiries.on_members(number, turn, of, (self.client.now)());
+                            self.pass_event(heard);
                         }
-                        Some(ToMember::Answer { from, number, known }) => {
-                            let heard = self.rounds.told(number, from, &known);
-                            self.hear(heard);
+                        Some(SessionResponse::Answer { from, number, known }) => {
+                            let heard = self.inquiries.on_answer(number, from, &known);
+                            self.pass_event(heard);
                         }
-                        Some(ToMember::Ask { from, number, keys }) => {
-                            self.hear(Some(Heard::Asked { from, number, keys }));
+                        Some(SessionResponse::Inquire { from, number, keys }) => {
+                            self.pass_event(Some(InquiryEvent::Inquired { from, number, keys }));
                         }
-                        Some(ToMember::Welcome { .. }) | None => return End::Broken,
+                        Some(SessionResponse::Welcome { .. }) | None => return End::Broken,
                     }
                 }
-                changed = self.client.told.changed() => {
+                changed = self.client.report.changed() => {
                     if changed.is_err() {
                         return End::Stopped;
                     }
-                    let told = self.client.told.borrow_and_update().clone();
-                    if let Some(gap) = self.urgent(&told) {
+                    let told = self.client.report.borrow_and_update().clone();
+                    if let Some(gap) = self.report_delay(&told) {
                         report_at = report_at.min(reported + gap);
                     }
                 }
-                asked = self.client.retire.recv(), if self.may_retire && self.retiring.has_room() => match asked {
+                asked = self.client.retire.recv(), if self.may_retire && self.retirements.has_capacity() => match asked {
                     Some(retirement) => {
-                        if !self.is_shown(&retirement) {
-                            message = Some(ToKeeper::Retire(retirement.clone()));
-                            self.retiring.proposed(retirement);
+                        if !self.is_in_view(&retirement) {
+                            message = Some(SessionRequest::Retire(retirement.clone()));
+                            self.retirements.proposed(retirement);
                         }
                     }
                     None => self.may_retire = false,
                 },
-                said = self.client.said.recv(), if self.may_say => match said {
-                    Some(Said::Answer { to, number, known }) => {
-                        message = Some(ToKeeper::Answer { to, number, known });
+                said = self.client.inquiries.recv(), if self.may_inquire => match said {
+                    Some(InquiryMessage::Answer { to, number, known }) => {
+                        message = Some(SessionRequest::Answer { to, number, known });
                     }
-                    Some(Said::Ask { number, keys }) => {
+                    Some(InquiryMessage::Inquire { number, keys }) => {
                         let now = (self.client.now)();
-                        let unknown = vec![Some(Known::NotKnown); keys.len()];
-                        if self.rounds.ask(number, keys, now) {
-                            message = self.rounds.next(now);
+                        let unknown = vec![Some(MessageKnowledge::NotKnown); keys.len()];
+                        if self.inquiries.start(number, keys, now) {
+                            message = self.inquiries.next_request(now);
                         } else {
-                            self.hear(Some(Heard::Told { number, known: unknown }));
+                            self.pass_event(Some(InquiryEvent::Answered { number, known: unknown }));
                         }
                     }
-                    None => self.may_say = false,
+                    None => self.may_inquire = false,
                 },
                 () = sleep(until_asked), if asks => {
-                    message = self.rounds.next((self.client.now)());
+                    message = self.inquiries.next_request((self.client.now)());
                 }
                 () = sleep_until(again.unwrap_or(report_at)), if again.is_some() => {
-                    message = self.retiring.again(&mut self.random).map(ToKeeper::Retire);
+                    message = self.retirements.next_due(&mut self.random).map(SessionRequest::Retire);
                 }
                 () = sleep_until(report_at) => {
                     // A leader that gives no promise may be cut off from the others; another may lead by now.
@@ -115,59 +117,59 @@
                     }
                     reported = Instant::now();
                     report_at = reported + self.period(lease) * self.random.random_range(80..=100) / 100;
-                    message = Some(ToKeeper::Report(self.report()));
+                    message = Some(SessionRequest::Report(self.report()));
                 }
             }
             if let Some(message) = message {
                 let Ok(frame) = encode(&message) else { return End::Broken };
-                if !matches!(timeout(WRITE_MOST, sink.send(frame)).await, Ok(Ok(()))) {
+                if !matches!(timeout(WRITE_TIMEOUT, sink.send(frame)).await, Ok(Ok(()))) {
                     return End::Broken;
                 }
             }
         }
     }
 
-    fn until_asked(&self) -> Duration {
-        let due = self.rounds.due().unwrap_or(0).saturating_sub((self.client.now)());
+    fn next_inquiry(&self) -> Duration {
+        let due = self.inquiries.next_due().unwrap_or(0).saturating_sub((self.client.now)());
         Duration::from_micros(due.max(0) as u64)
     }
 
     /// A front end that does not listen misses it: whoever asked gives up in time.
-    fn hear(&self, heard: Option<Heard>) {
+    fn pass_event(&self, heard: Option<InquiryEvent>) {
         if let Some(heard) = heard {
-            let _ = self.client.heard.try_send(heard);
+            let _ = self.client.inquiry_events.try_send(heard);
         }
     }
 
     fn report(&mut self) -> Report {
-        let told = self.client.told.borrow_and_update().clone();
-        let number = self.holder.ask((self.client.now)());
+        let told = self.client.report.borrow_and_update().clone();
+        let number = self.holder.begin_report((self.client.now)());
         self.reported = told.clone();
-        Report { number, confirmed: told.confirmed, ready_lanes: told.ready_lanes, demand: told.demand }
+        Report { number, confirmed: told.confirmed, ready_capacity: told.ready_capacity, demand: told.demand }
     }
 
     /// A view came: kept on disk first, then shown.
-    async fn show(&mut self, view: stagehoist_cluster_state::View) -> bool {
+    async fn save_view(&mut self, view: stagehoist_cluster_state::ClusterView) -> bool {
         if view.version > self.holder.version() {
             let shown = view.clone();
-            if !self.keep(move |m| m.view = view).await {
+            if !self.save(move |m| m.view = view).await {
                 return false;
             }
-            self.holder.view(shown);
+            self.holder.on_view(shown);
             self.publish();
         }
-        let view = self.holder.standing().view.clone();
-        self.retiring.shown(&view, &mut self.random);
+        let view = self.holder.status().view.clone();
+        self.retirements.on_view(&view, &mut self.random);
         true
     }
 
-    fn is_shown(&self, retirement: &Retirement) -> bool {
-        self.holder.standing().view.retired(&retirement.function, retirement.generation).is_some()
+    fn is_in_view(&self, retirement: &Retirement) -> bool {
+        self.holder.status().view.retired(&retirement.function, retirement.generation).is_some()
     }
 
     pub(super) fn publish(&mut self) {
-        let newest = self.holder.standing();
-        self.client.standing.send_if_modified(|standing| {
+        let newest = self.holder.status();
+        self.client.status.send_if_modified(|standing| {
             let differs = standing != newest;
             if differs {
                 standing.clone_from(newest);
--- a/crates/consensus/src/figures.rs
+++ b/crates/consensus/src/figures.rs
@@ -2,11 +2,11 @@
 
 /// Counts since the start, and how things stand.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Statistics {
     /// This process's keeper leads.
     pub is_leader: bool,
     /// This keeper votes: it lost nothing, or what it lost has come back.
-    pub votes: bool,
+    pub is_voter: bool,
     /// The keeper that leads, as far as this one knows.
     pub leader: Option<u64>,
     pub term: u64,
@@ -21,6 +21,6 @@
     pub proposals: u64,
     pub changes: u64,
     /// Messages of sessions at this keeper, in and out.
-    pub messages_in: u64,
-    pub messages_out: u64,
+    pub messages_received: u64,
+    pub messages_sent: u64,
 }
--- a/crates/consensus/src/frames.rs
+++ b/crates/consensus/src/frames.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use stagehoist_cluster_state::ToKeeper;
+use stagehoist_cluster_state::SessionRequest;
 use std::time::Duration;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
@@ -11,17 +11,17 @@
 
 /// Longest frames in bytes: a connection's first, what a front end says then, what it is told, between
 /// keepers.
-pub const FIRST_MOST: usize = 1 << 20;
-pub const SAID_MOST: usize = 256 << 10;
-pub const VIEW_MOST: usize = 4 << 20;
-pub const PEER_MOST: usize = 32 << 20;
+pub const MAX_FIRST_FRAME: usize = 1 << 20;
+pub const MAX_REQUEST: usize = 256 << 10;
+pub const MAX_RESPONSE: usize = 4 << 20;
+pub const MAX_PEER_FRAME: usize = 32 << 20;
 /// Longest part of a snapshot, in bytes.
-pub const PART_MOST: usize = 1 << 20;
+pub const MAX_SNAPSHOT_PART: usize = 1 << 20;
 /// Entries that go to another keeper in one frame; none is longer than a first frame.
-pub const ENTRIES_MOST: u64 = 16;
+pub const MAX_ENTRIES: u64 = 16;
 /// How long a connection may take to come, and a frame to leave.
-pub const CONNECT_MOST: Duration = Duration::from_secs(1);
-pub const WRITE_MOST: Duration = Duration::from_secs(2);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+pub const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Of what keepers say to each other.
 pub const PEER_PROTOCOL: u16 = 1;
@@ -34,7 +34,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub enum First {
     Peer { protocol: u16, from: u64, to: u64 },
-    Member(ToKeeper),
+    Member(SessionRequest),
 }
 
 pub fn frames(stream: TcpStream, most: usize) -> Frames {
@@ -48,10 +48,10 @@
     let parts = frames.into_parts();
     let (read, write) = parts.io.into_split();
     let codec = |most| LengthDelimitedCodec::builder().max_frame_length(most).new_codec();
-    let mut reading = FramedParts::new::<Bytes>(read, codec(SAID_MOST));
+    let mut reading = FramedParts::new::<Bytes>(read, codec(MAX_REQUEST));
     // What came behind the first frame.
     reading.read_buf = parts.read_buf;
-    (Framed::from_parts(reading), FramedWrite::new(write, codec(VIEW_MOST)))
+    (Framed::from_parts(reading), FramedWrite::new(write, codec(MAX_RESPONSE)))
 }
 
 pub fn encode<T: Serialize>(message: &T) -> Result<Bytes, postcard::Error> {
--- a/crates/consensus/src/keep/desk.rs
+++ b/crates/consensus/src/keep/desk.rs
@@ -2,13 +2,13 @@
 //! nothing while it
 //! does not lead but who does.
 
-use super::desk_state::Desk;
-use super::gate::Gate;
-use crate::figures::Figures;
+use super::desk_state::SessionService;
+use super::gate::Participation;
+use crate::figures::Statistics;
 use crate::kinds::{Applied, Metrics, Raft};
 use crate::Now;
 use bytes::Bytes;
-use stagehoist_cluster_state::{Limits, Micros, Terms, ToKeeper};
+use stagehoist_cluster_state::{AllocationLimits, LeaseTerms, Micros, SessionRequest};
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
@@ -18,42 +18,42 @@
 const TICK: Duration = Duration::from_millis(100);
 const PAUSE_LEAST: Micros = 1000;
 
-pub type Notes = mpsc::Sender<Note>;
+pub type Notes = mpsc::Sender<ServiceMessage>;
 
-pub enum Note {
-    Came { conn: u64, hello: ToKeeper, out: mpsc::Sender<Bytes> },
-    Said { conn: u64, said: ToKeeper },
-    Gone { conn: u64 },
+pub enum ServiceMessage {
+    Connected { conn: u64, hello: SessionRequest, out: mpsc::Sender<Bytes> },
+    Received { conn: u64, request: SessionRequest },
+    Disconnected { conn: u64 },
 }
 
 /// What a desk works with.
-pub struct Tools {
-    pub own: u64,
+pub struct ServiceContext {
+    pub number: u64,
     pub raft: Raft,
-    pub gate: Gate,
+    pub participation: Participation,
     pub applied: watch::Receiver<Applied>,
     pub now: Now,
-    pub terms: Terms,
-    pub dealing: Option<Limits>,
-    pub figures: watch::Sender<Figures>,
+    pub terms: LeaseTerms,
+    pub allocation: Option<AllocationLimits>,
+    pub statistics: watch::Sender<Statistics>,
 }
 
 /// Runs the desk until every sender of notes is gone.
-pub async fn desk(tools: Tools, mut notes: mpsc::Receiver<Note>) {
+pub async fn desk(tools: ServiceContext, mut notes: mpsc::Receiver<ServiceMessage>) {
     let mut applied = tools.applied.clone();
     let mut metrics = tools.raft.metrics();
     let mut fresh = metrics.clone();
     let mut acks = Acks::default();
-    let mut desk = Desk::new(tools);
+    let mut desk = SessionService::new(tools);
     let mut batch = Vec::new();
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let mut ticked = false;
-        let pause = desk.next().map(|at| at.saturating_sub(desk.now).max(PAUSE_LEAST).unsigned_abs());
+        let pause = desk.next_due().map(|at| at.saturating_sub(desk.now).max(PAUSE_LEAST).unsigned_abs());
         tokio::select! {
             got = notes.recv_many(&mut batch, NOTES_MOST) => if got == 0 { return },
-            done = desk.agreed() => desk.settle(done),
+            done = desk.agreed() => desk.on_agreed(done),
             changed = applied.changed() => if changed.is_err() { return },
             // Each answer of a majority shows here; how fine its time is known hangs on the looks between.
             changed = fresh.changed() => if changed.is_err() { return },
@@ -61,16 +61,16 @@
             _ = tick.tick() => ticked = true,
         }
         fresh.mark_unchanged();
-        desk.now = (desk.tools.now)();
-        acks.look(&mut metrics, desk.now);
-        desk.acked = acks.acked;
+        desk.now = (desk.context.now)();
+        acks.update(&mut metrics, desk.now);
+        desk.acknowledged_at = acks.acknowledged_at;
         desk.record = applied.borrow_and_update().clone();
-        desk.stand(&metrics.borrow());
+        desk.on_metrics(&metrics.borrow());
         for note in batch.drain(..) {
             match note {
-                Note::Came { conn, hello, out } => desk.came(conn, hello, out),
-                Note::Said { conn, said } => desk.said(conn, said),
-                Note::Gone { conn } => desk.close(conn, "gone"),
+                ServiceMessage::Connected { conn, hello, out } => desk.on_connected(conn, hello, out),
+                ServiceMessage::Received { conn, request: said } => desk.on_request(conn, said),
+                ServiceMessage::Disconnected { conn } => desk.close(conn, "gone"),
             }
         }
         desk.finish(ticked);
@@ -87,13 +87,13 @@
 
 /// When a majority is known to have answered, by this process's clock and never too late.
 struct Acks {
-    acked: Micros,
-    looked: Micros,
+    acknowledged_at: Micros,
+    checked_at: Micros,
 }
 
 impl Default for Acks {
     fn default() -> Acks {
-        Acks { acked: Micros::MIN / 2, looked: Micros::MIN / 2 }
+        Acks { acknowledged_at: Micros::MIN / 2, checked_at: Micros::MIN / 2 }
     }
 }
 
@@ -101,15 +101,15 @@
     /// Raft tells the age of the answer at the time of its report, in whole milliseconds. A report that is
     /// new was made after the
     /// last look, so counting back from that look gives a time that is not after the true one.
-    fn look(&mut self, metrics: &mut watch::Receiver<Metrics>, now: Micros) {
+    fn update(&mut self, metrics: &mut watch::Receiver<Metrics>, now: Micros) {
         if metrics.has_changed().unwrap_or(false) {
             let age = metrics.borrow_and_update().millis_since_quorum_ack;
             if let Some(age) = age {
                 let age = Micros::try_from(age).unwrap_or(Micros::MAX).saturating_add(1).saturating_mul(1000);
-                let at = self.looked.saturating_sub(age);
-                self.acked = self.acked.max(at);
+                let at = self.checked_at.saturating_sub(age);
+                self.acknowledged_at = self.acknowledged_at.max(at);
             }
         }
-        self.looked = now;
+        self.checked_at = now;
     }
 }
--- a/crates/consensus/src/keep/desk_state/asks.rs
+++ b/crates/consensus/src/keep/desk_state/asks.rs
@@ -3,15 +3,15 @@
 #[cfg(test)]
 mod tests;
 
-use super::Desk;
-use crate::keep::serve::OUT_MOST;
-use stagehoist_cluster_state::marks::KEYS_MOST;
-use stagehoist_cluster_state::{Known, Member, MessageKey, Micros, ToMember};
+use super::SessionService;
+use crate::keep::serve::OUTPUT_CAPACITY;
+use stagehoist_cluster_state::marks::MAX_KEYS;
+use stagehoist_cluster_state::{Member, MessageKey, MessageKnowledge, Micros, SessionResponse};
 use std::collections::BTreeSet;
 
 /// Its word of who has to answer counts while a majority answered it within this; with the 100 ms that an asker gives it, less
 /// than the shortest time to an election.
-const TRUSTED: Micros = 250_000;
+const MAJORITY_TRUSTED: Micros = 250_000;
 
 /// Those of the names that a question goes to: who has not said yet; empty: all. Both grow with the fleet.
 fn asked_of<'a, T: Ord>(of: &'a [T], to: &[T]) -> Vec<&'a T> {
@@ -19,10 +19,10 @@
     of.iter().filter(|name| open.is_empty() || open.contains(name)).collect()
 }
 
-impl Desk {
+impl SessionService {
     /// Passes a question on, and tells who has to answer it: every name in the record but the asker's own. Silent where that
     /// can't be told: another may lead by now, or names were forgotten.
-    pub(super) fn ask(
+    pub(super) fn on_inquiry(
         &mut self,
         conn: u64,
         from: Member,
@@ -30,35 +30,42 @@
         to: &[String],
         keys: Vec<MessageKey>,
     ) {
-        if keys.len() > KEYS_MOST {
+        if keys.len() > MAX_KEYS {
             return self.close(conn, "it asks for too much");
         }
         let record = &self.record.record;
-        let trusted = self.now.saturating_sub(self.acked) <= self.tools.terms.quorum.min(TRUSTED);
-        if self.lead.is_none() || !trusted || record.forgotten > 0 {
+        let trusted =
+            self.now.saturating_sub(self.acknowledged_at) <= self.context.terms.quorum.min(MAJORITY_TRUSTED);
+        if self.leadership.is_none() || !trusted || record.forgotten > 0 {
             return;
         }
         let of: Vec<String> = record.members.keys().filter(|name| **name != from.name).cloned().collect();
         let asked: Vec<u64> =
-            asked_of(&of, to).into_iter().filter_map(|name| self.names.get(name).copied()).collect();
-        self.say(conn, &ToMember::Asked { number, turn, of });
-        let question = ToMember::Ask { from, number, keys };
-        asked.into_iter().for_each(|conn| self.say_if_free(conn, &question));
+            asked_of(&of, to).into_iter().filter_map(|name| self.by_name.get(name).copied()).collect();
+        self.send(conn, &SessionResponse::InquiryMembers { number, round: turn, members: of });
+        let question = SessionResponse::Inquire { from, number, keys };
+        asked.into_iter().for_each(|conn| self.try_send(conn, &question));
     }
 
     /// Passes an answer on to the run that asked.
-    pub(super) fn pass(&mut self, from: Member, to: &Member, number: u64, known: Vec<Known>) {
-        let Some(conn) = self.names.get(&to.name).copied() else { return };
-        if self.conns.get(&conn).is_some_and(|c| c.member.as_ref() == Some(to)) {
-            self.say_if_free(conn, &ToMember::Answer { from: from.name, number, known });
+    pub(super) fn forward_answer(
+        &mut self,
+        from: Member,
+        to: &Member,
+        number: u64,
+        known: Vec<MessageKnowledge>,
+    ) {
+        let Some(conn) = self.by_name.get(&to.name).copied() else { return };
+        if self.connections.get(&conn).is_some_and(|c| c.member.as_ref() == Some(to)) {
+            self.try_send(conn, &SessionResponse::Answer { from: from.name, number, known });
         }
     }
 
     /// Questions never crowd out views and promises; they are asked again. Half the room stays free: one turn of the desk
     /// takes in more answers than there is room, and a view or promise that finds none ends the connection.
-    fn say_if_free(&mut self, conn: u64, message: &ToMember) {
-        if self.conns.get(&conn).is_some_and(|c| c.out.capacity() > OUT_MOST / 2) {
-            self.say(conn, message);
+    fn try_send(&mut self, conn: u64, message: &SessionResponse) {
+        if self.connections.get(&conn).is_some_and(|c| c.output.capacity() > OUTPUT_CAPACITY / 2) {
+            self.send(conn, message);
         }
     }
 }
--- a/crates/consensus/src/keep/desk_state/retiring.rs
+++ b/crates/consensus/src/keep/desk_state/retiring.rs
@@ -1,32 +1,32 @@
 //! Retirements that front ends ask for, and what becomes of those that are not taken.
 
-use super::{Desk, For};
-use crate::frames::VIEW_MOST;
-use stagehoist_cluster_state::{Command, Retirement, ToMember};
+use super::{Proposer, SessionService};
+use crate::frames::MAX_RESPONSE;
+use stagehoist_cluster_state::{Command, Retirement, SessionResponse};
 
-impl Desk {
+impl SessionService {
     pub(super) fn retire(&mut self, conn: u64, asked: Retirement) {
         if self.record.record.view.retired(&asked.function, asked.generation).is_some() {
             return;
         }
-        if self.view.1.len() > VIEW_MOST / 2 {
-            return self.refuse(conn, asked, "the record is full");
+        if self.view.1.len() > MAX_RESPONSE / 2 {
+            return self.reject_retirement(conn, asked, "the record is full");
         }
         tracing::info!(target: "stagehoist_consensus", event = "retirement", function = %asked.function,
             generation = asked.generation, "proposed");
-        self.propose(For::Retire(conn), Command::Retire(asked));
+        self.propose(Proposer::Retire(conn), Command::Retire(asked));
     }
 
     /// The record refused it: for good where the retirement itself is at fault.
-    pub(super) fn refuse(&mut self, conn: u64, asked: Retirement, why: &str) {
+    pub(super) fn reject_retirement(&mut self, conn: u64, asked: Retirement, why: &str) {
         match asked.fault() {
-            Some(why) => self.not_retired(conn, asked, why),
-            None => self.hold_back(&asked, why),
+            Some(why) => self.send_retirement_rejected(conn, asked, why),
+            None => self.defer_retirement(&asked, why),
         }
     }
 
     /// There is no room until others are forgotten. Whoever asked isn't told that it can't be taken, and asks again.
-    fn hold_back(&mut self, asked: &Retirement, why: &str) {
+    fn defer_retirement(&mut self, asked: &Retirement, why: &str) {
         let tombstones = self.record.record.view.tombstones.len();
         if std::mem::replace(&mut self.is_full, true) {
             return;
@@ -36,10 +36,10 @@
     }
 
     /// Tells who asked for a retirement that it can't be taken.
-    fn not_retired(&mut self, conn: u64, asked: Retirement, why: String) {
+    fn send_retirement_rejected(&mut self, conn: u64, asked: Retirement, why: String) {
         tracing::warn!(target: "stagehoist_consensus", event = "retirement", function = %asked.function,
             generation = asked.generation, why, "refused");
         let (function, generation) = (asked.function, asked.generation);
-        self.say(conn, &ToMember::NotRetired { function, generation, why });
+        self.send(conn, &SessionResponse::RetirementRejected { function, generation, reason: why });
     }
 }
