--- a/crates/consensus/src/keep/form.rs
+++ b/crates/consensus/src/keep/form.rs
@@ -1,19 +1,19 @@
 //! How a keeper that has nothing, or lost what it had, finds its place.
 
-use super::gate::{Gate, State};
+use super::gate::{Participation, State};
 use super::peer::Peers;
-use super::wire::{Ask, Reply, Stand};
+use super::wire::{PeerRequest, PeerResponse, ReplicaStatus};
 use crate::kinds::{Applied, Raft};
 use crate::store::{Start, Store};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tokio::sync::watch;
 
-const ASKED_EVERY: Duration = Duration::from_millis(200);
+const STATUS_INTERVAL: Duration = Duration::from_millis(200);
 /// Rounds of questions between two lines in the log.
-const TOLD_EVERY: u32 = 25;
-const RAISED_EVERY: Duration = Duration::from_secs(1);
-const ANSWER_MOST: Duration = Duration::from_millis(500);
+const LOG_INTERVAL_ROUNDS: u32 = 25;
+const RAISE_INTERVAL: Duration = Duration::from_secs(1);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What a keeper without a store is to do by what the others say of themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,18 +25,18 @@
     /// It may have lost what it knew up to this term.
     Return(u64),
     /// Too few answered.
-    Ask,
+    Wait,
 }
 
 /// `others` are all that are told, `answers` of those that answered.
-fn choose(start: Start, others: usize, answers: &BTreeMap<u64, Stand>) -> Choice {
+fn choose(start: Start, others: usize, answers: &BTreeMap<u64, ReplicaStatus>) -> Choice {
     if start == Start::Pristine {
-        if answers.values().all(|a| a.fresh) && 2 * (answers.len() + 1) > others + 1 {
+        if answers.values().all(|a| a.is_new) && 2 * (answers.len() + 1) > others + 1 {
             return Choice::Form;
         }
         // It never voted there, or was taken out since: then each change that it helped with reached a
         // majority of the others.
-        let without = answers.values().filter(|a| !a.fresh && !a.voter && a.open).count();
+        let without = answers.values().filter(|a| !a.is_new && !a.is_voter && a.is_participating).count();
         if 2 * without > others {
             return Choice::Join;
         }
@@ -45,7 +45,7 @@
     if answers.len() == others && others > 0 {
         return Choice::Return(answers.values().map(|a| a.term).max().unwrap_or(0));
     }
-    Choice::Ask
+    Choice::Wait
 }
 
 /// Brings a keeper to where it takes part fully; ends then.
@@ -54,11 +54,11 @@
     numbers: BTreeSet<u64>,
     store: Store,
     raft: Raft,
-    gate: Gate,
+    gate: Participation,
     peers: Peers,
     mut applied: watch::Receiver<Applied>,
 ) {
-    if let Start::Known = start {
+    if let Start::Intact = start {
         return;
     }
     let mut asked = 0u32;
@@ -74,19 +74,19 @@
                 }
             }
             Choice::Join => gate.set(State::Open),
-            Choice::Return(bound) => match store.keep_bound(Some(bound)).await {
+            Choice::Return(bound) => match store.save_bound(Some(bound)).await {
                 Ok(()) => gate.set(State::Returning { bound }),
                 Err(e) => {
                     tracing::error!(target: "stagehoist_consensus", event = "store", why = %e, "store fails");
                 }
             },
-            Choice::Ask => {
-                if asked.is_multiple_of(TOLD_EVERY) {
+            Choice::Wait => {
+                if asked.is_multiple_of(LOG_INTERVAL_ROUNDS) {
                     tracing::warn!(target: "stagehoist_consensus", event = "store", answered = answers.len(),
                         of = peers.numbers().len(), "nothing in the store; waiting for the others");
                 }
                 asked += 1;
-                tokio::time::sleep(ASKED_EVERY).await;
+                tokio::time::sleep(STATUS_INTERVAL).await;
             }
         }
     }
@@ -94,13 +94,13 @@
         tracing::warn!(target: "stagehoist_consensus", event = "store", bound, "returning without its log");
         while !gate.is_back(applied.borrow_and_update().last) {
             for number in peers.numbers() {
-                peers.call(number, Ask::Raise { above: bound }, ANSWER_MOST).await;
+                peers.call(number, PeerRequest::RaiseTerm { above: bound }, ANSWER_TIMEOUT).await;
             }
-            let _ = tokio::time::timeout(RAISED_EVERY, applied.wait_for(|a| gate.is_back(a.last))).await;
+            let _ = tokio::time::timeout(RAISE_INTERVAL, applied.wait_for(|a| gate.is_back(a.last))).await;
         }
-        while let Err(e) = store.keep_bound(None).await {
+        while let Err(e) = store.save_bound(None).await {
             tracing::error!(target: "stagehoist_consensus", event = "store", why = %e, "store fails");
-            tokio::time::sleep(RAISED_EVERY).await;
+            tokio::time::sleep(RAISE_INTERVAL).await;
         }
         gate.set(State::Open);
         tracing::info!(target: "stagehoist_consensus", event = "store", bound, "its log came back");
@@ -108,10 +108,10 @@
     raft.runtime_config().elect(true);
 }
 
-async fn ask_all(peers: &Peers) -> BTreeMap<u64, Stand> {
+async fn ask_all(peers: &Peers) -> BTreeMap<u64, ReplicaStatus> {
     let asked = peers.numbers().into_iter().map(|n| async move {
-        match peers.call(n, Ask::Stand, ANSWER_MOST).await {
-            Some(Reply::Stand(stand)) => Some((n, stand)),
+        match peers.call(n, PeerRequest::Status, ANSWER_TIMEOUT).await {
+            Some(PeerResponse::Status(stand)) => Some((n, stand)),
             _ => None,
         }
     });
@@ -122,8 +122,13 @@
 mod tests {
     use super::*;
 
-    fn answers(stands: &[(bool, u64, bool)]) -> BTreeMap<u64, Stand> {
-        let stand = |&(fresh, term, voter)| Stand { fresh, open: true, term, voter };
+    fn answers(stands: &[(bool, u64, bool)]) -> BTreeMap<u64, ReplicaStatus> {
+        let stand = |&(fresh, term, voter)| ReplicaStatus {
+            is_new: fresh,
+            is_participating: true,
+            term,
+            is_voter: voter,
+        };
         (2..).zip(stands.iter().map(stand)).collect()
     }
 
@@ -131,16 +136,16 @@
     fn the_first_membership_is_formed_once_a_majority_has_nothing_and_nobody_has_something() {
         let fresh = (true, 0, false);
         assert_eq!(choose(Start::Pristine, 0, &answers(&[])), Choice::Form);
-        assert_eq!(choose(Start::Pristine, 2, &answers(&[])), Choice::Ask);
+        assert_eq!(choose(Start::Pristine, 2, &answers(&[])), Choice::Wait);
         assert_eq!(choose(Start::Pristine, 2, &answers(&[fresh])), Choice::Form);
         assert_eq!(choose(Start::Pristine, 2, &answers(&[fresh, (false, 3, true)])), Choice::Return(3));
-        assert_eq!(choose(Start::Returning(None), 2, &answers(&[fresh])), Choice::Ask);
+        assert_eq!(choose(Start::Returning(None), 2, &answers(&[fresh])), Choice::Wait);
     }
 
     #[test]
     fn one_that_lost_its_disk_is_bounded_by_all_others_and_one_never_taken_in_just_joins() {
         let voter = (false, 5, true);
-        assert_eq!(choose(Start::Pristine, 2, &answers(&[voter])), Choice::Ask);
+        assert_eq!(choose(Start::Pristine, 2, &answers(&[voter])), Choice::Wait);
         assert_eq!(choose(Start::Pristine, 2, &answers(&[voter, (false, 7, true)])), Choice::Return(7));
         let without = (false, 5, false);
         assert_eq!(choose(Start::Pristine, 3, &answers(&[without, without])), Choice::Join);
--- a/crates/consensus/src/keep/gate.rs
+++ b/crates/consensus/src/keep/gate.rs
@@ -27,11 +27,11 @@
 
 /// Shared by the tasks of the keeper's one thread.
 #[derive(Clone, Debug)]
-pub struct Gate(Arc<Mutex<State>>);
+pub struct Participation(Arc<Mutex<State>>);
 
-impl Gate {
-    pub fn new(state: State) -> Gate {
-        Gate(Arc::new(Mutex::new(state)))
+impl Participation {
+    pub fn new(state: State) -> Participation {
+        Participation(Arc::new(Mutex::new(state)))
     }
 
     pub fn state(&self) -> State {
@@ -71,7 +71,7 @@
 
     #[test]
     fn one_that_lost_its_log_votes_again_only_with_an_entry_of_a_later_term() {
-        let gate = Gate::new(State::Undecided);
+        let gate = Participation::new(State::Undecided);
         assert!(!gate.may_vote() && !gate.may_follow(9));
         gate.set(State::Returning { bound: 4 });
         assert!(!gate.may_vote() && !gate.may_follow(4) && gate.may_follow(5));
--- a/crates/consensus/src/keep/host.rs
+++ b/crates/consensus/src/keep/host.rs
@@ -1,62 +1,66 @@
 //! A keeper's answers to the others.
 
-use super::gate::{Gate, State};
-use super::wire::{Ask, Reply, Stand};
+use super::gate::{Participation, State};
+use super::wire::{PeerRequest, PeerResponse, ReplicaStatus};
 use crate::kinds::Raft;
 use openraft::error::RaftError;
 use tokio::sync::mpsc;
 
 /// What a keeper does with the calls of another.
-pub struct Host {
+pub struct PeerHandler {
     pub raft: Raft,
-    pub gate: Gate,
+    pub participation: Participation,
     /// Where a leader hears that another waits for a later term.
-    pub raise: mpsc::Sender<u64>,
+    pub term_raises: mpsc::Sender<u64>,
 }
 
 /// Longest snapshot taken, in bytes.
-const SNAPSHOT_MOST: u64 = 64 << 20;
+const MAX_SNAPSHOT: u64 = 64 << 20;
 
-impl Host {
-    pub async fn answer(&self, from: u64, ask: Ask) -> Reply {
+impl PeerHandler {
+    pub async fn answer(&self, from: u64, ask: PeerRequest) -> PeerResponse {
         match ask {
-            Ask::Append(rpc) if self.gate.may_follow(rpc.vote.leader_id.term) => {
-                self.raft.append_entries(rpc).await.map_or(Reply::Closed, Reply::Append)
+            PeerRequest::Append(rpc) if self.participation.may_follow(rpc.vote.leader_id.term) => self
+                .raft
+                .append_entries(rpc)
+                .await
+                .map_or(PeerResponse::NotParticipating, PeerResponse::Append),
+            PeerRequest::Vote(rpc) if self.participation.may_vote() => {
+                self.raft.vote(rpc).await.map_or(PeerResponse::NotParticipating, PeerResponse::Vote)
             }
-            Ask::Vote(rpc) if self.gate.may_vote() => {
-                self.raft.vote(rpc).await.map_or(Reply::Closed, Reply::Vote)
-            }
-            Ask::Snapshot(rpc)
-                if self.gate.may_follow(rpc.vote.leader_id.term)
-                    && rpc.offset.saturating_add(rpc.data.len() as u64) <= SNAPSHOT_MOST =>
+            PeerRequest::Snapshot(rpc)
+                if self.participation.may_follow(rpc.vote.leader_id.term)
+                    && rpc.offset.saturating_add(rpc.data.len() as u64) <= MAX_SNAPSHOT =>
             {
                 match self.raft.install_snapshot(rpc).await {
-                    Ok(answer) => Reply::Snapshot(Ok(answer)),
-                    Err(RaftError::APIError(e)) => Reply::Snapshot(Err(e)),
-                    Err(RaftError::Fatal(_)) => Reply::Closed,
+                    Ok(answer) => PeerResponse::Snapshot(Ok(answer)),
+                    Err(RaftError::APIError(e)) => PeerResponse::Snapshot(Err(e)),
+                    Err(RaftError::Fatal(_)) => PeerResponse::NotParticipating,
                 }
             }
-            Ask::Append(_) | Ask::Vote(_) | Ask::Snapshot(_) => Reply::Closed,
-            Ask::Stand => Reply::Stand(self.stand(from)),
-            Ask::Raise { above } => {
-                let _ = self.raise.try_send(above);
-                Reply::Heard
+            PeerRequest::Append(_) | PeerRequest::Vote(_) | PeerRequest::Snapshot(_) => {
+                PeerResponse::NotParticipating
+            }
+            PeerRequest::Status => PeerResponse::Status(self.status(from)),
+            PeerRequest::RaiseTerm { above } => {
+                let _ = self.term_raises.try_send(above);
+                PeerResponse::Acknowledged
             }
         }
     }
 
-    fn stand(&self, from: u64) -> Stand {
+    fn status(&self, from: u64) -> ReplicaStatus {
         let metrics = self.raft.metrics().borrow().clone();
-        let (is_returning, bound) = match self.gate.state() {
+        let (is_returning, bound) = match self.participation.state() {
             State::Returning { bound } => (true, bound),
             _ => (false, 0),
         };
-        Stand {
+        ReplicaStatus {
             // The first entry is the membership that all begin with; whatever follows came from a leader.
-            fresh: metrics.last_log_index.unwrap_or(0) == 0 && !is_returning,
-            open: self.gate.may_vote(),
+            is_new: metrics.last_log_index.unwrap_or(0) == 0 && !is_returning,
+            is_participating: self.participation.may_vote(),
             term: metrics.current_term.max(bound),
-            voter: metrics.membership_config.voter_ids().any(|v| v == from),
+            is_voter: metrics.membership_config.voter_ids().any(|v| v == from),
         }
     }
 }
--- a/crates/consensus/src/keep/listen.rs
+++ b/crates/consensus/src/keep/listen.rs
@@ -1,11 +1,12 @@
 //! The one address of a keeper: peers and front ends come here; their first frame tells which they are.
 
 use super::desk::Notes;
-use super::host::Host;
+use super::host::PeerHandler;
 use super::serve::serve;
-use super::wire::{Answer, Call};
+use super::wire::{RequestFrame, ResponseFrame};
 use crate::frames::{
-    decode, decode_first, encode, frames, First, Frames, FIRST_MOST, PEER_MOST, PEER_PROTOCOL, WRITE_MOST,
+    decode, decode_first, encode, frames, First, Frames, MAX_FIRST_FRAME, MAX_PEER_FRAME, PEER_PROTOCOL,
+    WRITE_TIMEOUT,
 };
 use futures_util::{SinkExt, StreamExt};
 use std::sync::Arc;
@@ -15,22 +16,22 @@
 use tokio::time::timeout;
 
 /// Connections at a time, of peers and front ends.
-pub const CONNECTIONS_MOST: usize = 2048;
-const FIRST_WITHIN: Duration = Duration::from_secs(2);
+pub const MAX_CONNECTIONS: usize = 2048;
+const FIRST_FRAME_TIMEOUT: Duration = Duration::from_secs(2);
 /// A peer is heard several times in each election time; one that says nothing for this long is gone.
-const PEER_SILENT_MOST: Duration = Duration::from_secs(60);
+const PEER_SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Accepts until it is dropped, and with it all connections.
-pub async fn listen(listener: TcpListener, own: u64, host: Host, desk: Notes) {
+pub async fn listen(listener: TcpListener, own: u64, host: PeerHandler, desk: Notes) {
     let host = Arc::new(host);
     let mut tasks = JoinSet::new();
     let mut conn = 0;
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
-                Ok((stream, from)) if tasks.len() >= CONNECTIONS_MOST => {
+                Ok((stream, from)) if tasks.len() >= MAX_CONNECTIONS => {
                     tracing::warn!(target: "stagehoist_consensus", event = "session", %from,
-                        most = CONNECTIONS_MOST,
+                        most = MAX_CONNECTIONS,
                         "too many connections");
                     drop(stream);
                 }
@@ -48,13 +49,13 @@
     }
 }
 
-async fn greet(stream: TcpStream, conn: u64, own: u64, host: Arc<Host>, desk: Notes) {
-    let mut frames = frames(stream, FIRST_MOST);
-    let Ok(Some(Ok(first))) = timeout(FIRST_WITHIN, frames.next()).await else { return };
+async fn greet(stream: TcpStream, conn: u64, own: u64, host: Arc<PeerHandler>, desk: Notes) {
+    let mut frames = frames(stream, MAX_FIRST_FRAME);
+    let Ok(Some(Ok(first))) = timeout(FIRST_FRAME_TIMEOUT, frames.next()).await else { return };
     match decode_first(&first) {
         Some(First::Member(hello)) => serve(conn, frames, hello, desk).await,
         Some(First::Peer { protocol: PEER_PROTOCOL, from, to }) if to == own && from != own => {
-            frames.codec_mut().set_max_frame_length(PEER_MOST);
+            frames.codec_mut().set_max_frame_length(MAX_PEER_FRAME);
             peer(frames, from, &host).await;
         }
         Some(First::Peer { protocol, from, to }) => {
@@ -65,12 +66,12 @@
 }
 
 /// Answers a peer's calls in order.
-async fn peer(mut frames: Frames, from: u64, host: &Host) {
-    while let Ok(Some(Ok(frame))) = timeout(PEER_SILENT_MOST, frames.next()).await {
-        let Some(call) = decode::<Call>(&frame) else { return };
+async fn peer(mut frames: Frames, from: u64, host: &PeerHandler) {
+    while let Ok(Some(Ok(frame))) = timeout(PEER_SILENCE_TIMEOUT, frames.next()).await {
+        let Some(call) = decode::<RequestFrame>(&frame) else { return };
         let body = host.answer(from, call.body).await;
-        let Ok(answer) = encode(&Answer { number: call.number, body }) else { return };
-        if !matches!(timeout(WRITE_MOST, frames.send(answer)).await, Ok(Ok(()))) {
+        let Ok(answer) = encode(&ResponseFrame { number: call.number, body }) else { return };
+        if !matches!(timeout(WRITE_TIMEOUT, frames.send(answer)).await, Ok(Ok(()))) {
             return;
         }
     }
--- a/crates/consensus/src/keep/peer.rs
+++ b/crates/consensus/src/keep/peer.rs
@@ -1,10 +1,11 @@
 //! A keeper's connections to the others: one to each, kept, made anew when it breaks.
 
-use super::wire::{Answer, Ask, Call, Reply};
+use super::wire::{PeerRequest, PeerResponse, RequestFrame, ResponseFrame};
 use crate::frames::{
-    decode, encode, encode_first, frames, First, Frames, CONNECT_MOST, PEER_MOST, PEER_PROTOCOL, WRITE_MOST,
+    decode, encode, encode_first, frames, First, Frames, CONNECT_TIMEOUT, MAX_PEER_FRAME, PEER_PROTOCOL,
+    WRITE_TIMEOUT,
 };
-use crate::kinds::Kept;
+use crate::kinds::TypeConfig;
 use futures_util::{SinkExt, StreamExt};
 use openraft::error::{InstallSnapshotError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::{Backoff, RPCOption, RaftNetwork, RaftNetworkFactory};
@@ -21,11 +22,11 @@
 use tokio::time::{timeout, Instant};
 
 /// Calls to one keeper that wait to be sent, and that wait for their answers.
-const WAITING_MOST: usize = 64;
-const OPEN_MOST: usize = 256;
+const MAX_WAITING: usize = 64;
+const MAX_IN_FLIGHT: usize = 256;
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
 
-type Waiting = (Ask, oneshot::Sender<Reply>);
+type Waiting = (PeerRequest, oneshot::Sender<PeerResponse>);
 type Refusal<E> = RPCError<u64, EmptyNode, RaftError<u64, E>>;
 
 /// Ways to the other keepers.
@@ -45,7 +46,7 @@
     ) -> Peers {
         let mut links = BTreeMap::new();
         for (number, address) in keepers.iter().filter(|(n, _)| **n != own) {
-            let (calls, waiting) = mpsc::channel(WAITING_MOST);
+            let (calls, waiting) = mpsc::channel(MAX_WAITING);
             tasks.spawn(link(own, *number, address.clone(), waiting));
             links.insert(*number, calls);
         }
@@ -57,7 +58,7 @@
     }
 
     /// One call; none where no answer came in time.
-    pub async fn call(&self, to: u64, body: Ask, most: Duration) -> Option<Reply> {
+    pub async fn call(&self, to: u64, body: PeerRequest, most: Duration) -> Option<PeerResponse> {
         let (answer, came) = oneshot::channel();
         self.links.get(&to)?.try_send((body, answer)).ok()?;
         timeout(most, came).await.ok()?.ok()
@@ -88,29 +89,29 @@
 }
 
 async fn connect(own: u64, to: u64, address: &str) -> Option<Frames> {
-    let stream = timeout(CONNECT_MOST, TcpStream::connect(address)).await.ok()?.ok()?;
-    let mut frames = frames(stream, PEER_MOST);
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
+    let mut frames = frames(stream, MAX_PEER_FRAME);
     let hello = encode_first(&First::Peer { protocol: PEER_PROTOCOL, from: own, to }).ok()?;
-    timeout(WRITE_MOST, frames.send(hello)).await.ok()?.ok()?;
+    timeout(WRITE_TIMEOUT, frames.send(hello)).await.ok()?.ok()?;
     Some(frames)
 }
 
 /// Sends calls and hands out answers until the connection breaks or stalls.
 async fn talk(frames: Frames, first: Waiting, waiting: &mut mpsc::Receiver<Waiting>) {
     let (mut sink, mut stream) = frames.split();
-    let mut open: BTreeMap<u64, oneshot::Sender<Reply>> = BTreeMap::new();
+    let mut open: BTreeMap<u64, oneshot::Sender<PeerResponse>> = BTreeMap::new();
     let mut number = 0;
     let mut next = Some(first);
     loop {
         if let Some((body, answer)) = next.take() {
             open.retain(|_, waits| !waits.is_closed());
-            if open.len() >= OPEN_MOST {
+            if open.len() >= MAX_IN_FLIGHT {
                 return;
             }
             number += 1;
-            let Ok(frame) = encode(&Call { number, body }) else { continue };
+            let Ok(frame) = encode(&RequestFrame { number, body }) else { continue };
             open.insert(number, answer);
-            if !matches!(timeout(WRITE_MOST, sink.send(frame)).await, Ok(Ok(()))) {
+            if !matches!(timeout(WRITE_TIMEOUT, sink.send(frame)).await, Ok(Ok(()))) {
                 return;
             }
         }
@@ -121,7 +122,7 @@
             },
             frame = stream.next() => {
                 let Some(Ok(frame)) = frame else { return };
-                let Some(answer) = decode::<Answer>(&frame) else { return };
+                let Some(answer) = decode::<ResponseFrame>(&frame) else { return };
                 if let Some(waits) = open.remove(&answer.number) {
                     let _ = waits.send(answer.body);
                 }
@@ -130,7 +131,7 @@
     }
 }
 
-impl RaftNetworkFactory<Kept> for Peers {
+impl RaftNetworkFactory<TypeConfig> for Peers {
     type Network = Peer;
 
     async fn new_client(&mut self, target: u64, _: &EmptyNode) -> Peer {
@@ -145,7 +146,11 @@
 }
 
 impl Peer {
-    async fn ask<E: std::error::Error>(&self, ask: Ask, option: RPCOption) -> Result<Reply, Refusal<E>> {
+    async fn request<E: std::error::Error>(
+        &self,
+        ask: PeerRequest,
+        option: RPCOption,
+    ) -> Result<PeerResponse, Refusal<E>> {
         let most = option.hard_ttl();
         self.peers.call(self.to, ask, most).await.ok_or_else(|| unreachable("no answer"))
     }
@@ -155,14 +160,14 @@
     RPCError::Unreachable(Unreachable::new(&std::io::Error::other(why.to_string())))
 }
 
-impl RaftNetwork<Kept> for Peer {
+impl RaftNetwork<TypeConfig> for Peer {
     async fn append_entries(
         &mut self,
-        rpc: AppendEntriesRequest<Kept>,
+        rpc: AppendEntriesRequest<TypeConfig>,
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<u64>, Refusal<openraft::error::Infallible>> {
-        match self.ask(Ask::Append(rpc), option).await? {
-            Reply::Append(answer) => Ok(answer),
+        match self.request(PeerRequest::Append(rpc), option).await? {
+            PeerResponse::Append(answer) => Ok(answer),
             _ => Err(unreachable("it takes no part")),
         }
     }
@@ -172,20 +177,20 @@
         rpc: VoteRequest<u64>,
         option: RPCOption,
     ) -> Result<VoteResponse<u64>, Refusal<openraft::error::Infallible>> {
-        match self.ask(Ask::Vote(rpc), option).await? {
-            Reply::Vote(answer) => Ok(answer),
+        match self.request(PeerRequest::Vote(rpc), option).await? {
+            PeerResponse::Vote(answer) => Ok(answer),
             _ => Err(unreachable("it takes no part")),
         }
     }
 
     async fn install_snapshot(
         &mut self,
-        rpc: InstallSnapshotRequest<Kept>,
+        rpc: InstallSnapshotRequest<TypeConfig>,
         option: RPCOption,
     ) -> Result<InstallSnapshotResponse<u64>, Refusal<InstallSnapshotError>> {
-        match self.ask(Ask::Snapshot(rpc), option).await? {
-            Reply::Snapshot(Ok(answer)) => Ok(answer),
-            Reply::Snapshot(Err(e)) => {
+        match self.request(PeerRequest::Snapshot(rpc), option).await? {
+            PeerResponse::Snapshot(Ok(answer)) => Ok(answer),
+            PeerResponse::Snapshot(Err(e)) => {
                 Err(RPCError::RemoteError(RemoteError::new(self.to, RaftError::APIError(e))))
             }
             _ => Err(unreachable("it takes no part")),
--- a/crates/consensus/src/keep/run.rs
+++ b/crates/consensus/src/keep/run.rs
@@ -1,17 +1,17 @@
 //! Puts a keeper together.
 
-use super::desk::{desk, Tools, NOTES_MOST};
+use super::desk::{desk, ServiceContext, NOTES_MOST};
 use super::form::form;
-use super::gate::{Gate, State};
-use super::host::Host;
+use super::gate::{Participation, State};
+use super::host::PeerHandler;
 use super::listen::listen;
 use super::peer::Peers;
 use super::tend::{tend, yield_term};
-use crate::figures::Figures;
-use crate::frames::{ENTRIES_MOST, PART_MOST};
+use crate::figures::Statistics;
+use crate::frames::{MAX_ENTRIES, MAX_SNAPSHOT_PART};
 use crate::kinds::Raft;
-use crate::store::{Machine, Start, Store};
-use crate::{KeeperError, Now, Options};
+use crate::store::{Start, StateMachine, Store};
+use crate::{ConsensusError, Now, Options};
 use openraft::{Config, SnapshotPolicy};
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -32,14 +32,14 @@
     options: &Options,
     parts: Parts,
     now: Now,
-    figures: watch::Sender<Figures>,
+    figures: watch::Sender<Statistics>,
     tasks: &mut JoinSet<()>,
-) -> Result<Raft, KeeperError> {
-    let agreement = |e: &dyn std::fmt::Display| KeeperError::Agreement(e.to_string());
+) -> Result<Raft, ConsensusError> {
+    let agreement = |e: &dyn std::fmt::Display| ConsensusError::Agreement(e.to_string());
     let Parts { number, store, start, listener } = parts;
-    let pace = options.pace;
-    let gate = Gate::new(match start {
-        Start::Known => State::Open,
+    let pace = options.timing;
+    let gate = Participation::new(match start {
+        Start::Intact => State::Open,
         Start::Returning(Some(bound)) => State::Returning { bound },
         Start::Pristine | Start::Returning(None) => State::Undecided,
     });
@@ -49,36 +49,36 @@
         election_timeout_min: pace.election_ms.0,
         election_timeout_max: pace.election_ms.1,
         install_snapshot_timeout: 5000,
-        snapshot_max_chunk_size: PART_MOST as u64,
-        max_payload_entries: ENTRIES_MOST,
+        snapshot_max_chunk_size: MAX_SNAPSHOT_PART as u64,
+        max_payload_entries: MAX_ENTRIES,
         snapshot_policy: SnapshotPolicy::LogsSinceLast(pace.log.0),
         max_in_snapshot_log_to_keep: pace.log.1,
         replication_lag_threshold: 2 * pace.log.0,
-        enable_elect: start == Start::Known,
+        enable_elect: start == Start::Intact,
         ..Config::default()
     };
     let config = Arc::new(config.validate().map_err(|e| agreement(&e))?);
     let pause = Duration::from_millis(pace.heartbeat_ms);
-    let peers = Peers::start(number, &options.keepers, pause, tasks);
-    let (machine, applied) = Machine::new(store.clone()).map_err(|e| agreement(&e))?;
+    let peers = Peers::start(number, &options.replicas, pause, tasks);
+    let (machine, applied) = StateMachine::new(store.clone()).map_err(|e| agreement(&e))?;
     let raft = Raft::new(number, config, peers.clone(), store.clone(), machine).await;
     let raft = raft.map_err(|e| agreement(&e))?;
     let listener = tokio::net::TcpListener::from_std(listener)
-        .map_err(|source| KeeperError::Listen { address: String::new(), source })?;
+        .map_err(|source| ConsensusError::Listen { address: String::new(), source })?;
     let (notes, noted) = mpsc::channel(NOTES_MOST);
     let (raise, raised) = mpsc::channel(8);
-    let host = Host { raft: raft.clone(), gate: gate.clone(), raise };
-    let tools = Tools {
-        own: number,
+    let host = PeerHandler { raft: raft.clone(), participation: gate.clone(), term_raises: raise };
+    let tools = ServiceContext {
+        number: number,
         raft: raft.clone(),
-        gate: gate.clone(),
+        participation: gate.clone(),
         applied: applied.clone(),
         now,
         terms: options.terms,
-        dealing: options.dealing,
-        figures,
+        allocation: options.allocation,
+        statistics: figures,
     };
-    let numbers: BTreeSet<u64> = options.keepers.keys().copied().collect();
+    let numbers: BTreeSet<u64> = options.replicas.keys().copied().collect();
     tasks.spawn(listen(listener, number, host, notes));
     tasks.spawn(desk(tools, noted));
     tasks.spawn(yield_term(raft.clone(), raised));
--- a/crates/consensus/src/keep/serve.rs
+++ b/crates/consensus/src/keep/serve.rs
@@ -1,42 +1,42 @@
 //! A front end's connection at a keeper: frames in to the desk, frames out from it.
 
-use super::desk::{Note, Notes};
-use crate::frames::{apart, decode, Frames, WRITE_MOST};
+use super::desk::{Notes, ServiceMessage};
+use crate::frames::{apart, decode, Frames, WRITE_TIMEOUT};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use stagehoist_cluster_state::ToKeeper;
+use stagehoist_cluster_state::SessionRequest;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
 /// Frames that a front end has not taken yet; one that lets more come is cut off.
-pub const OUT_MOST: usize = 64;
+pub const OUTPUT_CAPACITY: usize = 64;
 /// How long one may say nothing.
-const SILENT_MOST: Duration = Duration::from_secs(30);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Serves one connection until either side ends it. The desk ends it by dropping its sender.
-pub async fn serve(conn: u64, frames: Frames, hello: ToKeeper, desk: Notes) {
-    let (out, mut outgoing) = mpsc::channel::<Bytes>(OUT_MOST);
-    if desk.send(Note::Came { conn, hello, out }).await.is_err() {
+pub async fn serve(conn: u64, frames: Frames, hello: SessionRequest, desk: Notes) {
+    let (out, mut outgoing) = mpsc::channel::<Bytes>(OUTPUT_CAPACITY);
+    if desk.send(ServiceMessage::Connected { conn, hello, out }).await.is_err() {
         return;
     }
     let (mut stream, mut sink) = apart(frames);
     loop {
         tokio::select! {
-            frame = timeout(SILENT_MOST, stream.next()) => {
+            frame = timeout(SILENCE_TIMEOUT, stream.next()) => {
                 let Ok(Some(Ok(frame))) = frame else { break };
-                let Some(said) = decode::<ToKeeper>(&frame) else {
+                let Some(said) = decode::<SessionRequest>(&frame) else {
                     tracing::warn!(target: "stagehoist_consensus", event = "session", conn,
                         "a frame that says nothing");
                     break;
                 };
-                if desk.send(Note::Said { conn, said }).await.is_err() {
+                if desk.send(ServiceMessage::Received { conn, request: said }).await.is_err() {
                     break;
                 }
             }
             frame = outgoing.recv() => {
                 let Some(frame) = frame else { break };
-                let written = timeout(WRITE_MOST, async {
+                let written = timeout(WRITE_TIMEOUT, async {
                     SinkExt::<Bytes>::feed(&mut sink, frame).await?;
                     while let Ok(frame) = outgoing.try_recv() {
                         SinkExt::<Bytes>::feed(&mut sink, frame).await?;
@@ -50,5 +50,5 @@
             }
         }
     }
-    let _ = desk.send(Note::Gone { conn }).await;
+    let _ = desk.send(ServiceMessage::Disconnected { conn }).await;
 }
--- a/crates/consensus/src/keep/tend.rs
+++ b/crates/consensus/src/keep/tend.rs
@@ -1,7 +1,7 @@
 //! What a leader does for the membership of the keepers.
 
 use super::peer::Peers;
-use super::wire::{Ask, Reply};
+use super::wire::{PeerRequest, PeerResponse};
 use crate::kinds::Raft;
 use openraft::{EmptyNode, ServerState};
 use std::collections::BTreeSet;
@@ -9,19 +9,19 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-const LOOKED_EVERY: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Looks in a row that must find the same difference.
-const LOOKS: u32 = 3;
-const CHANGE_MOST: Duration = Duration::from_secs(10);
-const ANSWER_MOST: Duration = Duration::from_millis(500);
+const CHECKS_BEFORE_CHANGE: u32 = 3;
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a leader is silent for another to be elected, at most.
-const SILENT_MOST: Duration = Duration::from_secs(3);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Brings Raft's membership in line with the keepers that this process is told of, while it leads.
 pub async fn tend(raft: Raft, told: BTreeSet<u64>, peers: Peers) {
     let mut differed = 0;
     loop {
-        sleep(LOOKED_EVERY).await;
+        sleep(CHECK_INTERVAL).await;
         let metrics = raft.metrics().borrow().clone();
         let present: BTreeSet<u64> = metrics.membership_config.voter_ids().collect();
         if metrics.state != ServerState::Leader || present == told {
@@ -30,13 +30,13 @@
         }
         differed += 1;
         // One that can't be reached, or may not vote yet, could leave the change half made.
-        if differed < LOOKS || !all_open(&peers, told.difference(&present)).await {
+        if differed < CHECKS_BEFORE_CHANGE || !all_open(&peers, told.difference(&present)).await {
             continue;
         }
         differed = 0;
         tracing::warn!(target: "stagehoist_consensus", event = "membership", ?present, ?told,
             "changing the keepers");
-        let changed = timeout(CHANGE_MOST, change(&raft, &present, &told)).await;
+        let changed = timeout(CHANGE_TIMEOUT, change(&raft, &present, &told)).await;
         match changed {
             Ok(Ok(())) => {
                 tracing::info!(target: "stagehoist_consensus", event = "membership", ?told, "changed")
@@ -53,8 +53,8 @@
 
 async fn all_open(peers: &Peers, new: impl Iterator<Item = &u64>) -> bool {
     for number in new {
-        match peers.call(*number, Ask::Stand, ANSWER_MOST).await {
-            Some(Reply::Stand(stand)) if stand.open => {}
+        match peers.call(*number, PeerRequest::Status, ANSWER_TIMEOUT).await {
+            Some(PeerResponse::Status(stand)) if stand.is_participating => {}
             _ => return false,
         }
     }
@@ -80,7 +80,7 @@
         }
         tracing::info!(target: "stagehoist_consensus", event = "membership", above, "yielding for a later term");
         raft.runtime_config().heartbeat(false);
-        let _ = timeout(SILENT_MOST, metrics.wait_for(|m| !leads(m))).await;
+        let _ = timeout(SILENCE_TIMEOUT, metrics.wait_for(|m| !leads(m))).await;
         raft.runtime_config().heartbeat(true);
         // What was asked meanwhile was asked for the same reason.
         while raised.try_recv().is_ok() {}
--- a/crates/consensus/src/keep/wire.rs
+++ b/crates/consensus/src/keep/wire.rs
@@ -1,6 +1,6 @@
 //! What keepers say to each other.
 
-use crate::kinds::Kept;
+use crate::kinds::TypeConfig;
 use openraft::error::InstallSnapshotError;
 use openraft::raft::{
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
@@ -9,51 +9,51 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Call {
+pub struct RequestFrame {
     /// The answer names it.
     pub number: u64,
-    pub body: Ask,
+    pub body: PeerRequest,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Answer {
+pub struct ResponseFrame {
     pub number: u64,
-    pub body: Reply,
+    pub body: PeerResponse,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Ask {
-    Append(AppendEntriesRequest<Kept>),
+pub enum PeerRequest {
+    Append(AppendEntriesRequest<TypeConfig>),
     Vote(VoteRequest<u64>),
-    Snapshot(InstallSnapshotRequest<Kept>),
+    Snapshot(InstallSnapshotRequest<TypeConfig>),
     /// How the other stands.
-    Stand,
+    Status,
     /// A keeper that lost what it knew up to this term waits for a later one.
-    Raise {
+    RaiseTerm {
         above: u64,
     },
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Reply {
+pub enum PeerResponse {
     Append(AppendEntriesResponse<u64>),
     Vote(VoteResponse<u64>),
     Snapshot(Result<InstallSnapshotResponse<u64>, InstallSnapshotError>),
-    Stand(Stand),
-    Heard,
+    Status(ReplicaStatus),
+    Acknowledged,
     /// It takes no part now.
-    Closed,
+    NotParticipating,
 }
 
 /// How a keeper stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stand {
+pub struct ReplicaStatus {
     /// It began with nothing and has nothing from a leader yet.
-    pub fresh: bool,
+    pub is_new: bool,
     /// It votes and follows.
-    pub open: bool,
+    pub is_participating: bool,
     /// The highest term that it knows.
     pub term: u64,
     /// The one that asks is a voter of the membership here.
-    pub voter: bool,
+    pub is_voter: bool,
 }
--- a/crates/consensus/src/kept.rs
+++ b/crates/consensus/src/kept.rs
@@ -5,29 +5,31 @@
 
 use crate::store::sum;
 use serde::{Deserialize, Serialize};
-use stagehoist_cluster_state::View;
+use stagehoist_cluster_state::ClusterView;
 use std::fmt::Write as _;
 use std::fs::File;
 use std::io::{Error, ErrorKind, Result, Write as _};
 use std::path::{Path, PathBuf};
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Memory {
+pub struct SessionMemory {
     pub incarnation: u64,
-    pub view: View,
+    pub view: ClusterView,
 }
 
 /// The file of one member; nothing is kept where there is none.
 #[derive(Clone, Debug)]
-pub struct Kept {
+pub struct SessionFile {
     path: Option<PathBuf>,
-    pub memory: Memory,
+    pub memory: SessionMemory,
 }
 
-impl Kept {
+impl SessionFile {
     /// Reads what is kept; a damaged file is set aside by name and counts as none.
-    pub fn open(folder: Option<&Path>, member: &str) -> Result<Kept> {
-        let Some(folder) = folder else { return Ok(Kept { path: None, memory: Memory::default() }) };
+    pub fn open(folder: Option<&Path>, member: &str) -> Result<SessionFile> {
+        let Some(folder) = folder else {
+            return Ok(SessionFile { path: None, memory: SessionMemory::default() });
+        };
         std::fs::create_dir_all(folder)?;
         let path = folder.join(file_name(member));
         let memory = match std::fs::read(&path) {
@@ -37,17 +39,17 @@
                     let aside = set_aside(&path)?;
                     tracing::error!(target: "stagehoist_consensus", event = "store", path = %path.display(),
                         aside = %aside.display(), "memory of a session is damaged and set aside");
-                    Memory::default()
+                    SessionMemory::default()
                 }
             },
-            Err(e) if e.kind() == ErrorKind::NotFound => Memory::default(),
+            Err(e) if e.kind() == ErrorKind::NotFound => SessionMemory::default(),
             Err(e) => return Err(e),
         };
-        Ok(Kept { path: Some(path), memory })
+        Ok(SessionFile { path: Some(path), memory })
     }
 
     /// Writes a change; on disk once this returns. Where it fails the memory is as before.
-    pub fn change(&mut self, change: impl FnOnce(&mut Memory)) -> Result<()> {
+    pub fn change(&mut self, change: impl FnOnce(&mut SessionMemory)) -> Result<()> {
         let mut memory = self.memory.clone();
         change(&mut memory);
         if memory == self.memory {
@@ -70,7 +72,7 @@
     }
 }
 
-fn parse(bytes: &[u8]) -> Option<Memory> {
+fn parse(bytes: &[u8]) -> Option<SessionMemory> {
     let (head, body) = bytes.split_first_chunk::<8>()?;
     if u64::from_le_bytes(*head) != sum(body) {
         return None;
@@ -106,15 +108,15 @@
     #[test]
     fn what_was_kept_is_read_again_and_a_damaged_file_is_set_aside() {
         let folder = tempfile::tempdir().unwrap();
-        let mut kept = Kept::open(Some(folder.path()), "A/1").unwrap();
+        let mut kept = SessionFile::open(Some(folder.path()), "A/1").unwrap();
         kept.change(|m| m.incarnation = 7).unwrap();
-        assert_eq!(Kept::open(Some(folder.path()), "A/1").unwrap().memory.incarnation, 7);
-        assert_eq!(Kept::open(Some(folder.path()), "a/1").unwrap().memory.incarnation, 0);
+        assert_eq!(SessionFile::open(Some(folder.path()), "A/1").unwrap().memory.incarnation, 7);
+        assert_eq!(SessionFile::open(Some(folder.path()), "a/1").unwrap().memory.incarnation, 0);
         let path = folder.path().join(file_name("A/1"));
         let mut bytes = std::fs::read(&path).unwrap();
         bytes[9] ^= 1;
         std::fs::write(&path, bytes).unwrap();
-        assert_eq!(Kept::open(Some(folder.path()), "A/1").unwrap().memory, Memory::default());
+        assert_eq!(SessionFile::open(Some(folder.path()), "A/1").unwrap().memory, SessionMemory::default());
         assert!(path.with_extension("damaged-1").exists());
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -23,12 +23,13 @@
 #[cfg(test)]
 mod tests;
 
-pub use error::KeeperError;
-pub use figures::Figures;
+pub use error::ConsensusError;
+pub use figures::Statistics;
 pub use start::{start, Running};
 
 use stagehoist_cluster_state::{
-    Demand, Heard, Limits, Member, Micros, Pool, Retirement, Said, Standing, Terms, Version,
+    AllocationLimits, ClusterStatus, Demand, InquiryEvent, InquiryMessage, LeaseTerms, Member, Micros, Pool,
+    Retirement, Version,
 };
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -42,25 +43,25 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Every keeper by its number, as this process reaches it.
-    pub keepers: BTreeMap<u64, String>,
+    pub replicas: BTreeMap<u64, String>,
     /// Where this process is a keeper itself: its number, the address it listens on, the folder of its store.
-    pub keep: Option<Keep>,
-    pub terms: Terms,
+    pub replica: Option<ReplicaOptions>,
+    pub terms: LeaseTerms,
     pub edition: u64,
     pub pools: Vec<Pool>,
     /// How lanes of pools are dealt while this process's keeper leads; none: they are not.
-    pub dealing: Option<Limits>,
+    pub allocation: Option<AllocationLimits>,
     /// Front ends of this process by name, each a member with a session of its own.
     pub members: Vec<String>,
     /// Folder in which the last incarnation and view of each member are kept; none: it is asked of the
     /// keepers alone.
-    pub incarnations: Option<PathBuf>,
+    pub session_folder: Option<PathBuf>,
     pub seed: u64,
-    pub pace: Pace,
+    pub timing: Timing,
 }
 
 #[derive(Clone, Debug)]
-pub struct Keep {
+pub struct ReplicaOptions {
     pub number: u64,
     pub listen: String,
     pub store: PathBuf,
@@ -69,7 +70,7 @@
 /// How quickly keepers notice that the leader is gone, in milliseconds, and how long their logs grow; alike at all
 /// keepers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct Timing {
     pub heartbeat_ms: u64,
     /// An election begins after a time drawn between these without word from the leader.
     pub election_ms: (u64, u64),
@@ -77,29 +78,29 @@
     pub log: (u64, u64),
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace { heartbeat_ms: 100, election_ms: (400, 800), log: (2000, 500) }
+impl Default for Timing {
+    fn default() -> Timing {
+        Timing { heartbeat_ms: 100, election_ms: (400, 800), log: (2000, 500) }
     }
 }
 
 /// What a front end's driver tells its session; the newest counts.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct SessionReport {
     pub confirmed: Version,
-    pub ready_lanes: u32,
+    pub ready_capacity: u32,
     pub demand: Vec<Demand>,
 }
 
 /// One front end's ends of its session.
 pub struct Session {
-    pub standing: watch::Receiver<Standing>,
+    pub status: watch::Receiver<ClusterStatus>,
     /// This run, once it has joined.
     pub member: watch::Receiver<Option<Member>>,
-    pub told: watch::Sender<Told>,
+    pub report: watch::Sender<SessionReport>,
     /// Retirements asked for; one that is known already changes nothing.
     pub retire: mpsc::Sender<Retirement>,
     /// Questions about messages that are delivered again, and answers to others'.
-    pub said: mpsc::Sender<Said>,
-    pub heard: mpsc::Receiver<Heard>,
+    pub inquiries: mpsc::Sender<InquiryMessage>,
+    pub inquiry_events: mpsc::Receiver<InquiryEvent>,
 }
--- a/crates/consensus/src/store/guard.rs
+++ b/crates/consensus/src/store/guard.rs
@@ -18,7 +18,7 @@
 
 /// What a keeper had at least.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Mark {
+pub struct Fingerprint {
     /// The highest term that it took part in.
     pub term: u64,
     /// Term and index of the last entry of its log; zeros where it had none.
@@ -26,15 +26,15 @@
 }
 
 #[derive(Debug)]
-pub struct Guard {
+pub struct StoreFingerprint {
     file: File,
-    turn: u64,
-    mark: Option<Mark>,
+    sequence: u64,
+    fingerprint: Option<Fingerprint>,
 }
 
-impl Guard {
+impl StoreFingerprint {
     /// Opens the file, or makes one. A file of which no slot is whole counts as none.
-    pub fn open(path: &Path) -> Result<Guard> {
+    pub fn open(path: &Path) -> Result<StoreFingerprint> {
         let mut file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
         let mut bytes = Vec::new();
         (&mut file).take(2 * SLOT as u64).read_to_end(&mut bytes)?;
@@ -42,40 +42,44 @@
         if let Some(folder) = path.parent() {
             File::open(folder)?.sync_all()?;
         }
-        Ok(Guard { file, turn: newest.map_or(0, |(turn, _)| turn), mark: newest.map(|(_, mark)| mark) })
+        Ok(StoreFingerprint {
+            file,
+            sequence: newest.map_or(0, |(turn, _)| turn),
+            fingerprint: newest.map(|(_, mark)| mark),
+        })
     }
 
-    pub fn mark(&self) -> Option<Mark> {
-        self.mark
+    pub fn fingerprint(&self) -> Option<Fingerprint> {
+        self.fingerprint
     }
 
     /// Writes a mark; on disk once this returns. The term never falls.
-    pub fn set(&mut self, mut mark: Mark) -> Result<()> {
-        mark.term = mark.term.max(self.mark.map_or(0, |m| m.term));
-        if self.mark == Some(mark) {
+    pub fn set(&mut self, mut mark: Fingerprint) -> Result<()> {
+        mark.term = mark.term.max(self.fingerprint.map_or(0, |m| m.term));
+        if self.fingerprint == Some(mark) {
             return Ok(());
         }
-        self.turn += 1;
+        self.sequence += 1;
         let mut slot = Vec::with_capacity(SLOT);
-        for word in [MAGIC, self.turn, mark.term, mark.last.0, mark.last.1] {
+        for word in [MAGIC, self.sequence, mark.term, mark.last.0, mark.last.1] {
             slot.extend_from_slice(&word.to_le_bytes());
         }
         let sum = sum(&slot);
         slot.extend_from_slice(&sum.to_le_bytes());
-        self.file.seek(SeekFrom::Start((self.turn % 2) * SLOT as u64))?;
+        self.file.seek(SeekFrom::Start((self.sequence % 2) * SLOT as u64))?;
         self.file.write_all(&slot)?;
         self.file.sync_data()?;
-        self.mark = Some(mark);
+        self.fingerprint = Some(mark);
         Ok(())
     }
 }
 
-fn read(slot: &[u8]) -> Option<(u64, Mark)> {
+fn read(slot: &[u8]) -> Option<(u64, Fingerprint)> {
     let word = |at: usize| Some(u64::from_le_bytes(slot.get(at * 8..at * 8 + 8)?.try_into().ok()?));
     if word(0)? != MAGIC || word(5)? != sum(&slot[..40]) {
         return None;
     }
-    Some((word(1)?, Mark { term: word(2)?, last: (word(3)?, word(4)?) }))
+    Some((word(1)?, Fingerprint { term: word(2)?, last: (word(3)?, word(4)?) }))
 }
 
 /// FNV-1a: it tells a torn write, not a malicious one.
@@ -93,19 +97,22 @@
     fn a_torn_slot_costs_the_newest_mark_only_and_a_term_never_falls() {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("guard");
-        let mut guard = Guard::open(&path).unwrap();
-        assert_eq!(guard.mark(), None);
-        guard.set(Mark { term: 3, last: (3, 10) }).unwrap();
-        guard.set(Mark { term: 2, last: (3, 11) }).unwrap();
-        let whole = Guard::open(&path).unwrap().mark();
-        assert_eq!(whole, Some(Mark { term: 3, last: (3, 11) }));
+        let mut guard = StoreFingerprint::open(&path).unwrap();
+        assert_eq!(guard.fingerprint(), None);
+        guard.set(Fingerprint { term: 3, last: (3, 10) }).unwrap();
+        guard.set(Fingerprint { term: 2, last: (3, 11) }).unwrap();
+        let whole = StoreFingerprint::open(&path).unwrap().fingerprint();
+        assert_eq!(whole, Some(Fingerprint { term: 3, last: (3, 11) }));
         // The second mark went to the first slot.
         let mut bytes = std::fs::read(&path).unwrap();
         bytes[20] ^= 1;
         std::fs::write(&path, &bytes).unwrap();
-        assert_eq!(Guard::open(&path).unwrap().mark(), Some(Mark { term: 3, last: (3, 10) }));
+        assert_eq!(
+            StoreFingerprint::open(&path).unwrap().fingerprint(),
+            Some(Fingerprint { term: 3, last: (3, 10) })
+        );
         bytes[SLOT + 20] ^= 1;
         std::fs::write(&path, &bytes).unwrap();
-        assert_eq!(Guard::open(&path).unwrap().mark(), None);
+        assert_eq!(StoreFingerprint::open(&path).unwrap().fingerprint(), None);
     }
 }
--- a/crates/consensus/src/store/log.rs
+++ b/crates/consensus/src/store/log.rs
@@ -1,7 +1,7 @@
 //! The log as Raft asks for it.
 
 use super::{fault, key, Outcome, Store, LOG};
-use crate::kinds::{Entry, Fault, Kept, LogId, Vote};
+use crate::kinds::{Entry, LogId, RaftStorageError, TypeConfig, Vote};
 use openraft::storage::{LogFlushed, RaftLogStorage};
 use openraft::{LogState, OptionalSend, RaftLogReader};
 use redb::Durability;
@@ -35,30 +35,30 @@
 impl Store {
     pub(super) fn set_vote(&self, vote: &Vote) -> Outcome<()> {
         self.write(Durability::Immediate, |w| w.put(key::VOTE, vote))?;
-        self.mark(self.last()?)
+        self.record_fingerprint(self.last()?)
     }
 
     /// All that is handed over together is one commit.
-    pub(super) fn add(&self, entries: Vec<Entry>) -> Outcome<()> {
+    pub(super) fn append_entries(&self, entries: Vec<Entry>) -> Outcome<()> {
         let mut last = None;
         self.write(Durability::Immediate, |w| {
             last = w.append(entries)?;
             Ok(())
         })?;
         if last.is_some() {
-            self.mark(last)?;
+            self.record_fingerprint(last)?;
         }
         Ok(())
     }
 
     /// Takes off the end, from this entry on. The guard first: it never tells of more than the store holds.
-    pub(super) fn cut(&self, from: LogId) -> Outcome<()> {
-        self.mark(self.before(from.index)?)?;
+    pub(super) fn truncate_from(&self, from: LogId) -> Outcome<()> {
+        self.record_fingerprint(self.before(from.index)?)?;
         self.write(Durability::Immediate, |w| w.remove(from.index..))
     }
 
     /// Takes off the beginning, up to this entry.
-    pub(super) fn forget(&self, upto: LogId) -> Outcome<()> {
+    pub(super) fn purge_to(&self, upto: LogId) -> Outcome<()> {
         self.write(Durability::Immediate, |w| {
             w.put(key::PURGED, &upto)?;
             w.remove(..=upto.index)
@@ -66,19 +66,19 @@
     }
 }
 
-impl RaftLogReader<Kept> for Store {
+impl RaftLogReader<TypeConfig> for Store {
     async fn try_get_log_entries<RB: RangeBounds<u64> + Clone + Debug + OptionalSend>(
         &mut self,
         range: RB,
-    ) -> Result<Vec<Entry>, Fault> {
+    ) -> Result<Vec<Entry>, RaftStorageError> {
         self.entries(range).map_err(fault)
     }
 }
 
-impl RaftLogStorage<Kept> for Store {
+impl RaftLogStorage<TypeConfig> for Store {
     type LogReader = Store;
 
-    async fn get_log_state(&mut self) -> Result<LogState<Kept>, Fault> {
+    async fn get_log_state(&mut self) -> Result<LogState<TypeConfig>, RaftStorageError> {
         let last_purged_log_id = self.get(key::PURGED).map_err(fault)?;
         Ok(LogState { last_purged_log_id, last_log_id: self.last().map_err(fault)? })
     }
@@ -87,40 +87,45 @@
         self.clone()
     }
 
-    async fn save_vote(&mut self, vote: &Vote) -> Result<(), Fault> {
+    async fn save_vote(&mut self, vote: &Vote) -> Result<(), RaftStorageError> {
         let vote = *vote;
-        self.apart(move |store| store.set_vote(&vote)).await
+        self.run_blocking(move |store| store.set_vote(&vote)).await
     }
 
-    async fn read_vote(&mut self) -> Result<Option<Vote>, Fault> {
+    async fn read_vote(&mut self) -> Result<Option<Vote>, RaftStorageError> {
         self.vote().map_err(fault)
     }
 
-    async fn save_committed(&mut self, committed: Option<LogId>) -> Result<(), Fault> {
+    async fn save_committed(&mut self, committed: Option<LogId>) -> Result<(), RaftStorageError> {
         // For a quick start only: what was committed is told anew by the leader.
-        self.apart(move |store| store.write(Durability::None, |w| w.put(key::COMMITTED, &committed))).await
+        self.run_blocking(move |store| store.write(Durability::None, |w| w.put(key::COMMITTED, &committed)))
+            .await
     }
 
-    async fn read_committed(&mut self) -> Result<Option<LogId>, Fault> {
+    async fn read_committed(&mut self) -> Result<Option<LogId>, RaftStorageError> {
         Ok(self.get::<Option<LogId>>(key::COMMITTED).map_err(fault)?.flatten())
     }
 
-    async fn append<I>(&mut self, entries: I, callback: LogFlushed<Kept>) -> Result<(), Fault>
+    async fn append<I>(
+        &mut self,
+        entries: I,
+        callback: LogFlushed<TypeConfig>,
+    ) -> Result<(), RaftStorageError>
     where
         I: IntoIterator<Item = Entry> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
         let entries: Vec<Entry> = entries.into_iter().collect();
-        self.apart(move |store| store.add(entries)).await?;
+        self.run_blocking(move |store| store.append_entries(entries)).await?;
         callback.log_io_completed(Ok(()));
         Ok(())
     }
 
-    async fn truncate(&mut self, log_id: LogId) -> Result<(), Fault> {
-        self.apart(move |store| store.cut(log_id)).await
+    async fn truncate(&mut self, log_id: LogId) -> Result<(), RaftStorageError> {
+        self.run_blocking(move |store| store.truncate_from(log_id)).await
     }
 
-    async fn purge(&mut self, log_id: LogId) -> Result<(), Fault> {
-        self.apart(move |store| store.forget(log_id)).await
+    async fn purge(&mut self, log_id: LogId) -> Result<(), RaftStorageError> {
+        self.run_blocking(move |store| store.purge_to(log_id)).await
     }
 }
--- a/crates/consensus/src/store/machine.rs
+++ b/crates/consensus/src/store/machine.rs
@@ -1,12 +1,12 @@
 //! The record as Raft applies it, and its snapshots.
 
-use super::{fault, key, Outcome, Store, StoreFault};
-use crate::kinds::{Applied, Dones, Entry, Fault, Kept, LogId, Members, CHANGES_MOST};
+use super::{fault, key, Outcome, Store, StoreError};
+use crate::kinds::{Applied, BatchOutcome, Entry, LogId, Members, RaftStorageError, TypeConfig, MAX_CHANGES};
 use openraft::storage::RaftStateMachine;
 use openraft::{EntryPayload, OptionalSend, RaftSnapshotBuilder, Snapshot, SnapshotMeta};
 use redb::Durability;
 use serde::{Deserialize, Serialize};
-use stagehoist_cluster_state::Record;
+use stagehoist_cluster_state::ClusterState;
 use std::io::Cursor;
 use std::sync::Arc;
 use tokio::sync::watch;
@@ -18,21 +18,21 @@
 pub(super) struct State {
     pub(super) last: Option<LogId>,
     members: Members,
-    pub(super) record: Record,
+    pub(super) record: ClusterState,
 }
 
-pub struct Machine {
+pub struct StateMachine {
     store: Store,
     state: State,
-    told: watch::Sender<Applied>,
+    applied: watch::Sender<Applied>,
 }
 
-impl Machine {
+impl StateMachine {
     /// The record as far as the store holds it.
-    pub fn new(store: Store) -> Outcome<(Machine, watch::Receiver<Applied>)> {
+    pub fn new(store: Store) -> Outcome<(StateMachine, watch::Receiver<Applied>)> {
         let state: State = store.get(key::STATE)?.unwrap_or_default();
         let (told, applied) = watch::channel(state.applied());
-        Ok((Machine { store, state, told }, applied))
+        Ok((StateMachine { store, state, applied: told }, applied))
     }
 }
 
@@ -41,23 +41,23 @@
         Applied { last: self.last, record: Arc::new(self.record.clone()) }
     }
 
-    pub(super) fn apply(&mut self, entry: Entry) -> Dones {
+    pub(super) fn apply(&mut self, entry: Entry) -> BatchOutcome {
         self.last = Some(entry.log_id);
         match entry.payload {
-            EntryPayload::Blank => Dones(Vec::new()),
+            EntryPayload::Blank => BatchOutcome(Vec::new()),
             // Each change has a number of its own; nobody sees half an entry.
             EntryPayload::Normal(batch) => {
-                let numbers = entry.log_id.index * CHANGES_MOST..;
-                Dones(numbers.zip(&batch.0).map(|(n, c)| self.record.apply(n, c)).collect())
+                let numbers = entry.log_id.index * MAX_CHANGES..;
+                BatchOutcome(numbers.zip(&batch.0).map(|(n, c)| self.record.apply(n, c)).collect())
             }
             EntryPayload::Membership(members) => {
                 self.members = Members::new(Some(entry.log_id), members);
-                Dones(Vec::new())
+                BatchOutcome(Vec::new())
             }
         }
     }
 
-    fn snapshot(&self) -> Outcome<Snapshot<Kept>> {
+    fn snapshot(&self) -> Outcome<Snapshot<TypeConfig>> {
         let snapshot_id = self.last.map_or_else(|| "0".into(), |l| format!("{}-{}", l.leader_id, l.index));
         let meta =
             SnapshotMeta { last_log_id: self.last, last_membership: self.members.clone(), snapshot_id };
@@ -71,11 +71,11 @@
     state: State,
 }
 
-impl RaftSnapshotBuilder<Kept> for Builder {
-    async fn build_snapshot(&mut self) -> Result<Snapshot<Kept>, Fault> {
+impl RaftSnapshotBuilder<TypeConfig> for Builder {
+    async fn build_snapshot(&mut self) -> Result<Snapshot<TypeConfig>, RaftStorageError> {
         let state = self.state.clone();
         self.store
-            .apart(move |store| {
+            .run_blocking(move |store| {
                 let snapshot = state.snapshot()?;
                 let kept = (&snapshot.meta, snapshot.snapshot.get_ref());
                 store.write(Durability::Immediate, |w| w.put(key::SNAPSHOT, &kept))?;
@@ -85,22 +85,24 @@
     }
 }
 
-impl RaftStateMachine<Kept> for Machine {
+impl RaftStateMachine<TypeConfig> for StateMachine {
     type SnapshotBuilder = Builder;
 
-    async fn applied_state(&mut self) -> Result<(Option<LogId>, Members), Fault> {
+    async fn applied_state(&mut self) -> Result<(Option<LogId>, Members), RaftStorageError> {
         Ok((self.state.last, self.state.members.clone()))
     }
 
-    async fn apply<I>(&mut self, entries: I) -> Result<Vec<Dones>, Fault>
+    async fn apply<I>(&mut self, entries: I) -> Result<Vec<BatchOutcome>, RaftStorageError>
     where
         I: IntoIterator<Item = Entry> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
         let done = entries.into_iter().map(|entry| self.state.apply(entry)).collect();
-        let state = postcard::to_stdvec(&self.state).map_err(StoreFault::from).map_err(fault)?;
-        self.store.apart(move |s| s.write(Durability::None, |w| w.put_bytes(key::STATE, &state))).await?;
-        self.told.send_replace(self.state.applied());
+        let state = postcard::to_stdvec(&self.state).map_err(StoreError::from).map_err(fault)?;
+        self.store
+            .run_blocking(move |s| s.write(Durability::None, |w| w.put_bytes(key::STATE, &state)))
+            .await?;
+        self.applied.send_replace(self.state.applied());
         Ok(done)
     }
 
@@ -108,13 +110,17 @@
         Builder { store: self.store.clone(), state: self.state.clone() }
     }
 
-    async fn begin_receiving_snapshot(&mut self) -> Result<Box<Cursor<Vec<u8>>>, Fault> {
+    async fn begin_receiving_snapshot(&mut self) -> Result<Box<Cursor<Vec<u8>>>, RaftStorageError> {
         Ok(Box::new(Cursor::new(Vec::new())))
     }
 
-    async fn install_snapshot(&mut self, meta: &Meta, data: Box<Cursor<Vec<u8>>>) -> Result<(), Fault> {
+    async fn install_snapshot(
+        &mut self,
+        meta: &Meta,
+        data: Box<Cursor<Vec<u8>>>,
+    ) -> Result<(), RaftStorageError> {
         let (meta, bytes) = (meta.clone(), data.into_inner());
-        let written = self.store.apart(move |store| {
+        let written = self.store.run_blocking(move |store| {
             let state: State = postcard::from_bytes(&bytes)?;
             store.write(Durability::Immediate, |w| {
                 w.put_bytes(key::STATE, &bytes)?;
@@ -123,11 +129,11 @@
             Ok(state)
         });
         self.state = written.await?;
-        self.told.send_replace(self.state.applied());
+        self.applied.send_replace(self.state.applied());
         Ok(())
     }
 
-    async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<Kept>>, Fault> {
+    async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<TypeConfig>>, RaftStorageError> {
         let kept: Option<(Meta, Vec<u8>)> = self.store.get(key::SNAPSHOT).map_err(fault)?;
         Ok(kept.map(|(meta, bytes)| Snapshot { meta, snapshot: Box::new(Cursor::new(bytes)) }))
     }
--- a/crates/consensus/src/store/mod.rs
+++ b/crates/consensus/src/store/mod.rs
@@ -13,11 +13,11 @@
 #[cfg(test)]
 mod tests;
 
-pub use guard::{sum, Guard, Mark};
-pub use machine::Machine;
+pub use guard::{sum, Fingerprint, StoreFingerprint};
+pub use machine::StateMachine;
 pub use open::{open, Start};
 
-use crate::kinds::{Entry, Fault, LogId, Vote};
+use crate::kinds::{Entry, LogId, RaftStorageError, Vote};
 use openraft::{AnyError, StorageIOError};
 use redb::{Database, Durability, ReadableTable, TableDefinition};
 use serde::de::DeserializeOwned;
@@ -42,30 +42,30 @@
 pub struct Store {
     db: Arc<Database>,
     /// Held for single writes, one at a time.
-    guard: Arc<Mutex<Guard>>,
+    guard: Arc<Mutex<StoreFingerprint>>,
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum StoreFault {
+pub enum StoreError {
     #[error("{0}")]
     Db(Box<redb::Error>),
     #[error(transparent)]
     Io(#[from] std::io::Error),
     #[error(transparent)]
-    Form(#[from] postcard::Error),
+    Format(#[from] postcard::Error),
 }
 
 macro_rules! faults {
-    ($($kind:ident),*) => { $(impl From<redb::$kind> for StoreFault {
-        fn from(fault: redb::$kind) -> StoreFault { StoreFault::Db(Box::new(fault.into())) }
+    ($($kind:ident),*) => { $(impl From<redb::$kind> for StoreError {
+        fn from(fault: redb::$kind) -> StoreError { StoreError::Db(Box::new(fault.into())) }
     })* };
 }
 faults!(StorageError, TransactionError, TableError, CommitError);
 
-type Outcome<T> = Result<T, StoreFault>;
+type Outcome<T> = Result<T, StoreError>;
 
 /// For Raft, which stops at a store that fails.
-fn fault(fault: StoreFault) -> Fault {
+fn fault(fault: StoreError) -> RaftStorageError {
     StorageIOError::write(AnyError::new(&fault)).into()
 }
 
@@ -90,10 +90,10 @@
     /// Does what may wait for the disk on a thread for such work: heartbeats and sessions go on meanwhile, on the
     /// keeper's own. Whoever asks waits for the end before the next, so the order is theirs; redb takes one commit
     /// at a time.
-    async fn apart<T: Send + 'static>(
+    async fn run_blocking<T: Send + 'static>(
         &self,
         work: impl FnOnce(&Store) -> Outcome<T> + Send + 'static,
-    ) -> Result<T, Fault> {
+    ) -> Result<T, RaftStorageError> {
         let store = self.clone();
         match tokio::task::spawn_blocking(move || work(&store)).await {
             Ok(done) => done.map_err(fault),
@@ -117,11 +117,11 @@
     }
 
     /// Writes beside the store what it now holds.
-    fn mark(&self, last: Option<LogId>) -> Outcome<()> {
+    fn record_fingerprint(&self, last: Option<LogId>) -> Outcome<()> {
         let term = self.vote()?.map_or(0, |v| v.leader_id.term);
         let last = last.map_or((0, 0), |l| (l.leader_id.term, l.index));
         let mut guard = self.guard.lock().map_err(|_| std::io::Error::other("the guard's holder failed"))?;
-        Ok(guard.set(Mark { term, last })?)
+        Ok(guard.set(Fingerprint { term, last })?)
     }
 
     /// Where this keeper lost what it knew: the term up to which it takes no part.
@@ -137,8 +137,8 @@
         })
     }
 
-    pub async fn keep_bound(&self, bound: Option<u64>) -> Result<(), Fault> {
-        self.apart(move |store| store.set_bound(bound)).await
+    pub async fn save_bound(&self, bound: Option<u64>) -> Result<(), RaftStorageError> {
+        self.run_blocking(move |store| store.set_bound(bound)).await
     }
 }
 
--- a/crates/consensus/src/store/open.rs
+++ b/crates/consensus/src/store/open.rs
@@ -10,9 +10,9 @@
 //! What is not told: a store and its guard set back together to an older copy. No file of this machine can
 //! tell that.
 
-use super::{key, Guard, Mark, Store, StoreFault, LOG, META};
+use super::{key, Fingerprint, Store, StoreError, StoreFingerprint, LOG, META};
 use crate::kinds::{Entry, LogId, Vote};
-use crate::KeeperError;
+use crate::ConsensusError;
 use redb::{Database, DatabaseError, ReadableTable};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
@@ -27,30 +27,30 @@
     /// Nothing is there.
     Pristine,
     /// Vote and log are as it left them.
-    Known,
+    Intact,
     /// It lost what it knew; up to this term, where it is known.
     Returning(Option<u64>),
 }
 
 enum Found {
-    Whole(Database),
+    Intact(Database),
     /// It can't be used; why.
     Damaged(String),
 }
 
 /// Opens the store in a folder, or makes one.
-pub fn open(folder: &Path) -> Result<(Store, Start), KeeperError> {
+pub fn open(folder: &Path) -> Result<(Store, Start), ConsensusError> {
     let path = folder.join(FILE);
-    let told = |why: String| KeeperError::Store { path: path.clone(), why };
+    let told = |why: String| ConsensusError::Store { path: path.clone(), reason: why };
     std::fs::create_dir_all(folder).map_err(|e| told(e.to_string()))?;
-    let guard = Guard::open(&folder.join(GUARD)).map_err(|e| told(format!("its guard: {e}")))?;
-    let mark = guard.mark();
+    let guard = StoreFingerprint::open(&folder.join(GUARD)).map_err(|e| told(format!("its guard: {e}")))?;
+    let mark = guard.fingerprint();
     let existed = path.exists();
     let found = catch_unwind(AssertUnwindSafe(|| try_open(&path)));
     let found = found.unwrap_or_else(|_| Ok(Found::Damaged("it can't be read".into())))?;
     let guard = Arc::new(Mutex::new(guard));
     let wrong = match found {
-        Found::Whole(db) => {
+        Found::Intact(db) => {
             let store = Store { db: Arc::new(db), guard: guard.clone() };
             let start = if existed || mark.is_none() {
                 catch_unwind(AssertUnwindSafe(|| judge(&store, mark)))
@@ -69,25 +69,25 @@
     tracing::error!(target: "stagehoist_consensus", event = "store", path = %path.display(),
         aside = %aside.display(), why = %wrong, "store set aside");
     let db = match try_open(&path)? {
-        Found::Whole(db) => Arc::new(db),
+        Found::Intact(db) => Arc::new(db),
         Found::Damaged(why) => return Err(told(why)),
     };
     let store = Store { db, guard };
     let bound = mark.map(|m| m.term);
     let begun = match bound {
-        Some(_) => store.set_bound(bound).and_then(|()| store.mark(None)),
+        Some(_) => store.set_bound(bound).and_then(|()| store.record_fingerprint(None)),
         None => Ok(()),
     };
     begun.map_err(|e| told(e.to_string()))?;
     Ok((store, Start::Returning(bound)))
 }
 
-fn try_open(path: &Path) -> Result<Found, KeeperError> {
-    let told = |why: String| KeeperError::Store { path: path.to_path_buf(), why };
+fn try_open(path: &Path) -> Result<Found, ConsensusError> {
+    let told = |why: String| ConsensusError::Store { path: path.to_path_buf(), reason: why };
     let mut db = match Database::create(path) {
         Ok(db) => db,
         Err(DatabaseError::DatabaseAlreadyOpen) => {
-            return Err(KeeperError::InUse { path: path.to_path_buf() })
+            return Err(ConsensusError::InUse { path: path.to_path_buf() })
         }
         Err(DatabaseError::Storage(redb::StorageError::Io(e))) if !is_content(&e) => {
             return Err(told(e.to_string()))
@@ -98,14 +98,14 @@
     if let Err(e) = db.check_integrity() {
         return Ok(Found::Damaged(e.to_string()));
     }
-    let made = (|| -> Result<(), StoreFault> {
+    let made = (|| -> Result<(), StoreError> {
         let write = db.begin_write()?;
         write.open_table(META)?;
         write.open_table(LOG)?;
         Ok(write.commit()?)
     })();
     Ok(match made {
-        Ok(()) => Found::Whole(db),
+        Ok(()) => Found::Intact(db),
         Err(e) => Found::Damaged(e.to_string()),
     })
 }
@@ -115,9 +115,9 @@
 }
 
 /// Whether a store may go on as it is; the reason why not.
-pub(super) fn judge(store: &Store, mark: Option<Mark>) -> Result<Start, String> {
+pub(super) fn judge(store: &Store, mark: Option<Fingerprint>) -> Result<Start, String> {
     type Ends = (Option<Vote>, Option<LogId>, Option<u64>);
-    let all = (|| -> Result<Ends, StoreFault> {
+    let all = (|| -> Result<Ends, StoreError> {
         let read = store.db.begin_read()?;
         let table = read.open_table(LOG)?;
         for item in table.iter()? {
@@ -139,8 +139,8 @@
         None if empty => Err("it is empty".into()),
         None => {
             // The guard may be the part that was lost.
-            store.mark(last).map_err(|e| e.to_string())?;
-            Ok(Start::Known)
+            store.record_fingerprint(last).map_err(|e| e.to_string())?;
+            Ok(Start::Intact)
         }
     }
 }
--- a/crates/consensus/src/store/tests/golden.rs
+++ b/crates/consensus/src/store/tests/golden.rs
@@ -1,11 +1,11 @@
 //! A replica's store and snapshot that the build before the renaming of the packages wrote: they are opened, compared
 //! and continued. `tests/golden/store` and `tests/golden/snapshot.txt` never change with the code.
 
-use super::super::{open, Machine, Start, Store};
+use super::super::{open, Start, StateMachine, Store};
 use crate::kinds::{Batch, Entry, LogId, Vote};
 use openraft::storage::{RaftLogStorage, RaftStateMachine};
 use openraft::{EntryPayload, LeaderId, Membership, RaftLogReader, RaftSnapshotBuilder};
-use stagehoist_cluster_state::{Command, Member, Mode, Retirement};
+use stagehoist_cluster_state::{Command, Member, Retirement, RetirementMode};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
@@ -25,8 +25,8 @@
         generation: 3,
         successor: None,
         reason: "replaced".into(),
-        mode: Mode::Strict,
-        asked_ms: 1_700_000_000_123,
+        mode: RetirementMode::Strict,
+        requested_ms: 1_700_000_000_123,
     };
     let join = |name: &str| Command::Join { name: name.into(), at_least: 4 };
     let log_id = LogId::new(LeaderId::new(2, 1), 0);
@@ -42,8 +42,8 @@
     let (mut store, start) = open(folder).unwrap();
     assert_eq!(start, Start::Pristine);
     store.save_vote(&Vote::new_committed(2, 1)).await.unwrap();
-    store.add(entries()).unwrap();
-    let (mut machine, _applied) = Machine::new(store.clone()).unwrap();
+    store.append_entries(entries()).unwrap();
+    let (mut machine, _applied) = StateMachine::new(store.clone()).unwrap();
     machine.apply(entries()[..3].to_vec()).await.unwrap();
     machine.get_snapshot_builder().await.build_snapshot().await.unwrap();
     machine.apply(entries()[3..].to_vec()).await.unwrap();
@@ -71,10 +71,10 @@
         std::fs::copy(golden.join(file), folder.path().join(file)).unwrap();
     }
     let (mut store, start) = open(folder.path()).unwrap();
-    assert_eq!(start, Start::Known);
+    assert_eq!(start, Start::Intact);
     runtime.block_on(async {
         compare(&mut store).await;
-        let (mut machine, applied) = Machine::new(store.clone()).unwrap();
+        let (mut machine, applied) = StateMachine::new(store.clone()).unwrap();
         let record = applied.borrow().record.clone();
         assert_eq!(record.view.tombstones["free-times"].retirement.generation, 3);
         assert_eq!(record.members["b/0"].incarnation, 5);
@@ -84,7 +84,7 @@
         let expected = include_str!("../../../tests/golden/snapshot.txt").trim();
         assert!(hex == expected, "the snapshot differs; it is\n{hex}");
         let next = entry(4, vec![Command::Join { name: "b/0".into(), at_least: 0 }]);
-        store.add(vec![next.clone()]).unwrap();
+        store.append_entries(vec![next.clone()]).unwrap();
         machine.apply([next]).await.unwrap();
         assert_eq!(applied.borrow().record.members["b/0"].incarnation, 6);
     });
--- a/crates/consensus/src/store/tests/mod.rs
+++ b/crates/consensus/src/store/tests/mod.rs
@@ -5,13 +5,13 @@
 
 use super::machine::State;
 use super::open::judge;
-use super::{key, Guard, Machine, Start, Store};
+use super::{key, Start, StateMachine, Store, StoreFingerprint};
 use crate::kinds::{Batch, Entry, LogId, Vote};
 use disk::{Disk, Draw};
 use openraft::storage::{RaftLogStorage, RaftStateMachine};
 use openraft::{EntryPayload, LeaderId, RaftSnapshotBuilder};
 use redb::Database;
-use stagehoist_cluster_state::{Command, Mode, Retirement};
+use stagehoist_cluster_state::{Command, Retirement, RetirementMode};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::Path;
@@ -24,7 +24,7 @@
     write.open_table(super::LOG).ok()?;
     write.open_table(super::META).ok()?;
     write.commit().ok()?;
-    let guard = Arc::new(Mutex::new(Guard::open(guard).unwrap()));
+    let guard = Arc::new(Mutex::new(StoreFingerprint::open(guard).unwrap()));
     Some(Store { db: Arc::new(db), guard })
 }
 
@@ -47,8 +47,8 @@
             generation: u32::try_from(index).unwrap(),
             successor: None,
             reason: format!("{}", self.term),
-            mode: Mode::Strict,
-            asked_ms: 0,
+            mode: RetirementMode::Strict,
+            requested_ms: 0,
         };
         let payload = EntryPayload::Normal(Batch(vec![Command::Retire(retirement)]));
         Entry { log_id: LogId::new(LeaderId::new(self.term, 1), index), payload }
@@ -63,7 +63,7 @@
 async fn work(disk: &Disk, guard: &Path, draw: &mut Draw) -> Model {
     let mut model = Model { term: 1, ..Model::default() };
     let Some(mut store) = open(disk, guard) else { return model };
-    let Ok((mut machine, _told)) = Machine::new(store.clone()) else { return model };
+    let Ok((mut machine, _told)) = StateMachine::new(store.clone()) else { return model };
     for _ in 0..30 {
         let (end, applied) = (model.end(), model.applied);
         let went = match draw.below(8) {
@@ -77,7 +77,7 @@
             }
             2..=4 => {
                 let new: Vec<Entry> = (end + 1..end + 2 + draw.below(3)).map(|i| model.entry(i)).collect();
-                let went = store.add(new.clone()).is_ok();
+                let went = store.append_entries(new.clone()).is_ok();
                 model.entries.extend(went.then_some(new).into_iter().flatten().map(|e| (e.log_id.index, e)));
                 went
             }
@@ -118,9 +118,9 @@
         let nothing = model.vote.is_none() && model.end() == 0;
         return (!nothing).then(|| "it does not open".into());
     };
-    let mark = store.guard.lock().unwrap().mark();
+    let mark = store.guard.lock().unwrap().fingerprint();
     match judge(&store, mark) {
-        Ok(Start::Known | Start::Pristine) => {}
+        Ok(Start::Intact | Start::Pristine) => {}
         other => return Some(format!("judged as {other:?}")),
     }
     let vote = store.vote().unwrap();
--- a/crates/consensus/src/tests.rs
+++ b/crates/consensus/src/tests.rs
@@ -2,16 +2,16 @@
 //! the build before the renaming of the packages wrote them. `tests/golden/*` never change with the code.
 
 use crate::frames::{decode_first, encode_first, First, PEER_PROTOCOL};
-use crate::keep::wire::{Answer, Ask, Call, Reply, Stand};
-use crate::kept::{Kept, Memory};
-use crate::kinds::{Batch, Dones, Entry, LogId, Vote};
+use crate::keep::wire::{PeerRequest, PeerResponse, ReplicaStatus, RequestFrame, ResponseFrame};
+use crate::kept::{SessionFile, SessionMemory};
+use crate::kinds::{Batch, BatchOutcome, Entry, LogId, Vote};
 use openraft::raft::{
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
     VoteRequest, VoteResponse,
 };
 use openraft::{EmptyNode, EntryPayload, LeaderId, Membership, SnapshotMeta, StoredMembership};
 use serde::{de::DeserializeOwned, Serialize};
-use stagehoist_cluster_state::{Command, Done, Member, ToKeeper, View};
+use stagehoist_cluster_state::{ClusterView, Command, CommandOutcome, Member, SessionRequest};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{Debug, Write};
 
@@ -34,12 +34,12 @@
         self.add_bytes(name, &bytes);
     }
 
-    fn call(&mut self, name: &str, body: Ask) {
-        self.add(name, &Call { number: 7, body });
+    fn call(&mut self, name: &str, body: PeerRequest) {
+        self.add(name, &RequestFrame { number: 7, body });
     }
 
-    fn answer(&mut self, name: &str, body: Reply) {
-        self.add(name, &Answer { number: 7, body });
+    fn answer(&mut self, name: &str, body: PeerResponse) {
+        self.add(name, &ResponseFrame { number: 7, body });
     }
 }
 
@@ -70,38 +70,41 @@
         entries: entries(),
         leader_commit: Some(log_id(2)),
     };
-    golden.call("call-append", Ask::Append(append));
-    golden.call("call-vote", Ask::Vote(VoteRequest { vote: Vote::new(4, 1), last_log_id: Some(log_id(3)) }));
+    golden.call("call-append", PeerRequest::Append(append));
+    golden.call(
+        "call-vote",
+        PeerRequest::Vote(VoteRequest { vote: Vote::new(4, 1), last_log_id: Some(log_id(3)) }),
+    );
     let meta = SnapshotMeta {
         last_log_id: Some(log_id(3)),
         last_membership: StoredMembership::new(Some(log_id(3)), members()),
         snapshot_id: "3-2-3".into(),
     };
     let install = InstallSnapshotRequest { vote, meta, offset: 5, data: vec![1, 2, 255], done: true };
-    golden.call("call-snapshot", Ask::Snapshot(install));
-    golden.call("call-stand", Ask::Stand);
-    golden.call("call-raise", Ask::Raise { above: 9 });
+    golden.call("call-snapshot", PeerRequest::Snapshot(install));
+    golden.call("call-stand", PeerRequest::Status);
+    golden.call("call-raise", PeerRequest::RaiseTerm { above: 9 });
 }
 
 fn responses(golden: &mut Golden) {
     let vote = Vote::new_committed(3, 2);
-    golden.answer("answer-append", Reply::Append(AppendEntriesResponse::Success));
-    golden.answer("answer-append-higher-vote", Reply::Append(AppendEntriesResponse::HigherVote(vote)));
+    golden.answer("answer-append", PeerResponse::Append(AppendEntriesResponse::Success));
+    golden.answer("answer-append-higher-vote", PeerResponse::Append(AppendEntriesResponse::HigherVote(vote)));
     let response = VoteResponse { vote, vote_granted: true, last_log_id: Some(log_id(3)) };
-    golden.answer("answer-vote", Reply::Vote(response));
-    golden.answer("answer-snapshot", Reply::Snapshot(Ok(InstallSnapshotResponse { vote })));
-    let stand = Stand { fresh: false, open: true, term: 3, voter: true };
-    golden.answer("answer-stand", Reply::Stand(stand));
-    golden.answer("answer-heard", Reply::Heard);
-    golden.answer("answer-closed", Reply::Closed);
-    let joined = Done::Joined(Member { name: "a/0".into(), incarnation: 5 });
-    golden.add("outcomes", &Dones(vec![joined, Done::Unchanged]));
+    golden.answer("answer-vote", PeerResponse::Vote(response));
+    golden.answer("answer-snapshot", PeerResponse::Snapshot(Ok(InstallSnapshotResponse { vote })));
+    let stand = ReplicaStatus { is_new: false, is_participating: true, term: 3, is_voter: true };
+    golden.answer("answer-stand", PeerResponse::Status(stand));
+    golden.answer("answer-heard", PeerResponse::Acknowledged);
+    golden.answer("answer-closed", PeerResponse::NotParticipating);
+    let joined = CommandOutcome::Joined(Member { name: "a/0".into(), incarnation: 5 });
+    golden.add("outcomes", &BatchOutcome(vec![joined, CommandOutcome::Unchanged]));
 }
 
 fn first_frames(golden: &mut Golden) {
     let first = [
         ("first-peer", First::Peer { protocol: PEER_PROTOCOL, from: 1, to: 2 }),
-        ("first-member", First::Member(ToKeeper::Leave)),
+        ("first-member", First::Member(SessionRequest::Leave)),
     ];
     for (name, frame) in first {
         let bytes = encode_first(&frame).unwrap();
@@ -123,12 +126,15 @@
 #[test]
 fn a_session_file_has_the_bytes_that_it_had_and_is_read() {
     let folder = tempfile::tempdir().unwrap();
-    let memory = Memory { incarnation: 7, view: View { version: 12, edition: 2, ..View::default() } };
-    let mut kept = Kept::open(Some(folder.path()), "A/1").unwrap();
+    let memory = SessionMemory {
+        incarnation: 7,
+        view: ClusterView { version: 12, edition: 2, ..ClusterView::default() },
+    };
+    let mut kept = SessionFile::open(Some(folder.path()), "A/1").unwrap();
     kept.change(|m| *m = memory.clone()).unwrap();
     let name = "_41_2f1.session";
     let bytes = std::fs::read(folder.path().join(name)).unwrap();
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, include_str!("../tests/golden/session.txt").trim());
-    assert_eq!(Kept::open(Some(folder.path()), "A/1").unwrap().memory, memory);
+    assert_eq!(SessionFile::open(Some(folder.path()), "A/1").unwrap().memory, memory);
 }
--- a/crates/consensus/tests/agree.rs
+++ b/crates/consensus/tests/agree.rs
@@ -3,15 +3,15 @@
 mod common;
 
 use common::{clock, in_force, is_fresh, retirement, shown, terms, wait, Fleet};
-use stagehoist_cluster_state::Mode;
-use stagehoist_consensus::{start, KeeperError, Options};
+use stagehoist_cluster_state::RetirementMode;
+use stagehoist_consensus::{start, ConsensusError, Options};
 use std::time::Duration;
 
 #[test]
 fn a_retirement_told_at_one_keeper_is_in_force_at_all() {
     let fleet = Fleet::started(3);
     fleet.until("a leader", |f| f.leader().is_some());
-    fleet.session(3).retire.try_send(retirement("f", Mode::Strict)).unwrap();
+    fleet.session(3).retire.try_send(retirement("f", RetirementMode::Strict)).unwrap();
     fleet.until("in force", |f| f.sessions().iter().all(|s| in_force(s, "f")));
     // They are told ten times a second.
     fleet.until("its figures", |f| {
@@ -27,7 +27,7 @@
     fleet.until("a leader", |f| f.leader().is_some());
     let first = fleet.leader().unwrap();
     let other = if first == 1 { 2 } else { 1 };
-    fleet.session(other).retire.try_send(retirement("f", Mode::Available)).unwrap();
+    fleet.session(other).retire.try_send(retirement("f", RetirementMode::Available)).unwrap();
     fleet.until("in force", |f| f.sessions().iter().all(|s| in_force(s, "f")));
     fleet.stop(first);
     fleet.until("another leader", |f| f.leader().is_some_and(|l| l != first));
@@ -35,7 +35,7 @@
     let late = start(fleet.options(&["late".into()]), clock()).unwrap();
     wait("the late one is shown it", || shown(&late.sessions["late"], "f").is_some());
     late.stop();
-    fleet.session(other).retire.try_send(retirement("g", Mode::Strict)).unwrap();
+    fleet.session(other).retire.try_send(retirement("g", RetirementMode::Strict)).unwrap();
     fleet.until("the next one in force", |f| f.sessions().iter().all(|s| in_force(s, "g")));
 }
 
@@ -49,10 +49,10 @@
     fleet.stop(2);
     fleet.stop(3);
     wait("they run out", || !is_fresh(session, &now));
-    let until = session.standing.borrow().fresh_until;
-    session.retire.try_send(retirement("f", Mode::Strict)).unwrap();
+    let until = session.status.borrow().fresh_until;
+    session.retire.try_send(retirement("f", RetirementMode::Strict)).unwrap();
     std::thread::sleep(Duration::from_millis(1500));
-    assert_eq!(session.standing.borrow().fresh_until, until, "a promise without a majority");
+    assert_eq!(session.status.borrow().fresh_until, until, "a promise without a majority");
     assert!(shown(session, "f").is_none(), "agreed without a majority");
     fleet.start(3);
     wait("promises again", || is_fresh(session, &now));
@@ -64,7 +64,7 @@
 fn tombstones_and_incarnations_outlive_a_stop_of_everything() {
     let mut fleet = Fleet::started(3);
     fleet.until("joined", |f| f.sessions().iter().all(|s| s.member.borrow().is_some()));
-    fleet.session(1).retire.try_send(retirement("f", Mode::Strict)).unwrap();
+    fleet.session(1).retire.try_send(retirement("f", RetirementMode::Strict)).unwrap();
     fleet.until("in force", |f| f.sessions().iter().all(|s| in_force(s, "f")));
     let runs: Vec<u64> =
         fleet.sessions().iter().map(|s| s.member.borrow().clone().unwrap().incarnation).collect();
@@ -80,7 +80,7 @@
         fleet.sessions().iter().map(|s| s.member.borrow().clone().unwrap().incarnation).collect();
     assert!(runs.iter().zip(&again).all(|(before, after)| after > before), "{runs:?} {again:?}");
     // From the keepers' own stores, not from a member's memory.
-    let options = Options { incarnations: None, ..fleet.options(&["new".into()]) };
+    let options = Options { session_folder: None, ..fleet.options(&["new".into()]) };
     let new = start(options, clock()).unwrap();
     wait("shown to a new one", || in_force(&new.sessions["new"], "f"));
     new.stop();
@@ -92,7 +92,7 @@
     fleet.until("joined", |f| f.sessions().iter().all(|s| s.member.borrow().is_some()));
     let changes = || fleet.running.values().map(|r| r.figures().borrow().changes).sum::<u64>();
     let was = changes();
-    fleet.session(1).retire.try_send(retirement(&"f".repeat(300), Mode::Strict)).unwrap();
+    fleet.session(1).retire.try_send(retirement(&"f".repeat(300), RetirementMode::Strict)).unwrap();
     wait("it is proposed", || changes() > was);
     // What is not shown in the view is asked for twice a second.
     wait("asked for no more", || {
@@ -106,16 +106,16 @@
 fn faults_are_told_at_once() {
     let fleet = Fleet::started(1);
     let err = |options: Options| start(options, clock()).err().unwrap();
-    assert!(matches!(err(fleet.keeper_options(1)), KeeperError::Listen { .. }));
+    assert!(matches!(err(fleet.keeper_options(1)), ConsensusError::Listen { .. }));
     let mut options = fleet.keeper_options(1);
-    options.keep.as_mut().unwrap().listen = "127.0.0.1:0".into();
-    assert!(matches!(err(options.clone()), KeeperError::InUse { .. }));
-    options.keep.as_mut().unwrap().number = 9;
-    assert!(matches!(err(options.clone()), KeeperError::NotAKeeper { number: 9 }));
-    options.keepers.clear();
-    assert!(matches!(err(options), KeeperError::NoKeepers));
+    options.replica.as_mut().unwrap().listen = "127.0.0.1:0".into();
+    assert!(matches!(err(options.clone()), ConsensusError::InUse { .. }));
+    options.replica.as_mut().unwrap().number = 9;
+    assert!(matches!(err(options.clone()), ConsensusError::NotAReplica { number: 9 }));
+    options.replicas.clear();
+    assert!(matches!(err(options), ConsensusError::NoReplicas));
     let mut options = fleet.options(&[]);
-    options.pace.election_ms = (100, 200);
-    assert!(matches!(err(options), KeeperError::Pace { .. }));
-    assert!(terms().held() < terms().given());
+    options.timing.election_ms = (100, 200);
+    assert!(matches!(err(options), ConsensusError::Timing { .. }));
+    assert!(terms().holder_span() < terms().grantor_span());
 }
--- a/crates/consensus/tests/away.rs
+++ b/crates/consensus/tests/away.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{clock, in_force, retirement, shown, wait, Fleet};
-use stagehoist_cluster_state::Mode;
+use stagehoist_cluster_state::RetirementMode;
 use stagehoist_consensus::{start, Options};
 
 #[test]
@@ -17,7 +17,7 @@
     let last = figures(&fleet, 1).last_entry;
     for n in 0..40 {
         let function = format!("f{n}");
-        fleet.session(1).retire.try_send(retirement(&function, Mode::Strict)).unwrap();
+        fleet.session(1).retire.try_send(retirement(&function, RetirementMode::Strict)).unwrap();
         fleet.until(&function, |f| f.sessions().iter().all(|s| in_force(s, &function)));
     }
     // What it lacks is in no log any more.
@@ -26,9 +26,9 @@
     fleet.until("it follows", |f| f.votes(3) && figures(f, 3).purged > last);
     // Now it is needed.
     fleet.stop(1);
-    fleet.session(3).retire.try_send(retirement("g", Mode::Available)).unwrap();
+    fleet.session(3).retire.try_send(retirement("g", RetirementMode::Available)).unwrap();
     fleet.until("agreed", |f| shown(f.session(2), "g").is_some());
-    let new = start(Options { incarnations: None, ..fleet.options(&["new".into()]) }, clock()).unwrap();
+    let new = start(Options { session_folder: None, ..fleet.options(&["new".into()]) }, clock()).unwrap();
     wait("all is shown to a new one", || (0..40).all(|n| in_force(&new.sessions["new"], &format!("f{n}"))));
     new.stop();
 }
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -4,8 +4,8 @@
 pub mod relay;
 
 use relay::Relay;
-use stagehoist_cluster_state::{Mode, Retirement, State, Terms, Tombstone};
-use stagehoist_consensus::{start, Keep, Now, Options, Pace, Running, Session};
+use stagehoist_cluster_state::{LeaseTerms, Retirement, RetirementMode, Tombstone, TombstoneState};
+use stagehoist_consensus::{start, Now, Options, ReplicaOptions, Running, Session, Timing};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpListener;
 use std::path::PathBuf;
@@ -16,23 +16,23 @@
 /// A limit in real time that only a fault reaches.
 pub const LIMIT: Duration = Duration::from_secs(20);
 
-pub fn terms() -> Terms {
-    Terms { lease: 1_000_000, drift_ppm: 1000, quorum: 500_000, remember: 600_000_000 }
+pub fn terms() -> LeaseTerms {
+    LeaseTerms { lease: 1_000_000, drift_ppm: 1000, quorum: 500_000, tombstone_retention: 600_000_000 }
 }
 
 /// What all are told alike.
 pub fn options() -> Options {
     Options {
-        dealing: None,
-        keepers: BTreeMap::new(),
-        keep: None,
+        allocation: None,
+        replicas: BTreeMap::new(),
+        replica: None,
         terms: terms(),
         edition: 0,
         pools: Vec::new(),
         members: Vec::new(),
-        incarnations: None,
+        session_folder: None,
         seed: 1,
-        pace: Pace::default(),
+        timing: Timing::default(),
     }
 }
 
@@ -52,10 +52,10 @@
 
 /// A port that nobody listens on, out of the range that connections going out take theirs from.
 fn port() -> u16 {
-    static NEXT: AtomicU16 = AtomicU16::new(0);
+    static NEXT_PAUSE: AtomicU16 = AtomicU16::new(0);
     let base = 12_000 + u16::try_from(std::process::id() % 200).unwrap() * 80;
     loop {
-        let port = base + NEXT.fetch_add(1, Ordering::Relaxed);
+        let port = base + NEXT_PAUSE.fetch_add(1, Ordering::Relaxed);
         if TcpListener::bind(("127.0.0.1", port)).is_ok() {
             return port;
         }
@@ -69,7 +69,7 @@
     listen: BTreeMap<u64, String>,
     pub relays: BTreeMap<u64, Relay>,
     pub running: BTreeMap<u64, Running>,
-    pub pace: Pace,
+    pub pace: Timing,
     /// The thread of each keeper.
     pub threads: BTreeMap<u64, String>,
 }
@@ -93,7 +93,7 @@
             listen,
             relays,
             running: BTreeMap::new(),
-            pace: Pace::default(),
+            pace: Timing::default(),
             threads: BTreeMap::new(),
         }
     }
@@ -122,17 +122,17 @@
 
     pub fn options(&self, members: &[String]) -> Options {
         Options {
-            keepers: self.keepers.clone(),
+            replicas: self.keepers.clone(),
             members: members.to_vec(),
-            incarnations: Some(self.folder.path().join("incarnations")),
-            pace: self.pace,
+            session_folder: Some(self.folder.path().join("incarnations")),
+            timing: self.pace,
             ..options()
         }
     }
 
     pub fn keeper_options(&self, number: u64) -> Options {
-        let keep = Keep { number, listen: self.listen[&number].clone(), store: self.store(number) };
-        Options { keep: Some(keep), ..self.options(&[format!("m{number}")]) }
+        let keep = ReplicaOptions { number, listen: self.listen[&number].clone(), store: self.store(number) };
+        Options { replica: Some(keep), ..self.options(&[format!("m{number}")]) }
     }
 
     pub fn start(&mut self, number: u64) {
@@ -155,7 +155,7 @@
 
     /// Whether a keeper takes part fully: with one other of three it is a majority.
     pub fn votes(&self, number: u64) -> bool {
-        self.running[&number].figures().borrow().votes
+        self.running[&number].figures().borrow().is_voter
     }
 
     pub fn sessions(&self) -> Vec<&Session> {
@@ -186,25 +186,25 @@
 
 /// As a front end that serves nothing of what the view names.
 pub fn confirm(session: &Session) {
-    let version = session.standing.borrow().view.version;
-    session.told.send_if_modified(|told| std::mem::replace(&mut told.confirmed, version) != version);
+    let version = session.status.borrow().view.version;
+    session.report.send_if_modified(|told| std::mem::replace(&mut told.confirmed, version) != version);
 }
 
 pub fn is_fresh(session: &Session, now: &Now) -> bool {
-    !session.standing.borrow().is_stale(now())
+    !session.status.borrow().is_stale(now())
 }
 
-pub fn retirement(function: &str, mode: Mode) -> Retirement {
+pub fn retirement(function: &str, mode: RetirementMode) -> Retirement {
     let (function, reason) = (function.to_string(), "test".to_string());
-    Retirement { function, generation: 1, successor: None, reason, mode, asked_ms: 0 }
+    Retirement { function, generation: 1, successor: None, reason, mode, requested_ms: 0 }
 }
 
 pub fn shown(session: &Session, function: &str) -> Option<Tombstone> {
-    session.standing.borrow().view.retired(function, 1).cloned()
+    session.status.borrow().view.retired(function, 1).cloned()
 }
 
 /// In force, with nobody left out.
 pub fn in_force(session: &Session, function: &str) -> bool {
     shown(session, function)
-        .is_some_and(|t| matches!(t.state, State::InForce { but_for } if but_for.is_empty()))
+        .is_some_and(|t| matches!(t.state, TombstoneState::InForce { but_for } if but_for.is_empty()))
 }
--- a/crates/consensus/tests/cut.rs
+++ b/crates/consensus/tests/cut.rs
@@ -4,7 +4,7 @@
 
 use common::relay::{Relay, Way};
 use common::{clock, confirm, in_force, is_fresh, retirement, shown, terms, wait, Fleet};
-use stagehoist_cluster_state::{Mode, State, Terms};
+use stagehoist_cluster_state::{LeaseTerms, RetirementMode, TombstoneState};
 use stagehoist_consensus::{start, Options};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 fn apart(fleet: &Fleet) -> (Options, Vec<Relay>) {
     let mut options = fleet.options(&["apart".into()]);
     let relays: Vec<_> = fleet.keepers.values().map(|to| Relay::new(to)).collect();
-    options.keepers = fleet.keepers.keys().copied().zip(relays.iter().map(|r| r.address.clone())).collect();
+    options.replicas = fleet.keepers.keys().copied().zip(relays.iter().map(|r| r.address.clone())).collect();
     (options, relays)
 }
 
@@ -35,7 +35,7 @@
     let session = &apart.sessions["apart"];
     wait("a promise to it", || is_fresh(session, &now));
     relays.iter().for_each(|r| r.set(way));
-    fleet.session(1).retire.try_send(retirement("f", Mode::Strict)).unwrap();
+    fleet.session(1).retire.try_send(retirement("f", RetirementMode::Strict)).unwrap();
     let mut was_fresh = 0;
     wait("in force at the others", || {
         // Looked at in this order: what is fresh after it was seen in force would be a call served after.
@@ -61,10 +61,10 @@
     let session = &apart.sessions["apart"];
     wait("a promise to it", || is_fresh(session, &now));
     relays.iter().for_each(|r| r.cut(true));
-    fleet.session(1).retire.try_send(retirement("f", Mode::Available)).unwrap();
+    fleet.session(1).retire.try_send(retirement("f", RetirementMode::Available)).unwrap();
     fleet.until("in force but for it", |f| {
         let state = shown(f.session(2), "f").map(|t| t.state);
-        matches!(state, Some(State::InForce { but_for }) if but_for.iter().any(|m| m.name == "apart"))
+        matches!(state, Some(TombstoneState::InForce { but_for }) if but_for.iter().any(|m| m.name == "apart"))
     });
     relays.iter().for_each(|r| r.cut(false));
     fleet.until("in force at all", |f| {
@@ -79,10 +79,10 @@
 fn is_promised_beyond_it(quorum: i64) -> bool {
     let mut fleet = Fleet::new(3);
     let own: BTreeMap<u64, Relay> = [2, 3].into_iter().map(|n| (n, Relay::new(fleet.listens(n)))).collect();
-    let doctored = Terms { quorum, ..terms() };
+    let doctored = LeaseTerms { quorum, ..terms() };
     let here: BTreeMap<u64, String> = [(1, fleet.listens(1).to_string())].into();
     let mut options = fleet.keeper_options(1);
-    options.keepers = own.iter().map(|(n, r)| (*n, r.address.clone())).chain(here.clone()).collect();
+    options.replicas = own.iter().map(|(n, r)| (*n, r.address.clone())).chain(here.clone()).collect();
     options.terms = doctored;
     fleet.running.insert(1, start(options, clock()).unwrap());
     fleet.start(2);
@@ -99,12 +99,12 @@
     }
     assert_eq!(fleet.leader(), Some(1));
     let now = clock();
-    let apart = Options { keepers: here, terms: doctored, ..fleet.options(&["apart".into()]) };
+    let apart = Options { replicas: here, terms: doctored, ..fleet.options(&["apart".into()]) };
     let apart = start(apart, now.clone()).unwrap();
     let session = &apart.sessions["apart"];
     wait("a promise to it", || is_fresh(session, &now));
     own.values().chain([&fleet.relays[&1]]).for_each(|r| r.cut(true));
-    fleet.session(2).retire.try_send(retirement("f", Mode::Strict)).unwrap();
+    fleet.session(2).retire.try_send(retirement("f", RetirementMode::Strict)).unwrap();
     fleet.until("in force at the others", |f| in_force(f.session(2), "f"));
     let (began, mut was_fresh) = (Instant::now(), false);
     while began.elapsed() < Duration::from_millis(300) {
--- a/crates/consensus/tests/full.rs
+++ b/crates/consensus/tests/full.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{clock, retirement, shown, terms, Fleet};
-use stagehoist_cluster_state::{Mode, Retirement, Terms};
+use stagehoist_cluster_state::{LeaseTerms, Retirement, RetirementMode};
 use stagehoist_consensus::{start, Options, Session};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
 const REMEMBER: i64 = 4_000_000;
 
 fn length(session: &Session) -> usize {
-    postcard::to_stdvec(&*session.standing.borrow().view).unwrap().len()
+    postcard::to_stdvec(&*session.status.borrow().view).unwrap().len()
 }
 
 /// As long as one may be.
@@ -22,30 +22,31 @@
     Retirement {
         successor: Some("s".repeat(256)),
         reason: "r".repeat(1024),
-        ..retirement(&format!("{n:0>256}"), Mode::Available)
+        ..retirement(&format!("{n:0>256}"), RetirementMode::Available)
     }
 }
 
 #[test]
 fn a_retirement_refused_by_a_full_record_is_taken_once_there_is_room() {
     let mut fleet = Fleet::new(1);
-    let options = Options { terms: Terms { remember: REMEMBER, ..terms() }, ..fleet.keeper_options(1) };
+    let options =
+        Options { terms: LeaseTerms { tombstone_retention: REMEMBER, ..terms() }, ..fleet.keeper_options(1) };
     fleet.running.insert(1, start(options, clock()).unwrap());
     fleet.until("a leader", |f| f.leader().is_some());
     let mut sent = 0;
     while length(fleet.session(1)) <= FULL {
-        let shown = fleet.session(1).standing.borrow().view.tombstones.len();
+        let shown = fleet.session(1).status.borrow().view.tombstones.len();
         // Few at a time at last, so that little is under way when it is full.
         let step = if length(fleet.session(1)) < FULL - 150_000 { 64 } else { 16 };
         while sent < shown + step && fleet.session(1).retire.try_send(long(sent)).is_ok() {
             sent += 1;
         }
-        fleet.until("taken or forgotten", |f| f.session(1).standing.borrow().view.tombstones.len() != shown);
+        fleet.until("taken or forgotten", |f| f.session(1).status.borrow().view.tombstones.len() != shown);
     }
     for late in ["late-0", "late-1"] {
-        fleet.session(1).retire.try_send(retirement(late, Mode::Available)).unwrap();
+        fleet.session(1).retire.try_send(retirement(late, RetirementMode::Available)).unwrap();
     }
-    let never = retirement("never", Mode::Available);
+    let never = retirement("never", RetirementMode::Available);
     fleet.session(1).retire.try_send(Retirement { generation: 0, ..never }).unwrap();
     let seen = RefCell::new(BTreeSet::new());
     let is_in_force = |s: &Session, late: &str| {
--- a/crates/consensus/tests/hostile.rs
+++ b/crates/consensus/tests/hostile.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{retirement, Fleet};
-use stagehoist_cluster_state::{Mode, Retirement, State, ToKeeper, PROTOCOL};
+use stagehoist_cluster_state::{Retirement, RetirementMode, SessionRequest, TombstoneState, PROTOCOL};
 use stagehoist_consensus::Session;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -15,21 +15,21 @@
 }
 
 /// As `frames::First::Member` is written.
-fn first(message: &ToKeeper) -> Vec<u8> {
+fn first(message: &SessionRequest) -> Vec<u8> {
     let mut body = b"stk1\x01".to_vec();
     body.extend(postcard::to_stdvec(message).unwrap());
     frame(&body)
 }
 
-fn hello(protocol: u16, name: &str) -> ToKeeper {
+fn hello(protocol: u16, name: &str) -> SessionRequest {
     let name = name.into();
-    ToKeeper::Hello { protocol, name, member: None, at_least: 0, edition: 0, pools: Vec::new() }
+    SessionRequest::Hello { protocol, name, member: None, at_least: 0, edition: 0, pools: Vec::new() }
 }
 
 /// In force, but perhaps for one that never confirmed.
 fn is_held(session: &Session, function: &str) -> bool {
     let state = common::shown(session, function).map(|t| t.state);
-    matches!(state, Some(State::InForce { but_for }) if but_for.iter().all(|m| !m.name.starts_with('m')))
+    matches!(state, Some(TombstoneState::InForce { but_for }) if but_for.iter().all(|m| !m.name.starts_with('m')))
 }
 
 /// Everything that comes until the other side closes.
@@ -72,7 +72,7 @@
     stream.write_all(&first(&hello(PROTOCOL, "y"))).unwrap();
     stream.write_all(&frame(&[9; 40])).unwrap();
     closed(&mut stream);
-    fleet.session(1).retire.try_send(retirement("f", Mode::Available)).unwrap();
+    fleet.session(1).retire.try_send(retirement("f", RetirementMode::Available)).unwrap();
     fleet.until("the others go on", |f| f.sessions().iter().all(|s| is_held(s, "f")));
 }
 
@@ -84,8 +84,10 @@
     let mut stream = TcpStream::connect(fleet.listens(leader)).unwrap();
     stream.write_all(&first(&hello(PROTOCOL, "deaf"))).unwrap();
     // A long record first, then views of it that fill whatever lies between: each is sent whole.
-    let one =
-        |n: usize| Retirement { reason: "r".repeat(1000), ..retirement(&format!("f{n}"), Mode::Available) };
+    let one = |n: usize| Retirement {
+        reason: "r".repeat(1000),
+        ..retirement(&format!("f{n}"), RetirementMode::Available)
+    };
     let shown = |f: &Fleet, n: usize| common::shown(f.session(1), &format!("f{n}")).is_some();
     for n in 0..300 {
         fleet.until("taken", |f| f.session(1).retire.try_send(one(n)).is_ok());
--- a/crates/consensus/tests/lost.rs
+++ b/crates/consensus/tests/lost.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{retirement, shown, Fleet};
-use stagehoist_cluster_state::{Mode, State};
+use stagehoist_cluster_state::{RetirementMode, TombstoneState};
 use stagehoist_consensus::Session;
 use std::path::Path;
 
@@ -21,14 +21,14 @@
 }
 
 fn retire(fleet: &Fleet, at: u64, function: &str) {
-    fleet.session(at).retire.try_send(retirement(function, Mode::Available)).unwrap();
+    fleet.session(at).retire.try_send(retirement(function, RetirementMode::Available)).unwrap();
     fleet.until(function, |f| f.sessions().iter().all(|s| is_held(s, function)));
 }
 
 /// In force at all that run here: one that was stopped may not have found a leader to leave at.
 fn is_held(session: &Session, function: &str) -> bool {
     let state = shown(session, function).map(|t| t.state);
-    matches!(state, Some(State::InForce { but_for }) if but_for.iter().all(|m| m.name == "m1" || m.name == "m3"))
+    matches!(state, Some(TombstoneState::InForce { but_for }) if but_for.iter().all(|m| m.name == "m1" || m.name == "m3"))
 }
 
 /// Keepers 1 and 2 go on, 3 is stopped, its store treated, and started again; then 1 stops, so that 3 is
--- a/crates/consensus/tests/many.rs
+++ b/crates/consensus/tests/many.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{clock, confirm, in_force, is_fresh, retirement, wait, Fleet};
-use stagehoist_cluster_state::Mode;
+use stagehoist_cluster_state::RetirementMode;
 use stagehoist_consensus::{start, Options};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -99,7 +99,7 @@
         .map(|(n, at)| (n.parse().unwrap(), at.into()))
         .collect();
     let members = (0..SESSIONS).map(|n| format!("s{n}")).collect();
-    let options = Options { keepers, members, ..common::options() };
+    let options = Options { replicas: keepers, members, ..common::options() };
     let (began, now) = (Instant::now(), clock());
     let many = start(options, now.clone()).unwrap();
     let sessions: Vec<_> = many.sessions.values().collect();
@@ -110,7 +110,7 @@
     for function in ["f", "g", "h"] {
         std::io::stdin().read_line(&mut line).unwrap();
         let began = Instant::now();
-        sessions[0].retire.try_send(retirement(function, Mode::Strict)).unwrap();
+        sessions[0].retire.try_send(retirement(function, RetirementMode::Strict)).unwrap();
         wait("in force at all", || {
             sessions.iter().for_each(|s| confirm(s));
             sessions.iter().all(|s| in_force(s, function))
@@ -134,8 +134,8 @@
     let (is, spent_is, took) = (figures(), spent(&fleet.threads[&leader]), at.elapsed().as_secs_f64());
     println!(
         "at ease: {:.0} messages in and {:.0} out a second, {:.0} promises; the leader's thread {:.4} cores",
-        (is.messages_in - was.messages_in) as f64 / took,
-        (is.messages_out - was.messages_out) as f64 / took,
+        (is.messages_received - was.messages_received) as f64 / took,
+        (is.messages_sent - was.messages_sent) as f64 / took,
         (is.promised - was.promised) as f64 / took,
         (spent_is - spent_was) / took,
     );
--- a/crates/core/tests/cold_ramp/world.rs
+++ b/crates/core/tests/cold_ramp/world.rs
@@ -17,7 +17,7 @@
     /// Incarnation: what was meant for an earlier one is lost.
     life: u32,
     /// Told of the start.
-    told: bool,
+    on_inquiry_answer: bool,
     /// When its connection to each cold worker stands.
     connected: BTreeMap<WorkerId, Micros>,
     attempts: BTreeMap<RequestId, u16>,
@@ -86,7 +86,7 @@
         for k in 0..s.fronts {
             let front_end = world.born(k as u64);
             let (connected, attempts) = Default::default();
-            world.fronts.push(Front { front_end, life: 0, told: false, connected, attempts });
+            world.fronts.push(Front { front_end, life: 0, on_inquiry_answer: false, connected, attempts });
             world.list(k, S);
         }
         world
@@ -182,7 +182,7 @@
             return;
         }
         let listed = events.iter().any(|e| matches!(e, Event::Endpoints { .. }));
-        self.fronts[k].told |= listed && self.now >= START;
+        self.fronts[k].on_inquiry_answer |= listed && self.now >= START;
         let mut out = Vec::new();
         self.fronts[k].front_end.handle(self.now, &events, &mut out);
         for action in out {
@@ -209,7 +209,7 @@
         };
         let number = f.attempts.entry(id).or_default();
         self.made += 1;
-        self.flying.insert((at + MS, self.made), (k, f.life, id, *number, worker, f.told));
+        self.flying.insert((at + MS, self.made), (k, f.life, id, *number, worker, f.on_inquiry_answer));
         *number += 1;
     }
 
--- a/crates/endpoints/src/entry.rs
+++ b/crates/endpoints/src/entry.rs
@@ -4,7 +4,7 @@
 
 /// A worker as a list names it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct ListedWorker {
     /// Name, unique in the list and kept over restarts.
     pub name: String,
     /// `host:port`.
@@ -20,10 +20,10 @@
     pub started: Micros,
 }
 
-impl Entry {
+impl ListedWorker {
     /// A ready worker with the usual size and nothing else told.
-    pub fn new(name: impl Into<String>, address: impl Into<String>) -> Entry {
-        Entry {
+    pub fn new(name: impl Into<String>, address: impl Into<String>) -> ListedWorker {
+        ListedWorker {
             name: name.into(),
             address: address.into(),
             draining: false,
@@ -38,16 +38,16 @@
 
 /// A worker as a source tells it that numbers workers itself and tells changes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct NumberedEndpoint {
     pub name: String,
     /// `host:port`.
     pub address: String,
-    pub row: Endpoint,
+    pub endpoint: Endpoint,
 }
 
 /// What to tell the module.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update {
-    pub form: EndpointUpdate,
-    pub rows: Vec<Endpoint>,
+    pub kind: EndpointUpdate,
+    pub endpoints: Vec<Endpoint>,
 }
--- a/crates/endpoints/src/listed.rs
+++ b/crates/endpoints/src/listed.rs
@@ -1,12 +1,12 @@
 //! Whole lists of workers by name.
 
-use super::{Entry, Known, Members, Update};
+use super::{EndpointSet, Known, ListedWorker, Update};
 use fnv::FnvHasher;
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle, Micros, WorkerId};
 use std::collections::BTreeSet;
 use std::hash::Hasher;
 
-impl Members {
+impl EndpointSet {
     /// The number of a worker: from its name alone, so that it is the same at every front end; where two names would
     /// have one number, the later met gets the next free one.
     fn id(&mut self, name: &str) -> WorkerId {
@@ -20,7 +20,7 @@
             hasher.write_u8(salt);
             let hash = hasher.finish();
             let id = (hash ^ (hash >> 32)) as u32;
-            if !self.known.contains_key(&id) {
+            if !self.workers.contains_key(&id) {
                 self.ids.insert(name.to_string(), id);
                 return id;
             }
@@ -29,11 +29,11 @@
     }
 
     /// A whole list came. Of two entries with one name the first counts.
-    pub fn listed(&mut self, mut entries: Vec<Entry>, now: Micros) -> Update {
+    pub fn apply_list(&mut self, mut entries: Vec<ListedWorker>, now: Micros) -> Update {
         entries.sort_by(|a, b| a.name.cmp(&b.name));
         entries.dedup_by(|b, a| a.name == b.name);
-        self.left_out = entries.len().saturating_sub(self.most);
-        entries.truncate(self.most);
+        self.omitted = entries.len().saturating_sub(self.max_workers);
+        entries.truncate(self.max_workers);
         let mut seen = BTreeSet::new();
         for entry in entries {
             let id = self.id(&entry.name);
@@ -49,46 +49,52 @@
                 cell: entry.cell,
                 capacity: if entry.capacity > 0.0 { entry.capacity } else { 1.0 },
             };
-            let before = self.known.get(&id);
+            let before = self.workers.get(&id);
             let announced = before.and_then(|k| k.announced).filter(|&(at, start)| {
                 listed == Lifecycle::Ready
                     && before.is_some_and(|k| k.listed == Lifecycle::Ready)
                     && row.started <= start
-                    && now - at < self.announcement_keep
+                    && now - at < self.announcement_retention
             });
             let mut row = row;
             if announced.is_some() {
                 row.lifecycle = Lifecycle::Draining;
             }
-            let known =
-                Known { name: entry.name, address: entry.address, row, listed, announced, gone: None };
-            self.known.insert(id, known);
+            let known = Known {
+                name: entry.name,
+                address: entry.address,
+                endpoint: row,
+                listed,
+                announced,
+                departed_at: None,
+            };
+            self.workers.insert(id, known);
         }
-        self.forget_gone(&seen);
-        Update { form: EndpointUpdate::Full, rows: self.rows() }
+        self.forget_departed(&seen);
+        Update { kind: EndpointUpdate::Full, endpoints: self.endpoints() }
     }
 
-    fn forget_gone(&mut self, seen: &BTreeSet<WorkerId>) {
-        for (id, known) in &mut self.known {
+    fn forget_departed(&mut self, seen: &BTreeSet<WorkerId>) {
+        for (id, known) in &mut self.workers {
             if !seen.contains(id) {
-                (known.listed, known.row.lifecycle, known.announced) =
+                (known.listed, known.endpoint.lifecycle, known.announced) =
                     (Lifecycle::Gone, Lifecycle::Gone, None);
             }
         }
         // The gone are kept so that their numbers and addresses stay, up to a bound.
-        while self.known.len() > 2 * self.most {
-            let Some(id) = self.known.iter().find(|(_, k)| k.listed == Lifecycle::Gone).map(|(id, _)| *id)
+        while self.workers.len() > 2 * self.max_workers {
+            let Some(id) = self.workers.iter().find(|(_, k)| k.listed == Lifecycle::Gone).map(|(id, _)| *id)
             else {
                 return;
             };
-            if let Some(known) = self.known.remove(&id) {
+            if let Some(known) = self.workers.remove(&id) {
                 self.ids.remove(&known.name);
             }
         }
     }
 
-    fn rows(&self) -> Vec<Endpoint> {
-        let present = self.known.values().filter(|k| k.row.lifecycle != Lifecycle::Gone);
-        present.map(|k| k.row.clone()).collect()
+    fn endpoints(&self) -> Vec<Endpoint> {
+        let present = self.workers.values().filter(|k| k.endpoint.lifecycle != Lifecycle::Gone);
+        present.map(|k| k.endpoint.clone()).collect()
     }
 }
--- a/crates/endpoints/tests/membership.rs
+++ b/crates/endpoints/tests/membership.rs
@@ -2,78 +2,85 @@
 
 use proptest::prelude::*;
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle};
-use stagehoist_endpoints::blocking::{Answer, Blocking};
-use stagehoist_endpoints::{Entry, Members, Told, Update, GONE_KEEP, WORKERS_MOST};
+use stagehoist_endpoints::blocking::{BlockingQuery, QueryOutcome};
+use stagehoist_endpoints::{
+    EndpointSet, ListedWorker, NumberedEndpoint, Update, GONE_RETENTION, MAX_WORKERS,
+};
 
 const S: i64 = 1_000_000;
 
-fn members() -> Members {
-    Members::new(vec!["large".into()], vec!["hall-a".into(), "hall-b".into()], 30 * S)
+fn members() -> EndpointSet {
+    EndpointSet::new(vec!["large".into()], vec!["hall-a".into(), "hall-b".into()], 30 * S)
 }
 
-fn entry(name: &str, started: i64) -> Entry {
-    Entry { started, kind: "large".into(), zone: "hall-b".into(), ..Entry::new(name, "127.0.0.1:1") }
+fn entry(name: &str, started: i64) -> ListedWorker {
+    ListedWorker {
+        started,
+        kind: "large".into(),
+        zone: "hall-b".into(),
+        ..ListedWorker::new(name, "127.0.0.1:1")
+    }
 }
 
 fn state(update: &Update, id: u32) -> Lifecycle {
-    update.rows.iter().find(|r| r.worker == id).map_or(Lifecycle::Gone, |r| r.lifecycle)
+    update.endpoints.iter().find(|r| r.worker == id).map_or(Lifecycle::Gone, |r| r.lifecycle)
 }
 
 #[test]
 fn numbers_come_from_names_and_places_from_settings() {
     let (mut one, mut other) = (members(), members());
-    let a = one.listed(vec![entry("w2", 5), entry("w1", 5)], 0);
-    other.listed(vec![entry("w9", 5)], 0);
-    let b = other.listed(vec![entry("w1", 5), entry("w2", 5), entry("w1", 9)], 0);
-    assert_eq!(a.rows, b.rows);
-    assert_eq!((a.rows[0].kind, a.rows[0].zone), (0, 1));
-    let odd = one.listed(vec![Entry { kind: "new".into(), ..Entry::new("w3", "x:1") }], 0);
-    assert_eq!((odd.rows[0].kind, odd.rows[0].zone), (u16::MAX, u8::MAX));
+    let a = one.apply_list(vec![entry("w2", 5), entry("w1", 5)], 0);
+    other.apply_list(vec![entry("w9", 5)], 0);
+    let b = other.apply_list(vec![entry("w1", 5), entry("w2", 5), entry("w1", 9)], 0);
+    assert_eq!(a.endpoints, b.endpoints);
+    assert_eq!((a.endpoints[0].kind, a.endpoints[0].zone), (0, 1));
+    let odd = one.apply_list(vec![ListedWorker { kind: "new".into(), ..ListedWorker::new("w3", "x:1") }], 0);
+    assert_eq!((odd.endpoints[0].kind, odd.endpoints[0].zone), (u16::MAX, u8::MAX));
 }
 
 #[test]
 fn a_worker_that_says_it_drains_stays_out_while_the_list_lags() {
     let mut m = members();
-    let id = m.listed(vec![entry("w", 5)], 0).rows[0].worker;
-    let told = m.announced(id, true, S).unwrap();
-    assert_eq!((told.form, state(&told, id)), (EndpointUpdate::Delta, Lifecycle::Draining));
-    assert!(m.announced(id, true, S).is_none());
-    assert_eq!(state(&m.listed(vec![entry("w", 5)], 2 * S), id), Lifecycle::Draining);
+    let id = m.apply_list(vec![entry("w", 5)], 0).endpoints[0].worker;
+    let told = m.on_announcement(id, true, S).unwrap();
+    assert_eq!((told.kind, state(&told, id)), (EndpointUpdate::Delta, Lifecycle::Draining));
+    assert!(m.on_announcement(id, true, S).is_none());
+    assert_eq!(state(&m.apply_list(vec![entry("w", 5)], 2 * S), id), Lifecycle::Draining);
     // The list catches up, then shows it ready again: it was undrained.
-    let draining = Entry { draining: true, ..entry("w", 5) };
-    assert_eq!(state(&m.listed(vec![draining], 3 * S), id), Lifecycle::Draining);
-    assert_eq!(state(&m.listed(vec![entry("w", 5)], 4 * S), id), Lifecycle::Ready);
+    let draining = ListedWorker { draining: true, ..entry("w", 5) };
+    assert_eq!(state(&m.apply_list(vec![draining], 3 * S), id), Lifecycle::Draining);
+    assert_eq!(state(&m.apply_list(vec![entry("w", 5)], 4 * S), id), Lifecycle::Ready);
     // A restart makes the old word void; so do the worker's own new word and a long time.
-    m.announced(id, true, 5 * S);
-    assert_eq!(state(&m.listed(vec![entry("w", 6 * S)], 6 * S), id), Lifecycle::Ready);
-    m.announced(id, true, 7 * S);
-    assert_eq!(state(&m.announced(id, false, 8 * S).unwrap(), id), Lifecycle::Ready);
-    m.announced(id, true, 9 * S);
-    assert_eq!(state(&m.listed(vec![entry("w", 6 * S)], 50 * S), id), Lifecycle::Ready);
+    m.on_announcement(id, true, 5 * S);
+    assert_eq!(state(&m.apply_list(vec![entry("w", 6 * S)], 6 * S), id), Lifecycle::Ready);
+    m.on_announcement(id, true, 7 * S);
+    assert_eq!(state(&m.on_announcement(id, false, 8 * S).unwrap(), id), Lifecycle::Ready);
+    m.on_announcement(id, true, 9 * S);
+    assert_eq!(state(&m.apply_list(vec![entry("w", 6 * S)], 50 * S), id), Lifecycle::Ready);
 }
 
 #[test]
 fn the_missing_are_gone_and_keep_number_and_address() {
     let mut m = members();
-    let id = m.listed(vec![entry("w", 5)], 0).rows[0].worker;
-    assert_eq!(state(&m.listed(vec![], S), id), Lifecycle::Gone);
+    let id = m.apply_list(vec![entry("w", 5)], 0).endpoints[0].worker;
+    assert_eq!(state(&m.apply_list(vec![], S), id), Lifecycle::Gone);
     assert_eq!(m.address(id), Some("127.0.0.1:1"));
-    assert!(m.announced(id, true, S).is_none());
-    assert_eq!(state(&m.listed(vec![entry("w", 9)], 2 * S), id), Lifecycle::Ready);
+    assert!(m.on_announcement(id, true, S).is_none());
+    assert_eq!(state(&m.apply_list(vec![entry("w", 9)], 2 * S), id), Lifecycle::Ready);
 }
 
 #[test]
 fn an_index_that_goes_backwards_starts_anew_and_failures_wait_longer() {
-    let mut b = Blocking::new(S, 8 * S);
-    assert_eq!((b.index(), b.answered(Some(40))), (0, Answer::Changed));
-    assert_eq!((b.index(), b.answered(Some(40))), (40, Answer::Same));
-    assert_eq!((b.answered(Some(7)), b.index()), (Answer::Changed, 0));
-    assert_eq!((b.answered(Some(7)), b.index()), (Answer::Changed, 7));
-    assert_eq!((b.answered(None), b.index()), (Answer::Changed, 0));
-    let waits: Vec<i64> = (0..6).map(|_| b.failed(1.0)).collect();
+    let mut b = BlockingQuery::new(S, 8 * S);
+    assert_eq!((b.index(), b.on_answer(Some(40))), (0, QueryOutcome::Changed));
+    assert_eq!((b.index(), b.on_answer(Some(40))), (40, QueryOutcome::Same));
+    assert_eq!((b.on_answer(Some(7)), b.index()), (QueryOutcome::Changed, 0));
+    assert_eq!((b.on_answer(Some(7)), b.index()), (QueryOutcome::Changed, 7));
+    assert_eq!((b.on_answer(None), b.index()), (QueryOutcome::Changed, 0));
+    let waits: Vec<i64> = (0..6).map(|_| b.on_failure(1.0)).collect();
     assert_eq!(waits, [S, 2 * S, 4 * S, 8 * S, 8 * S, 8 * S]);
-    b.answered(Some(8));
-    assert_eq!(b.failed(0.0), S / 2);
+    b.on_answer(Some(8));
+    assert_eq!(b.on_failure(0.0), S / 2);
 }
 
 proptest! {
@@ -94,15 +101,15 @@
                     (_, false) => Lifecycle::Ready,
                 };
                 let list = (0..3).filter(|i| last[*i] != Lifecycle::Gone).map(|i| {
-                    Entry { draining: last[i] == Lifecycle::Draining, ..entry(names[i], 1) }
+                    ListedWorker { draining: last[i] == Lifecycle::Draining, ..entry(names[i], 1) }
                 });
-                Some(m.listed(list.collect(), now))
+                Some(m.apply_list(list.collect(), now))
             } else {
-                let id = m.listed(vec![entry("z", 1)], now).rows[0].worker;
+                let id = m.apply_list(vec![entry("z", 1)], now).endpoints[0].worker;
                 last = [Lifecycle::Gone; 3];
-                m.announced(id, flag, now)
+                m.on_announcement(id, flag, now)
             };
-            for row in update.iter().flat_map(|u| &u.rows) {
+            for row in update.iter().flat_map(|u| &u.endpoints) {
                 let place = names.iter().position(|n| m.name(row.worker) == Some(*n));
                 if let Some(i) = place {
                     prop_assert!(row.lifecycle != Lifecycle::Ready || last[i] == Lifecycle::Ready);
@@ -112,24 +119,24 @@
     }
 }
 
-fn told(id: u32, lifecycle: Lifecycle) -> Told {
+fn told(id: u32, lifecycle: Lifecycle) -> NumberedEndpoint {
     let row = Endpoint { worker: id, kind: 0, lifecycle, zone: 0, started: 0, cell: 0, capacity: 1.0 };
-    Told { name: format!("w{id}"), address: "127.0.0.1:1".into(), row }
+    NumberedEndpoint { name: format!("w{id}"), address: "127.0.0.1:1".into(), endpoint: row }
 }
 
 #[test]
 fn a_worker_that_came_back_and_went_again_is_kept_from_then_on() {
     for again in [EndpointUpdate::Delta, EndpointUpdate::Full] {
         let mut m = members();
-        m.told(EndpointUpdate::Full, vec![told(1, Lifecycle::Ready), told(2, Lifecycle::Ready)], 0);
-        m.told(EndpointUpdate::Delta, vec![told(1, Lifecycle::Gone)], S);
-        m.told(EndpointUpdate::Delta, vec![told(1, Lifecycle::Ready)], 20 * S);
+        m.apply(EndpointUpdate::Full, vec![told(1, Lifecycle::Ready), told(2, Lifecycle::Ready)], 0);
+        m.apply(EndpointUpdate::Delta, vec![told(1, Lifecycle::Gone)], S);
+        m.apply(EndpointUpdate::Delta, vec![told(1, Lifecycle::Ready)], 20 * S);
         let rows =
             if again == EndpointUpdate::Delta { told(1, Lifecycle::Gone) } else { told(2, Lifecycle::Ready) };
-        m.told(again, vec![rows], 25 * S);
-        m.told(EndpointUpdate::Delta, vec![], S + GONE_KEEP);
+        m.apply(again, vec![rows], 25 * S);
+        m.apply(EndpointUpdate::Delta, vec![], S + GONE_RETENTION);
         assert_eq!(m.address(1), Some("127.0.0.1:1"), "{again:?}: forgotten 6 s after it went");
-        m.told(EndpointUpdate::Delta, vec![], 25 * S + GONE_KEEP);
+        m.apply(EndpointUpdate::Delta, vec![], 25 * S + GONE_RETENTION);
         assert_eq!(m.address(1), None);
     }
 }
@@ -137,9 +144,9 @@
 #[test]
 fn one_told_gone_again_and_again_is_forgotten_in_time() {
     let mut m = members();
-    m.told(EndpointUpdate::Full, vec![told(1, Lifecycle::Ready)], 0);
-    (0..30).for_each(|n| drop(m.told(EndpointUpdate::Delta, vec![told(1, Lifecycle::Gone)], n * S)));
-    m.told(EndpointUpdate::Delta, vec![], GONE_KEEP);
+    m.apply(EndpointUpdate::Full, vec![told(1, Lifecycle::Ready)], 0);
+    (0..30).for_each(|n| drop(m.apply(EndpointUpdate::Delta, vec![told(1, Lifecycle::Gone)], n * S)));
+    m.apply(EndpointUpdate::Delta, vec![], GONE_RETENTION);
     assert_eq!(m.address(1), None);
 }
 
@@ -147,20 +154,23 @@
 fn over_the_told_bound_the_last_by_name_are_left_out_everywhere_and_it_is_told_once() {
     let list = |n: u32| (0..n).map(|i| entry(&format!("w{i:05}"), 5)).collect::<Vec<_>>();
     let mut usual = members();
-    assert_eq!((usual.listed(list(10_010), 0).rows.len(), usual.over()), (WORKERS_MOST, Some(10)));
-    let (mut one, mut other) = (members().at_most(30_000), members().at_most(30_000));
-    assert_eq!((one.listed(list(30_000), 0).rows.len(), one.over()), (30_000, None));
+    assert_eq!(
+        (usual.apply_list(list(10_010), 0).endpoints.len(), usual.take_new_omission()),
+        (MAX_WORKERS, Some(10))
+    );
+    let (mut one, mut other) = (members().with_max_workers(30_000), members().with_max_workers(30_000));
+    assert_eq!((one.apply_list(list(30_000), 0).endpoints.len(), one.take_new_omission()), (30_000, None));
     let long = list(30_007);
-    let backwards: Vec<Entry> = long.iter().rev().cloned().collect();
-    let (a, b) = (one.listed(long.clone(), S), other.listed(backwards, S));
-    assert_eq!((a.rows.len(), &a.rows), (30_000, &b.rows));
-    assert_eq!((one.over(), other.over()), (Some(7), Some(7)));
-    assert!(a.rows.iter().all(|r| one.name(r.worker).is_some_and(|name| name < "w30000")));
+    let backwards: Vec<ListedWorker> = long.iter().rev().cloned().collect();
+    let (a, b) = (one.apply_list(long.clone(), S), other.apply_list(backwards, S));
+    assert_eq!((a.endpoints.len(), &a.endpoints), (30_000, &b.endpoints));
+    assert_eq!((one.take_new_omission(), other.take_new_omission()), (Some(7), Some(7)));
+    assert!(a.endpoints.iter().all(|r| one.name(r.worker).is_some_and(|name| name < "w30000")));
     // Once; and again only after a list that fitted.
-    one.listed(long.clone(), 2 * S);
-    assert_eq!(one.over(), None);
-    one.listed(list(30_000), 3 * S);
-    assert_eq!(one.over(), None);
-    one.listed(long, 4 * S);
-    assert_eq!(one.over(), Some(7));
+    one.apply_list(long.clone(), 2 * S);
+    assert_eq!(one.take_new_omission(), None);
+    one.apply_list(list(30_000), 3 * S);
+    assert_eq!(one.take_new_omission(), None);
+    one.apply_list(long, 4 * S);
+    assert_eq!(one.take_new_omission(), Some(7));
 }
--- a/crates/gateway/src/amqp/asks.rs
+++ b/crates/gateway/src/amqp/asks.rs
@@ -4,12 +4,12 @@
 use super::front::Question;
 use super::Front;
 use crate::clock::Clock;
-use crate::fleet::Others;
+use crate::fleet::PeerInquiry;
 use crate::state::Ticket;
-use stagehoist_cluster_state::marks::{KEYS_MOST, OPEN_MOST};
-use stagehoist_cluster_state::{Heard, Known, Member, MessageKey, Said};
-use stagehoist_intent_log::{Done, Marks, Reply, Witness};
-use stagehoist_recovery::inquiry::{Patience, Told};
+use stagehoist_cluster_state::marks::{MAX_KEYS, MAX_OPEN_INQUIRIES};
+use stagehoist_cluster_state::{InquiryEvent, InquiryMessage, Member, MessageKey, MessageKnowledge};
+use stagehoist_intent_log::{EventSender, IntentLog, LastRun, LogEvent};
+use stagehoist_recovery::inquiry::{AttemptKnowledge, InquiryLimits};
 use stagehoist_recovery::Key;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -22,9 +22,9 @@
 const FOREIGN: u64 = 1 << 63;
 
 /// A front end's marks, and its way to the others' where there are others.
-pub struct Marking {
-    pub marks: Marks,
-    pub others: Option<Others>,
+pub struct InquirySettings {
+    pub intent_log: IntentLog,
+    pub peers: Option<PeerInquiry>,
 }
 
 /// Another member's question, while the store looks.
@@ -32,122 +32,122 @@
     from: Member,
     number: u64,
     keys: Vec<Key>,
-    known: Vec<Option<Known>>,
+    known: Vec<Option<MessageKnowledge>>,
 }
 
-pub(super) enum Came {
-    Store(Done),
-    Heard(Heard),
+pub(super) enum InquiryInput {
+    Log(LogEvent),
+    Inquiry(InquiryEvent),
 }
 
 /// The marks of this member, where there are any.
-pub(super) struct Asks {
-    marks: Option<(Marks, Reply)>,
-    answers: mpsc::UnboundedReceiver<Done>,
-    others: Option<Others>,
+pub(super) struct Inquiries {
+    log: Option<(IntentLog, EventSender)>,
+    answers: mpsc::UnboundedReceiver<LogEvent>,
+    others: Option<PeerInquiry>,
     names: (Rc<str>, Rc<str>),
     /// Questions to others by number, with the calls that wait.
-    out: BTreeMap<u64, Vec<Ticket>>,
-    asked: BTreeMap<u64, Asked>,
+    own: BTreeMap<u64, Vec<Ticket>>,
+    of_peers: BTreeMap<u64, Asked>,
     next: u64,
 }
 
-impl Asks {
+impl Inquiries {
     /// Turns the front's questions on, where there are marks.
-    pub(super) fn new(marking: Option<Marking>, front: &mut Front) -> Asks {
+    pub(super) fn new(marking: Option<InquirySettings>, front: &mut Front) -> Inquiries {
         let (reply, answers) = mpsc::unbounded_channel();
-        let (marks, others) = marking.map_or((None, None), |m| (Some((m.marks, reply)), m.others));
+        let (marks, others) = marking.map_or((None, None), |m| (Some((m.intent_log, reply)), m.peers));
         let names: (Rc<str>, Rc<str>) = (OWN.into(), OTHERS.into());
         if marks.is_some() {
             let members = [Some(names.0.clone()), others.as_ref().map(|_| names.1.clone())];
-            front.ask(members.into_iter().flatten().collect(), Patience::default());
-            front.known(others.is_none());
+            front.set_inquiry(members.into_iter().flatten().collect(), InquiryLimits::default());
+            front.set_known(others.is_none());
         }
         let (out, asked) = (BTreeMap::new(), BTreeMap::new());
-        Asks { marks, answers, others, names, out, asked, next: 0 }
+        Inquiries { log: marks, answers, others, names, own: out, of_peers: asked, next: 0 }
     }
 
     pub(super) fn are_on(&self) -> bool {
-        self.marks.is_some()
+        self.log.is_some()
     }
 
     /// Asks what the front wants to know. One that can't be reached from here is known not to tell.
     pub(super) fn put(&mut self, front: &mut Front, clock: Clock) {
-        while let Some(heard) = self.others.as_mut().and_then(|o| o.heard.try_recv().ok()) {
+        while let Some(heard) = self.others.as_mut().and_then(|o| o.events.try_recv().ok()) {
             self.hear(heard, front, clock);
         }
         let (own, others): (Vec<Question>, Vec<Question>) =
             front.take_questions().into_iter().partition(|q| q.2 == self.names.0);
         for (ticket, identity, member) in own {
-            if !self.marks.as_ref().is_some_and(|(marks, reply)| marks.ask(ticket, identity, reply)) {
-                front.told(ticket, &member, None, clock.now());
+            if !self.log.as_ref().is_some_and(|(marks, reply)| marks.query(ticket, identity, reply)) {
+                front.on_inquiry_answer(ticket, &member, None, clock.now());
             }
         }
-        for part in others.chunks(KEYS_MOST) {
+        for part in others.chunks(MAX_KEYS) {
             let tickets: Vec<Ticket> = part.iter().map(|q| q.0).collect();
             let keys: Vec<MessageKey> =
                 tickets.iter().filter_map(|t| front.key_of(*t)).map(message).collect();
             self.next += 1;
-            let said = Said::Ask { number: self.next, keys };
-            let whole = matches!(&said, Said::Ask { keys, .. } if keys.len() == tickets.len());
-            if !whole || self.others.as_ref().is_none_or(|o| o.said.try_send(said).is_err()) {
+            let said = InquiryMessage::Inquire { number: self.next, keys };
+            let whole = matches!(&said, InquiryMessage::Inquire { keys, .. } if keys.len() == tickets.len());
+            if !whole || self.others.as_ref().is_none_or(|o| o.requests.try_send(said).is_err()) {
                 let name = self.names.1.clone();
-                tickets.iter().for_each(|t| front.told(*t, &name, None, clock.now()));
+                tickets.iter().for_each(|t| front.on_inquiry_answer(*t, &name, None, clock.now()));
                 continue;
             }
-            self.out.insert(self.next, tickets);
-            while self.out.len() > OPEN_MOST {
+            self.own.insert(self.next, tickets);
+            while self.own.len() > MAX_OPEN_INQUIRIES {
                 // Nobody answers so late.
-                self.out.pop_first();
+                self.own.pop_first();
             }
         }
     }
 
     /// The next word.
-    pub(super) async fn next(&mut self) -> Came {
+    pub(super) async fn next(&mut self) -> InquiryInput {
         let heard = async {
             match self.others.as_mut() {
-                Some(others) => others.heard.recv().await,
+                Some(others) => others.events.recv().await,
                 None => None,
             }
         };
         tokio::select! {
             // Only where there are no marks nothing can come.
-            Some(done) = self.answers.recv() => Came::Store(done),
-            Some(heard) = heard => Came::Heard(heard),
+            Some(done) = self.answers.recv() => InquiryInput::Log(done),
+            Some(heard) = heard => InquiryInput::Inquiry(heard),
             else => std::future::pending().await,
         }
     }
 
-    pub(super) fn take(&mut self, came: Came, front: &mut Front, clock: Clock) {
+    pub(super) fn take(&mut self, came: InquiryInput, front: &mut Front, clock: Clock) {
         match came {
-            Came::Heard(heard) => self.hear(heard, front, clock),
-            Came::Store(Done::Marked(..)) => {}
-            Came::Store(Done::Told(number, told)) if number >= FOREIGN => {
+            InquiryInput::Inquiry(heard) => self.hear(heard, front, clock),
+            InquiryInput::Log(LogEvent::Recorded(..)) => {}
+            InquiryInput::Log(LogEvent::Answered(number, told)) if number >= FOREIGN => {
                 let (id, at) = split(number);
                 self.looked(id, at, told, front, clock);
             }
-            Came::Store(Done::Told(ticket, told)) => {
+            InquiryInput::Log(LogEvent::Answered(ticket, told)) => {
                 let own = self.names.0.clone();
-                front.told(ticket, &own, Some(told), clock.now());
+                front.on_inquiry_answer(ticket, &own, Some(told), clock.now());
             }
         }
     }
 
-    fn hear(&mut self, heard: Heard, front: &mut Front, clock: Clock) {
-        let Some((marks, reply)) = self.marks.as_ref() else { return };
+    fn hear(&mut self, heard: InquiryEvent, front: &mut Front, clock: Clock) {
+        let Some((marks, reply)) = self.log.as_ref() else { return };
         match heard {
-            Heard::Joined { run, before } => {
+            InquiryEvent::Joined { run, before } => {
                 // No report tells commits: a store that was set back within the last run is not noticed.
-                let witness = before.map(|run| Witness { run, commits: 0 });
+                let witness = before.map(|run| LastRun { run, commits: 0 });
                 if marks.begin(run, witness) {
-                    front.known(true);
+                    front.set_known(true);
                 } else {
                     tracing::error!(run, "marks can't begin this run");
                 }
             }
-            Heard::Asked { from, number, keys } => {
-                if keys.len() > KEYS_MOST || self.asked.len() >= OPEN_MOST {
+            InquiryEvent::Inquired { from, number, keys } => {
+                if keys.len() > MAX_KEYS || self.of_peers.len() >= MAX_OPEN_INQUIRIES {
                     return;
                 }
                 self.next += 1;
@@ -155,22 +155,22 @@
                 let keys: Vec<Key> = keys.into_iter().filter_map(key).collect();
                 let known = vec![None; keys.len()];
                 for (at, key) in keys.iter().enumerate() {
-                    if !marks.ask(joined(id, at), key.identity(), reply) {
+                    if !marks.query(joined(id, at), key.identity(), reply) {
                         // What can't be asked is left out, and whoever asked gives up.
                         return;
                     }
                 }
-                self.asked.insert(id, Asked { from, number, keys, known });
+                self.of_peers.insert(id, Asked { from, number, keys, known });
             }
-            Heard::Told { number, known } => {
-                let Some(tickets) = self.out.get(&number).cloned() else { return };
+            InquiryEvent::Answered { number, known } => {
+                let Some(tickets) = self.own.get(&number).cloned() else { return };
                 if known.iter().all(Option::is_some) {
-                    self.out.remove(&number);
+                    self.own.remove(&number);
                 }
                 for (ticket, known) in tickets.into_iter().zip(known) {
                     if let Some(known) = known {
                         let name = self.names.1.clone();
-                        front.told(ticket, &name, Some(told(known)), clock.now());
+                        front.on_inquiry_answer(ticket, &name, Some(told(known)), clock.now());
                     }
                 }
             }
@@ -178,29 +178,35 @@
     }
 
     /// The store looked for one message of another's question.
-    fn looked(&mut self, id: u64, at: usize, marks: Told, front: &mut Front, clock: Clock) {
-        let Some(asked) = self.asked.get_mut(&id) else { return };
+    fn looked(&mut self, id: u64, at: usize, marks: AttemptKnowledge, front: &mut Front, clock: Clock) {
+        let Some(asked) = self.of_peers.get_mut(&id) else { return };
         let (Some(key), Some(place)) = (asked.keys.get(at), asked.known.get_mut(at)) else { return };
-        *place = Some(match front.asked(key, marks, clock.now()) {
-            Told::None => Known::None,
-            Told::MayHaveRun => Known::MayHaveRun,
-            Told::NotKnown => Known::NotKnown,
+        *place = Some(match front.on_peer_inquiry(key, marks, clock.now()) {
+            AttemptKnowledge::None => MessageKnowledge::None,
+            AttemptKnowledge::MayHaveRun => MessageKnowledge::MayHaveRun,
+            AttemptKnowledge::NotKnown => MessageKnowledge::NotKnown,
         });
-        let Some(known) = asked.known.iter().copied().collect::<Option<Vec<Known>>>() else { return };
-        if let (Some(asked), Some(others)) = (self.asked.remove(&id), self.others.as_ref()) {
+        let Some(known) = asked.known.iter().copied().collect::<Option<Vec<MessageKnowledge>>>() else {
+            return;
+        };
+        if let (Some(asked), Some(others)) = (self.of_peers.remove(&id), self.others.as_ref()) {
             // What finds no room is asked again.
-            let _ = others.said.try_send(Said::Answer { to: asked.from, number: asked.number, known });
+            let _ = others.requests.try_send(InquiryMessage::Answer {
+                to: asked.from,
+                number: asked.number,
+                known,
+            });
         }
     }
 }
 
 fn joined(id: u64, at: usize) -> u64 {
-    FOREIGN | (id * KEYS_MOST as u64 + at as u64)
+    FOREIGN | (id * MAX_KEYS as u64 + at as u64)
 }
 
 fn split(number: u64) -> (u64, usize) {
     let number = number & !FOREIGN;
-    (number / KEYS_MOST as u64, (number % KEYS_MOST as u64) as usize)
+    (number / MAX_KEYS as u64, (number % MAX_KEYS as u64) as usize)
 }
 
 fn message(key: &Key) -> MessageKey {
@@ -215,10 +221,10 @@
     Key::new(&message.reply_to, &message.correlation, &message.message)
 }
 
-fn told(known: Known) -> Told {
+fn told(known: MessageKnowledge) -> AttemptKnowledge {
     match known {
-        Known::None => Told::None,
-        Known::MayHaveRun => Told::MayHaveRun,
-        Known::NotKnown => Told::NotKnown,
+        MessageKnowledge::None => AttemptKnowledge::None,
+        MessageKnowledge::MayHaveRun => AttemptKnowledge::MayHaveRun,
+        MessageKnowledge::NotKnown => AttemptKnowledge::NotKnown,
     }
 }
--- a/crates/gateway/src/amqp/front/asking.rs
+++ b/crates/gateway/src/amqp/front/asking.rs
@@ -1,14 +1,14 @@
 //! Messages delivered again of which nothing is known here: they wait while whoever may have held them is asked.
 
 use super::*;
-use stagehoist_recovery::inquiry::{Inquiries, Outcome, Patience, Told};
+use stagehoist_recovery::inquiry::{AttemptKnowledge, Inquiries, InquiryLimits, Outcome};
 use stagehoist_recovery::Identity;
 
 /// A question to one who may have held a message: the number of the answer, the message, who is asked.
 pub type Question = (Ticket, Identity, Rc<str>);
 
 /// What a front with marks keeps.
-pub(super) struct Asking {
+pub(super) struct PendingInquiries {
     /// Who may have held a message that comes again: this member, by its marks, and others.
     members: Vec<Rc<str>>,
     inquiries: Inquiries<Rc<str>>,
@@ -19,38 +19,38 @@
     known: bool,
 }
 
-impl Asking {
+impl PendingInquiries {
     pub(super) fn due(&self) -> Option<Micros> {
-        self.inquiries.due()
+        self.inquiries.next_deadline()
     }
 }
 
 impl Front {
     /// From now on attempts are marked on disk, and messages delivered again of which nothing is known wait for the word of
     /// these members, this one's marks among them. Questions are to be asked from [`Front::take_questions`].
-    pub fn ask(&mut self, members: Vec<Rc<str>>, patience: Patience) {
-        self.memory.asks(true);
+    pub fn set_inquiry(&mut self, members: Vec<Rc<str>>, patience: InquiryLimits) {
+        self.memory.inquires(true);
         let inquiries = Inquiries::new(patience);
         let (waiting, questions) = (HashMap::new(), Vec::new());
-        self.asking = Some(Asking { members, inquiries, waiting, questions, known: true });
+        self.inquiries = Some(PendingInquiries { members, inquiries, waiting, questions, known: true });
     }
 
     /// Others are to be asked from now on.
-    pub fn ask_these(&mut self, members: Vec<Rc<str>>) {
-        if let Some(asking) = self.asking.as_mut() {
+    pub fn set_members(&mut self, members: Vec<Rc<str>>) {
+        if let Some(asking) = self.inquiries.as_mut() {
             asking.members = members;
         }
     }
 
     /// Whether this run is known to others who may ask it.
-    pub fn known(&mut self, known: bool) {
-        if let Some(asking) = self.asking.as_mut() {
+    pub fn set_known(&mut self, known: bool) {
+        if let Some(asking) = self.inquiries.as_mut() {
             asking.known = known;
         }
     }
 
     pub(super) fn is_unknown(&self) -> bool {
-        self.asking.as_ref().is_some_and(|a| !a.known)
+        self.inquiries.as_ref().is_some_and(|a| !a.known)
     }
 
     /// What a message that is asked about is known by.
@@ -59,22 +59,22 @@
     }
 
     /// Another member asks; see [`Memory::asked`].
-    pub fn asked(&mut self, key: &Key, marks: Told, now: Micros) -> Told {
-        self.memory.asked(key, marks, now)
+    pub fn on_peer_inquiry(&mut self, key: &Key, marks: AttemptKnowledge, now: Micros) -> AttemptKnowledge {
+        self.memory.combine(key, marks, now)
     }
 
     /// Questions to be asked now; few and seldom, beside a restart none.
     pub fn take_questions(&mut self) -> Vec<Question> {
-        self.asking.as_mut().map(|a| std::mem::take(&mut a.questions)).unwrap_or_default()
+        self.inquiries.as_mut().map(|a| std::mem::take(&mut a.questions)).unwrap_or_default()
     }
 
-    pub(super) fn ask_about(&mut self, arrival: Arrival, now: Micros) {
+    pub(super) fn inquire(&mut self, arrival: Arrival, now: Micros) {
         let ticket = arrival.ticket;
-        let Some((asking, identity)) = self.asking.as_mut().zip(arrival.identity) else {
+        let Some((asking, identity)) = self.inquiries.as_mut().zip(arrival.identity) else {
             return self.fail_unknown(ticket, now);
         };
-        self.counters.asked += 1;
-        match asking.inquiries.ask(ticket, identity, asking.members.clone(), arrival.budget, now) {
+        self.counters.inquired += 1;
+        match asking.inquiries.start(ticket, identity, asking.members.clone(), arrival.budget, now) {
             Ok(()) => {
                 let questions = asking.members.iter().map(|m| (ticket, identity, m.clone()));
                 asking.questions.extend(questions);
@@ -88,10 +88,16 @@
     }
 
     /// A member answered; None: it could not be asked.
-    pub fn told(&mut self, ticket: Ticket, member: &Rc<str>, told: Option<Told>, now: Micros) {
-        let told = told.unwrap_or(Told::NotKnown);
-        let Some(asking) = self.asking.as_mut() else { return };
-        match asking.inquiries.told(ticket, member, told) {
+    pub fn on_inquiry_answer(
+        &mut self,
+        ticket: Ticket,
+        member: &Rc<str>,
+        told: Option<AttemptKnowledge>,
+        now: Micros,
+    ) {
+        let told = told.unwrap_or(AttemptKnowledge::NotKnown);
+        let Some(asking) = self.inquiries.as_mut() else { return };
+        match asking.inquiries.on_answer(ticket, member, told) {
             None => {}
             Some(Outcome::Fail) => {
                 tracing::info!(ticket, ?told, member = &**member, "asked about; it may have run");
@@ -99,18 +105,18 @@
             }
             Some(Outcome::Run) => {
                 let Some((since, arrival)) = asking.waiting.remove(&ticket) else { return };
-                self.counters.run_by_marks += 1;
+                self.counters.run_by_intents += 1;
                 tracing::info!(ticket, waited_us = now - since, "asked about; it runs");
                 // What it waited is gone from its time, which runs from here on.
                 let budget = arrival.budget - (now - since);
-                self.arrivals.push(Arrival { budget, read: now, ..arrival });
+                self.arrivals.push(Arrival { budget, read_at: now, ..arrival });
             }
         }
     }
 
     /// Questions whose time is over.
-    pub(super) fn give_up_asking(&mut self, now: Micros) {
-        let over = self.asking.as_mut().map(|a| a.inquiries.expired(now)).unwrap_or_default();
+    pub(super) fn expire_inquiries(&mut self, now: Micros) {
+        let over = self.inquiries.as_mut().map(|a| a.inquiries.take_expired(now)).unwrap_or_default();
         for ticket in over {
             tracing::info!(ticket, "asked about; not all have said in time");
             self.fail_unknown(ticket, now);
@@ -118,7 +124,7 @@
     }
 
     pub(super) fn fail_unknown(&mut self, ticket: Ticket, now: Micros) {
-        if let Some(asking) = self.asking.as_mut() {
+        if let Some(asking) = self.inquiries.as_mut() {
             asking.waiting.remove(&ticket);
         }
         self.counters.failed_unknown += 1;
--- a/crates/gateway/src/amqp/front/consuming.rs
+++ b/crates/gateway/src/amqp/front/consuming.rs
@@ -1,11 +1,11 @@
 //! The channel: opened, consuming, asked about its queues, and left.
 
-use super::queues::Hold;
+use super::queues::QueueState;
 use super::*;
 
 impl Front {
     /// The socket holds nothing more: where the broker may send, its queues are empty.
-    pub fn dry(&mut self, now: Micros) {
+    pub fn on_socket_drained(&mut self, now: Micros) {
         if self.phase != Phase::Ready
             || self.window.as_ref().is_some_and(|w| !w.is_open(self.acks.unsettled()))
         {
@@ -19,19 +19,19 @@
     }
 
     /// Asks for the depth of queues that were not seen empty for a while, and for a window that stands open.
-    pub(super) fn look(&mut self, now: Micros) {
+    pub(super) fn check_queues(&mut self, now: Micros) {
         if self.phase != Phase::Ready || self.draining {
             return;
         }
-        if now - self.asked_depth >= LOOK {
-            self.asked_depth = now;
+        if now - self.depth_requested_at >= CHECK_INTERVAL {
+            self.depth_requested_at = now;
             for index in self.consumed().collect::<Vec<_>>() {
-                if self.ages[index].is_unsure(now, LOOK) {
+                if self.ages[index].is_unsure(now, CHECK_INTERVAL) {
                     self.declare(index, true, false);
                 }
             }
         }
-        if let Some(count) = self.window.as_mut().and_then(|w| w.ask(self.acks.unsettled(), now)) {
+        if let Some(count) = self.window.as_mut().and_then(|w| w.next_request(self.acks.unsettled(), now)) {
             self.counters.windows += 1;
             self.qos(count, true);
         }
@@ -49,16 +49,16 @@
         if matches!(self.phase, Phase::Waiting(at) if at <= now) {
             self.open_channel();
         }
-        if self.list_due().is_some_and(|by| by <= now) {
-            self.without_list(now);
+        if self.endpoints_due().is_some_and(|by| by <= now) {
+            self.consume_without_endpoints(now);
         }
-        let due: Vec<usize> = self.again.iter().filter(|(_, at)| **at <= now).map(|(i, _)| *i).collect();
+        let due: Vec<usize> = self.retry_at.iter().filter(|(_, at)| **at <= now).map(|(i, _)| *i).collect();
         for index in due {
-            self.again.remove(&index);
+            self.retry_at.remove(&index);
             self.consume(index, now);
         }
-        self.look(now);
-        self.give_up_asking(now);
+        self.check_queues(now);
+        self.expire_inquiries(now);
         if self.confirm_due().is_some_and(|at| now >= at) {
             // What is known of each reply stays until the connection is lost: those held back never left.
             tracing::warn!("the broker confirms no replies; connection given up");
@@ -77,7 +77,7 @@
             if !self.ages.iter().any(Age::is_doubted) {
                 self.blind_from = now - blind;
             }
-            self.asked_depth = now;
+            self.depth_requested_at = now;
             for index in self.consumed().collect::<Vec<_>>() {
                 self.ages[index].doubt();
                 self.declare(index, true, false);
@@ -87,7 +87,7 @@
             client.receive(bytes, now);
         }
         self.events(now);
-        self.look(now);
+        self.check_queues(now);
     }
 
     pub(super) fn events(&mut self, now: Micros) {
@@ -107,7 +107,7 @@
                     tracing::warn!(code, text, "channel closed by the broker");
                     self.counters.channels_lost += 1;
                     self.leave_channel();
-                    self.phase = Phase::Waiting(now + self.backoff.pause());
+                    self.phase = Phase::Waiting(now + self.backoff.next_pause());
                 }
                 ClientEvent::Blocked(blocked) => tracing::warn!(blocked, "broker takes no replies for now"),
                 ClientEvent::Closed { code, text } => tracing::info!(code, text, "connection closed"),
@@ -145,17 +145,17 @@
                     self.send(AMQPClass::Confirm(confirm::AMQPMethod::Select(select)));
                 }
                 self.ages.iter_mut().for_each(Age::restart);
-                self.channel_stands(now);
+                self.on_channel_open(now);
             }
             AMQPClass::Basic(basic::AMQPMethod::ConsumeOk(ok)) => {
                 let index = self.queue_of(ok.consumer_tag.as_str());
-                self.standing.extend(index);
-                self.look_whether_ready();
+                self.consuming.extend(index);
+                self.update_ready();
             }
             AMQPClass::Queue(queue::AMQPMethod::DeclareOk(ok)) => {
                 let index = self.queues.iter().position(|q| q.from.queue == ok.queue.as_str());
                 // Before its consumer stands, this one is not among those told.
-                let own = u64::from(index.is_none_or(|i| !self.standing.contains(&i)));
+                let own = u64::from(index.is_none_or(|i| !self.consuming.contains(&i)));
                 if let Some(age) = index.and_then(|i| self.ages.get_mut(i)) {
                     age.depth(u64::from(ok.message_count), u64::from(ok.consumer_count) + own, now);
                 }
@@ -165,13 +165,13 @@
                     let Some(delivery) = self.deliveries.remove(&ticket) else { continue };
                     self.counters.confirmed += 1;
                     if let Some(key) = &delivery.key {
-                        self.memory.sent(key, Sent::Confirmed);
+                        self.memory.on_reply_state(key, ReplyState::Confirmed);
                     }
                 }
             }
             AMQPClass::Basic(basic::AMQPMethod::CancelOk(ok)) => {
                 if let Some(index) = self.queue_of(ok.consumer_tag.as_str()) {
-                    self.stopped(index);
+                    self.on_cancelled(index);
                 }
             }
             AMQPClass::Basic(basic::AMQPMethod::Cancel(cancel)) => {
@@ -179,13 +179,13 @@
                 tracing::warn!(consumer = cancel.consumer_tag.as_str(), "consumer cancelled by the broker");
                 let index = self.queue_of(cancel.consumer_tag.as_str());
                 if let Some(index) = index {
-                    self.stopped(index);
-                    self.standing.remove(&index);
+                    self.on_cancelled(index);
+                    self.consuming.remove(&index);
                 }
-                let consumed = |i: &usize| self.queues[*i].hold == Hold::Consumed;
+                let consumed = |i: &usize| self.queues[*i].hold == QueueState::Consumed;
                 if let Some(index) = index.filter(|i| !self.draining && consumed(i)) {
-                    let pause = self.backoff.pause();
-                    self.again.insert(index, now + pause);
+                    let pause = self.backoff.next_pause();
+                    self.retry_at.insert(index, now + pause);
                 }
             }
             _ => {}
@@ -210,7 +210,7 @@
 
     pub(super) fn consume(&mut self, index: usize, now: Micros) {
         let Some(from) = self.queues.get(index).map(|q| q.from.clone()) else { return };
-        self.asked_depth = now;
+        self.depth_requested_at = now;
         self.declare(index, from.declare.is_none(), from.declare.unwrap_or(false));
         self.qos(from.prefetch.unwrap_or(0), false);
         let consume = stagehoist_amqp::consume(&from.queue, &self.tag(index));
--- a/crates/gateway/src/amqp/front/counters.rs
+++ b/crates/gateway/src/amqp/front/counters.rs
@@ -8,7 +8,7 @@
     pub rejected: u64,
     pub answered_unusable: u64,
     /// Refused at intake: the bounds on held calls or bytes are reached.
-    pub turned_away: u64,
+    pub rejected_at_intake: u64,
     /// Changes of the window that the broker was asked for.
     pub windows: u64,
     pub replies: u64,
@@ -21,8 +21,8 @@
     pub withheld: u64,
     pub failed_unknown: u64,
     /// Delivered again, not known here, and asked about; and those of them that ran by the word of all marks.
-    pub asked: u64,
-    pub run_by_marks: u64,
+    pub inquired: u64,
+    pub run_by_intents: u64,
     /// Taken for a function that is leaving own shards, and refused for one of others.
     pub leaving_shard: u64,
     pub other_shard: u64,
--- a/crates/gateway/src/amqp/front/deliveries.rs
+++ b/crates/gateway/src/amqp/front/deliveries.rs
@@ -1,8 +1,8 @@
 //! What becomes of a delivery.
 
-use super::queues::Hold;
+use super::queues::QueueState;
 use super::*;
-use stagehoist_sharding::Place;
+use stagehoist_sharding::FunctionPlacement;
 
 /// The reason of a call that came over the queue of a shard that is not its function's.
 const OTHER_SHARD: &str = "other-shard";
@@ -41,8 +41,8 @@
             window.delivered();
         }
         let queue = self.queue_of(deliver.consumer_tag.as_str()).unwrap_or(0);
-        if self.queues.get(queue).is_some_and(|q| q.hold == Hold::LetGo) {
-            return self.give_back(deliver.delivery_tag);
+        if self.queues.get(queue).is_some_and(|q| q.hold == QueueState::Released) {
+            return self.return_delivery(deliver.delivery_tag);
         }
         let stamp = stamp(&message.properties);
         let mut waited = self.ages.get_mut(queue).map_or(0, |a| a.taken(stamp, deliver.redelivered, now));
@@ -85,18 +85,19 @@
         };
         let routing_key = deliver.routing_key.as_str();
         let asked = self.reader.read(properties, routing_key, message.size, waited);
-        let known = asked.as_ref().ok().and_then(|a| CallFigures::configured(&self.config, &a.function));
-        let effect_of = |k: (CallFigures, Micros)| self.config.classes[usize::from(k.0.class)].effect;
+        let known =
+            asked.as_ref().ok().and_then(|a| FunctionProperties::configured(&self.config, &a.function));
+        let effect_of = |k: (FunctionProperties, Micros)| self.config.classes[usize::from(k.0.class)].effect;
         let effect = match &asked {
             // It may have run in time where it was before: that it is too late now does not tell that it did not.
             Err(Unusable::TooLate) => Reader::function(properties, routing_key)
                 .ok()
-                .and_then(|f| CallFigures::configured(&self.config, &f))
+                .and_then(|f| FunctionProperties::configured(&self.config, &f))
                 .map_or(Effect::Idempotent, effect_of),
             _ => known.map_or(Effect::Idempotent, effect_of),
         };
         // One that can't be taken is remembered too: its refusal is not given twice.
-        let verdict = self.memory.delivered(key.as_ref(), deliver.redelivered, effect, ticket, now);
+        let verdict = self.memory.on_delivery(key.as_ref(), deliver.redelivered, effect, ticket, now);
         match verdict {
             Verdict::Join(at_work) => {
                 self.counters.joined += 1;
@@ -123,13 +124,13 @@
             Verdict::Fail => {
                 self.counters.failed_unknown += 1;
                 if let Some(key) = &delivery.key {
-                    self.memory.fails(key, ticket, now);
+                    self.memory.on_failing(key, ticket, now);
                 }
                 self.deliveries.insert(ticket, delivery);
                 self.answer(ticket, Answer::Failed { reason: "delivered-before" }, now);
             }
-            Verdict::Run | Verdict::Ask => {
-                let asks = matches!(verdict, Verdict::Ask);
+            Verdict::Run | Verdict::Inquire => {
+                let asks = matches!(verdict, Verdict::Inquire);
                 let correlation = delivery.correlation.clone();
                 self.deliveries.insert(ticket, delivery);
                 let asked = match asked {
@@ -140,8 +141,10 @@
                     }
                     Ok(asked) => match self.places.as_ref().map(|p| p.over(queue, &asked.function)) {
                         // It may have run where it was before, and has no workers of its group here.
-                        Some(Place::Elsewhere(_)) if asks => return self.fail_unknown(ticket, now),
-                        Some(Place::Elsewhere(_)) => {
+                        Some(FunctionPlacement::Elsewhere(_)) if asks => {
+                            return self.fail_unknown(ticket, now)
+                        }
+                        Some(FunctionPlacement::Elsewhere(_)) => {
                             self.counters.other_shard += 1;
                             let home = self.home(queue, properties, routing_key, ticket);
                             self.deliveries.entry(ticket).and_modify(|d| d.home = home);
@@ -155,7 +158,8 @@
                             return self.answer(ticket, answer, now);
                         }
                         place => {
-                            self.counters.leaving_shard += u64::from(place == Some(Place::Leaving));
+                            self.counters.leaving_shard +=
+                                u64::from(place == Some(FunctionPlacement::Leaving));
                             asked
                         }
                     },
@@ -174,25 +178,25 @@
                     }
                     Err(_) if asks => return self.fail_unknown(ticket, now),
                     Err(why) => {
-                        self.counters.turned_away += 1;
+                        self.counters.rejected_at_intake += 1;
                         let retry_after = self.advice.retry_after(self.intake.calls());
                         let reason = why.reason();
                         return self.answer(ticket, Answer::Refused { reason, retry_after }, now);
                     }
                 }
                 let content_type = properties.content_type().as_ref().map(|c| c.as_str().to_string());
-                let identity = self.asking.as_ref().and_then(|_| Some(key.as_ref()?.identity()));
+                let identity = self.inquiries.as_ref().and_then(|_| Some(key.as_ref()?.identity()));
                 let arrival = Arrival {
                     ticket,
                     function: asked.function,
-                    figures: known.map(|k| k.0),
+                    properties: known.map(|k| k.0),
                     tenant: asked.tenant,
                     budget: known.map_or(asked.budget, |k| asked.budget.min(k.1)),
                     // The driver may come to it later, after a stop above all; its time runs from here.
-                    read: now,
-                    repeat: deliver.redelivered,
+                    read_at: now,
+                    is_repeat: deliver.redelivered,
                     // Whoever may publish to the queue is a caller.
-                    known: true,
+                    client_verified: true,
                     body: message.body,
                     content_type,
                     correlation,
@@ -200,7 +204,7 @@
                     identity,
                 };
                 match verdict {
-                    Verdict::Ask => self.ask_about(arrival, now),
+                    Verdict::Inquire => self.inquire(arrival, now),
                     _ => self.arrivals.push(arrival),
                 }
             }
--- a/crates/gateway/src/amqp/front/mod.rs
+++ b/crates/gateway/src/amqp/front/mod.rs
@@ -16,24 +16,24 @@
 
 use super::message::{reply, stamp, with_home, Reader, Unusable};
 use crate::shards::Places;
-use crate::state::{Answer, Arrival, CallFigures, Ticket};
+use crate::state::{Answer, Arrival, FunctionProperties, Ticket};
 use queues::Queue;
 use stagehoist::{Effect, Micros};
 use stagehoist_admission::{Advice, Age, Bounds, Held, Intake, Window};
 use stagehoist_amqp::{basic, channel, confirm, queue, short, tx};
 use stagehoist_amqp::{AMQPClass, Acks, BasicProperties, Client, ClientEvent, ClientOptions, Message};
 use stagehoist_config::{Broker, Config, Consume};
-use stagehoist_recovery::{Backoff, Key, Memory, Sent, Verdict};
+use stagehoist_recovery::{Backoff, DeliveryCache, Key, ReplyState, Verdict};
 use stagehoist_sharding::Shard;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
 /// Times that a reply is published again after the broker said it can't take it (`basic.nack`).
-const NACKS_MOST: u32 = 3;
+const MAX_NACKS: u32 = 3;
 /// Begins the tags of this front's consumers.
 const TAG: &str = "stagehoist-";
 /// How often the depth of a queue is asked for while it was not seen empty.
-const LOOK: Micros = 250_000;
+const CHECK_INTERVAL: Micros = 250_000;
 
 struct Delivery {
     /// Which connection and channel it came on; its tag means something there only.
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// No connection.
-    Apart,
+    Disconnected,
     Opening,
     /// The channel is to be opened (again) at this time.
     Waiting(Micros),
@@ -69,9 +69,9 @@
 pub struct Front {
     config: Rc<Config>,
     reader: Reader,
-    memory: Memory<Answer>,
+    memory: DeliveryCache<Answer>,
     /// Where attempts are marked on disk.
-    asking: Option<asking::Asking>,
+    inquiries: Option<asking::PendingInquiries>,
     backoff: Backoff,
     client: Option<Client>,
     phase: Phase,
@@ -81,9 +81,9 @@
     is_open: bool,
     queues: Vec<Queue>,
     /// Queues whose consumer the broker has said to stand.
-    standing: BTreeSet<usize>,
+    consuming: BTreeSet<usize>,
     /// Queues whose consumer the broker cancelled, and when to consume again.
-    again: BTreeMap<usize, Micros>,
+    retry_at: BTreeMap<usize, Micros>,
     deliveries: HashMap<Ticket, Delivery>,
     replies: BTreeMap<u64, Ticket>,
     /// In transactions: replies of the one that is open, whether it holds anything, and those being committed.
@@ -102,7 +102,7 @@
     /// Of the present channel, where a queue is consumed without a told prefetch.
     window: Option<Window>,
     ages: Vec<Age>,
-    asked_depth: Micros,
+    depth_requested_at: Micros,
     /// This process did not run from then on; ends for a queue once the broker answered a question about it.
     blind_from: Micros,
     intake: Intake,
@@ -124,22 +124,22 @@
             acks: Acks::default(),
             window: None,
             ages: vec![Age::default(); queues.len()],
-            asked_depth: 0,
+            depth_requested_at: 0,
             blind_from: 0,
             intake: Intake::new(bounds),
             advice: Advice::new(config.retry_after_most, seed, now),
-            memory: Memory::new(most as usize, keep, config.resend_doubtful),
-            asking: None,
+            memory: DeliveryCache::new(most as usize, keep, config.resend_doubtful),
+            inquiries: None,
             backoff: Backoff::new(config.reconnect.0, config.reconnect.1, seed),
             config,
             client: None,
-            phase: Phase::Apart,
+            phase: Phase::Disconnected,
             channel: 0,
             generation: 0,
             is_open: false,
             queues,
-            standing: BTreeSet::new(),
-            again: BTreeMap::new(),
+            consuming: BTreeSet::new(),
+            retry_at: BTreeMap::new(),
             deliveries: HashMap::new(),
             replies: BTreeMap::new(),
             open: (Vec::new(), false),
@@ -175,7 +175,7 @@
 
     /// The pause before the next attempt to connect.
     pub fn pause(&mut self) -> Micros {
-        self.backoff.pause()
+        self.backoff.next_pause()
     }
 
     /// The connection, while there is one.
@@ -210,13 +210,14 @@
             Phase::Waiting(at) => Some(at),
             _ => None,
         };
-        let again = self.again.values().min().copied();
+        let again = self.retry_at.values().min().copied();
         let confirm = self.confirm_due();
-        let unsure = |i: usize| self.ages[i].is_unsure(self.asked_depth + LOOK, LOOK);
+        let unsure =
+            |i: usize| self.ages[i].is_unsure(self.depth_requested_at + CHECK_INTERVAL, CHECK_INTERVAL);
         let look = self.phase == Phase::Ready && self.consumed().any(unsure);
-        let look = look.then_some(self.asked_depth + LOOK);
-        let asking = self.asking.as_ref().and_then(asking::Asking::due);
-        [client, waiting, again, confirm, look, asking, self.list_due()].into_iter().flatten().min()
+        let look = look.then_some(self.depth_requested_at + CHECK_INTERVAL);
+        let asking = self.inquiries.as_ref().and_then(asking::PendingInquiries::due);
+        [client, waiting, again, confirm, look, asking, self.endpoints_due()].into_iter().flatten().min()
     }
 
     /// The connection is gone.
@@ -227,6 +228,6 @@
         self.counters.connections_lost += 1;
         self.leave_channel();
         self.client = None;
-        self.phase = Phase::Apart;
+        self.phase = Phase::Disconnected;
     }
 }
--- a/crates/gateway/src/amqp/front/replies.rs
+++ b/crates/gateway/src/amqp/front/replies.rs
@@ -43,10 +43,10 @@
         let Some(delivery) = self.deliveries.get_mut(&ticket) else { return };
         if let Some(held) = delivery.held.take() {
             self.intake.release(held);
-            self.advice.left(now);
+            self.advice.last_leave(now);
         }
         if let Some(key) = &delivery.key {
-            self.memory.answered(key, ticket, answer.clone(), Sent::Never);
+            self.memory.on_answer(key, ticket, answer.clone(), ReplyState::Never);
         }
         if delivery.generation != self.generation || self.client.as_ref().is_none_or(|c| !c.is_open()) {
             // Its connection is lost: the broker delivers it again, here or elsewhere.
@@ -77,7 +77,7 @@
                 // had no reply: there is no doubt to keep.
                 let tag = delivery.tag;
                 if let Some(key) = &delivery.key {
-                    self.memory.sent(key, Sent::Never);
+                    self.memory.on_reply_state(key, ReplyState::Never);
                 }
                 self.open.0.push(ticket);
                 return self.ack(tag);
@@ -85,7 +85,7 @@
             delivery.published = Some((seq, now));
             self.replies.insert(seq, ticket);
             if let Some(key) = &delivery.key {
-                self.memory.sent(key, Sent::Doubtful);
+                self.memory.on_reply_state(key, ReplyState::Doubtful);
             }
             return;
         }
@@ -93,7 +93,7 @@
         // that the last try was not taken: nothing left, and the message comes again.
         let delivery = self.deliveries.remove(&ticket);
         if let Some(key) = delivery.and_then(|d| d.key) {
-            self.memory.sent(&key, Sent::Never);
+            self.memory.on_reply_state(&key, ReplyState::Never);
         }
     }
 
@@ -102,7 +102,7 @@
         if !ok {
             let Some(delivery) = self.deliveries.get_mut(&ticket) else { return };
             delivery.nacks += 1;
-            if delivery.nacks <= NACKS_MOST {
+            if delivery.nacks <= MAX_NACKS {
                 return self.publish(ticket, now);
             }
         }
@@ -110,7 +110,7 @@
         if ok {
             self.counters.confirmed += 1;
             if let Some(key) = &delivery.key {
-                self.memory.sent(key, Sent::Confirmed);
+                self.memory.on_reply_state(key, ReplyState::Confirmed);
             }
             self.ack(delivery.tag);
         } else {
@@ -129,7 +129,7 @@
             let Some(delivery) = self.deliveries.remove(&ticket) else { continue };
             let (Some(key), Some((seq, _))) = (&delivery.key, delivery.published) else { continue };
             let unsent = self.client.as_ref().is_some_and(|c| c.surely_unsent(channel, seq));
-            self.memory.sent(key, if unsent { Sent::Never } else { Sent::Doubtful });
+            self.memory.on_reply_state(key, if unsent { ReplyState::Never } else { ReplyState::Doubtful });
         }
         // Tags mean nothing on another channel.
         self.acks = Acks::default();
@@ -138,9 +138,9 @@
             self.deliveries.remove(&ticket);
         }
         self.generation += 1;
-        self.again.clear();
+        self.retry_at.clear();
         self.stopping.clear();
         self.is_open = false;
-        self.standing.clear();
+        self.consuming.clear();
     }
 }
--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -1,11 +1,11 @@
 //! The socket of a front: brokers tried in turn, with seeded pauses between attempts.
 
-use super::asks::{Asks, Marking};
+use super::asks::{Inquiries, InquirySettings};
 use super::told::publish_state;
-pub use super::told::{LinkState, ToLink};
+pub use super::told::{LinkCommand, LinkState};
 use super::Front;
 use crate::clock::{Alarm, Clock};
-use crate::state::News;
+use crate::state::Input;
 use stagehoist::Micros;
 use stagehoist_config::Config;
 use std::io;
@@ -15,31 +15,31 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 
-/// How often the loop looks at its own clock; a look that comes later by more than [`BLIND`] means that this process was
+/// How often the loop looks at its own clock; a look that comes later by more than [`MAX_UNOBSERVED`] means that this process was
 /// stopped, and that what it reads next may have waited so long.
-const LOOK: Micros = 100_000;
-const BLIND: Micros = 200_000;
+const POLL_INTERVAL: Micros = 100_000;
+const MAX_UNOBSERVED: Micros = 200_000;
 /// A socket that was waited on for longer had nothing to read until then.
-const AWAITED: Micros = 1000;
+const BATCH_WAIT: Micros = 1000;
 /// Longest time for a connection to stand, and for a broker to take bytes.
-const PATIENCE: Duration = Duration::from_secs(10);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs until the driver lets go of its sender, or until all is answered after [`ToLink::Drain`]. `marking` is there
+/// Runs until the driver lets go of its sender, or until all is answered after [`LinkCommand::Drain`]. `marking` is there
 /// where attempts are marked.
 pub async fn run(
     config: Rc<Config>,
     (seed, clock): (u64, Clock),
-    marking: Option<Marking>,
-    news: mpsc::Sender<News>,
-    mut from_driver: mpsc::UnboundedReceiver<ToLink>,
+    marking: Option<InquirySettings>,
+    news: mpsc::Sender<Input>,
+    mut from_driver: mpsc::UnboundedReceiver<LinkCommand>,
     state: watch::Sender<LinkState>,
 ) {
     let mut front = Front::new(config.clone(), seed, clock.now());
     // Where the module asks for the list itself it does so for calls alone, which would never come.
     if config.list_initial_wait > 0 && !config.list_subscribe {
-        front.await_list(clock.now() + config.list_initial_wait);
+        front.await_endpoints(clock.now() + config.list_initial_wait);
     }
-    let mut asks = Asks::new(marking, &mut front);
+    let mut asks = Inquiries::new(marking, &mut front);
     let mut turn = 0usize;
     let mut draining = false;
     loop {
@@ -48,7 +48,7 @@
         }
         let broker = &config.brokers[turn % config.brokers.len()];
         turn += 1;
-        let connecting = tokio::time::timeout(PATIENCE, TcpStream::connect(&broker.address));
+        let connecting = tokio::time::timeout(HANDSHAKE_TIMEOUT, TcpStream::connect(&broker.address));
         tokio::pin!(connecting);
         let stream = loop {
             tokio::select! {
@@ -108,9 +108,9 @@
 async fn talk(
     front: &mut Front,
     mut stream: TcpStream,
-    (clock, asks): (Clock, &mut Asks),
-    news: &mpsc::Sender<News>,
-    from_driver: &mut mpsc::UnboundedReceiver<ToLink>,
+    (clock, asks): (Clock, &mut Inquiries),
+    news: &mpsc::Sender<Input>,
+    from_driver: &mut mpsc::UnboundedReceiver<LinkCommand>,
     state: &watch::Sender<LinkState>,
     draining: &mut bool,
 ) -> Ended {
@@ -132,12 +132,12 @@
         }
         for arrival in front.take_arrivals() {
             // A driver that is behind holds back reading, and so the broker.
-            if news.send(News::Call(arrival)).await.is_err() {
+            if news.send(Input::Call(arrival)).await.is_err() {
                 return Ended::Over;
             }
         }
         // Counting takes a look at every delivery: not in every turn.
-        if *draining || clock.now() - shown >= LOOK {
+        if *draining || clock.now() - shown >= POLL_INTERVAL {
             shown = clock.now();
             publish_state(front, state, false);
         }
@@ -151,7 +151,7 @@
         let Some(client) = front.client() else { return Ended::Lost("no client".into()) };
         let since = if client.is_open() { None } else { Some(closed_since.unwrap_or(now)) };
         closed_since = since;
-        if since.is_some_and(|since| now - since > PATIENCE.as_micros() as Micros) {
+        if since.is_some_and(|since| now - since > HANDSHAKE_TIMEOUT.as_micros() as Micros) {
             return Ended::Lost("the broker does not say what it has to".into());
         }
         let mut wants_write = !client.output().is_empty();
@@ -165,7 +165,7 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     let since = *stuck_since.get_or_insert(now);
-                    if now - since > PATIENCE.as_micros() as Micros {
+                    if now - since > HANDSHAKE_TIMEOUT.as_micros() as Micros {
                         return Ended::Lost("the broker reads nothing".into());
                     }
                 }
@@ -176,7 +176,7 @@
             let _ = stream.shutdown().await;
             return if closing { Ended::Over } else { Ended::Lost("closed".into()) };
         }
-        let due = front.due().unwrap_or(Micros::MAX).min(looked + LOOK);
+        let due = front.due().unwrap_or(Micros::MAX).min(looked + POLL_INTERVAL);
         alarm.set(due);
         let waits_from = clock.now();
         tokio::select! {
@@ -200,26 +200,26 @@
                     return Ended::Lost(e.to_string());
                 }
                 let now = clock.now();
-                if now - looked > LOOK + BLIND {
+                if now - looked > POLL_INTERVAL + MAX_UNOBSERVED {
                     blind = now - looked;
                     tracing::warn!(ms = blind / 1000, "this process did not run; messages read now count as waiting so long");
                 }
                 looked = now;
-                if blind == 0 && now - waits_from > AWAITED {
+                if blind == 0 && now - waits_from > BATCH_WAIT {
                     // The socket was empty until this moment, and so the queue.
-                    front.dry(now);
+                    front.on_socket_drained(now);
                 }
                 match stream.try_read(&mut buffer) {
                     Ok(0) => return Ended::Lost("closed by the broker".into()),
                     Ok(n) => {
                         front.receive(&buffer[..n], now, std::mem::take(&mut blind));
                         if n < buffer.len() {
-                            front.dry(now);
+                            front.on_socket_drained(now);
                         }
                     }
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                         if blind == 0 {
-                            front.dry(now);
+                            front.on_socket_drained(now);
                         }
                     }
                     Err(e) => return Ended::Lost(e.to_string()),
@@ -229,7 +229,7 @@
             came = asks.next(), if asks.are_on() => asks.take(came, front, clock),
             () = alarm.rings() => {
                 let now = clock.now();
-                if now - looked > LOOK + BLIND {
+                if now - looked > POLL_INTERVAL + MAX_UNOBSERVED {
                     blind = now - looked;
                 }
                 looked = now;
--- a/crates/gateway/src/amqp/message.rs
+++ b/crates/gateway/src/amqp/message.rs
@@ -9,7 +9,7 @@
 //! divided fleet a refusal with `other-shard` has `shard` and `shard-generation`: those of the queue that the
 //! call belongs to.
 
-use crate::fleet::Closed;
+use crate::fleet::ClosedReason;
 use crate::state::Answer;
 use bytes::Bytes;
 use stagehoist::Micros;
@@ -24,7 +24,7 @@
 
 /// What a message asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct CallRequest {
     pub function: Rc<str>,
     pub tenant: u32,
     pub budget: Micros,
@@ -117,7 +117,7 @@
         routing_key: &str,
         size: u64,
         waited: Micros,
-    ) -> Result<Asked, Unusable> {
+    ) -> Result<CallRequest, Unusable> {
         let none = FieldTable::default();
         let headers = properties.headers().as_ref().unwrap_or(&none);
         let text = |key: &str, wrong: Unusable| match headers.inner().get(key) {
@@ -159,7 +159,7 @@
         if budget <= 0 {
             return Err(Unusable::TooLate);
         }
-        Ok(Asked { function: function.into(), tenant, budget, generation })
+        Ok(CallRequest { function: function.into(), tenant, budget, generation })
     }
 }
 
@@ -171,8 +171,8 @@
     };
     let mut properties = BasicProperties::default();
     let closed = match answer {
-        Answer::Gated(gated) => gated.pass.closed().map(|closed| match closed {
-            Closed::Retired(retired) => Answer::Retired(retired),
+        Answer::Gated(gated) => gated.permit.closed().map(|closed| match closed {
+            ClosedReason::Retired(retired) => Answer::Retired(retired),
             _ => Answer::Failed { reason: "view-not-current" },
         }),
         _ => None,
--- a/crates/gateway/src/amqp/mod.rs
+++ b/crates/gateway/src/amqp/mod.rs
@@ -10,5 +10,5 @@
 pub mod message;
 mod told;
 
-pub use asks::Marking;
+pub use asks::InquirySettings;
 pub use front::{Front, FrontCounters};
--- a/crates/gateway/src/amqp/told.rs
+++ b/crates/gateway/src/amqp/told.rs
@@ -1,7 +1,7 @@
 //! What driver and link tell each other.
 
 use super::{Front, FrontCounters};
-use crate::shards::Owned;
+use crate::shards::OwnedShards;
 use crate::state::{Answer, Ticket};
 use stagehoist::Micros;
 use std::rc::Rc;
@@ -9,24 +9,24 @@
 
 /// What the driver says to its link.
 #[derive(Debug)]
-pub enum ToLink {
+pub enum LinkCommand {
     Answer(Ticket, Answer),
     /// The first list of workers came.
-    Listed,
+    EndpointsReady,
     /// Own shards changed.
-    Own(Rc<[Owned]>),
+    ServeShards(Rc<[OwnedShards]>),
     /// Take no more messages.
     Drain,
 }
 
-impl ToLink {
+impl LinkCommand {
     /// Tells the front; gives whether it is to drain.
     pub(super) fn take(self, front: &mut Front, now: Micros) -> bool {
         match self {
-            ToLink::Answer(ticket, answer) => front.answer(ticket, answer, now),
-            ToLink::Listed => front.listed(now),
-            ToLink::Own(owned) => front.owns(&owned, now),
-            ToLink::Drain => return true,
+            LinkCommand::Answer(ticket, answer) => front.answer(ticket, answer, now),
+            LinkCommand::EndpointsReady => front.on_endpoints_ready(now),
+            LinkCommand::ServeShards(owned) => front.serve_shards(&owned, now),
+            LinkCommand::Drain => return true,
         }
         false
     }
@@ -37,7 +37,7 @@
 pub struct LinkState {
     pub ready: bool,
     /// All stands, but nothing is consumed before the first list of workers.
-    pub awaits_list: bool,
+    pub awaits_endpoints: bool,
     pub drained: bool,
     pub at_work: usize,
     pub counters: FrontCounters,
@@ -46,7 +46,7 @@
 pub(super) fn publish_state(front: &Front, state: &watch::Sender<LinkState>, drained: bool) {
     state.send_replace(LinkState {
         ready: front.is_ready(),
-        awaits_list: front.awaits_list(),
+        awaits_endpoints: front.awaits_endpoints(),
         drained,
         at_work: front.at_work(),
         counters: front.counters,
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -1,36 +1,36 @@
 //! The loop of one front end: it gathers what came since the last turn into one batch, lets the module choose once, and
 //! carries out the choices. It holds the only reference to the module; sockets talk to it by channels. What the sockets
-//! speak is behind [`Ways`].
+//! speak is behind [`Transport`].
 
 use crate::clock::{Alarm, Clock};
-use crate::fleet::{tell, Link};
-use crate::state::{Command, Core, News};
+use crate::fleet::{publish_report, SessionHandle};
+use crate::state::{Command, Core, Input};
 use stagehoist::Micros;
-use stagehoist_cluster_state::Standing;
+use stagehoist_cluster_state::ClusterStatus;
 use std::future::Future;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
 /// News that wait for the driver; a full line holds back reading from sockets.
-pub const LINE: usize = 16_384;
+pub const INPUT_QUEUE_CAPACITY: usize = 16_384;
 /// News in one batch at most, so that answers are not kept back behind a flood.
-const BATCH: usize = 4096;
+const MAX_BATCH: usize = 4096;
 /// A timer that rings later than this means that this process did not run: what lies in the sockets is read first.
-const OVERSLEPT: Micros = 20_000;
+const MAX_OVERSLEEP: Micros = 20_000;
 
 /// The protocols around a front end: its callers, its workers and the source of its list of workers.
-pub trait Ways {
+pub trait Transport {
     /// Carries out one choice.
-    fn carry_out(&mut self, command: Command);
+    fn execute(&mut self, command: Command);
 
     /// All choices of a turn were carried out.
-    fn turned(&mut self) {}
+    fn flush(&mut self) {}
 
     /// The first list of workers came, and the turn that took it is done.
-    fn listed(&mut self) {}
+    fn on_endpoints_ready(&mut self) {}
 
     /// Called four times a second.
-    fn tend(&mut self, core: &Core);
+    fn on_tick(&mut self, core: &Core);
 
     /// Takes no more calls as soon as its callers allow; what is held is answered. Gives for how long the word to drain may
     /// have waited because this process did not run: who sent it counts from then.
@@ -43,19 +43,19 @@
     fn is_serving(&mut self) -> bool;
 
     /// Whether no calls are taken as the first list of workers is awaited.
-    fn awaits_list(&mut self) -> bool {
+    fn awaits_endpoints(&mut self) -> bool {
         false
     }
 
     /// Whether sockets are read before attempts are cut when this process did not run for a while: only where what is read
     /// carries its age, which a link that dates messages by its queue does not give.
-    fn reads_first(&self) -> bool {
+    fn reads_before_timeouts(&self) -> bool {
         false
     }
 
     /// Whether calls left over when the drain runs out of time are answered all the same, as no one else will: a broker would
     /// deliver them again.
-    fn answers_the_rest(&self) -> bool {
+    fn answers_remaining(&self) -> bool {
         false
     }
 
@@ -64,7 +64,7 @@
         std::future::ready(())
     }
 
-    /// Returns when [`Ways::is_drained`] may have changed; may wait for ever, as it is looked at in each turn too.
+    /// Returns when [`Transport::is_drained`] may have changed; may wait for ever, as it is looked at in each turn too.
     fn changed(&mut self) -> impl Future<Output = ()>;
 }
 
@@ -73,7 +73,7 @@
 pub struct FrontEndState {
     pub consuming: bool,
     /// All stands, but nothing is consumed before the first list of workers.
-    pub awaits_list: bool,
+    pub awaits_endpoints: bool,
     pub ready_workers: usize,
     pub unanswered: usize,
     pub drained: bool,
@@ -81,16 +81,16 @@
 
 /// Runs one front end on the current thread until it is told to drain and has, or `drain_most` ran out. Must be called
 /// inside a `LocalSet`.
-pub async fn run<W: Ways>(
+pub async fn run<W: Transport>(
     mut core: Core,
     mut ways: W,
-    mut incoming: mpsc::Receiver<News>,
+    mut incoming: mpsc::Receiver<Input>,
     (clock, drain_most): (Clock, Micros),
     mut drain: watch::Receiver<bool>,
     state: watch::Sender<FrontEndState>,
-    link: Option<Link>,
+    link: Option<SessionHandle>,
 ) {
-    let mut batch: Vec<News> = Vec::new();
+    let mut batch: Vec<Input> = Vec::new();
     let mut commands: Vec<Command> = Vec::new();
     let mut housekeeping = tokio::time::interval(Duration::from_millis(250));
     let mut drain_by: Option<Micros> = None;
@@ -99,8 +99,8 @@
     let mut listed = false;
     if let Some(link) = keepers.as_mut() {
         // What is known already is news to the front end.
-        link.standing.mark_changed();
-        told = Some(link.told.clone());
+        link.status.mark_changed();
+        told = Some(link.report.clone());
     }
     loop {
         // The end of a drain is a time to wake up for like any other.
@@ -122,7 +122,7 @@
                     tracing::warn!("the session with the keepers ended");
                     keepers = None;
                 }
-                batch.extend(standing.map(News::Standing));
+                batch.extend(standing.map(Input::ClusterStatus));
                 turn = true;
             }
             first = incoming.recv() => {
@@ -131,7 +131,7 @@
                 turn = true;
             }
             () = alarm.rings(), if due.is_some() => {
-                if ways.reads_first() && due.is_some_and(|d| d > 0 && clock.now() - d > OVERSLEPT) {
+                if ways.reads_before_timeouts() && due.is_some_and(|d| d > 0 && clock.now() - d > MAX_OVERSLEEP) {
                     // Yielding lets the sockets be read: answers that came meanwhile are no time-outs.
                     tokio::task::yield_now().await;
                     gather(&mut incoming, &mut batch);
@@ -139,10 +139,10 @@
                 turn = true;
             }
             _ = housekeeping.tick() => {
-                ways.tend(&core);
+                ways.on_tick(&core);
                 state.send_replace(FrontEndState {
                     consuming: ways.is_serving(),
-                    awaits_list: ways.awaits_list(),
+                    awaits_endpoints: ways.awaits_endpoints(),
                     ready_workers: core.ready_workers(),
                     unanswered: core.unanswered(),
                     drained: false,
@@ -151,19 +151,19 @@
             () = ways.changed(), if drain_by.is_some() => {}
         }
         if told.is_some() {
-            core.runs(clock.now());
+            core.record_activity(clock.now());
         }
         if turn {
-            core.turn(clock.now(), &mut batch, &mut commands);
+            core.process(clock.now(), &mut batch, &mut commands);
             for command in commands.drain(..) {
-                ways.carry_out(command);
+                ways.execute(command);
             }
-            ways.turned();
-            if core.counters.lists > 0 && !std::mem::replace(&mut listed, true) {
-                ways.listed();
+            ways.flush();
+            if core.counters.endpoint_lists > 0 && !std::mem::replace(&mut listed, true) {
+                ways.on_endpoints_ready();
             }
-            if let (Some(sender), Some(news)) = (&told, core.told()) {
-                tell(sender, news);
+            if let (Some(sender), Some(news)) = (&told, core.session_report()) {
+                publish_report(sender, news);
             }
         }
         if let Some(by) = drain_by {
@@ -171,14 +171,14 @@
             if done || clock.now() >= by {
                 if !done {
                     tracing::warn!(unanswered = core.unanswered(), "drain ran out of time");
-                    if ways.answers_the_rest() {
-                        core.end_calls(clock.now(), &mut commands);
-                        commands.drain(..).for_each(|command| ways.carry_out(command));
-                        ways.turned();
+                    if ways.answers_remaining() {
+                        core.answer_remaining(clock.now(), &mut commands);
+                        commands.drain(..).for_each(|command| ways.execute(command));
+                        ways.flush();
                     }
                 }
                 ways.finish().await;
-                ways.tend(&core);
+                ways.on_tick(&core);
                 state.send_replace(FrontEndState { drained: true, ..Default::default() });
                 return;
             }
@@ -186,12 +186,12 @@
     }
 }
 
-async fn next_standing(link: &mut Option<Link>) -> Option<Standing> {
+async fn next_standing(link: &mut Option<SessionHandle>) -> Option<ClusterStatus> {
     link.as_mut()?.next().await
 }
 
-fn gather(incoming: &mut mpsc::Receiver<News>, batch: &mut Vec<News>) {
-    while batch.len() < BATCH {
+fn gather(incoming: &mut mpsc::Receiver<Input>, batch: &mut Vec<Input>) {
+    while batch.len() < MAX_BATCH {
         match incoming.try_recv() {
             Ok(item) => batch.push(item),
             Err(_) => return,
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -12,7 +12,7 @@
     #[error("can't install the metrics recorder: {0}")]
     Metrics(String),
     #[error("can't keep marks in {folder}: {source}")]
-    Marks { folder: String, source: stagehoist_intent_log::MarksError },
+    Marks { folder: String, source: stagehoist_intent_log::IntentLogError },
     #[error("front end {0} ended by a fault of its own; its messages go back to the broker")]
     FrontEnd(u32),
 }
--- a/crates/gateway/src/fleet/desk.rs
+++ b/crates/gateway/src/fleet/desk.rs
@@ -1,7 +1,7 @@
 //! The gate where things leave. Between a choice and the moment at which its bytes go to a socket lie queues, and this
 //! process may have been stopped for long: what may not be late is looked at once more there, by the clock of that moment.
 
-use super::gate::{Closed, Gate};
+use super::gate::{ClosedReason, RetirementGate};
 use bytes::Bytes;
 use stagehoist::Micros;
 use std::cell::{Ref, RefCell, RefMut};
@@ -11,26 +11,30 @@
 
 /// One front end's gate, shared by its tasks; all of them run on one thread.
 #[derive(Clone)]
-pub struct Desk(Rc<Inner>);
+pub struct EgressCheck(Rc<Inner>);
 
 struct Inner {
-    gate: RefCell<Gate>,
+    gate: RefCell<RetirementGate>,
     now: Box<dyn Fn() -> Micros>,
     /// Answers on their way to callers, by inner name.
-    leaving: RefCell<HashMap<Rc<str>, usize>>,
+    answering: RefCell<HashMap<Rc<str>, usize>>,
 }
 
-impl Desk {
+impl EgressCheck {
     /// `now` is the clock that the standing's times are on.
-    pub fn new(gate: Gate, now: impl Fn() -> Micros + 'static) -> Desk {
-        Desk(Rc::new(Inner { gate: RefCell::new(gate), now: Box::new(now), leaving: RefCell::default() }))
+    pub fn new(gate: RetirementGate, now: impl Fn() -> Micros + 'static) -> EgressCheck {
+        EgressCheck(Rc::new(Inner {
+            gate: RefCell::new(gate),
+            now: Box::new(now),
+            answering: RefCell::default(),
+        }))
     }
 
-    pub fn gate(&self) -> Ref<'_, Gate> {
+    pub fn gate(&self) -> Ref<'_, RetirementGate> {
         self.0.gate.borrow()
     }
 
-    pub fn gate_mut(&self) -> RefMut<'_, Gate> {
+    pub fn gate_mut(&self) -> RefMut<'_, RetirementGate> {
         self.0.gate.borrow_mut()
     }
 
@@ -40,66 +44,66 @@
     }
 
     /// The view's version, and whether it is known to be the newest.
-    pub fn shows(&self) -> (u64, bool) {
+    pub fn view_state(&self) -> (u64, bool) {
         let gate = self.gate();
         (gate.view().version, gate.is_fresh((self.0.now)()))
     }
 
     /// Whether an answer for an inner name was given and is not settled with the broker.
-    pub fn is_leaving(&self, inner: &str) -> bool {
-        self.0.leaving.borrow().contains_key(inner)
+    pub fn is_answering(&self, inner: &str) -> bool {
+        self.0.answering.borrow().contains_key(inner)
     }
 
     /// The same of any of these.
-    pub fn is_any_leaving_of(&self, inner: &BTreeSet<Rc<str>>) -> bool {
-        inner.iter().any(|name| self.is_leaving(name))
+    pub fn is_answering_any(&self, inner: &BTreeSet<Rc<str>>) -> bool {
+        inner.iter().any(|name| self.is_answering(name))
     }
 
     /// Inner names of which answers are on their way.
-    pub fn leaving(&self) -> Vec<Rc<str>> {
-        self.0.leaving.borrow().keys().cloned().collect()
+    pub fn answering(&self) -> Vec<Rc<str>> {
+        self.0.answering.borrow().keys().cloned().collect()
     }
 
     /// Lets an answer go.
-    pub fn pass(&self, inner: &Rc<str>) -> Pass {
-        *self.0.leaving.borrow_mut().entry(inner.clone()).or_default() += 1;
-        Pass { desk: self.clone(), inner: inner.clone(), first: true }
+    pub fn permit(&self, inner: &Rc<str>) -> EgressPermit {
+        *self.0.answering.borrow_mut().entry(inner.clone()).or_default() += 1;
+        EgressPermit { egress: self.clone(), inner: inner.clone(), is_original: true }
     }
 }
 
 /// Goes with an answer until the broker has it, or it is known that it will not. As long as it is held, no view under whose
 /// tombstones its function falls is confirmed. A copy, such as the one kept for a message that comes again, holds nothing
 /// up, and so it may not leave once the function is retired.
-pub struct Pass {
-    desk: Desk,
+pub struct EgressPermit {
+    egress: EgressCheck,
     inner: Rc<str>,
-    first: bool,
+    is_original: bool,
 }
 
-impl Pass {
+impl EgressPermit {
     /// Why the answer may not leave at this very moment.
-    pub fn closed(&self) -> Option<Closed> {
-        let gate = self.desk.gate();
-        let now = (self.desk.0.now)();
-        if !self.first {
+    pub fn closed(&self) -> Option<ClosedReason> {
+        let gate = self.egress.gate();
+        let now = (self.egress.0.now)();
+        if !self.is_original {
             return gate.closed(&self.inner, now);
         }
-        gate.in_doubt(&self.inner, now).then_some(Closed::NotCurrent)
+        gate.in_doubt(&self.inner, now).then_some(ClosedReason::ViewNotCurrent)
     }
 }
 
-impl Clone for Pass {
-    fn clone(&self) -> Pass {
-        Pass { desk: self.desk.clone(), inner: self.inner.clone(), first: false }
+impl Clone for EgressPermit {
+    fn clone(&self) -> EgressPermit {
+        EgressPermit { egress: self.egress.clone(), inner: self.inner.clone(), is_original: false }
     }
 }
 
-impl Drop for Pass {
+impl Drop for EgressPermit {
     fn drop(&mut self) {
-        if !self.first {
+        if !self.is_original {
             return;
         }
-        let mut leaving = self.desk.0.leaving.borrow_mut();
+        let mut leaving = self.egress.0.answering.borrow_mut();
         if let Some(count) = leaving.get_mut(&self.inner) {
             *count -= 1;
             if *count == 0 {
@@ -111,20 +115,23 @@
 
 /// A worker's answer that is looked at once more when it becomes a frame.
 #[derive(Clone)]
-pub struct Gated {
+pub struct CheckedAnswer {
     pub body: Bytes,
     pub content_type: Option<String>,
-    pub pass: Pass,
+    pub permit: EgressPermit,
 }
 
-impl fmt::Debug for Gated {
+impl fmt::Debug for CheckedAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Gated").field("function", &self.pass.inner).field("bytes", &self.body.len()).finish()
+        f.debug_struct("Gated")
+            .field("function", &self.permit.inner)
+            .field("bytes", &self.body.len())
+            .finish()
     }
 }
 
-impl PartialEq for Gated {
-    fn eq(&self, other: &Gated) -> bool {
+impl PartialEq for CheckedAnswer {
+    fn eq(&self, other: &CheckedAnswer) -> bool {
         (&self.body, &self.content_type) == (&other.body, &other.content_type)
     }
 }
