--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -19,53 +19,57 @@
 pub mod states;
 pub mod witness;
 
-pub use desk::{Desk, Gated, Pass};
-pub use entrance::Entrance;
-pub use gate::{Closed, Gate, Retired};
-pub use part::Part;
-pub use starting::Starting;
-pub use witness::Witness;
+pub use desk::{CheckedAnswer, EgressCheck, EgressPermit};
+pub use entrance::PoolAdmission;
+pub use gate::{ClosedReason, Retired, RetirementGate};
+pub use part::FleetMembership;
+pub use starting::FleetRecovery;
+pub use witness::ShutdownMarker;
 
 use crate::clock::Clock;
 use stagehoist::Micros;
-use stagehoist_cluster_state::{Demand, Heard, Said, Standing, Version};
+use stagehoist_cluster_state::{ClusterStatus, Demand, InquiryEvent, InquiryMessage, Version};
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
 /// What a front end tells its session with the keepers; the newest counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct SessionReport {
     /// The newest view that holds here: nothing under its tombstones is at work or on its way out.
     pub confirmed: Version,
-    pub ready_lanes: u32,
+    pub ready_capacity: u32,
     pub demand: Vec<Demand>,
 }
 
 /// A driver's ends of its session with the keepers; it never waits for it.
-pub struct Link {
-    pub standing: watch::Receiver<Standing>,
-    pub told: watch::Sender<Told>,
+pub struct SessionHandle {
+    pub status: watch::Receiver<ClusterStatus>,
+    pub report: watch::Sender<SessionReport>,
     /// Where attempts are marked.
-    pub others: Option<Others>,
+    pub inquiry: Option<PeerInquiry>,
 }
 
 /// A front end's way to ask others about messages, and to be asked.
-pub struct Others {
-    pub said: mpsc::Sender<Said>,
-    pub heard: mpsc::Receiver<Heard>,
+pub struct PeerInquiry {
+    pub requests: mpsc::Sender<InquiryMessage>,
+    pub events: mpsc::Receiver<InquiryEvent>,
 }
 
-impl Link {
+impl SessionHandle {
     /// The next word of the keepers; None once the session ended.
-    pub async fn next(&mut self) -> Option<Standing> {
-        self.standing.changed().await.ok()?;
-        Some(self.standing.borrow_and_update().clone())
+    pub async fn next(&mut self) -> Option<ClusterStatus> {
+        self.status.changed().await.ok()?;
+        Some(self.status.borrow_and_update().clone())
     }
 }
 
 /// Waits until the keepers' word is here, at most so long: nothing is consumed before. After that functions that are not
 /// strict are served by what is known.
-pub async fn first_word(standing: Option<watch::Receiver<Standing>>, clock: Clock, most: Micros) {
+pub async fn await_first_status(
+    standing: Option<watch::Receiver<ClusterStatus>>,
+    clock: Clock,
+    most: Micros,
+) {
     let limit = Duration::from_micros(most.max(0) as u64);
     let word = async {
         match standing {
@@ -83,7 +87,7 @@
 }
 
 /// Tells a session, where there is something new.
-pub fn tell(session: &watch::Sender<Told>, told: Told) {
+pub fn publish_report(session: &watch::Sender<SessionReport>, told: SessionReport) {
     session.send_if_modified(|last| {
         if last.confirmed != told.confirmed {
             tracing::info!(version = told.confirmed, "confirmed");
--- a/crates/gateway/src/fleet/retirements.rs
+++ b/crates/gateway/src/fleet/retirements.rs
@@ -9,7 +9,7 @@
 //! taken out of the file: a retirement is for good.
 
 use super::states;
-use stagehoist_cluster_state::{Mode, Retirement, Standing, View};
+use stagehoist_cluster_state::{ClusterStatus, ClusterView, Retirement, RetirementMode};
 use stagehoist_config::Config;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -18,13 +18,13 @@
 
 /// How often the file's size, time and number are looked at. It is read when they changed, and once in so many looks
 /// whatever they say: two changes within a tick of the file system's clock may look alike.
-const LOOK: Duration = Duration::from_millis(25);
-const LOOKS: u32 = 8;
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+const POLLS_BETWEEN_READS: u32 = 8;
 /// Largest file, in bytes, and most lines that are taken of it.
-const FILE_MOST: u64 = 4 << 20;
-const LINES_MOST: usize = 20_000;
+const MAX_FILE_SIZE: u64 = 4 << 20;
+const MAX_LINES: usize = 20_000;
 /// Faults kept in mind so that each is told once.
-const FAULTS_MOST: usize = 1000;
+const MAX_FAULTS: usize = 1000;
 const EXPECTED: &str = "NAME GENERATION [successor=NAME] [reason=WORDS]";
 
 /// A line of the file.
@@ -42,8 +42,8 @@
     let whole = text.rfind('\n').map_or("", |end| &text[..end]);
     let (mut lines, mut faults) = (Vec::new(), Vec::new());
     for (number, line) in whole.split('\n').enumerate() {
-        if lines.len() >= LINES_MOST {
-            faults.push((number + 1, format!("more than {LINES_MOST} lines; the rest is not taken")));
+        if lines.len() >= MAX_LINES {
+            faults.push((number + 1, format!("more than {MAX_LINES} lines; the rest is not taken")));
             break;
         }
         match parse_line(line) {
@@ -104,32 +104,32 @@
         }
         let (lines, faults) = parse(&text);
         (self.text, self.lines) = (text, lines);
-        let faults: BTreeSet<_> = faults.into_iter().take(FAULTS_MOST).collect();
+        let faults: BTreeSet<_> = faults.into_iter().take(MAX_FAULTS).collect();
         let new = faults.difference(&self.faults).cloned().collect();
         self.faults = faults;
         new
     }
 
     /// Lines not proposed yet, in the order of the file.
-    pub fn open(&self) -> impl Iterator<Item = &Line> + '_ {
+    pub fn pending(&self) -> impl Iterator<Item = &Line> + '_ {
         let known = |l: &Line| self.proposed.get(&l.function).is_some_and(|g| *g >= l.generation);
         self.lines.iter().filter(move |l| !known(l))
     }
 
     /// A line was handed to the session.
-    pub fn done(&mut self, line: &Line) {
-        if self.proposed.len() < LINES_MOST || self.proposed.contains_key(&line.function) {
+    pub fn on_proposed(&mut self, line: &Line) {
+        if self.proposed.len() < MAX_LINES || self.proposed.contains_key(&line.function) {
             self.proposed.insert(line.function.clone(), line.generation);
             self.unseen.insert(line.function.clone(), line.generation);
         }
     }
 
     /// What was asked for and no view has shown so far, so that it is not in force anywhere: proposed, or still to be.
-    pub fn outstanding(&mut self, view: &View) -> BTreeMap<String, u32> {
+    pub fn outstanding(&mut self, view: &ClusterView) -> BTreeMap<String, u32> {
         let is_shown = |function: &str, generation| view.retired(function, generation).is_some();
         self.unseen.retain(|function, generation| !is_shown(function, *generation));
         let mut outstanding = self.unseen.clone();
-        for line in self.open().filter(|l| !is_shown(&l.function, l.generation)) {
+        for line in self.pending().filter(|l| !is_shown(&l.function, l.generation)) {
             let highest = outstanding.entry(line.function.clone()).or_default();
             *highest = line.generation.max(*highest);
         }
@@ -152,8 +152,8 @@
 async fn read(path: &PathBuf) -> std::io::Result<String> {
     use tokio::io::AsyncReadExt;
     let mut bytes = Vec::new();
-    tokio::fs::File::open(path).await?.take(FILE_MOST + 1).read_to_end(&mut bytes).await?;
-    if bytes.len() as u64 > FILE_MOST {
+    tokio::fs::File::open(path).await?.take(MAX_FILE_SIZE + 1).read_to_end(&mut bytes).await?;
+    if bytes.len() as u64 > MAX_FILE_SIZE {
         return Err(std::io::Error::new(std::io::ErrorKind::FileTooLarge, "too large"));
     }
     // A line that is no text is at fault by itself; the others count.
@@ -164,12 +164,12 @@
 pub async fn follow(
     config: Config,
     path: PathBuf,
-    mut standing: watch::Receiver<Standing>,
+    mut standing: watch::Receiver<ClusterStatus>,
     retire: mpsc::Sender<Retirement>,
 ) {
     let mut proposer = Proposer::default();
     let (mut failing, mut seen, mut looks) = (false, None, 0);
-    let mut look = tokio::time::interval(LOOK);
+    let mut look = tokio::time::interval(POLL_INTERVAL);
     look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let told = tokio::select! {
@@ -182,9 +182,9 @@
             }
         };
         let newest = stamp(&path).await;
-        let waits = retire.capacity() > 0 && proposer.open().next().is_some();
-        let idle = !told && !waits && newest == seen && looks % LOOKS != 0;
-        looks = if told { looks } else { (looks + 1) % LOOKS };
+        let waits = retire.capacity() > 0 && proposer.pending().next().is_some();
+        let idle = !told && !waits && newest == seen && looks % POLLS_BETWEEN_READS != 0;
+        looks = if told { looks } else { (looks + 1) % POLLS_BETWEEN_READS };
         if idle {
             continue;
         }
@@ -211,7 +211,7 @@
 
 /// Hands over as many lines as the session takes now; the others at the next look.
 fn propose(config: &Config, proposer: &mut Proposer, retire: &mpsc::Sender<Retirement>) {
-    let open: Vec<Line> = proposer.open().take(retire.capacity()).cloned().collect();
+    let open: Vec<Line> = proposer.pending().take(retire.capacity()).cloned().collect();
     for line in open {
         let known = config.function(&line.function);
         let strict = known.is_some_and(|f| f.strict);
@@ -220,8 +220,8 @@
             generation: line.generation,
             successor: line.successor.clone(),
             reason: line.reason.clone(),
-            mode: if strict { Mode::Strict } else { Mode::Available },
-            asked_ms: now_ms(),
+            mode: if strict { RetirementMode::Strict } else { RetirementMode::Available },
+            requested_ms: now_ms(),
         };
         if retire.try_send(retirement).is_err() {
             return;
@@ -233,6 +233,6 @@
             );
         }
         tracing::info!(function = line.function, generation = line.generation, "retirement proposed");
-        proposer.done(&line);
+        proposer.on_proposed(&line);
     }
 }
--- a/crates/gateway/src/fleet/starting.rs
+++ b/crates/gateway/src/fleet/starting.rs
@@ -9,8 +9,8 @@
 use stagehoist::{EndpointUpdate, Lifecycle, Micros, Outcome, WorkerId};
 use stagehoist_config::{Config, Recover};
 use stagehoist_endpoints::Update;
-use stagehoist_recovery::stages::{Admission, Limits, Seen, Stage};
-use stagehoist_recovery::Stages;
+use stagehoist_recovery::stages::{Admission, Limits, RecoveryEvidence, RecoveryPhase};
+use stagehoist_recovery::RecoveryPhases;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Evidence is of the last so many slots of so long.
@@ -40,9 +40,9 @@
 
 /// One front end's way back to service.
 #[derive(Debug)]
-pub struct Starting {
+pub struct FleetRecovery {
     start: Start,
-    stages: Stages,
+    phases: RecoveryPhases,
     limits: Limits,
     seed: u64,
     began: Micros,
@@ -57,13 +57,13 @@
     slots: VecDeque<(Micros, Counts)>,
 }
 
-impl Starting {
+impl FleetRecovery {
     /// `unordered`: the last run of this front end did not leave in order.
-    pub fn new(config: &Config, told: &Recover, unordered: bool, seed: u64, now: Micros) -> Starting {
+    pub fn new(config: &Config, told: &Recover, unordered: bool, seed: u64, now: Micros) -> FleetRecovery {
         let limits = Limits {
-            waking: told.waking,
-            asking: told.asking,
-            reserved: told.reserved,
+            opening_storage: told.waking,
+            resolving_in_doubt: told.asking,
+            ramping: told.reserved,
             least: told.share,
             calls: CALLS,
             ..Limits::default()
@@ -72,9 +72,9 @@
         if !unordered {
             tracing::info!(stage = "open", why = "the last run left in order, or there was none", "recovery");
         }
-        Starting {
+        FleetRecovery {
             start,
-            stages: Stages::open(now),
+            phases: RecoveryPhases::open(now),
             limits,
             seed,
             began: now,
@@ -87,24 +87,24 @@
         }
     }
 
-    pub fn stage(&self) -> Stage {
-        self.stages.stage()
+    pub fn phase(&self) -> RecoveryPhase {
+        self.phases.phase()
     }
 
     pub fn due(&self) -> Option<Micros> {
-        self.stages.due()
+        self.phases.due()
     }
 
     /// What the list of workers says.
     pub fn roster(&mut self, update: &Update) {
-        if self.is_over() || update.form == EndpointUpdate::Failed {
+        if self.is_over() || update.kind == EndpointUpdate::Failed {
             return;
         }
         let workers = self.workers.get_or_insert_default();
-        if update.form != EndpointUpdate::Delta {
+        if update.kind != EndpointUpdate::Delta {
             workers.clear();
         }
-        for row in &update.rows {
+        for row in &update.endpoints {
             match row.lifecycle {
                 Lifecycle::Ready => workers.insert(row.worker, row.started),
                 _ => workers.remove(&row.worker),
@@ -132,43 +132,45 @@
     }
 
     /// Looks at what is known. True where calls that wait are to be asked for again.
-    pub fn look(&mut self, record: bool, now: Micros) -> bool {
+    pub fn update(&mut self, record: bool, now: Micros) -> bool {
         if self.is_over() {
             return false;
         }
-        let before = self.stage();
-        self.judge(now);
+        let before = self.phase();
+        self.evaluate(now);
         if self.start != Start::Lost {
-            return self.stage() != before;
-        }
-        let seen = self.seen(record, now);
-        if self.stages.see(&seen, now) {
-            let why = match self.stage() {
-                Stage::Waking | Stage::Asking => "nothing of its own store is waited for",
-                Stage::Reserved if record => "the keepers' word is here",
-                Stage::Reserved => "the limit passed without the keepers' word",
-                Stage::Open => "the fleet is warm, or time opened it",
+            return self.phase() != before;
+        }
+        let seen = self.evidence(record, now);
+        if self.phases.observe(&seen, now) {
+            let why = match self.phase() {
+                RecoveryPhase::OpeningStorage | RecoveryPhase::ResolvingInDoubt => {
+                    "nothing of its own store is waited for"
+                }
+                RecoveryPhase::Ramping if record => "the keepers' word is here",
+                RecoveryPhase::Ramping => "the limit passed without the keepers' word",
+                RecoveryPhase::Serving => "the fleet is warm, or time opened it",
             };
-            tracing::info!(stage = self.stage().word(), why, ?seen, "recovery");
+            tracing::info!(stage = self.phase().word(), why, ?seen, "recovery");
         }
-        self.stage() != before
+        self.phase() != before
     }
 
     /// What is decided about a call of a tenant.
     pub fn admit(&mut self, call: (u32, &str), left: Micros, now: Micros) -> Admission {
-        if self.stage() == Stage::Open {
+        if self.phase() == RecoveryPhase::Serving {
             return Admission::Enter;
         }
         let first = first::is_first(&self.first, call.0, call.1);
-        self.stages.admit(first, left, now)
+        self.phases.admit(first, left, now)
     }
 
     fn is_over(&self) -> bool {
-        self.start == Start::Warm || (self.start == Start::Lost && self.stage() == Stage::Open)
+        self.start == Start::Warm || (self.start == Start::Lost && self.phase() == RecoveryPhase::Serving)
     }
 
     /// Whether this is a start after a loss, by the workers that are listed.
-    fn judge(&mut self, now: Micros) {
+    fn evaluate(&mut self, now: Micros) {
         let Some(workers) = &self.workers else { return };
         // A start that is not told is no sign of a new worker.
         let old = workers.values().filter(|started| **started < self.began - self.new).count();
@@ -182,18 +184,18 @@
                     listed,
                     "recovery"
                 );
-                (self.start, self.stages) = (Start::Warm, Stages::open(now));
+                (self.start, self.phases) = (Start::Warm, RecoveryPhases::open(now));
             }
             Start::Unheard => {
                 let why = "the last run did not leave in order, and no worker is older than this start";
                 tracing::info!(stage = "waking", why, listed, "recovery");
-                (self.start, self.stages) = (Start::Lost, Stages::new(self.limits, self.seed, now));
+                (self.start, self.phases) = (Start::Lost, RecoveryPhases::new(self.limits, self.seed, now));
             }
             _ => {}
         }
     }
 
-    fn seen(&mut self, record: bool, now: Micros) -> Seen {
+    fn evidence(&mut self, record: bool, now: Micros) -> RecoveryEvidence {
         let from = now - SLOT * SLOTS as Micros;
         self.slots.retain(|(at, _)| *at > from);
         let mut all = Counts::default();
@@ -209,15 +211,19 @@
         let warm = |(worker, started): &(&WorkerId, &Micros)| {
             self.served.contains(worker) || now - **started >= self.warm_up
         };
-        Seen {
+        RecoveryEvidence {
             store: true,
             record,
-            unheard: 0,
+            open_inquiries: 0,
             ended: all.ended,
             in_time: all.in_time,
             workers: workers.len() as u32,
-            warm: workers.iter().filter(warm).count() as u32,
-            unused: if all.found == 0 { 1.0 } else { 1.0 - f64::from(all.cold) / f64::from(all.found) },
+            warm_workers: workers.iter().filter(warm).count() as u32,
+            unused_capacity: if all.found == 0 {
+                1.0
+            } else {
+                1.0 - f64::from(all.cold) / f64::from(all.found)
+            },
         }
     }
 
--- a/crates/gateway/src/fleet/states.rs
+++ b/crates/gateway/src/fleet/states.rs
@@ -12,7 +12,7 @@
 //! The time is when a process that wrote the file first saw that state, in milliseconds since 1970. Several processes may
 //! keep one file: what is there is replaced only by a later view, or where it is lost or damaged.
 
-use stagehoist_cluster_state::{State, Tombstone, View};
+use stagehoist_cluster_state::{ClusterView, Tombstone, TombstoneState};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -28,9 +28,11 @@
 fn words(tombstone: &Tombstone) -> (String, String) {
     let generation = tombstone.retirement.generation;
     match &tombstone.state {
-        State::Proposed => (format!("{generation} proposed"), String::new()),
-        State::InForce { but_for } if but_for.is_empty() => (format!("{generation} in-force"), String::new()),
-        State::InForce { but_for } => {
+        TombstoneState::Proposed => (format!("{generation} proposed"), String::new()),
+        TombstoneState::InForce { but_for } if but_for.is_empty() => {
+            (format!("{generation} in-force"), String::new())
+        }
+        TombstoneState::InForce { but_for } => {
             let names: Vec<&str> = but_for.iter().map(|m| m.name.as_str()).collect();
             (format!("{generation} in-force"), format!(" but-for {}", names.join(",")))
         }
@@ -64,7 +66,12 @@
 }
 
 /// The file of a view and of what it does not show though it was asked for; a state that stood before keeps its time.
-pub fn render(view: &View, outstanding: &BTreeMap<String, u32>, before: &States, now_ms: i64) -> String {
+pub fn render(
+    view: &ClusterView,
+    outstanding: &BTreeMap<String, u32>,
+    before: &States,
+    now_ms: i64,
+) -> String {
     let mut text = String::new();
     let mut states: BTreeMap<&String, _> = outstanding.iter().map(|(name, g)| (name, unmet(*g))).collect();
     // A lower generation that is in force says more than a higher one that waits.
@@ -82,7 +89,7 @@
 /// another process wrote of the same view as outstanding stays. Nothing is written before any view came.
 pub async fn keep(
     retirements: &Path,
-    view: &View,
+    view: &ClusterView,
     outstanding: &BTreeMap<String, u32>,
     now_ms: i64,
 ) -> io::Result<()> {
--- a/crates/gateway/src/fleet/witness.rs
+++ b/crates/gateway/src/fleet/witness.rs
@@ -6,15 +6,15 @@
 
 /// The file of this run.
 #[derive(Debug)]
-pub struct Witness {
+pub struct ShutdownMarker {
     path: PathBuf,
-    unordered: bool,
+    was_unclean: bool,
 }
 
-impl Witness {
+impl ShutdownMarker {
     /// Looks for the last run's file and writes this one's; None where no stages are told. Blocks; to be called before a
     /// front end serves. A file that can't be written is told, and the next start counts as one in order.
-    pub fn begin(config: &Config, number: u32) -> Option<Witness> {
+    pub fn begin(config: &Config, number: u32) -> Option<ShutdownMarker> {
         let fleet = config.fleet.as_ref()?;
         fleet.recover?;
         let folder = Path::new(fleet.folder.as_ref()?);
@@ -24,16 +24,16 @@
         if let Err(e) = written.and_then(|()| File::open(folder)?.sync_all()) {
             tracing::warn!(path = %path.display(), error = %e, "a loss after this start will not be known as one");
         }
-        Some(Witness { path, unordered })
+        Some(ShutdownMarker { path, was_unclean: unordered })
     }
 
     /// Whether the last run did not leave in order.
-    pub fn is_unordered(&self) -> bool {
-        self.unordered
+    pub fn is_unclean(&self) -> bool {
+        self.was_unclean
     }
 
     /// This run leaves in order.
-    pub fn end(self) {
+    pub fn remove(self) {
         if let Err(e) = remove_file(&self.path) {
             tracing::warn!(path = %self.path.display(), error = %e, "this run will count as one that fell");
         }
--- a/crates/gateway/src/list/consul.rs
+++ b/crates/gateway/src/list/consul.rs
@@ -2,9 +2,9 @@
 //! instance tells `kind`, `zone`, `cell`, `capacity`, `started` (Unix time in milliseconds) and `state draining`; one in
 //! maintenance mode drains, one with another critical check is left out.
 
-use super::{Kind, ToList, LIST_MOST, WORKERS};
+use super::{DiscoveryCommand, Kind, LIST_MOST, WORKERS};
 use crate::clock::Clock;
-use crate::state::News;
+use crate::state::Input;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::Request;
@@ -12,8 +12,8 @@
 use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
 use serde::Deserialize;
 use stagehoist::Micros;
-use stagehoist_endpoints::blocking::{Answer, Blocking};
-use stagehoist_endpoints::Entry;
+use stagehoist_endpoints::blocking::{BlockingQuery, QueryOutcome};
+use stagehoist_endpoints::ListedWorker;
 use stagehoist_recovery::Backoff;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -67,7 +67,7 @@
 }
 
 /// Reads the body of an answer.
-pub fn parse(body: &[u8]) -> Result<Vec<Entry>, serde_json::Error> {
+pub fn parse(body: &[u8]) -> Result<Vec<ListedWorker>, serde_json::Error> {
     let rows: Vec<Row> = serde_json::from_slice(body)?;
     let entry = |row: Row| {
         if row.checks.iter().any(|c| c.is_critical() && !c.is_maintenance()) {
@@ -78,7 +78,7 @@
         let text = |key: &str| meta.get(key).cloned().unwrap_or_default();
         let number = |key: &str| meta.get(key).and_then(|v| v.parse::<f64>().ok());
         let maintained = row.checks.iter().any(|c| c.is_critical() && c.is_maintenance());
-        Some(Entry {
+        Some(ListedWorker {
             address: format!("{address}:{}", row.service.port),
             draining: maintained || text("state") == "draining",
             kind: text("kind"),
@@ -96,7 +96,7 @@
     address: String,
     service: String,
     wait: Micros,
-    blocking: Blocking,
+    blocking: BlockingQuery,
     spread: Backoff,
     watching: bool,
     kind: Kind,
@@ -114,7 +114,7 @@
             address: address.into(),
             service: service.into(),
             wait,
-            blocking: Blocking::new(100_000, 5_000_000),
+            blocking: BlockingQuery::new(100_000, 5_000_000),
             spread: Backoff::new(1, 1, seed),
             watching,
             kind: WORKERS,
@@ -145,16 +145,16 @@
     pub async fn run(
         mut self,
         clock: Clock,
-        news: mpsc::Sender<News>,
-        mut asks: mpsc::UnboundedReceiver<ToList>,
+        news: mpsc::Sender<Input>,
+        mut asks: mpsc::UnboundedReceiver<DiscoveryCommand>,
     ) {
         loop {
             let mut once = false;
             while !self.watching && !once {
                 match asks.recv().await {
                     None => return,
-                    Some(ToList::Watch(on)) => self.watching = on,
-                    Some(ToList::Fetch) => once = true,
+                    Some(DiscoveryCommand::Subscribe(on)) => self.watching = on,
+                    Some(DiscoveryCommand::Fetch) => once = true,
                 }
             }
             let index = if once || self.lost { 0 } else { self.blocking.index() };
@@ -164,13 +164,13 @@
                 got = tokio::time::timeout(limit, self.query(index)) => got,
                 asked = asks.recv() => match asked {
                     None => return,
-                    Some(ToList::Watch(on)) => {
+                    Some(DiscoveryCommand::Subscribe(on)) => {
                         self.watching = on;
                         continue;
                     }
-                    Some(ToList::Fetch) => {
+                    Some(DiscoveryCommand::Fetch) => {
                         // The whole list at once: the next query must not block.
-                        self.blocking.answered(None);
+                        self.blocking.on_answer(None);
                         continue;
                     }
                 },
@@ -179,8 +179,8 @@
                 Ok(Ok((index, told))) => {
                     // One after a failure is used whatever its number is.
                     let lost = std::mem::take(&mut self.lost);
-                    let changed = if once { Answer::Changed } else { self.blocking.answered(index) };
-                    (changed == Answer::Changed || lost).then_some(told)
+                    let changed = if once { QueryOutcome::Changed } else { self.blocking.on_answer(index) };
+                    (changed == QueryOutcome::Changed || lost).then_some(told)
                 }
                 failed => {
                     let why = match failed {
@@ -195,8 +195,8 @@
                     );
                     self.lost = true;
                     let _ = news.send((self.kind.failed)()).await;
-                    let part = self.spread.part();
-                    let pause = self.blocking.failed(part);
+                    let part = self.spread.next_fraction();
+                    let pause = self.blocking.on_failure(part);
                     tokio::time::sleep_until(clock.instant(clock.now() + pause)).await;
                     None
                 }
@@ -212,7 +212,7 @@
         }
     }
 
-    async fn query(&self, index: u64) -> Result<(Option<u64>, News), String> {
+    async fn query(&self, index: u64) -> Result<(Option<u64>, Input), String> {
         let text = |e: &dyn std::fmt::Display| e.to_string();
         let stream = TcpStream::connect(&self.address).await.map_err(|e| text(&e))?;
         let (mut sender, connection) =
--- a/crates/gateway/src/list/file.rs
+++ b/crates/gateway/src/list/file.rs
@@ -5,16 +5,16 @@
 //! w1 127.0.0.1:9001 kind large zone hall-a capacity 4
 //! ```
 
-use super::{Kind, ToList, LIST_MOST};
-use crate::state::News;
+use super::{DiscoveryCommand, Kind, LIST_MOST};
+use crate::state::Input;
 use stagehoist::Micros;
-use stagehoist_endpoints::Entry;
+use stagehoist_endpoints::ListedWorker;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::sync::mpsc;
 
 /// Reads a list; a malformed one gives its first line at fault and why.
-pub fn parse(text: &str) -> Result<Vec<Entry>, (usize, String)> {
+pub fn parse(text: &str) -> Result<Vec<ListedWorker>, (usize, String)> {
     let mut entries = Vec::new();
     for (number, line) in text.lines().enumerate() {
         let line = line.split('#').next().unwrap_or("");
@@ -26,7 +26,7 @@
             }
             return Err(wrong("a name and an address expected".into()));
         };
-        let mut entry = Entry::new(*name, *address);
+        let mut entry = ListedWorker::new(*name, *address);
         if rest.len() % 2 != 0 {
             return Err(wrong(format!("{} lacks its value", rest[rest.len() - 1])));
         }
@@ -63,8 +63,8 @@
     path: &str,
     poll: Micros,
     kind: Kind,
-    news: mpsc::Sender<News>,
-    mut asks: mpsc::UnboundedReceiver<ToList>,
+    news: mpsc::Sender<Input>,
+    mut asks: mpsc::UnboundedReceiver<DiscoveryCommand>,
 ) {
     let mut last: Option<String> = None;
     let mut failing = false;
--- a/crates/gateway/src/list/front_ends.rs
+++ b/crates/gateway/src/list/front_ends.rs
@@ -6,9 +6,9 @@
 //! front-end-7 generations 7-8 zone hall-a
 //! ```
 
-use super::{consul, file, Kind, ToList};
+use super::{consul, file, DiscoveryCommand, Kind};
 use crate::clock::Clock;
-use crate::state::News;
+use crate::state::Input;
 use serde::Deserialize;
 use stagehoist_config::{Config, ListSource};
 use std::collections::BTreeMap;
@@ -93,9 +93,9 @@
 
 const FRONT_ENDS: Kind = Kind {
     what: "front ends",
-    body: |body| of_body(body).map(|list| News::FrontEnds(Some(list))),
-    text: |text| of_text(text).map(|list| News::FrontEnds(Some(list))),
-    failed: || News::FrontEnds(None),
+    body: |body| of_body(body).map(|list| Input::FrontEndList(Some(list))),
+    text: |text| of_text(text).map(|list| Input::FrontEndList(Some(list))),
+    failed: || Input::FrontEndList(None),
 };
 
 /// Follows the list until the driver is gone; returns at once where none is told. `asks` ends it.
@@ -103,8 +103,8 @@
     config: Rc<Config>,
     seed: u64,
     clock: Clock,
-    news: mpsc::Sender<News>,
-    asks: mpsc::UnboundedReceiver<ToList>,
+    news: mpsc::Sender<Input>,
+    asks: mpsc::UnboundedReceiver<DiscoveryCommand>,
 ) {
     let Some(list) = &config.front_ends_list else { return };
     match &list.source {
--- a/crates/gateway/src/list/mod.rs
+++ b/crates/gateway/src/list/mod.rs
@@ -6,15 +6,15 @@
 pub mod front_ends;
 
 use crate::clock::Clock;
-use crate::state::News;
+use crate::state::Input;
 use stagehoist_config::{Config, ListSource};
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
 /// What the module asks of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ToList {
-    Watch(bool),
+pub enum DiscoveryCommand {
+    Subscribe(bool),
     Fetch,
 }
 
@@ -25,16 +25,16 @@
 #[derive(Clone, Copy)]
 struct Kind {
     what: &'static str,
-    body: fn(&[u8]) -> Result<News, serde_json::Error>,
-    text: fn(&str) -> Result<News, (usize, String)>,
-    failed: fn() -> News,
+    body: fn(&[u8]) -> Result<Input, serde_json::Error>,
+    text: fn(&str) -> Result<Input, (usize, String)>,
+    failed: fn() -> Input,
 }
 
 const WORKERS: Kind = Kind {
     what: "workers",
-    body: |body| consul::parse(body).map(News::List),
-    text: |text| file::parse(text).map(News::List),
-    failed: || News::ListFailed,
+    body: |body| consul::parse(body).map(Input::EndpointList),
+    text: |text| file::parse(text).map(Input::EndpointList),
+    failed: || Input::EndpointListFailed,
 };
 
 /// Follows the list until the driver is gone. Where the configuration has `list-subscribe no`, following begins at once.
@@ -42,8 +42,8 @@
     config: Rc<Config>,
     seed: u64,
     clock: Clock,
-    news: mpsc::Sender<News>,
-    asks: mpsc::UnboundedReceiver<ToList>,
+    news: mpsc::Sender<Input>,
+    asks: mpsc::UnboundedReceiver<DiscoveryCommand>,
 ) {
     match &config.list {
         ListSource::Consul { address, service, wait } => {
--- a/crates/gateway/src/marked.rs
+++ b/crates/gateway/src/marked.rs
@@ -4,48 +4,53 @@
 //! An attempt that is not sent ends as [`Outcome::Moot`]: known not to have run, and no word against its worker.
 
 use crate::clock::{Alarm, Clock};
-use crate::state::{Attempt, AttemptResult, News, Ticket};
+use crate::state::{Attempt, AttemptResult, Input, Ticket};
 use crate::workers::Workers;
 use stagehoist::{Effect, Micros, Outcome, RequestId, WorkerId};
 use stagehoist_config::Config;
-use stagehoist_intent_log::{Done, Mark, Marks, Reply};
-use stagehoist_recovery::marked::{AttemptId, Limits, Step, Why};
-use stagehoist_recovery::{Identity, Marked};
+use stagehoist_intent_log::{EventSender, Intent, IntentLog, LogEvent};
+use stagehoist_recovery::marked::{AttemptId, GateDecision, Limits, UnsentReason};
+use stagehoist_recovery::{Identity, IntentGate};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
 /// What the driver's side says.
-enum Word {
+enum RecorderMessage {
     Attempt(Identity, Ticket, Attempt),
     Abort(RequestId, u16),
-    Over(Ticket),
+    CallEnded(Ticket),
     Worker(WorkerId, Option<Micros>),
 }
 
 /// The driver's end.
-pub struct Marker {
+pub struct IntentRecorder {
     config: Rc<Config>,
-    words: mpsc::UnboundedSender<Word>,
+    messages: mpsc::UnboundedSender<RecorderMessage>,
     /// Calls that went the way of marks and are not answered; all others cost nothing here.
-    marked: HashSet<Ticket>,
+    recorded: HashSet<Ticket>,
 }
 
-impl Marker {
+impl IntentRecorder {
     /// Starts the task that holds attempts; must be called inside a `LocalSet`. It ends with the marker.
     pub fn start(
         config: Rc<Config>,
         clock: Clock,
-        marks: Marks,
+        marks: IntentLog,
         workers: Rc<Workers>,
-        news: mpsc::Sender<News>,
+        news: mpsc::Sender<Input>,
         limits: Limits,
-    ) -> (Marker, tokio::task::JoinHandle<()>) {
+    ) -> (IntentRecorder, tokio::task::JoinHandle<()>) {
         let (words, told) = mpsc::unbounded_channel();
         let (reply, done) = mpsc::unbounded_channel();
-        let holder = Holder { waits: Waits::default(), machine: Marked::new(limits), marks, reply };
+        let holder = RecorderTask {
+            latency: IntentLatency::default(),
+            gate: IntentGate::new(limits),
+            log: marks,
+            reply,
+        };
         let task = tokio::task::spawn_local(run(holder, clock, told, done, workers, news));
-        (Marker { config, words, marked: HashSet::new() }, task)
+        (IntentRecorder { config, messages: words, recorded: HashSet::new() }, task)
     }
 
     /// An attempt was decided. Some: it needs no mark, or has no identity to mark, and is to be sent now.
@@ -54,30 +59,30 @@
     pub fn attempt(&mut self, attempt: Attempt) -> Option<Attempt> {
         let class = self.config.classes.get(usize::from(attempt.class));
         let safe = class.is_none_or(|c| c.effect == Effect::Idempotent);
-        let Some((identity, ticket)) = attempt.mark.filter(|_| !safe) else { return Some(attempt) };
-        self.marked.insert(ticket);
+        let Some((identity, ticket)) = attempt.intent.filter(|_| !safe) else { return Some(attempt) };
+        self.recorded.insert(ticket);
         // The task ends only with this end.
-        let _ = self.words.send(Word::Attempt(identity, ticket, attempt));
+        let _ = self.messages.send(RecorderMessage::Attempt(identity, ticket, attempt));
         None
     }
 
     /// An attempt is taken back; it is to be taken back from the workers too, as it may have left meanwhile.
     pub fn abort(&mut self, request: RequestId, attempt: u16) {
-        if !self.marked.is_empty() {
-            let _ = self.words.send(Word::Abort(request, attempt));
+        if !self.recorded.is_empty() {
+            let _ = self.messages.send(RecorderMessage::Abort(request, attempt));
         }
     }
 
     /// A call is answered.
-    pub fn answered(&mut self, ticket: Ticket) {
-        if self.marked.remove(&ticket) {
-            let _ = self.words.send(Word::Over(ticket));
+    pub fn call_answered(&mut self, ticket: Ticket) {
+        if self.recorded.remove(&ticket) {
+            let _ = self.messages.send(RecorderMessage::CallEnded(ticket));
         }
     }
 
-    /// What is known of a worker: see [`Marked::worker`].
-    pub fn worker(&mut self, worker: WorkerId, leaving: Option<Micros>) {
-        let _ = self.words.send(Word::Worker(worker, leaving));
+    /// What is known of a worker: see [`IntentGate::worker`].
+    pub fn worker_draining(&mut self, worker: WorkerId, leaving: Option<Micros>) {
+        let _ = self.messages.send(RecorderMessage::Worker(worker, leaving));
     }
 }
 
@@ -86,12 +91,12 @@
 
 /// How long marks took to be on disk.
 #[derive(Default)]
-struct Waits {
+struct IntentLatency {
     since: HashMap<Ticket, Micros>,
-    took: Vec<Micros>,
+    samples: Vec<Micros>,
 }
 
-impl Waits {
+impl IntentLatency {
     fn begin(&mut self, number: Ticket, now: Micros) {
         // One that is never answered is not measured.
         if self.since.len() < 100_000 {
@@ -99,104 +104,111 @@
         }
     }
 
-    fn end(&mut self, number: Ticket, marks: &Marks, now: Micros) {
-        self.took.extend(self.since.remove(&number).map(|since| now - since));
-        if self.took.len() >= TELL {
+    fn end(&mut self, number: Ticket, marks: &IntentLog, now: Micros) {
+        self.samples.extend(self.since.remove(&number).map(|since| now - since));
+        if self.samples.len() >= TELL {
             self.tell(marks);
         }
     }
 
-    fn tell(&mut self, marks: &Marks) {
-        self.took.sort_unstable();
-        let Some(longest_us) = self.took.last().copied() else { return };
-        let at = |part: usize| self.took[(self.took.len() - 1) * part / 100];
-        let (half_us, p99_us, marked) = (at(50), at(99), self.took.len());
+    fn tell(&mut self, marks: &IntentLog) {
+        self.samples.sort_unstable();
+        let Some(longest_us) = self.samples.last().copied() else { return };
+        let at = |part: usize| self.samples[(self.samples.len() - 1) * part / 100];
+        let (half_us, p99_us, marked) = (at(50), at(99), self.samples.len());
         let commits = marks.commits().map(|c| c.commits);
         tracing::info!(marked, half_us, p99_us, longest_us, commits, "marks on disk");
-        self.took.clear();
+        self.samples.clear();
     }
 }
 
 /// The task's own.
-struct Holder {
-    waits: Waits,
-    machine: Marked<Attempt>,
-    marks: Marks,
-    reply: Reply,
+struct RecorderTask {
+    latency: IntentLatency,
+    gate: IntentGate<Attempt>,
+    log: IntentLog,
+    reply: EventSender,
 }
 
-impl Holder {
-    fn take(&mut self, word: Word, now: Micros, out: &mut Vec<(AttemptId, Step<Attempt>)>) {
+impl RecorderTask {
+    fn on_message(
+        &mut self,
+        word: RecorderMessage,
+        now: Micros,
+        out: &mut Vec<(AttemptId, GateDecision<Attempt>)>,
+    ) {
         match word {
-            Word::Attempt(identity, ticket, attempt) => {
+            RecorderMessage::Attempt(identity, ticket, attempt) => {
                 let id = (attempt.request, attempt.attempt);
-                let (worker, due) = (attempt.worker, attempt.due);
-                let step = self.machine.attempt((ticket, id), worker, due, attempt, now);
-                if matches!(step, Step::Wait { ask: true }) {
-                    let mark = Mark { identity, number: ticket };
-                    self.waits.begin(ticket, now);
-                    if !self.marks.mark(mark, &self.reply) {
-                        out.extend(self.machine.marked(ticket, false, now));
+                let (worker, due) = (attempt.worker, attempt.deadline);
+                let step = self.gate.attempt((ticket, id), worker, due, attempt, now);
+                if matches!(step, GateDecision::Wait { record: true }) {
+                    let mark = Intent { identity, number: ticket };
+                    self.latency.begin(ticket, now);
+                    if !self.log.record(mark, &self.reply) {
+                        out.extend(self.gate.on_recorded(ticket, false, now));
                     }
                 }
                 out.push((id, step));
             }
             // One that has left is taken back at the workers.
-            Word::Abort(request, attempt) => drop(self.machine.abort((request, attempt))),
-            Word::Over(ticket) => {
-                let over = self.machine.over(ticket).into_iter();
-                out.extend(over.map(|(id, attempt)| (id, Step::Unsent(attempt, Why::Over))));
+            RecorderMessage::Abort(request, attempt) => drop(self.gate.abort((request, attempt))),
+            RecorderMessage::CallEnded(ticket) => {
+                let over = self.gate.call_ended(ticket).into_iter();
+                out.extend(
+                    over.map(|(id, attempt)| (id, GateDecision::Unsent(attempt, UnsentReason::CallEnded))),
+                );
             }
-            Word::Worker(worker, leaving) => self.machine.worker(worker, leaving),
+            RecorderMessage::Worker(worker, leaving) => self.gate.worker(worker, leaving),
         }
     }
 }
 
 async fn run(
-    mut holder: Holder,
+    mut holder: RecorderTask,
     clock: Clock,
-    mut words: mpsc::UnboundedReceiver<Word>,
-    mut done: mpsc::UnboundedReceiver<Done>,
+    mut words: mpsc::UnboundedReceiver<RecorderMessage>,
+    mut done: mpsc::UnboundedReceiver<LogEvent>,
     workers: Rc<Workers>,
-    news: mpsc::Sender<News>,
+    news: mpsc::Sender<Input>,
 ) {
     let mut alarm = Alarm::new(clock);
     let mut out = Vec::new();
     loop {
-        let due = holder.machine.due();
+        let due = holder.gate.next_deadline();
         alarm.set(due.unwrap_or_else(|| clock.now() + 60_000_000));
         tokio::select! {
             // What the driver took back is heard before marks that came: nothing leaves against its word.
             biased;
             word = words.recv() => match word {
-                None => return holder.waits.tell(&holder.marks),
-                Some(word) => holder.take(word, clock.now(), &mut out),
+                None => return holder.latency.tell(&holder.log),
+                Some(word) => holder.on_message(word, clock.now(), &mut out),
             },
             answer = done.recv() => {
-                if let Some(Done::Marked(mark, on_disk)) = answer {
-                    holder.waits.end(mark.number, &holder.marks, clock.now());
-                    out.extend(holder.machine.marked(mark.number, on_disk, clock.now()));
+                if let Some(LogEvent::Recorded(mark, on_disk)) = answer {
+                    holder.latency.end(mark.number, &holder.log, clock.now());
+                    out.extend(holder.gate.on_recorded(mark.number, on_disk, clock.now()));
                 }
             }
             () = alarm.rings(), if due.is_some() => {
-                let late = holder.machine.late(clock.now()).into_iter();
-                out.extend(late.map(|(id, attempt, why)| (id, Step::Unsent(attempt, why))));
+                let late = holder.gate.take_late(clock.now()).into_iter();
+                out.extend(late.map(|(id, attempt, why)| (id, GateDecision::Unsent(attempt, why))));
             }
         }
         let mut unsent = Vec::new();
         for (id, step) in out.drain(..) {
             match step {
-                Step::Send(what) => workers.attempt(what),
-                Step::Wait { .. } => {}
-                Step::Unsent(what, why) => unsent.push((id, what, why)),
+                GateDecision::Send(what) => workers.attempt(what),
+                GateDecision::Wait { .. } => {}
+                GateDecision::Unsent(what, why) => unsent.push((id, what, why)),
             }
         }
         // Only now, as a driver that is behind is waited for here, and what is to leave would grow stale.
         for ((request, attempt), what, why) in unsent {
             tracing::warn!(correlation = &*what.correlation, attempt, ?why, "attempt not sent");
-            let result = AttemptResult::bare(Outcome::Superseded);
+            let result = AttemptResult::without_answer(Outcome::Superseded);
             // A driver that is gone needs no news.
-            let _ = news.send(News::Attempt { request, attempt, result }).await;
+            let _ = news.send(Input::AttemptEnded { request, attempt, result }).await;
         }
     }
 }
--- a/crates/gateway/src/metrics_page.rs
+++ b/crates/gateway/src/metrics_page.rs
@@ -94,14 +94,14 @@
             ("stagehoist_calls_served_total", c.served),
             ("stagehoist_calls_refused_total", c.refused),
             ("stagehoist_calls_failed_total", c.failed),
-            ("stagehoist_calls_turned_away_total", c.turned_away),
+            ("stagehoist_calls_turned_away_total", c.rejected_at_intake),
             ("stagehoist_attempts_total", c.attempts),
-            ("stagehoist_further_attempts_total", c.further_attempts),
+            ("stagehoist_further_attempts_total", c.retries),
             ("stagehoist_loads_ordered_total", c.loads),
             ("stagehoist_unloads_ordered_total", c.unloads),
-            ("stagehoist_probes_total", c.probes),
+            ("stagehoist_probes_total", c.health_checks),
             ("stagehoist_batches_total", c.batches),
-            ("stagehoist_worker_lists_total", c.lists),
+            ("stagehoist_worker_lists_total", c.endpoint_lists),
             ("stagehoist_module_microseconds_total", c.module_ns / 1000),
             ("stagehoist_amqp_delivered_total", f.delivered),
             ("stagehoist_amqp_redelivered_total", f.redelivered),
@@ -111,7 +111,7 @@
             ("stagehoist_amqp_confirmed_total", f.confirmed),
             ("stagehoist_amqp_unroutable_total", f.unroutable),
             ("stagehoist_amqp_from_memory_total", f.from_memory),
-            ("stagehoist_amqp_turned_away_total", f.turned_away),
+            ("stagehoist_amqp_turned_away_total", f.rejected_at_intake),
             ("stagehoist_amqp_windows_total", f.windows),
             ("stagehoist_amqp_joined_total", f.joined),
             ("stagehoist_amqp_withheld_total", f.withheld),
@@ -122,14 +122,14 @@
         }
         for (name, value) in [
             ("stagehoist_calls_unanswered", core.unanswered() as f64),
-            ("stagehoist_attempts_out", core.out() as f64),
+            ("stagehoist_attempts_out", core.attempts_in_flight() as f64),
             ("stagehoist_workers_ready", core.ready_workers() as f64),
             ("stagehoist_amqp_consuming", f64::from(u8::from(link.ready))),
-            ("stagehoist_amqp_awaits_list", f64::from(u8::from(link.awaits_list))),
+            ("stagehoist_amqp_awaits_list", f64::from(u8::from(link.awaits_endpoints))),
         ] {
             gauge!(name, "front_end" => self.label.clone()).set(value);
         }
-        if let Some((own, leaving)) = core.subset() {
+        if let Some((own, leaving)) = core.shard_workers() {
             let label = || self.label.clone();
             gauge!("stagehoist_shard_workers", "front_end" => label()).set(own as f64);
             gauge!("stagehoist_shard_workers_leaving", "front_end" => label()).set(leaving as f64);
@@ -142,14 +142,14 @@
             gauge!("stagehoist_shard_front_ends", "front_end" => label()).set(others as f64 + 1.0);
             counter!("stagehoist_shard_changes_total", "front_end" => label()).absolute(changes);
             counter!("stagehoist_shard_list_failures_total", "front_end" => label())
-                .absolute(c.front_ends_failed);
+                .absolute(c.front_end_list_failures);
             counter!("stagehoist_shard_calls_given_back_total", "front_end" => label())
                 .absolute(f.given_back);
         }
-        if let Some(stage) = core.recovery_stage() {
+        if let Some(stage) = core.recovery_phase() {
             gauge!("stagehoist_recovery_stage", "front_end" => self.label.clone()).set(stage as u8 as f64);
         }
-        if let Some((version, fresh, retired)) = core.fleet_shows() {
+        if let Some((version, fresh, retired)) = core.fleet_state() {
             let label = || self.label.clone();
             gauge!("stagehoist_view_version", "front_end" => label()).set(version as f64);
             gauge!("stagehoist_view_fresh", "front_end" => label()).set(f64::from(u8::from(fresh)));
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,17 +1,19 @@
 //! Front ends started on threads of their own, watched, and drained.
 
-use crate::amqp::Marking;
+use crate::amqp::InquirySettings;
 use crate::clock::Clock;
 use crate::driver::{self, FrontEndState};
 use crate::error::GatewayError;
-use crate::fleet::{Desk, Entrance, Gate, Link, Starting, Witness};
+use crate::fleet::{
+    EgressCheck, FleetRecovery, PoolAdmission, RetirementGate, SessionHandle, ShutdownMarker,
+};
 use crate::metrics_page;
 use crate::shards::{self, Shards};
-use crate::state::{module, Core, Decider, Figures};
-use crate::ways::AmqpWays;
+use crate::state::{module, Core, CoreSettings, PolicyFactory};
+use crate::ways::AmqpTransport;
 use metrics_exporter_prometheus::PrometheusHandle;
 use stagehoist_config::Config;
-use stagehoist_intent_log::{Marks, Options, Place};
+use stagehoist_intent_log::{IntentLog, LogLocation, Options};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -37,11 +39,11 @@
 /// The same with another policy than the module, to measure against, and with each front end's link to the keepers, whose
 /// times are on `clock`; without a link, one that is part of a fleet knows nothing of the record.
 pub fn serve_with(
-    decider: Decider,
+    decider: PolicyFactory,
     config: &Config,
     metrics: Option<PrometheusHandle>,
     clock: Clock,
-    links: Vec<Option<Link>>,
+    links: Vec<Option<SessionHandle>>,
 ) -> Result<Running, GatewayError> {
     let (drain, drained) = watch::channel(false);
     let mut running =
@@ -50,7 +52,7 @@
     for number in 0..config.front_ends {
         let config = shards::own(config.clone(), number);
         let (drained, mut link) = (drained.clone(), links.next().flatten());
-        let others = link.as_mut().and_then(|l| l.others.take());
+        let others = link.as_mut().and_then(|l| l.inquiry.take());
         let marks = marks(&config, number)?.map(|(marks, store)| {
             running.stores.push(store);
             marks
@@ -63,34 +65,34 @@
             let local = tokio::task::LocalSet::new();
             local.block_on(&runtime, async move {
                 let seed = config.seed.wrapping_add(u64::from(number).wrapping_mul(0x9E37_79B9_7F4A_7C15));
-                let (news, incoming) = mpsc::channel(driver::LINE);
+                let (news, incoming) = mpsc::channel(driver::INPUT_QUEUE_CAPACITY);
                 let config = Rc::new(config);
-                let mut core = Core::with(decider, Figures::from(&*config), seed, clock.now());
-                core.divide(Shards::new(&config));
-                if let Some(entrance) = Entrance::new(&config, seed, clock.now()) {
-                    core.enter_by(entrance);
+                let mut core = Core::with(decider, CoreSettings::from(&*config), seed, clock.now());
+                core.set_shards(Shards::new(&config));
+                if let Some(entrance) = PoolAdmission::new(&config, seed, clock.now()) {
+                    core.set_pool_admission(entrance);
                 }
-                let gate = config.fleet.as_ref().map(|_| Gate::new(config.clone()));
+                let gate = config.fleet.as_ref().map(|_| RetirementGate::new(config.clone()));
                 let fleet = gate.map(|gate| {
-                    let desk = Desk::new(gate, move || clock.now());
-                    core.join(desk.clone());
-                    (desk, link.as_ref().map(|l| l.standing.clone()))
+                    let desk = EgressCheck::new(gate, move || clock.now());
+                    core.join_fleet(desk.clone());
+                    (desk, link.as_ref().map(|l| l.status.clone()))
                 });
-                let marking = marks.map(|marks| Marking { marks, others });
+                let marking = marks.map(|marks| InquirySettings { intent_log: marks, peers: others });
                 if marking.is_some() {
-                    core.tells_leaving();
+                    core.report_drains();
                 }
-                let witness = Witness::begin(&config, number);
+                let witness = ShutdownMarker::begin(&config, number);
                 let recover = config.fleet.as_ref().and_then(|f| f.recover);
                 if let (Some(recover), Some(witness)) = (recover, &witness) {
-                    let lost = witness.is_unordered();
-                    core.recover(Starting::new(&config, &recover, lost, seed, clock.now()));
+                    let lost = witness.is_unclean();
+                    core.set_recovery(FleetRecovery::new(&config, &recover, lost, seed, clock.now()));
                 }
-                let ways = AmqpWays::start(&config, number, seed, clock, news, fleet, marking);
+                let ways = AmqpTransport::start(&config, number, seed, clock, news, fleet, marking);
                 let times = (clock, config.drain_most);
                 driver::run(core, ways, incoming, times, drained, state, link).await;
                 if let Some(witness) = witness {
-                    witness.end();
+                    witness.remove();
                 }
             });
         });
@@ -121,12 +123,12 @@
 }
 
 /// Opens a front end's marks, where attempts are to be marked. With keepers the run is told by its session.
-fn marks(config: &Config, number: u32) -> Result<Option<(Marks, JoinHandle<()>)>, GatewayError> {
+fn marks(config: &Config, number: u32) -> Result<Option<(IntentLog, JoinHandle<()>)>, GatewayError> {
     let Some(told) = &config.marks else { return Ok(None) };
     let fleet = config.fleet.as_ref();
     let name = fleet.map_or(format!("front-end-{number}"), |f| format!("{}/{number}", f.member));
-    let place = Place { folder: PathBuf::from(&told.folder), name, alone: fleet.is_none() };
-    let options = Options { keep: told.keep, most: told.most, ..Options::default() };
+    let place = LogLocation { folder: PathBuf::from(&told.folder), name, standalone: fleet.is_none() };
+    let options = Options { replica: told.keep, most: told.most, ..Options::default() };
     let opened = stagehoist_intent_log::start(&place, options);
     opened.map(Some).map_err(|source| GatewayError::Marks { folder: told.folder.clone(), source })
 }
--- a/crates/gateway/src/shards.rs
+++ b/crates/gateway/src/shards.rs
@@ -7,14 +7,16 @@
 mod places;
 
 pub use divided::settings;
-pub use ownership::{Owned, Ownership};
+pub use ownership::{OwnedShards, Ownership};
 pub use places::{Arrives, Places};
 
 use fnv::FnvHashSet;
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle, Micros, WorkerId};
 use stagehoist_config::{Config, Consume, Sharding};
 use stagehoist_endpoints::Update;
-use stagehoist_sharding::{ranked, Assignment, Division, Divisions, Homes, Key, Member, Shard, Transition};
+use stagehoist_sharding::{
+    ranked, Assignment, Division, Divisions, HomeShards, Key, Member, Shard, Transition,
+};
 use std::collections::BTreeMap;
 
 /// Added to the longest time that an attempt or a load may take, before a worker that left the subset is told gone.
@@ -55,8 +57,8 @@
     ranked(division, sharding.first, config.fleet_front_ends).unwrap_or_default()
 }
 
-fn homes(sharding: &Sharding, division: &Division) -> Option<Homes> {
-    Homes::new(division, sharding.calls, &sharding.hot).ok()
+fn homes(sharding: &Sharding, division: &Division) -> Option<HomeShards> {
+    HomeShards::new(division, sharding.calls, &sharding.hot).ok()
 }
 
 /// Ready workers that came or changed, and those that went or are ready no more.
@@ -74,7 +76,7 @@
     rows: BTreeMap<WorkerId, (Key, Endpoint)>,
     ids: BTreeMap<Key, WorkerId>,
     /// Ready workers beyond the bounds of a division, by the last list.
-    left_out: usize,
+    omitted: usize,
     /// In how many shards each of the subset is.
     subset: BTreeMap<WorkerId, usize>,
     transition: Transition,
@@ -97,7 +99,7 @@
             served: own.into_iter().zip(divisions.served().map(Assignment::new)).collect(),
             rows: BTreeMap::new(),
             ids: BTreeMap::new(),
-            left_out: 0,
+            omitted: 0,
             subset: BTreeMap::new(),
             transition: Transition::new(longest + MARGIN),
             ownership: None,
@@ -105,33 +107,33 @@
     }
 
     /// What the module is told in place of what was heard of all workers.
-    pub fn heard<N: AsRef<str>>(
+    pub fn apply<N: AsRef<str>>(
         &mut self,
         update: Update,
         name: impl Fn(WorkerId) -> Option<N>,
         now: Micros,
     ) -> Update {
-        if update.form == EndpointUpdate::Failed {
+        if update.kind == EndpointUpdate::Failed {
             return update;
         }
-        let listed: FnvHashSet<WorkerId> = update.rows.iter().map(|r| r.worker).collect();
+        let listed: FnvHashSet<WorkerId> = update.endpoints.iter().map(|r| r.worker).collect();
         let mut changes = BTreeMap::new();
-        if update.form != EndpointUpdate::Delta {
+        if update.kind != EndpointUpdate::Delta {
             let left: Vec<WorkerId> = self.rows.keys().filter(|w| !listed.contains(w)).copied().collect();
-            left.into_iter().for_each(|w| self.goes(w, &mut changes));
+            left.into_iter().for_each(|w| self.remove_worker(w, &mut changes));
         }
-        for row in &update.rows {
+        for row in &update.endpoints {
             let key = name(row.worker).map_or(Key::numbered(u64::from(row.worker)), |n| Key::of(n.as_ref()));
-            self.comes(key, row, &mut changes);
+            self.add_worker(key, row, &mut changes);
         }
         self.divide(&changes);
         let before = std::mem::take(&mut self.subset);
         self.subset = self.members();
-        let mut rows: Vec<Endpoint> = update.rows.into_iter().map(|r| self.shared(r)).collect();
+        let mut rows: Vec<Endpoint> = update.endpoints.into_iter().map(|r| self.shared(r)).collect();
         let mine = |w: WorkerId| self.subset.contains_key(&w);
-        rows = self.transition.listed(update.form, &rows, mine, now).rows;
+        rows = self.transition.apply_list(update.kind, &rows, mine, now).endpoints;
         rows.extend(self.moved(&before, &listed, now));
-        Update { form: update.form, rows }
+        Update { kind: update.kind, endpoints: rows }
     }
 
     /// Workers that the coming and going of others, or of own shards, moved in or out; but for those just listed.
@@ -146,12 +148,12 @@
         let entered: Vec<Endpoint> = entered.map(|r| self.shared(r.1.clone())).collect();
         let left = before.keys().filter(|w| !self.subset.contains_key(w) && !listed.contains(w));
         let left: Vec<WorkerId> = left.copied().collect();
-        self.transition.moved(&entered, &left, now).rows
+        self.transition.apply_move(&entered, &left, now).endpoints
     }
 
     /// Tells gone what left long enough ago.
     pub fn expired(&mut self, now: Micros) -> Option<Update> {
-        self.transition.expire(now).map(|told| Update { form: told.form, rows: told.rows })
+        self.transition.expire(now).map(|told| Update { kind: told.kind, endpoints: told.endpoints })
     }
 
     pub fn due(&self) -> Option<Micros> {
@@ -185,18 +187,18 @@
     /// All that changed at once: one by one a whole list, or a zone of it, takes many times as long, and no call is decided meanwhile.
     fn divide(&mut self, changes: &Changes) {
         let over = self.served.iter_mut().map(|(_, assignment)| assignment.apply(changes)).max().unwrap_or(0);
-        if over > 0 && over != self.left_out {
+        if over > 0 && over != self.omitted {
             tracing::warn!(left_out = over, "workers beyond the bounds of the division are left out");
         }
-        self.left_out = over;
+        self.omitted = over;
     }
 
-    fn comes(&mut self, key: Key, row: &Endpoint, changes: &mut Changes) {
+    fn add_worker(&mut self, key: Key, row: &Endpoint, changes: &mut Changes) {
         if row.lifecycle == Lifecycle::Gone {
-            return self.goes(row.worker, changes);
+            return self.remove_worker(row.worker, changes);
         }
         // Who was left out may find room now.
-        if self.left_out == 0 && self.rows.get(&row.worker).is_some_and(|k| k.0 == key && k.1 == *row) {
+        if self.omitted == 0 && self.rows.get(&row.worker).is_some_and(|k| k.0 == key && k.1 == *row) {
             return;
         }
         self.rows.insert(row.worker, (key, row.clone()));
@@ -204,7 +206,7 @@
         changes.insert(key, (row.lifecycle == Lifecycle::Ready).then(|| member(key, row)));
     }
 
-    fn goes(&mut self, worker: WorkerId, changes: &mut Changes) {
+    fn remove_worker(&mut self, worker: WorkerId, changes: &mut Changes) {
         let Some((key, _)) = self.rows.remove(&worker) else { return };
         // Unless another has its name by now.
         if self.ids.get(&key) == Some(&worker) {
--- a/crates/gateway/src/shards/divided.rs
+++ b/crates/gateway/src/shards/divided.rs
@@ -3,7 +3,7 @@
 use super::{homes, owned};
 use stagehoist::Settings;
 use stagehoist_config::{Config, Sharding};
-use stagehoist_sharding::{Division, Divisions, Homes, Key, Serving, Shard, TenantParts};
+use stagehoist_sharding::{Division, Divisions, HomeShards, Key, Serving, Shard, TenantParts};
 
 /// Front ends that a shard may have beyond the most by one list that all have, while some know the next and what goes is
 /// handed over: two for each front end that comes as another goes meanwhile, and as many again.
@@ -24,7 +24,8 @@
     let own: Vec<&[Shard]> = own.iter().map(|o| &o[..]).collect();
     for (tenant, quota) in config.tenants.iter().zip(&mut settings.tenant_quotas) {
         let names = sharding.tenants.get(&tenant.name).map_or(&[][..], |n| &n[..]);
-        let parts = |(d, homes): &(&Division, Homes)| TenantParts::new(d, homes, &sizes(sharding, names));
+        let parts =
+            |(d, homes): &(&Division, HomeShards)| TenantParts::new(d, homes, &sizes(sharding, names));
         let parts: Vec<TenantParts> = each.iter().map(parts).collect();
         let parts: Vec<&TenantParts> = parts.iter().collect();
         // The module divides what it is told by the front ends that it is told.
--- a/crates/gateway/src/shards/ownership.rs
+++ b/crates/gateway/src/shards/ownership.rs
@@ -7,7 +7,7 @@
 use crate::list::front_ends::Entry;
 use stagehoist::Micros;
 use stagehoist_config::Config;
-use stagehoist_sharding::{Division, Divisions, FrontEnd, FrontEnds, Key, Member, Shard, MEMBERS_MOST};
+use stagehoist_sharding::{Division, Divisions, FrontEnd, FrontEnds, Key, Member, Shard, MAX_MEMBERS};
 use std::collections::BTreeMap;
 
 /// Added to the time in which all know a list, before a queue is left; and the time of a `basic.cancel` and its answer.
@@ -15,26 +15,26 @@
 
 /// What a front end has of one division served, in ascending order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Owned {
+pub struct OwnedShards {
     pub generation: u32,
-    pub own: Vec<Shard>,
+    pub owned: Vec<Shard>,
     /// No more its own; their queues are consumed still.
     pub leaving: Vec<Shard>,
     /// Their queues are consumed no more; what still comes over them is taken.
-    pub kept: Vec<Shard>,
+    pub retained: Vec<Shard>,
 }
 
-impl Owned {
+impl OwnedShards {
     /// Shards whose functions and workers are this front end's.
     pub fn served(&self) -> Vec<Shard> {
-        let mut all = [&self.own[..], &self.leaving, &self.kept].concat();
+        let mut all = [&self.owned[..], &self.leaving, &self.retained].concat();
         all.sort_unstable();
         all
     }
 
     /// Shards whose queues are consumed.
     pub fn consumed(&self) -> impl Iterator<Item = Shard> + '_ {
-        self.own.iter().chain(&self.leaving).copied()
+        self.owned.iter().chain(&self.leaving).copied()
     }
 }
 
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct Ownership {
     divisions: Divisions,
-    own: Member,
+    member: Member,
     name: String,
     /// Name of the own zone; None: zones aren't told, and all are of one.
     zone: Option<String>,
@@ -52,9 +52,9 @@
     /// The others of the own zone. What is believed of another zone changes nothing in one's own.
     known: BTreeMap<Key, FrontEnd>,
     /// Own shards, by generation, that went, and when; bounded by the divisions.
-    gone: BTreeMap<(u32, Shard), Micros>,
-    told: Vec<Owned>,
-    left_out: usize,
+    released: BTreeMap<(u32, Shard), Micros>,
+    current: Vec<OwnedShards>,
+    omitted: usize,
     is_listed: bool,
     /// Lists that changed own shards.
     pub changes: u64,
@@ -69,22 +69,22 @@
         let name = format!("{}-{}", list.name, sharding.first);
         Some(Ownership {
             divisions: sharding.divisions.clone(),
-            own: Member::new(&name, at as u16, 1.0),
+            member: Member::new(&name, at as u16, 1.0),
             name,
             zone,
             handover: list.interval() + MARGIN,
             front_ends: None,
             known: BTreeMap::new(),
-            gone: BTreeMap::new(),
-            told: Vec::new(),
-            left_out: 0,
+            released: BTreeMap::new(),
+            current: Vec::new(),
+            omitted: 0,
             is_listed: true,
             changes: 0,
         })
     }
 
     /// Others of the own zone that are counted.
-    pub fn others(&self) -> usize {
+    pub fn front_end_count(&self) -> usize {
         self.known.len()
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// A whole list came. Gives what is owned where that changed.
-    pub fn listed(&mut self, list: &[Entry], now: Micros) -> Option<Vec<Owned>> {
+    pub fn listed(&mut self, list: &[Entry], now: Micros) -> Option<Vec<OwnedShards>> {
         let listed = self.of_zone(list);
         let changed: Vec<(Key, Option<FrontEnd>)> = {
             let came = listed.iter().filter(|(key, f)| self.known.get(key) != Some(f));
@@ -109,7 +109,7 @@
         match self.front_ends.as_mut() {
             Some(known) => drop(known.apply(&changed)),
             None => {
-                let all = FrontEnds::of(&self.divisions, self.own, listed.values().copied());
+                let all = FrontEnds::of(&self.divisions, self.member, listed.values().copied());
                 self.front_ends = Some(all);
             }
         }
@@ -118,20 +118,20 @@
     }
 
     /// Time passes: what was handed over is let go.
-    pub fn tick(&mut self, now: Micros) -> Option<Vec<Owned>> {
+    pub fn tick(&mut self, now: Micros) -> Option<Vec<OwnedShards>> {
         self.due().filter(|due| *due <= now)?;
         self.renew(now)
     }
 
     /// When [`Ownership::tick`] has something to tell.
     pub fn due(&self) -> Option<Micros> {
-        let of = |d: &Owned| -> Option<Micros> {
-            let at = |s: &Shard| self.gone.get(&(d.generation, *s)).copied();
+        let of = |d: &OwnedShards| -> Option<Micros> {
+            let at = |s: &Shard| self.released.get(&(d.generation, *s)).copied();
             let leaving = d.leaving.iter().filter_map(at).map(|at| at + self.handover);
-            let kept = d.kept.iter().filter_map(at).map(|at| at + 2 * self.handover);
+            let kept = d.retained.iter().filter_map(at).map(|at| at + 2 * self.handover);
             leaving.chain(kept).min()
         };
-        self.told.iter().filter_map(of).min()
+        self.current.iter().filter_map(of).min()
     }
 
     /// The other front ends of the own zone, at most so many that the table holds them beside this one; the same are left
@@ -139,61 +139,61 @@
     fn of_zone(&mut self, list: &[Entry]) -> BTreeMap<Key, FrontEnd> {
         let mine = |e: &&Entry| self.zone.as_ref().is_none_or(|z| *z == e.zone);
         let member = |e: &Entry| {
-            let member = Member::new(&e.name, self.own.zone, 1.0);
+            let member = Member::new(&e.name, self.member.zone, 1.0);
             (member.key, FrontEnd { member, serves: e.serves })
         };
         let mut listed: BTreeMap<Key, FrontEnd> = list.iter().filter(mine).map(member).collect();
-        let is_listed = listed.remove(&self.own.key).is_some();
+        let is_listed = listed.remove(&self.member.key).is_some();
         if self.is_listed && !is_listed {
             tracing::warn!(name = self.name, "the list of front ends leaves this one out; it counts itself");
         }
-        let over = listed.len().saturating_sub(MEMBERS_MOST - 1);
-        if over > 0 && over != self.left_out {
+        let over = listed.len().saturating_sub(MAX_MEMBERS - 1);
+        if over > 0 && over != self.omitted {
             tracing::warn!(
                 left_out = over,
-                most = MEMBERS_MOST,
+                most = MAX_MEMBERS,
                 "the list of front ends is too long; the last by key are left out"
             );
         }
-        (self.is_listed, self.left_out) = (is_listed, over);
-        if let Some(first) = listed.keys().nth(MEMBERS_MOST - 1).copied() {
+        (self.is_listed, self.omitted) = (is_listed, over);
+        if let Some(first) = listed.keys().nth(MAX_MEMBERS - 1).copied() {
             drop(listed.split_off(&first));
         }
         listed
     }
 
     /// What is owned now; given where it changed.
-    fn renew(&mut self, now: Micros) -> Option<Vec<Owned>> {
+    fn renew(&mut self, now: Micros) -> Option<Vec<OwnedShards>> {
         let front_ends = self.front_ends.as_ref()?;
-        let own_before: Vec<Vec<Shard>> = self.told.iter().map(|d| d.own.clone()).collect();
+        let own_before: Vec<Vec<Shard>> = self.current.iter().map(|d| d.owned.clone()).collect();
         let mut told = Vec::new();
         for (at, division) in self.divisions.served().map(Division::generation).enumerate() {
-            let own = front_ends.own(division).to_vec();
+            let own = front_ends.own_key(division).to_vec();
             for shard in own_before.get(at).into_iter().flatten().filter(|s| !own.contains(s)) {
-                self.gone.insert((division, *shard), now);
+                self.released.insert((division, *shard), now);
             }
-            self.gone.retain(|(generation, shard), _| *generation != division || !own.contains(shard));
-            let mut owned = Owned { generation: division, own, ..Owned::default() };
-            for ((_, shard), at) in self.gone.range((division, 0)..=(division, Shard::MAX)) {
+            self.released.retain(|(generation, shard), _| *generation != division || !own.contains(shard));
+            let mut owned = OwnedShards { generation: division, owned: own, ..OwnedShards::default() };
+            for ((_, shard), at) in self.released.range((division, 0)..=(division, Shard::MAX)) {
                 match now - at {
                     age if age < self.handover => owned.leaving.push(*shard),
-                    age if age < 2 * self.handover => owned.kept.push(*shard),
+                    age if age < 2 * self.handover => owned.retained.push(*shard),
                     _ => {}
                 }
             }
             told.push(owned);
         }
         let handover = self.handover;
-        self.gone.retain(|_, at| now - *at < 2 * handover);
-        if told == self.told {
+        self.released.retain(|_, at| now - *at < 2 * handover);
+        if told == self.current {
             return None;
         }
-        let own: Vec<Vec<Shard>> = told.iter().map(|d| d.own.clone()).collect();
+        let own: Vec<Vec<Shard>> = told.iter().map(|d| d.owned.clone()).collect();
         if own != own_before {
             self.changes += 1;
             tracing::info!(?own, others = self.known.len(), "own shards by the list of front ends");
         }
-        self.told.clone_from(&told);
+        self.current.clone_from(&told);
         Some(told)
     }
 }
--- a/crates/gateway/src/shards/places.rs
+++ b/crates/gateway/src/shards/places.rs
@@ -1,14 +1,14 @@
 //! What a front end has to do with a function that is asked for over one of its queues, without I/O.
 
-use super::{homes, owned, queue, Owned};
+use super::{homes, owned, queue, OwnedShards};
 use stagehoist_config::{Config, Consume};
-use stagehoist_sharding::{place, Division, Homes, Key, Place, Shard};
+use stagehoist_sharding::{place, Division, FunctionPlacement, HomeShards, Key, Shard};
 
 /// Of a queue: the place of its division among those served, and whether calls over it are ones that leave.
 pub type Arrives = (usize, bool);
 
 /// The homes and own shards of the divisions served, the newest last; what each queue is; and the divisions' generations.
-pub struct Places(Vec<(Homes, Vec<Shard>)>, Vec<Arrives>, Vec<u32>);
+pub struct Places(Vec<(HomeShards, Vec<Shard>)>, Vec<Arrives>, Vec<u32>);
 
 impl Places {
     pub fn new(config: &Config) -> Option<Places> {
@@ -28,9 +28,11 @@
 
     /// What the front end has to do with a function that was asked for over one of its queues, by that queue's place in the
     /// configuration: over a queue of the older division every call is one that leaves.
-    pub fn over(&self, queue: usize, function: &str) -> Place {
+    pub fn over(&self, queue: usize, function: &str) -> FunctionPlacement {
         match self.of(function) {
-            Place::Own if self.1.get(queue).is_some_and(|arrives| arrives.1) => Place::Leaving,
+            FunctionPlacement::Owned if self.1.get(queue).is_some_and(|arrives| arrives.1) => {
+                FunctionPlacement::Leaving
+            }
             place => place,
         }
     }
@@ -43,12 +45,12 @@
         Some((*self.2.get(at)?, self.0.get(at)?.0.for_call(Key::of(function), call)))
     }
 
-    pub fn of(&self, function: &str) -> Place {
+    pub fn of(&self, function: &str) -> FunctionPlacement {
         place(self.0.iter().map(|(homes, own)| (homes, &own[..])), Key::of(function), 0)
     }
 
     /// Own shards changed; `queues` tells what each queue is, by its place.
-    pub fn owns(&mut self, owned: &[Owned], queues: Vec<Arrives>) {
+    pub fn owns(&mut self, owned: &[OwnedShards], queues: Vec<Arrives>) {
         for ((_, own), told) in self.0.iter_mut().zip(owned) {
             *own = told.served();
         }
--- a/crates/gateway/src/state/answer.rs
+++ b/crates/gateway/src/state/answer.rs
@@ -1,6 +1,6 @@
 //! The final answer to a call.
 
-use crate::fleet::{Gated, Retired};
+use crate::fleet::{CheckedAnswer, Retired};
 use bytes::Bytes;
 use stagehoist::Micros;
 
@@ -23,7 +23,7 @@
     /// Failed, as its function is retired; it did not run, or may be repeated without harm.
     Retired(Box<Retired>),
     /// Served by a front end of a fleet.
-    Gated(Box<Gated>),
+    Gated(Box<CheckedAnswer>),
 }
 
 impl Answer {
--- a/crates/gateway/src/state/core/acts.rs
+++ b/crates/gateway/src/state/core/acts.rs
@@ -1,34 +1,35 @@
 //! The module's choices carried out.
 
 use super::super::{Answer, Attempt, Command};
-use super::{Call, Core, Flight};
+use super::{AttemptInFlight, Call, Core};
 use stagehoist::{Action, AttemptEnd, Effect, Event, Micros, Outcome, RequestId, WorkerId};
 use std::rc::Rc;
 
 impl Core {
-    pub(super) fn lose_orders(&mut self, now: Micros) {
-        if !self.orders.values().any(|o| o.1 <= now) {
+    pub(super) fn expire_load_orders(&mut self, now: Micros) {
+        if !self.load_orders.values().any(|o| o.1 <= now) {
             return;
         }
-        let lost: Vec<_> = self.orders.iter().filter(|(_, o)| o.1 <= now).map(|(k, o)| (*k, o.0)).collect();
+        let lost: Vec<_> =
+            self.load_orders.iter().filter(|(_, o)| o.1 <= now).map(|(k, o)| (*k, o.0)).collect();
         for ((worker, function), sent) in lost {
-            self.orders.remove(&(worker, function));
+            self.load_orders.remove(&(worker, function));
             let (outcome, took, copies) = (Outcome::Timeout, now - sent, 0);
             self.events.push(Event::Loaded { worker, function, outcome, elapsed: took, copies });
         }
     }
 
     pub(super) fn address(&self, worker: WorkerId) -> Rc<str> {
-        self.members.address(worker).unwrap_or("").into()
+        self.endpoints.address(worker).unwrap_or("").into()
     }
 
-    pub(super) fn act(&mut self, now: Micros, action: Action, out: &mut Vec<Command>) {
+    pub(super) fn execute(&mut self, now: Micros, action: Action, out: &mut Vec<Command>) {
         match action {
             Action::Send { request, worker, timeout } => self.send(now, request, worker, timeout, out),
             Action::Reject { request, retry_after } => {
                 let reason = self.reason(request, now);
-                let retry_after = retry_after.min(self.figures.retry_after_most);
-                let closing = self.closing_answer(request, now);
+                let retry_after = retry_after.min(self.settings.max_retry_after);
+                let closing = self.answer_if_closed(request, now);
                 let answer = closing.unwrap_or(Answer::Refused { reason, retry_after });
                 self.answer(request, answer, now, out);
             }
@@ -36,13 +37,13 @@
                 let reason = self.reason(request, now);
                 self.answer(request, Answer::Failed { reason }, now, out);
             }
-            Action::Cancel { request, attempt } => self.stop(now, request, attempt, out),
+            Action::Cancel { request, attempt } => self.cancel_attempt(now, request, attempt, out),
             Action::SetTimer { after, token } => {
                 self.timers.insert((now + after.max(1), token));
             }
             Action::HealthCheck { worker } => {
-                self.counters.probes += 1;
-                out.push(Command::Probe { worker, address: self.address(worker) });
+                self.counters.health_checks += 1;
+                out.push(Command::HealthCheck { worker, address: self.address(worker) });
             }
             Action::CloseIdle { worker } => out.push(Command::CloseIdle { worker }),
             Action::Load { worker, function, copies } => {
@@ -59,12 +60,12 @@
                 };
                 if self.closed(&name, now).is_some() {
                     // It never leaves, and counts as lost when its time is over: an end at once would only bring the next.
-                    self.orders.insert((worker, function), (now, now + self.figures.load_timeout));
+                    self.load_orders.insert((worker, function), (now, now + self.settings.load_timeout));
                     return;
                 }
                 self.counters.loads += 1;
-                tracing::debug!(worker = self.members.name(worker), function = &*name, copies, "load");
-                self.orders.insert((worker, function), (now, now + self.figures.load_timeout));
+                tracing::debug!(worker = self.endpoints.name(worker), function = &*name, copies, "load");
+                self.load_orders.insert((worker, function), (now, now + self.settings.load_timeout));
                 let address = self.address(worker);
                 out.push(Command::Load { worker, address, function, name, copies });
             }
@@ -73,14 +74,14 @@
                 self.counters.unloads += 1;
                 out.push(Command::Unload { worker, address: self.address(worker), function });
             }
-            Action::SubscribeEndpoints { on } => out.push(Command::Watch(on)),
-            Action::FetchEndpoints => out.push(Command::Fetch),
+            Action::SubscribeEndpoints { on } => out.push(Command::SubscribeEndpoints(on)),
+            Action::FetchEndpoints => out.push(Command::FetchEndpoints),
             // Front ends share nothing, so that there is no one to tell; the settings say so to the module.
             Action::Gossip { .. } => {}
             Action::Log { text } => {
                 // The module knows workers by their numbers, people by their names.
                 let number = text.split("worker ").nth(1).and_then(|t| t.split(' ').next()?.parse().ok());
-                let worker = number.and_then(|n| self.members.name(n));
+                let worker = number.and_then(|n| self.endpoints.name(n));
                 tracing::info!(text, worker, "module");
             }
         }
@@ -98,14 +99,14 @@
         let address = self.address(worker);
         let Some(call) = self.calls.get_mut(&request) else { return };
         let attempt = call.attempts.len() as u16;
-        let late = now >= call.deadline || u32::from(attempt) >= self.figures.settings.max_attempts;
+        let late = now >= call.deadline || u32::from(attempt) >= self.settings.settings.max_attempts;
         let over = call.answered || late || closed;
         if over || address.is_empty() {
             // The interface's `Moot`: not sent, and said so in the next batch.
             call.attempts.push(None);
             let mut concluded = call.answered;
             if closed && !concluded && call.is_idle() {
-                self.give_up(now, request, out);
+                self.reject_closed(now, request, out);
                 concluded = true;
             }
             let outcome = if over { Outcome::Superseded } else { Outcome::ConnectFailed };
@@ -122,13 +123,13 @@
             return;
         }
         let due = if timeout > 0 { call.deadline.min(now + timeout) } else { call.deadline };
-        let effect = self.figures.settings.classes.get(usize::from(call.class)).map(|class| class.effect);
+        let effect = self.settings.settings.classes.get(usize::from(call.class)).map(|class| class.effect);
         let begin_by = begin_by(call, effect);
-        call.attempts.push(Some(Flight { worker, sent: now, due }));
-        self.cuts.insert((due, request, attempt));
+        call.attempts.push(Some(AttemptInFlight { worker, sent_at: now, deadline: due }));
+        self.attempt_deadlines.insert((due, request, attempt));
         self.counters.attempts += 1;
-        self.counters.further_attempts += u64::from(attempt > 0);
-        let name = self.members.name(worker).unwrap_or("?");
+        self.counters.retries += u64::from(attempt > 0);
+        let name = self.endpoints.name(worker).unwrap_or("?");
         call.span.in_scope(|| tracing::debug!(attempt, worker = name, held_us = now - call.taken, "attempt"));
         out.push(Command::Attempt(Attempt {
             request,
@@ -137,13 +138,13 @@
             address,
             class: call.class,
             function: call.arrival.function.clone(),
-            due,
+            deadline: due,
             body: call.arrival.body.clone(),
             content_type: call.arrival.content_type.clone(),
             correlation: call.arrival.correlation.clone(),
             ticket: call.ticket,
-            begin_by,
-            mark: call.arrival.identity.map(|identity| (identity, call.ticket)),
+            start_by: begin_by,
+            intent: call.arrival.identity.map(|identity| (identity, call.ticket)),
         }));
     }
 }
@@ -152,6 +153,6 @@
 /// run. What is chosen in time may be written late; a quarter of the window is for its way.
 fn begin_by(call: &Call, effect: Option<Effect>) -> Micros {
     let Some(Effect::IdempotentWithKey { window, .. }) = effect else { return Micros::MAX };
-    let out = call.attempts.iter().flatten().map(|flight| flight.sent);
+    let out = call.attempts.iter().flatten().map(|flight| flight.sent_at);
     out.chain(call.ran_since).min().map_or(Micros::MAX, |first| first + window - window / 4)
 }
--- a/crates/gateway/src/state/core/counters.rs
+++ b/crates/gateway/src/state/core/counters.rs
@@ -8,19 +8,19 @@
     pub refused: u64,
     pub failed: u64,
     /// Refused before the module saw them: unknown function, or more calls than may be held.
-    pub turned_away: u64,
-    pub gone: u64,
+    pub rejected_at_intake: u64,
+    pub clients_gone: u64,
     pub attempts: u64,
     /// Of these, those after the first for their call.
-    pub further_attempts: u64,
+    pub retries: u64,
     pub loads: u64,
     pub unloads: u64,
-    pub probes: u64,
+    pub health_checks: u64,
     pub batches: u64,
     /// Whole lists of workers that came, empty ones too.
-    pub lists: u64,
+    pub endpoint_lists: u64,
     /// Time spent in the module, in nanoseconds.
     pub module_ns: u64,
     /// Lists of front ends that could not be had; what was known stands.
-    pub front_ends_failed: u64,
+    pub front_end_list_failures: u64,
 }
--- a/crates/gateway/src/state/core/ending.rs
+++ b/crates/gateway/src/state/core/ending.rs
@@ -5,21 +5,21 @@
 use stagehoist::{Micros, Outcome, RequestId};
 
 /// The reason that is told.
-const ENDING: &str = "front-end-ends";
+const FRONT_END_ENDS: &str = "front-end-ends";
 
 impl Core {
     /// Answers every call of the module's that is left, as the process ends before its time does: refused where nothing of
     /// it can have run, else failed, which promises nothing.
-    pub fn end_calls(&mut self, now: Micros, out: &mut Vec<Command>) {
+    pub fn answer_remaining(&mut self, now: Micros, out: &mut Vec<Command>) {
         let mut left: Vec<RequestId> = self.by_ticket.values().copied().collect();
         left.sort_unstable();
         for request in left {
             let nothing_ran =
                 self.calls.get(&request).is_some_and(|call| call.is_idle() && call.ran_since.is_none());
             let answer = if nothing_ran {
-                Answer::Refused { reason: ENDING, retry_after: 0 }
+                Answer::Refused { reason: FRONT_END_ENDS, retry_after: 0 }
             } else {
-                Answer::Failed { reason: ENDING }
+                Answer::Failed { reason: FRONT_END_ENDS }
             };
             self.answer(request, answer, now, out);
         }
@@ -31,14 +31,14 @@
         if call.attempts.iter().any(Option::is_some) {
             return "no-answer-in-time";
         }
-        match call.last {
+        match call.last_outcome {
             Some(Outcome::Error) => "worker-error",
             Some(Outcome::Reset) => "connection-broke",
             Some(Outcome::Timeout | Outcome::Cancelled) => "no-answer-in-time",
             Some(Outcome::Full) => "workers-full",
             Some(Outcome::ConnectFailed) => "workers-unreachable",
             Some(Outcome::Miss) => "not-loaded-in-time",
-            _ if self.members.ready() == 0 => "no-workers",
+            _ if self.endpoints.ready_count() == 0 => "no-workers",
             _ if now >= call.deadline - (call.deadline - call.taken) / 4 => "held-until-too-late",
             _ => "can-not-finish-in-time",
         }
@@ -57,8 +57,8 @@
         call.span.in_scope(|| {
             tracing::debug!(outcome = word, reason, took_us = now - call.taken, "answered");
         });
-        out.push(Command::Answer { ticket: call.ticket, answer, took: now - call.taken });
-        self.note_end(request, now, false);
+        out.push(Command::Answer { ticket: call.ticket, answer, elapsed: now - call.taken });
+        self.record_call_end(request, now, false);
         self.close_call(request);
     }
 }
--- a/crates/gateway/src/state/core/entering.rs
+++ b/crates/gateway/src/state/core/entering.rs
@@ -2,38 +2,38 @@
 
 use super::super::{Answer, Command};
 use super::Core;
-use crate::fleet::entrance::LetIn;
-use crate::fleet::Entrance;
+use crate::fleet::entrance::PoolDecision;
+use crate::fleet::PoolAdmission;
 use stagehoist::{Event, Micros, RequestId};
-use stagehoist_admission::lanes::NO_LANE;
+use stagehoist_admission::lanes::NO_PERMIT;
 
 impl Core {
     /// Calls of pools ask for lanes from here on; before the first call.
-    pub fn enter_by(&mut self, entrance: Entrance) {
-        self.entrance = Some(Box::new(entrance));
+    pub fn set_pool_admission(&mut self, entrance: PoolAdmission) {
+        self.pool_admission = Some(Box::new(entrance));
     }
 
     /// Whether the module does not know of a call yet.
-    pub(super) fn is_outside(&self, request: RequestId) -> bool {
-        self.entrance.as_ref().is_some_and(|e| e.is_waiting(request))
+    pub(super) fn is_waiting(&self, request: RequestId) -> bool {
+        self.pool_admission.as_ref().is_some_and(|e| e.is_waiting(request))
     }
 
     /// Lets calls into the module that have a lane now, and refuses those that get none in their time.
-    pub(super) fn let_in(&mut self, now: Micros, out: &mut Vec<Command>) {
-        let Some(entrance) = self.entrance.as_mut() else { return };
-        for let_in in entrance.let_in(now) {
+    pub(super) fn admit_from_pools(&mut self, now: Micros, out: &mut Vec<Command>) {
+        let Some(entrance) = self.pool_admission.as_mut() else { return };
+        for let_in in entrance.take_decisions(now) {
             match let_in {
-                LetIn::Go(request, lane) => {
+                PoolDecision::Admitted(request, lane) => {
                     let Some(call) = self.calls.get_mut(&request.id) else { continue };
-                    call.lane = Some(lane);
+                    call.permit = Some(lane);
                     let waited = now - call.taken;
                     call.span.in_scope(|| tracing::debug!(waited_us = waited, "has a lane"));
-                    self.fresh.push(request.id);
+                    self.new_calls.push(request.id);
                     self.events.push(Event::Request(request));
                 }
-                LetIn::Refuse(request, retry_after) => {
-                    let retry_after = retry_after.min(self.figures.retry_after_most);
-                    self.answer(request, Answer::Refused { reason: NO_LANE, retry_after }, now, out);
+                PoolDecision::Rejected(request, retry_after) => {
+                    let retry_after = retry_after.min(self.settings.max_retry_after);
+                    self.answer(request, Answer::Refused { reason: NO_PERMIT, retry_after }, now, out);
                 }
             }
         }
--- a/crates/gateway/src/state/core/fleet.rs
+++ b/crates/gateway/src/state/core/fleet.rs
@@ -2,60 +2,64 @@
 
 use super::super::{Answer, Arrival, Command};
 use super::Core;
-use crate::fleet::{Closed, Desk, Gated, Part, Told};
+use crate::fleet::{CheckedAnswer, ClosedReason, EgressCheck, FleetMembership, SessionReport};
 use bytes::Bytes;
 use stagehoist::{Effect, Event, FunctionId, Micros, Outcome, RequestId, WorkerId};
-use stagehoist_cluster_state::Standing;
+use stagehoist_cluster_state::ClusterStatus;
 use std::rc::Rc;
 
 impl Core {
     /// Becomes part of a fleet; before its first call.
-    pub fn join(&mut self, desk: Desk) {
-        self.part = Some(Box::new(Part::new(desk)));
+    pub fn join_fleet(&mut self, desk: EgressCheck) {
+        self.fleet = Some(Box::new(FleetMembership::new(desk)));
     }
 
     /// Told at least four times a second while the front end runs, before what came is looked at.
-    pub fn runs(&mut self, now: Micros) {
-        if let Some(part) = &self.part {
-            part.desk.gate_mut().runs(now);
+    pub fn record_activity(&mut self, now: Micros) {
+        if let Some(part) = &self.fleet {
+            part.egress.gate_mut().record_activity(now);
         }
     }
 
     /// What the keepers are to be told; None where there is no fleet.
-    pub fn told(&self) -> Option<Told> {
-        let part = self.part.as_ref()?;
-        let demand = self.entrance.as_ref().map_or_else(Vec::new, |e| e.demand());
-        Some(Told { confirmed: part.confirmed(), ready_lanes: self.members.ready_lanes(), demand })
+    pub fn session_report(&self) -> Option<SessionReport> {
+        let part = self.fleet.as_ref()?;
+        let demand = self.pool_admission.as_ref().map_or_else(Vec::new, |e| e.demand());
+        Some(SessionReport {
+            confirmed: part.confirmed(),
+            ready_capacity: self.endpoints.ready_capacity(),
+            demand,
+        })
     }
 
     /// Version of the view, whether it is known to be the newest, and calls answered as retired.
-    pub fn fleet_shows(&self) -> Option<(u64, bool, u64)> {
-        let part = self.part.as_ref()?;
-        let (version, fresh) = part.desk.shows();
-        Some((version, fresh, part.answered))
+    pub fn fleet_state(&self) -> Option<(u64, bool, u64)> {
+        let part = self.fleet.as_ref()?;
+        let (version, fresh) = part.egress.view_state();
+        Some((version, fresh, part.rejected_calls))
     }
 
-    pub(super) fn take_standing(&mut self, now: Micros, standing: Standing, out: &mut Vec<Command>) {
-        let Some(part) = self.part.as_mut() else { return };
-        if let Some(entrance) = self.entrance.as_mut() {
-            entrance.standing(&standing, now);
+    pub(super) fn on_cluster_status(&mut self, now: Micros, standing: ClusterStatus, out: &mut Vec<Command>) {
+        let Some(part) = self.fleet.as_mut() else { return };
+        if let Some(entrance) = self.pool_admission.as_mut() {
+            entrance.on_cluster_status(&standing, now);
         }
-        if !part.desk.gate_mut().told(standing) {
+        if !part.egress.gate_mut().update(standing) {
             return;
         }
         part.log();
         for request in self.retired_calls(|call| !call.answered && call.is_idle()) {
-            self.give_up(now, request, out);
+            self.reject_closed(now, request, out);
         }
-        self.close_outside(now, out);
+        self.reject_closed_waiting(now, out);
         self.unload_retired(out);
         self.apply_view();
     }
 
     /// Calls under tombstones, in their order; answered ones stay while their attempts are out.
     fn retired_calls(&self, which: impl Fn(&super::Call) -> bool) -> Vec<RequestId> {
-        let Some(part) = self.part.as_ref() else { return Vec::new() };
-        let gate = part.desk.gate();
+        let Some(part) = self.fleet.as_ref() else { return Vec::new() };
+        let gate = part.egress.gate();
         let found = self.calls.iter().filter(|(_, call)| which(call));
         let found = found.filter(|(_, call)| gate.retired(&call.arrival.function).is_some());
         let mut found: Vec<RequestId> = found.map(|(id, _)| *id).collect();
@@ -67,7 +71,7 @@
     fn apply_view(&mut self) {
         let named = |id: RequestId| Some((id, self.calls.get(&id)?.arrival.function.clone()));
         let at_work = self.retired_calls(|_| true).into_iter().filter_map(named).collect();
-        if let Some(part) = self.part.as_mut() {
+        if let Some(part) = self.fleet.as_mut() {
             part.applied(at_work);
         }
     }
@@ -76,7 +80,7 @@
     pub(super) fn confirm(&mut self, now: Micros) {
         loop {
             let calls = &self.calls;
-            if !self.part.as_mut().is_some_and(|p| p.confirm(now, |id| calls.contains_key(&id))) {
+            if !self.fleet.as_mut().is_some_and(|p| p.confirm(now, |id| calls.contains_key(&id))) {
                 return;
             }
             self.apply_view();
@@ -84,13 +88,13 @@
     }
 
     pub(super) fn has_copy(&mut self, function: FunctionId, worker: WorkerId) {
-        if let (Some(part), Some(name)) = (self.part.as_mut(), self.names.name(function)) {
+        if let (Some(part), Some(name)) = (self.fleet.as_mut(), self.names.name(function)) {
             part.has_copy(&name, worker);
         }
     }
 
     fn unload_retired(&mut self, out: &mut Vec<Command>) {
-        let unload = self.part.as_mut().map(|p| p.to_unload()).unwrap_or_default();
+        let unload = self.fleet.as_mut().map(|p| p.to_unload()).unwrap_or_default();
         for (worker, function) in unload {
             let address = self.address(worker);
             if !address.is_empty() {
@@ -102,8 +106,8 @@
 
     /// Whether a call may be taken; its function is named by the generation from here on. What may not is answered.
     pub(super) fn admit(&mut self, now: Micros, arrival: &mut Arrival, out: &mut Vec<Command>) -> bool {
-        let Some(part) = self.part.as_ref() else { return true };
-        let admitted = part.desk.gate().admit(&arrival.function, arrival.generation, now);
+        let Some(part) = self.fleet.as_ref() else { return true };
+        let admitted = part.egress.gate().admit(&arrival.function, arrival.generation, now);
         let closed = match admitted {
             Ok(inner) => {
                 arrival.function = inner;
@@ -112,70 +116,75 @@
             Err(closed) => closed,
         };
         let answer = self.closed_answer(closed);
-        self.counters.turned_away += 1;
+        self.counters.rejected_at_intake += 1;
         let (correlation, function) = (&*arrival.correlation, &*arrival.function);
         tracing::info!(correlation, function, reason = answer.reason(), "turned away");
-        out.push(Command::Answer { ticket: arrival.ticket, answer, took: 0 });
+        out.push(Command::Answer { ticket: arrival.ticket, answer, elapsed: 0 });
         false
     }
 
     /// The answer to a call that never ran.
-    pub(super) fn closed_answer(&mut self, closed: Closed) -> Answer {
+    pub(super) fn closed_answer(&mut self, closed: ClosedReason) -> Answer {
         match closed {
-            Closed::Retired(retired) => {
-                if let Some(part) = self.part.as_mut() {
-                    part.answered += 1;
+            ClosedReason::Retired(retired) => {
+                if let Some(part) = self.fleet.as_mut() {
+                    part.rejected_calls += 1;
                 }
                 Answer::Retired(retired)
             }
-            Closed::NotCurrent => {
-                let retry_after = self.figures.retry_after_most;
+            ClosedReason::ViewNotCurrent => {
+                let retry_after = self.settings.max_retry_after;
                 Answer::Refused { reason: "view-not-current", retry_after }
             }
-            Closed::UnknownGeneration => Answer::Refused { reason: "unknown-generation", retry_after: 0 },
+            ClosedReason::UnknownGeneration => {
+                Answer::Refused { reason: "unknown-generation", retry_after: 0 }
+            }
         }
     }
 
     /// Why nothing of a function may go to a worker now.
-    pub(super) fn closed(&self, inner: &str, now: Micros) -> Option<Closed> {
-        self.part.as_ref().and_then(|part| part.desk.gate().closed(inner, now))
+    pub(super) fn closed(&self, inner: &str, now: Micros) -> Option<ClosedReason> {
+        self.fleet.as_ref().and_then(|part| part.egress.gate().closed(inner, now))
     }
 
     /// Whether nothing may be sent for a call now.
     pub(super) fn is_closed_call(&self, request: RequestId, now: Micros) -> bool {
-        let function = self.part.as_ref().and_then(|_| Some(&self.calls.get(&request)?.arrival.function));
+        let function = self.fleet.as_ref().and_then(|_| Some(&self.calls.get(&request)?.arrival.function));
         function.is_some_and(|f| self.closed(f, now).is_some())
     }
 
     /// Whether a call ends with an attempt's end, as its function is closed: a call at work is served where that is still
     /// known to be right, and gets no further attempt.
-    pub(super) fn ends_closed(&self, request: RequestId, outcome: Outcome, now: Micros) -> bool {
-        let (Some(part), Some(call)) = (self.part.as_ref(), self.calls.get(&request)) else { return false };
+    pub(super) fn ends_as_closed(&self, request: RequestId, outcome: Outcome, now: Micros) -> bool {
+        let (Some(part), Some(call)) = (self.fleet.as_ref(), self.calls.get(&request)) else { return false };
         match outcome {
-            Outcome::Ok => part.desk.gate().in_doubt(&call.arrival.function, now),
+            Outcome::Ok => part.egress.gate().in_doubt(&call.arrival.function, now),
             _ => call.is_idle() && self.closed(&call.arrival.function, now).is_some(),
         }
     }
 
     /// The answer that a call gets in place of the module's refusal, where its function is closed.
-    pub(super) fn closing_answer(&mut self, request: RequestId, now: Micros) -> Option<Answer> {
+    pub(super) fn answer_if_closed(&mut self, request: RequestId, now: Micros) -> Option<Answer> {
         let call = self.calls.get(&request).filter(|c| !c.answered)?;
         let closed = self.closed(&call.arrival.function, now)?;
-        let repeats = self.figures.settings.classes.get(usize::from(call.class));
+        let repeats = self.settings.settings.classes.get(usize::from(call.class));
         let repeats = repeats.is_none_or(|class| class.effect == Effect::Idempotent);
         if call.ran_since.is_none() || repeats {
             return Some(self.closed_answer(closed));
         }
         // It may have run, and that is what its caller has to know.
-        let reason =
-            if closed == Closed::NotCurrent { "view-not-current" } else { self.reason(request, now) };
+        let reason = if closed == ClosedReason::ViewNotCurrent {
+            "view-not-current"
+        } else {
+            self.reason(request, now)
+        };
         Some(Answer::Failed { reason })
     }
 
     /// Answers a call whose function is closed, and takes it from the module.
-    pub(super) fn give_up(&mut self, now: Micros, request: RequestId, out: &mut Vec<Command>) {
-        if let Some(answer) = self.closing_answer(request, now) {
-            if !self.is_outside(request) {
+    pub(super) fn reject_closed(&mut self, now: Micros, request: RequestId, out: &mut Vec<Command>) {
+        if let Some(answer) = self.answer_if_closed(request, now) {
+            if !self.is_waiting(request) {
                 self.events.push(Event::ClientGone { request });
             }
             self.answer(request, answer, now, out);
@@ -189,12 +198,12 @@
         body: Bytes,
         content_type: Option<String>,
     ) -> Answer {
-        match &mut self.part {
+        match &mut self.fleet {
             None => Answer::Served { body, content_type },
             Some(part) => {
                 part.has_copy(function, worker);
-                let pass = part.desk.pass(function);
-                Answer::Gated(Box::new(Gated { body, content_type, pass }))
+                let pass = part.egress.permit(function);
+                Answer::Gated(Box::new(CheckedAnswer { body, content_type, permit: pass }))
             }
         }
     }
--- a/crates/gateway/src/state/core/mod.rs
+++ b/crates/gateway/src/state/core/mod.rs
@@ -11,16 +11,19 @@
 mod starting;
 mod workers;
 
-use super::{module, Arrival, AttemptResult, Command, Decide, Decider, Figures, Names, News, Ticket};
-use crate::fleet::{Entrance, Part, Starting};
+use super::{
+    module, Arrival, AttemptResult, Command, CoreSettings, DecisionPolicy, Input, Names, PolicyFactory,
+    Ticket,
+};
+use crate::fleet::{FleetMembership, FleetRecovery, PoolAdmission};
 pub use counters::Counters;
-use held::Outside;
+use held::WaitingCalls;
 use stagehoist::{Action, Event, Micros, Outcome, RequestId, WorkerId};
-use stagehoist_admission::lanes::Lane;
-use stagehoist_endpoints::{Members, WORKERS_MOST};
+use stagehoist_admission::lanes::Permit;
+use stagehoist_endpoints::{EndpointSet, MAX_WORKERS};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tracing::Span;
-use workers::Leaving;
+use workers::WorkerDrains;
 
 struct Call {
     ticket: Ticket,
@@ -28,14 +31,14 @@
     class: u16,
     taken: Micros,
     deadline: Micros,
-    attempts: Vec<Option<Flight>>,
+    attempts: Vec<Option<AttemptInFlight>>,
     /// How the last attempt ended, for the reason told with a refusal or failure.
-    last: Option<Outcome>,
+    last_outcome: Option<Outcome>,
     answered: bool,
     /// When the first attempt was sent of those that ended and may have run.
     ran_since: Option<Micros>,
     /// Where its function is in a pool: from its entry into the module until it is removed.
-    lane: Option<Lane>,
+    permit: Option<Permit>,
     span: Span,
 }
 
@@ -46,40 +49,40 @@
     }
 }
 
-struct Flight {
+struct AttemptInFlight {
     worker: WorkerId,
-    sent: Micros,
-    due: Micros,
+    sent_at: Micros,
+    deadline: Micros,
 }
 
 /// One front end's state.
 pub struct Core {
-    decides: Box<dyn Decide>,
-    figures: Figures,
+    policy: Box<dyn DecisionPolicy>,
+    settings: CoreSettings,
     names: Names,
-    members: Members,
+    endpoints: EndpointSet,
     calls: HashMap<RequestId, Call>,
     by_ticket: HashMap<Ticket, RequestId>,
     next_request: RequestId,
     timers: BTreeSet<(Micros, u32)>,
     /// When each attempt that is out is cut.
-    cuts: BTreeSet<(Micros, RequestId, u16)>,
+    attempt_deadlines: BTreeSet<(Micros, RequestId, u16)>,
     /// Loads ordered and not answered yet, and when they count as lost.
-    orders: BTreeMap<(WorkerId, u64), (Micros, Micros)>,
+    load_orders: BTreeMap<(WorkerId, u64), (Micros, Micros)>,
     events: Vec<Event>,
     actions: Vec<Action>,
     /// Calls taken in this turn, to tell which of them the module holds.
-    fresh: Vec<RequestId>,
+    new_calls: Vec<RequestId>,
     /// Where attempts wait for marks: which workers leave.
-    leaving: Option<Leaving>,
+    drains: Option<WorkerDrains>,
     /// None: it shares nothing with other front ends.
-    part: Option<Box<Part>>,
+    fleet: Option<Box<FleetMembership>>,
     /// None: no stages are told.
-    starting: Option<Box<Starting>>,
+    recovery: Option<Box<FleetRecovery>>,
     /// Calls that wait outside the module.
-    outside: Outside,
+    waiting: WaitingCalls,
     /// None: no pools.
-    entrance: Option<Box<Entrance>>,
+    pool_admission: Option<Box<PoolAdmission>>,
     /// None: the fleet isn't divided.
     shards: Option<Box<crate::shards::Shards>>,
     pub counters: Counters,
@@ -87,33 +90,33 @@
 
 impl Core {
     /// A front end without workers, as it is before the first list came.
-    pub fn new(figures: Figures, seed: u64, now: Micros) -> Core {
+    pub fn new(figures: CoreSettings, seed: u64, now: Micros) -> Core {
         Core::with(module, figures, seed, now)
     }
 
     /// The same, with decisions told.
-    pub fn with(decider: Decider, figures: Figures, seed: u64, now: Micros) -> Core {
+    pub fn with(decider: PolicyFactory, figures: CoreSettings, seed: u64, now: Micros) -> Core {
         let (kinds, zones) = (figures.kinds.clone(), figures.zones.clone());
         Core {
-            decides: decider(figures.settings.clone(), seed, now),
-            names: Names::new(figures.names.0, figures.names.1),
-            members: Members::new(kinds, zones, figures.announcement_keep)
-                .at_most(figures.workers_most.unwrap_or(WORKERS_MOST)),
-            figures,
+            policy: decider(figures.settings.clone(), seed, now),
+            names: Names::new(figures.name_limits.0, figures.name_limits.1),
+            endpoints: EndpointSet::new(kinds, zones, figures.announcement_retention)
+                .with_max_workers(figures.max_workers.unwrap_or(MAX_WORKERS)),
+            settings: figures,
             calls: HashMap::new(),
             by_ticket: HashMap::new(),
             next_request: 1,
             timers: BTreeSet::new(),
-            cuts: BTreeSet::new(),
-            orders: BTreeMap::new(),
+            attempt_deadlines: BTreeSet::new(),
+            load_orders: BTreeMap::new(),
             events: Vec::new(),
             actions: Vec::new(),
-            fresh: Vec::new(),
-            leaving: None,
-            part: None,
-            starting: None,
-            outside: Outside::default(),
-            entrance: None,
+            new_calls: Vec::new(),
+            drains: None,
+            fleet: None,
+            recovery: None,
+            waiting: WaitingCalls::default(),
+            pool_admission: None,
             shards: None,
             counters: Counters::default(),
         }
@@ -121,12 +124,12 @@
 
     /// Calls taken and not answered yet.
     pub fn unanswered(&self) -> usize {
-        self.by_ticket.len() + self.outside.len()
+        self.by_ticket.len() + self.waiting.len()
     }
 
     /// Attempts that are out, those of answered calls too.
-    pub fn out(&self) -> usize {
-        self.cuts.len()
+    pub fn attempts_in_flight(&self) -> usize {
+        self.attempt_deadlines.len()
     }
 
     /// Functions whose names are kept.
@@ -136,7 +139,7 @@
 
     /// Workers that are ready as far as is known.
     pub fn ready_workers(&self) -> usize {
-        self.members.ready()
+        self.endpoints.ready_count()
     }
 
     /// When [`Core::turn`] is due though nothing came.
@@ -146,29 +149,35 @@
             return Some(Micros::MIN);
         }
         let timer = self.timers.first().map(|t| t.0);
-        let cut = self.cuts.first().map(|c| c.0);
-        let order = self.orders.values().map(|o| o.1).min();
-        let part = self.part.as_ref().and_then(|p| p.due());
-        let stage = self.starting.as_ref().and_then(|s| s.due());
-        let (lane, subset) = (self.entrance.as_ref().and_then(|e| e.due()), self.subset_due());
-        [timer, cut, order, part, stage, self.outside.due(), lane, subset].into_iter().flatten().min()
+        let cut = self.attempt_deadlines.first().map(|c| c.0);
+        let order = self.load_orders.values().map(|o| o.1).min();
+        let part = self.fleet.as_ref().and_then(|p| p.due());
+        let stage = self.recovery.as_ref().and_then(|s| s.due());
+        let (lane, subset) = (self.pool_admission.as_ref().and_then(|e| e.due()), self.shards_due());
+        [timer, cut, order, part, stage, self.waiting.due(), lane, subset].into_iter().flatten().min()
     }
 
     /// One batch: all news since the last, the module's choices, and what they mean for sockets.
-    pub fn turn(&mut self, now: Micros, news: &mut Vec<News>, out: &mut Vec<Command>) {
+    pub fn process(&mut self, now: Micros, news: &mut Vec<Input>, out: &mut Vec<Command>) {
         for item in news.drain(..) {
-            self.take(now, item, out);
+            self.on_input(now, item, out);
         }
-        self.look_at_start(now, out);
+        self.advance_recovery(now, out);
         self.expire(now, out);
-        while let Some(&(at, request, attempt)) = self.cuts.first() {
+        while let Some(&(at, request, attempt)) = self.attempt_deadlines.first() {
             if at > now {
                 break;
             }
             out.push(Command::Abort { request, attempt });
-            self.end_attempt(now, request, attempt, AttemptResult::bare(Outcome::Timeout), out);
+            self.on_attempt_ended(
+                now,
+                request,
+                attempt,
+                AttemptResult::without_answer(Outcome::Timeout),
+                out,
+            );
         }
-        self.lose_orders(now);
+        self.expire_load_orders(now);
         self.names.purge(now);
         while let Some(&(at, token)) = self.timers.first() {
             if at > now {
@@ -177,56 +186,56 @@
             self.timers.pop_first();
             self.events.push(Event::Timer { token });
         }
-        self.let_in(now, out);
+        self.admit_from_pools(now, out);
         let start = std::time::Instant::now();
-        self.decides.handle(now, &self.events, &mut self.actions);
+        self.policy.handle(now, &self.events, &mut self.actions);
         self.counters.module_ns += start.elapsed().as_nanos() as u64;
         self.counters.batches += 1;
         self.events.clear();
-        self.tell_leaving(now, out);
+        self.emit_drains(now, out);
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
-            self.act(now, action, out);
+            self.execute(now, action, out);
         }
         self.actions = actions;
         self.confirm(now);
-        for request in std::mem::take(&mut self.fresh) {
+        for request in std::mem::take(&mut self.new_calls) {
             let Some(call) = self.calls.get(&request).filter(|c| c.attempts.is_empty() && !c.answered) else {
                 continue;
             };
-            let ready = self.members.ready();
+            let ready = self.endpoints.ready_count();
             call.span.in_scope(|| tracing::debug!(ready_workers = ready, "held"));
         }
     }
 
-    fn take(&mut self, now: Micros, news: News, out: &mut Vec<Command>) {
+    fn on_input(&mut self, now: Micros, news: Input, out: &mut Vec<Command>) {
         match news {
-            News::Call(arrival) => self.take_call(now, arrival, out),
-            News::Gone(ticket) => {
-                self.counters.gone += u64::from(self.outside.gone(ticket));
+            Input::Call(arrival) => self.on_call(now, arrival, out),
+            Input::ClientGone(ticket) => {
+                self.counters.clients_gone += u64::from(self.waiting.remove(ticket));
                 if let Some(request) = self.by_ticket.remove(&ticket) {
-                    self.counters.gone += 1;
-                    if !self.is_outside(request) {
+                    self.counters.clients_gone += 1;
+                    if !self.is_waiting(request) {
                         self.events.push(Event::ClientGone { request });
                     }
                     self.close_call(request);
-                    if self.figures.stop_when_gone {
-                        self.stop_all(now, request, out);
+                    if self.settings.cancel_when_gone {
+                        self.cancel_attempts(now, request, out);
                     }
                 }
             }
-            News::Attempt { request, attempt, result } => {
-                self.end_attempt(now, request, attempt, result, out);
+            Input::AttemptEnded { request, attempt, result } => {
+                self.on_attempt_ended(now, request, attempt, result, out);
             }
-            News::Probed { worker, sent, outcome, report, draining } => {
-                self.announce(now, worker, draining);
+            Input::HealthChecked { worker, sent, outcome, report, draining } => {
+                self.on_announcement(now, worker, draining);
                 self.events.push(Event::HealthChecked { worker, outcome, elapsed: now - sent, report });
             }
-            News::Loaded { worker, function, sent, outcome, copies } => {
+            Input::Loaded { worker, function, sent, outcome, copies } => {
                 // What counted as lost is not told twice, nor as the end of the order that came after it.
                 let key = (worker, function);
-                if self.orders.get(&key).is_some_and(|order| order.0 <= sent) {
-                    self.orders.remove(&key);
+                if self.load_orders.get(&key).is_some_and(|order| order.0 <= sent) {
+                    self.load_orders.remove(&key);
                     if copies > 0 {
                         self.has_copy(function, worker);
                     }
@@ -239,16 +248,16 @@
                     });
                 }
             }
-            News::List(entries) => self.listed(entries, now),
-            News::Roster { form, told } => {
-                let update = self.members.told(form, told, now);
-                self.tell(update, now);
+            Input::EndpointList(entries) => self.on_endpoint_list(entries, now),
+            Input::EndpointUpdate { kind: form, endpoints: told } => {
+                let update = self.endpoints.apply(form, told, now);
+                self.apply_endpoint_change(update, now);
             }
-            News::Standing(standing) => self.take_standing(now, standing, out),
-            News::FrontEnds(list) => self.front_ends(list, now, out),
-            News::ListFailed => {
-                let update = self.members.failed();
-                self.tell(update, now);
+            Input::ClusterStatus(standing) => self.on_cluster_status(now, standing, out),
+            Input::FrontEndList(list) => self.on_front_end_list(list, now, out),
+            Input::EndpointListFailed => {
+                let update = self.endpoints.on_list_failure();
+                self.apply_endpoint_change(update, now);
             }
         }
     }
--- a/crates/gateway/src/state/functions.rs
+++ b/crates/gateway/src/state/functions.rs
@@ -11,14 +11,14 @@
 
 /// What is told of a call's function, by the configuration or by the call itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CallFigures {
+pub struct FunctionProperties {
     /// The same at every front end.
     pub id: FunctionId,
     pub class: u16,
     pub memory_mb: f64,
-    pub lanes: f64,
+    pub concurrency: f64,
     /// Usual time of a load; 0 where not told.
-    pub load: Micros,
+    pub load_time: Micros,
     /// Work on a standard core, where told.
     pub work: Option<Micros>,
 }
@@ -32,21 +32,21 @@
     (hash ^ (hash >> 40)) & ((1 << 40) - 1)
 }
 
-impl CallFigures {
+impl FunctionProperties {
     /// What the configuration tells of a function, with its class's time until callers give up; None where the
     /// configuration does not take the name.
-    pub fn configured(config: &Config, name: &str) -> Option<(CallFigures, Micros)> {
+    pub fn configured(config: &Config, name: &str) -> Option<(FunctionProperties, Micros)> {
         let function = config.function(name)?;
         let class = config.class_index(&function.class)?;
-        let figures = CallFigures {
+        let figures = FunctionProperties {
             id: match function.generation {
                 1 => number(name),
                 n => number(&format!("{name}@{n}")),
             },
             class: class as u16,
             memory_mb: function.memory as f64 / 1e6,
-            lanes: function.lanes as f64,
-            load: function.load,
+            concurrency: function.lanes as f64,
+            load_time: function.load,
             work: (function.work > 0).then_some(function.work),
         };
         Some((figures, config.classes[class].give_up))
@@ -56,8 +56,8 @@
 /// The names of the functions called of late.
 #[derive(Debug)]
 pub struct Names {
-    most: usize,
-    keep: Micros,
+    max_names: usize,
+    retention: Micros,
     names: HashMap<FunctionId, (Rc<str>, Micros)>,
     purged: Micros,
 }
@@ -65,19 +65,19 @@
 impl Names {
     /// At most `most` names; one that was not called for `keep` microseconds is forgotten.
     pub fn new(most: usize, keep: Micros) -> Names {
-        Names { most, keep, names: HashMap::new(), purged: Micros::MIN }
+        Names { max_names: most, retention: keep, names: HashMap::new(), purged: Micros::MIN }
     }
 
     /// Notes a call. False where the number belongs to another name, as two names of one number would be one function to
     /// the module, or where no more names fit.
-    pub fn called(&mut self, id: FunctionId, name: &Rc<str>, now: Micros) -> bool {
+    pub fn on_call(&mut self, id: FunctionId, name: &Rc<str>, now: Micros) -> bool {
         if let Some((known, used)) = self.names.get_mut(&id) {
             *used = now;
             return known == name;
         }
-        if self.names.len() >= self.most {
+        if self.names.len() >= self.max_names {
             self.purge(now);
-            if self.names.len() >= self.most {
+            if self.names.len() >= self.max_names {
                 return false;
             }
         }
@@ -87,11 +87,11 @@
 
     /// Forgets what was not called for long, at most once a sixteenth of that time.
     pub fn purge(&mut self, now: Micros) {
-        if self.purged > now - self.keep / 16 {
+        if self.purged > now - self.retention / 16 {
             return;
         }
         self.purged = now;
-        let keep = self.keep;
+        let keep = self.retention;
         self.names.retain(|_, (_, used)| now - *used < keep);
         if self.names.capacity() > 4 * self.names.len() + 1024 {
             self.names.shrink_to_fit();
@@ -120,10 +120,10 @@
     fn names_come_and_go_and_a_number_belongs_to_one_name() {
         let mut names = Names::new(100, 1000);
         let (a, b): (Rc<str>, Rc<str>) = ("a".into(), "b".into());
-        assert!(names.called(1, &a, 0) && names.called(1, &a, 10) && !names.called(1, &b, 10));
-        (2..101).for_each(|id| assert!(names.called(id, &b, 10)));
-        assert!(!names.called(200, &b, 20), "full of names in use");
-        assert!(names.called(200, &b, 2000), "those unused for long made way");
+        assert!(names.on_call(1, &a, 0) && names.on_call(1, &a, 10) && !names.on_call(1, &b, 10));
+        (2..101).for_each(|id| assert!(names.on_call(id, &b, 10)));
+        assert!(!names.on_call(200, &b, 20), "full of names in use");
+        assert!(names.on_call(200, &b, 2000), "those unused for long made way");
         assert_eq!((names.len(), names.name(1), names.name(200)), (1, None, Some(b)));
     }
 
@@ -132,7 +132,7 @@
         let mut names = Names::new(50_000, 30_000_000);
         let name: Rc<str> = "f".into();
         for id in 0..1_000_000u64 {
-            assert!(names.called(id, &name, id as Micros * 1000));
+            assert!(names.on_call(id, &name, id as Micros * 1000));
             names.purge(id as Micros * 1000);
         }
         assert!(names.len() < 33_000, "{}", names.len());
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -7,77 +7,77 @@
 
 pub use answer::Answer;
 pub use core::{Core, Counters};
-pub use functions::{CallFigures, Names};
+pub use functions::{FunctionProperties, Names};
 
 use bytes::Bytes;
 use stagehoist::{
     Action, CopyReport, EndpointUpdate, Event, FrontEnd, FunctionId, LoadReport, Micros, Outcome, RequestId,
     Settings, WorkerId,
 };
-use stagehoist_cluster_state::Standing;
+use stagehoist_cluster_state::ClusterStatus;
 use stagehoist_config::Config;
-use stagehoist_endpoints::Told;
+use stagehoist_endpoints::NumberedEndpoint;
 use stagehoist_recovery::Identity;
 use std::rc::Rc;
 
 /// What chooses for a front end: the module, or a policy to measure it against on the same stack.
-pub trait Decide {
+pub trait DecisionPolicy {
     /// One batch: what happened since the last, and what is to be done.
     fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>);
 }
 
-impl Decide for FrontEnd {
+impl DecisionPolicy for FrontEnd {
     fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
         FrontEnd::handle(self, now, events, out)
     }
 }
 
 /// Makes one front end's decisions from its settings, seed and the time.
-pub type Decider = fn(Settings, u64, Micros) -> Box<dyn Decide>;
+pub type PolicyFactory = fn(Settings, u64, Micros) -> Box<dyn DecisionPolicy>;
 
 /// The decision module.
-pub fn module(settings: Settings, seed: u64, now: Micros) -> Box<dyn Decide> {
+pub fn module(settings: Settings, seed: u64, now: Micros) -> Box<dyn DecisionPolicy> {
     Box::new(FrontEnd::new(settings, seed, now))
 }
 
 /// What a front end's state is told at its start, beside what is in the module's settings.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
+pub struct CoreSettings {
     pub settings: Settings,
     /// Kinds and zones of workers by name, in the order that the settings have them.
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
     /// How long a worker's own word that it drains counts against the list.
-    pub announcement_keep: Micros,
-    /// Workers kept of a list; None: [`stagehoist_endpoints::WORKERS_MOST`].
-    pub workers_most: Option<usize>,
+    pub announcement_retention: Micros,
+    /// Workers kept of a list; None: [`stagehoist_endpoints::MAX_WORKERS`].
+    pub max_workers: Option<usize>,
     /// Calls that may be unanswered at once.
-    pub held_most: u64,
-    pub retry_after_most: Micros,
+    pub max_calls: u64,
+    pub max_retry_after: Micros,
     /// An order to load counts as lost after this time.
     pub load_timeout: Micros,
     /// Names of functions kept, and for how long one is kept that is not called.
-    pub names: (usize, Micros),
+    pub name_limits: (usize, Micros),
     /// A caller that leaves has its attempts stopped; else they run to their end.
-    pub stop_when_gone: bool,
+    pub cancel_when_gone: bool,
 }
 
-impl From<&Config> for Figures {
-    fn from(config: &Config) -> Figures {
+impl From<&Config> for CoreSettings {
+    fn from(config: &Config) -> CoreSettings {
         let mut settings = config.settings();
         crate::shards::settings(config, &mut settings);
-        Figures {
+        CoreSettings {
             settings,
             kinds: config.kinds.iter().map(|k| k.name.clone()).collect(),
             zones: config.zones.clone(),
             // The list counts again when it contradicts a worker's word for longer than it may lag.
-            announcement_keep: 60_000_000.max(4 * config.list_ask_within),
-            workers_most: Some(config.workers_most),
-            held_most: config.held_most,
-            retry_after_most: config.retry_after_most,
+            announcement_retention: 60_000_000.max(4 * config.list_ask_within),
+            max_workers: Some(config.workers_most),
+            max_calls: config.held_most,
+            max_retry_after: config.retry_after_most,
             load_timeout: config.load_timeout,
-            names: (100_000, 600_000_000),
-            stop_when_gone: false,
+            name_limits: (100_000, 600_000_000),
+            cancel_when_gone: false,
         }
     }
 }
@@ -91,16 +91,16 @@
     pub ticket: Ticket,
     pub function: Rc<str>,
     /// What is told of the function; None where it is not known.
-    pub figures: Option<CallFigures>,
+    pub properties: Option<FunctionProperties>,
     pub tenant: u32,
     /// Time until the caller gives up, in microseconds, from when the call was read.
     pub budget: Micros,
     /// When the call was read from its socket; 0: just now.
-    pub read: Micros,
+    pub read_at: Micros,
     /// The caller marked it as a repeat, or the broker delivers it again.
-    pub repeat: bool,
+    pub is_repeat: bool,
     /// Something speaks for its caller: see [`stagehoist::Request::known`].
-    pub known: bool,
+    pub client_verified: bool,
     pub body: Bytes,
     pub content_type: Option<String>,
     /// The caller's own number of the call, for logs and for workers.
@@ -115,7 +115,7 @@
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
     pub outcome: Outcome,
-    pub note: CopyReport,
+    pub copy: CopyReport,
     pub report: LoadReport,
     /// The worker's answer, where the outcome is `Ok`.
     pub body: Bytes,
@@ -123,36 +123,36 @@
     /// The worker said that it drains (`Some(true)`) or serves (`Some(false)`).
     pub draining: Option<bool>,
     /// When the ending came to the socket; 0: just now.
-    pub read: Micros,
+    pub read_at: Micros,
 }
 
 impl AttemptResult {
     /// An ending without an answer.
-    pub fn bare(outcome: Outcome) -> AttemptResult {
+    pub fn without_answer(outcome: Outcome) -> AttemptResult {
         AttemptResult {
             outcome,
-            note: CopyReport::default(),
+            copy: CopyReport::default(),
             report: None,
             body: Bytes::new(),
             content_type: None,
             draining: None,
-            read: 0,
+            read_at: 0,
         }
     }
 }
 
 /// What sockets bring.
 #[derive(Debug)]
-pub enum News {
+pub enum Input {
     Call(Arrival),
     /// The caller left; nothing more is owed.
-    Gone(Ticket),
-    Attempt {
+    ClientGone(Ticket),
+    AttemptEnded {
         request: RequestId,
         attempt: u16,
         result: AttemptResult,
     },
-    Probed {
+    HealthChecked {
         worker: WorkerId,
         sent: Micros,
         outcome: Outcome,
@@ -166,17 +166,17 @@
         outcome: Outcome,
         copies: u8,
     },
-    List(Vec<stagehoist_endpoints::Entry>),
-    ListFailed,
+    EndpointList(Vec<stagehoist_endpoints::ListedWorker>),
+    EndpointListFailed,
     /// A whole list of front ends, where the fleet is divided by it; None: it could not be had.
-    FrontEnds(Option<Vec<crate::list::front_ends::Entry>>),
+    FrontEndList(Option<Vec<crate::list::front_ends::Entry>>),
     /// Workers with numbers of their own: the whole list, or what changed.
-    Roster {
-        form: EndpointUpdate,
-        told: Vec<Told>,
+    EndpointUpdate {
+        kind: EndpointUpdate,
+        endpoints: Vec<NumberedEndpoint>,
     },
     /// Word of the keepers.
-    Standing(Standing),
+    ClusterStatus(ClusterStatus),
 }
 
 /// What is to be done on sockets.
@@ -186,7 +186,7 @@
     Answer {
         ticket: Ticket,
         answer: Answer,
-        took: Micros,
+        elapsed: Micros,
     },
     Attempt(Attempt),
     /// End an attempt by closing its connection; nothing more is heard of it.
@@ -194,7 +194,7 @@
         request: RequestId,
         attempt: u16,
     },
-    Probe {
+    HealthCheck {
         worker: WorkerId,
         address: Rc<str>,
     },
@@ -214,16 +214,16 @@
         worker: WorkerId,
     },
     /// Only where attempts wait for marks: a worker drains since then, is gone (`Micros::MIN`), or serves.
-    Leaving {
+    WorkerDraining {
         worker: WorkerId,
         since: Option<Micros>,
     },
     /// Own shards changed: queues to consume and to leave.
-    Own(Rc<[crate::shards::Owned]>),
+    ServeShards(Rc<[crate::shards::OwnedShards]>),
     /// Follow the list, or stop.
-    Watch(bool),
+    SubscribeEndpoints(bool),
     /// Get the list once.
-    Fetch,
+    FetchEndpoints,
 }
 
 /// One attempt to have a call run.
@@ -236,14 +236,14 @@
     pub class: u16,
     pub function: Rc<str>,
     /// When the attempt is cut.
-    pub due: Micros,
+    pub deadline: Micros,
     pub body: Bytes,
     pub content_type: Option<String>,
     pub correlation: Rc<str>,
     /// Which call it is for: a correlation may be used again.
     pub ticket: Ticket,
     /// No byte of it is written from then on: where repeats are dropped by their key, the workers may forget it.
-    pub begin_by: Micros,
+    pub start_by: Micros,
     /// What its call's mark is written under, where attempts are marked on disk.
-    pub mark: Option<(Identity, Ticket)>,
+    pub intent: Option<(Identity, Ticket)>,
 }
--- a/crates/gateway/src/workers/exchange.rs
+++ b/crates/gateway/src/workers/exchange.rs
@@ -94,7 +94,7 @@
     }
 }
 
-pub(super) type Whole = (StatusCode, hyper::HeaderMap, Bytes, Connection);
+pub(super) type HttpResponse = (StatusCode, hyper::HeaderMap, Bytes, Connection);
 
 /// One request and its whole answer. A kept connection that the worker closed before anything was written is replaced by a
 /// new one; that is no second request, as the first never left.
@@ -104,7 +104,7 @@
     request: Request<Full<Bytes>>,
     most: u64,
     may: &dyn Fn() -> bool,
-) -> Result<Whole, Broken> {
+) -> Result<HttpResponse, Broken> {
     let close = Duration::from_micros(config.idle_close as u64);
     let mut request = request;
     let (response, connection) = loop {
--- a/crates/gateway/src/workers/meaning.rs
+++ b/crates/gateway/src/workers/meaning.rs
@@ -95,9 +95,9 @@
 /// The result of an attempt from a whole answer.
 pub fn result(status: StatusCode, headers: &HeaderMap, body: Bytes, fields: &[String]) -> AttemptResult {
     AttemptResult {
-        read: 0,
+        read_at: 0,
         outcome: outcome(status, headers),
-        note: note(headers),
+        copy: note(headers),
         report: report(headers, fields),
         body,
         content_type: headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok()).map(str::to_string),
--- a/crates/gateway/src/workers/pool.rs
+++ b/crates/gateway/src/workers/pool.rs
@@ -5,8 +5,8 @@
 use super::meaning;
 use super::paths::{model, repository};
 use crate::clock::Clock;
-use crate::fleet::Desk;
-use crate::state::{Attempt, AttemptResult, News};
+use crate::fleet::EgressCheck;
+use crate::state::{Attempt, AttemptResult, Input};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HOST};
@@ -29,22 +29,27 @@
     pools: Pools,
     addresses: RefCell<HashMap<WorkerId, Rc<str>>>,
     running: Running,
-    desk: Option<Desk>,
-    news: mpsc::Sender<News>,
+    egress: Option<EgressCheck>,
+    inputs: mpsc::Sender<Input>,
 }
 
 impl Workers {
     /// `desk` is looked at at the moment when something goes to a worker.
-    pub fn new(config: Rc<Config>, clock: Clock, news: mpsc::Sender<News>, desk: Option<Desk>) -> Workers {
+    pub fn new(
+        config: Rc<Config>,
+        clock: Clock,
+        news: mpsc::Sender<Input>,
+        desk: Option<EgressCheck>,
+    ) -> Workers {
         let (pools, addresses, running) = Default::default();
-        Workers { config, clock, pools, addresses, running, desk, news }
+        Workers { config, clock, pools, addresses, running, egress: desk, inputs: news }
     }
 
-    /// Begins an attempt; its end comes as [`News::Attempt`].
+    /// Begins an attempt; its end comes as [`Input::Attempt`].
     pub fn attempt(&self, attempt: Attempt) {
         self.addresses.borrow_mut().insert(attempt.worker, attempt.address.clone());
         let key = (attempt.request, attempt.attempt);
-        let path = format!("{}/infer", model(&attempt.function, self.desk.is_some()));
+        let path = format!("{}/infer", model(&attempt.function, self.egress.is_some()));
         let mut request = Request::builder()
             .method(Method::POST)
             .uri(&*path)
@@ -65,7 +70,7 @@
             }
             plain
         });
-        let (config, pools, news) = (self.config.clone(), self.pools.clone(), self.news.clone());
+        let (config, pools, news) = (self.config.clone(), self.pools.clone(), self.inputs.clone());
         let (running, may) = (self.running.clone(), self.may(&attempt.function));
         let task = tokio::task::spawn_local(async move {
             let exchanged =
@@ -81,12 +86,12 @@
                         Broken::Garbage => Outcome::Error,
                         Broken::Closed => Outcome::Superseded,
                     };
-                    (AttemptResult::bare(outcome), None)
+                    (AttemptResult::without_answer(outcome), None)
                 }
             };
             running.borrow_mut().remove(&key);
             // A driver that is gone needs no news.
-            let _ = news.send(News::Attempt { request: key.0, attempt: key.1, result }).await;
+            let _ = news.send(Input::AttemptEnded { request: key.0, attempt: key.1, result }).await;
             if let Some(connection) = back {
                 put_back(&config, &pools, &attempt.address, connection).await;
             }
@@ -98,7 +103,7 @@
 
     /// Whether something may go to a worker for a function, asked when it goes.
     fn may(&self, function: &Rc<str>) -> impl Fn() -> bool + 'static {
-        let desk = self.desk.clone().map(|desk| (desk, function.clone()));
+        let desk = self.egress.clone().map(|desk| (desk, function.clone()));
         move || desk.as_ref().is_none_or(|(desk, function)| !desk.is_closed(function))
     }
 
@@ -112,9 +117,9 @@
     fn order<F, M>(&self, address: Rc<str>, request: Request<Full<Bytes>>, limit: Duration, may: M, tell: F)
     where
         M: Fn() -> bool + 'static,
-        F: FnOnce(Result<(StatusCode, hyper::HeaderMap, Bytes), Outcome>) -> Option<News> + 'static,
+        F: FnOnce(Result<(StatusCode, hyper::HeaderMap, Bytes), Outcome>) -> Option<Input> + 'static,
     {
-        let (config, pools, news) = (self.config.clone(), self.pools.clone(), self.news.clone());
+        let (config, pools, news) = (self.config.clone(), self.pools.clone(), self.inputs.clone());
         tokio::task::spawn_local(async move {
             let exchanged =
                 tokio::time::timeout(limit, exchange((&config, &pools), &address, request, 1 << 16, &may))
@@ -139,7 +144,7 @@
         });
     }
 
-    /// Asks a worker for its load; the answer comes as [`News::Probed`].
+    /// Asks a worker for its load; the answer comes as [`Input::Probed`].
     pub fn probe(&self, worker: WorkerId, address: Rc<str>) {
         let sent = self.clock.now();
         let mut request = get("/v2/health/ready".into(), &address);
@@ -154,20 +159,22 @@
             || true,
             move |told| {
                 Some(match told {
-                    Ok((status, headers, _)) => News::Probed {
+                    Ok((status, headers, _)) => Input::HealthChecked {
                         worker,
                         sent,
                         outcome: meaning::outcome(status, &headers),
                         report: meaning::report(&headers, &fields),
                         draining: meaning::draining(&headers),
                     },
-                    Err(outcome) => News::Probed { worker, sent, outcome, report: None, draining: None },
+                    Err(outcome) => {
+                        Input::HealthChecked { worker, sent, outcome, report: None, draining: None }
+                    }
                 })
             },
         );
     }
 
-    /// Orders copies of a function, or with none asks how many stand; the answer comes as [`News::Loaded`].
+    /// Orders copies of a function, or with none asks how many stand; the answer comes as [`Input::Loaded`].
     pub fn load(
         &self,
         (worker, address): (WorkerId, Rc<str>),
@@ -176,9 +183,9 @@
     ) {
         let sent = self.clock.now();
         let request = if copies == 0 {
-            get(format!("{}/ready", model(name, self.desk.is_some())), &address)
+            get(format!("{}/ready", model(name, self.egress.is_some())), &address)
         } else {
-            let (path, version) = repository(name, self.desk.is_some());
+            let (path, version) = repository(name, self.egress.is_some());
             let version = version.map_or(String::new(), |n| format!(",\"version\":\"{n}\""));
             let body = format!("{{\"parameters\":{{\"copies\":{copies}{version}}}}}");
             post(format!("{path}/load"), &address, body)
@@ -199,13 +206,13 @@
                 }
                 Err(outcome) => (outcome, 0),
             };
-            Some(News::Loaded { worker, function, sent, outcome, copies })
+            Some(Input::Loaded { worker, function, sent, outcome, copies })
         });
     }
 
     /// Has idle copies unloaded; nothing is heard of it.
     pub fn unload(&self, address: Rc<str>, function: &str) {
-        let (path, version) = repository(function, self.desk.is_some());
+        let (path, version) = repository(function, self.egress.is_some());
         let body = version.map_or("{}".into(), |n| format!("{{\"parameters\":{{\"version\":\"{n}\"}}}}"));
         let request = post(format!("{path}/unload"), &address, body);
         let limit = Duration::from_micros(self.config.load_timeout as u64);
--- a/crates/gateway/tests/core.rs
+++ b/crates/gateway/tests/core.rs
@@ -3,9 +3,9 @@
 use bytes::Bytes;
 use stagehoist::{CopyReport, Micros, Outcome};
 use stagehoist_config::{parse, Config};
-use stagehoist_endpoints::Entry;
+use stagehoist_endpoints::ListedWorker;
 use stagehoist_gateway::state::{
-    Answer, Arrival, Attempt, AttemptResult, CallFigures, Command, Core, Figures, News,
+    Answer, Arrival, Attempt, AttemptResult, Command, Core, CoreSettings, FunctionProperties, Input,
 };
 
 const MS: Micros = 1000;
@@ -26,35 +26,36 @@
         );
         let config = parse("core.conf", &text).unwrap();
         let now = 1_700_000_000_000_000;
-        let mut stage = Stage { core: Core::new(Figures::from(&config), 3, now), config, now };
+        let mut stage = Stage { core: Core::new(CoreSettings::from(&config), 3, now), config, now };
         stage.list(&["w1", "w2", "w3"]);
         stage
     }
-    fn turn(&mut self, after: Micros, mut news: Vec<News>) -> Vec<Command> {
+    fn turn(&mut self, after: Micros, mut news: Vec<Input>) -> Vec<Command> {
         self.now += after;
         let mut out = Vec::new();
-        self.core.turn(self.now, &mut news, &mut out);
+        self.core.process(self.now, &mut news, &mut out);
         while self.core.due().is_some_and(|d| d <= self.now) {
-            self.core.turn(self.now, &mut Vec::new(), &mut out);
+            self.core.process(self.now, &mut Vec::new(), &mut out);
         }
         out
     }
     fn list(&mut self, names: &[&str]) -> Vec<Command> {
-        let entries = names.iter().map(|n| Entry { capacity: 4.0, ..Entry::new(*n, format!("{n}:1")) });
-        self.turn(0, vec![News::List(entries.collect())])
+        let entries =
+            names.iter().map(|n| ListedWorker { capacity: 4.0, ..ListedWorker::new(*n, format!("{n}:1")) });
+        self.turn(0, vec![Input::EndpointList(entries.collect())])
     }
     fn call(&mut self, ticket: u64, function: &str) -> Vec<Command> {
         self.turn(
             MS,
-            vec![News::Call(Arrival {
+            vec![Input::Call(Arrival {
                 ticket,
                 function: function.into(),
-                figures: CallFigures::configured(&self.config, function).map(|f| f.0),
+                properties: FunctionProperties::configured(&self.config, function).map(|f| f.0),
                 tenant: 0,
                 budget: 2500 * MS,
-                read: 0,
-                repeat: false,
-                known: true,
+                read_at: 0,
+                is_repeat: false,
+                client_verified: true,
                 body: Bytes::from_static(b"{}"),
                 content_type: None,
                 correlation: "c".into(),
@@ -87,10 +88,10 @@
     commands.iter().filter_map(answer).collect()
 }
 
-fn ended(a: &Attempt, outcome: Outcome, draining: Option<bool>) -> News {
+fn ended(a: &Attempt, outcome: Outcome, draining: Option<bool>) -> Input {
     let note = CopyReport { state: 1, concurrency: 0 };
-    let result = AttemptResult { note, draining, ..AttemptResult::bare(outcome) };
-    News::Attempt { request: a.request, attempt: a.attempt, result }
+    let result = AttemptResult { copy: note, draining, ..AttemptResult::without_answer(outcome) };
+    Input::AttemptEnded { request: a.request, attempt: a.attempt, result }
 }
 
 #[test]
@@ -104,7 +105,7 @@
         .turn(MS, vec![ended(&sent[0], Outcome::Ok, None)])
         .iter()
         .all(|c| !matches!(c, Command::Answer { .. })));
-    assert_eq!((s.core.unanswered(), s.core.out()), (0, 0));
+    assert_eq!((s.core.unanswered(), s.core.attempts_in_flight()), (0, 0));
 }
 
 #[test]
@@ -118,7 +119,7 @@
     assert_eq!(answers(&all), [(1, "failed", "no-answer-in-time")]);
     let aborted =
         all.iter().filter(|c| matches!(c, Command::Abort { request, .. } if *request == sent[0].request));
-    assert_eq!((aborted.count(), attempts(&all).len(), s.core.out()), (1, 0, 0));
+    assert_eq!((aborted.count(), attempts(&all).len(), s.core.attempts_in_flight()), (1, 0, 0));
 }
 
 #[test]
@@ -142,7 +143,7 @@
     s.call(2, "free-times");
     s.call(3, "free-times");
     assert_eq!(answers(&s.call(4, "free-times")), [(4, "refused", "too-many-held")]);
-    assert_eq!(s.core.counters.turned_away, 2);
+    assert_eq!(s.core.counters.rejected_at_intake, 2);
     let mut all = Vec::new();
     for _ in 0..260 {
         all.extend(s.turn(10 * MS, vec![]));
@@ -166,10 +167,10 @@
 fn a_caller_that_left_is_owed_nothing_and_its_attempt_still_ends() {
     let mut s = Stage::new("");
     let sent = attempts(&s.call(1, "free-times"));
-    assert!(answers(&s.turn(MS, vec![News::Gone(1)])).is_empty());
-    assert_eq!((s.core.unanswered(), s.core.out()), (0, 1));
+    assert!(answers(&s.turn(MS, vec![Input::ClientGone(1)])).is_empty());
+    assert_eq!((s.core.unanswered(), s.core.attempts_in_flight()), (0, 1));
     assert!(answers(&s.turn(MS, vec![ended(&sent[0], Outcome::Ok, None)])).is_empty());
-    assert_eq!(s.core.out(), 0);
+    assert_eq!(s.core.attempts_in_flight(), 0);
 }
 
 #[test]
@@ -187,7 +188,7 @@
     let sent = s.now;
     let again: Vec<_> = s.turn(600 * MS, vec![]);
     assert!(again.iter().any(|c| matches!(c, Command::Load { .. })), "ordered anew after the lost one");
-    let news = News::Loaded { worker, function, sent, outcome: Outcome::Ok, copies: 1 };
+    let news = Input::Loaded { worker, function, sent, outcome: Outcome::Ok, copies: 1 };
     s.turn(MS, vec![news]);
     assert_eq!(s.core.unanswered(), 1 - answers(&again).len());
 }
@@ -197,7 +198,7 @@
     use stagehoist::{Action, Event};
     use std::{cell::RefCell, rc::Rc};
     struct Loads(Rc<RefCell<Vec<Outcome>>>);
-    impl stagehoist_gateway::state::Decide for Loads {
+    impl stagehoist_gateway::state::DecisionPolicy for Loads {
         fn handle(&mut self, _: Micros, events: &[Event], out: &mut Vec<Action>) {
             for event in events {
                 match event {
@@ -218,8 +219,8 @@
     ENDS.set(Some(ends.clone()));
     let mut s = Stage::new("load-timeout 500ms\n");
     let decider =
-        |_, _, _| Box::new(Loads(ENDS.take().unwrap())) as Box<dyn stagehoist_gateway::state::Decide>;
-    s.core = Core::with(decider, Figures::from(&s.config), 3, s.now);
+        |_, _, _| Box::new(Loads(ENDS.take().unwrap())) as Box<dyn stagehoist_gateway::state::DecisionPolicy>;
+    s.core = Core::with(decider, CoreSettings::from(&s.config), 3, s.now);
     let order = |out: &[Command]| {
         out.iter().find_map(|c| match c {
             Command::Load { worker, function, .. } => Some((*worker, *function)),
@@ -230,7 +231,7 @@
     let first = s.now;
     assert!(order(&s.turn(500 * MS, vec![])).is_some(), "lost, and ordered anew in the same turn");
     let second = s.now;
-    let end = |sent, outcome| News::Loaded { worker, function, sent, outcome, copies: 0 };
+    let end = |sent, outcome| Input::Loaded { worker, function, sent, outcome, copies: 0 };
     // The sockets tell of the first when they next look.
     s.turn(200 * MS, vec![end(first, Outcome::Timeout)]);
     assert_eq!(*ends.borrow(), [Outcome::Timeout], "the second is still out");
--- a/crates/gateway/tests/crossings_lists.rs
+++ b/crates/gateway/tests/crossings_lists.rs
@@ -4,7 +4,7 @@
 use stagehoist_config::{parse, Config};
 use stagehoist_gateway::clock::Clock;
 use stagehoist_gateway::list;
-use stagehoist_gateway::state::News;
+use stagehoist_gateway::state::Input;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
@@ -49,10 +49,10 @@
     stream.write_all((head + &body).as_bytes()).unwrap();
 }
 
-async fn names(told: &mut mpsc::Receiver<News>) -> Option<Vec<String>> {
+async fn names(told: &mut mpsc::Receiver<Input>) -> Option<Vec<String>> {
     match within("no word of the list", told.recv()).await {
-        Some(News::List(entries)) => Some(entries.into_iter().map(|e| e.name).collect()),
-        Some(News::ListFailed) => None,
+        Some(Input::EndpointList(entries)) => Some(entries.into_iter().map(|e| e.name).collect()),
+        Some(Input::EndpointListFailed) => None,
         other => panic!("{other:?}"),
     }
 }
--- a/crates/gateway/tests/crossings_redelivered.rs
+++ b/crates/gateway/tests/crossings_redelivered.rs
@@ -104,21 +104,21 @@
 /// What asking took is gone from a call's time once, not twice.
 #[test]
 fn a_call_that_was_asked_about_keeps_the_time_that_its_caller_waits() {
-    use stagehoist_recovery::inquiry::{Patience, Told};
+    use stagehoist_recovery::inquiry::{AttemptKnowledge, InquiryLimits};
     let mut w = World::new("");
     w.publish("a", "recurring", |p| p);
     w.arrivals();
     w.cut();
     w.front = Front::new(config(""), 2, w.now);
     let own: Rc<str> = "own".into();
-    w.front.ask(vec![own.clone()], Patience::default());
+    w.front.set_inquiry(vec![own.clone()], InquiryLimits::default());
     let from = w.now;
     w.connect();
     let questions = w.front.take_questions();
     assert_eq!(questions.len(), 1);
     w.now += 50_000;
-    w.front.told(questions[0].0, &own, Some(Told::None), w.now);
+    w.front.on_inquiry_answer(questions[0].0, &own, Some(AttemptKnowledge::None), w.now);
     let call = w.arrivals().remove(0);
-    let by = call.read + call.budget;
+    let by = call.read_at + call.budget;
     assert!(by >= from + 2_480_000, "its caller waits until {}, it until {by}", from + 2_500_000);
 }
--- a/crates/gateway/tests/crossings_sockets.rs
+++ b/crates/gateway/tests/crossings_sockets.rs
@@ -6,7 +6,7 @@
 use stagehoist_config::{parse, Config};
 use stagehoist_gateway::amqp::link;
 use stagehoist_gateway::clock::Clock;
-use stagehoist_gateway::state::{Attempt, News};
+use stagehoist_gateway::state::{Attempt, Input};
 use stagehoist_gateway::workers::Workers;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -56,13 +56,13 @@
         address: address.clone(),
         class: 0,
         function: "f".into(),
-        due: 0,
+        deadline: 0,
         body: Bytes::from_static(b"{}"),
         content_type: None,
         correlation: "c".into(),
         ticket: u64::from(request),
-        begin_by: i64::MAX,
-        mark: None,
+        start_by: i64::MAX,
+        intent: None,
     }
 }
 
@@ -95,7 +95,7 @@
                 stream.write_all(answer.as_bytes()).unwrap();
                 stream
             });
-            let Some(News::Attempt { result, .. }) = within("no end", told.recv()).await else {
+            let Some(Input::AttemptEnded { result, .. }) = within("no end", told.recv()).await else {
                 panic!("something else")
             };
             assert_eq!(result.outcome, Outcome::Ok);
@@ -128,7 +128,7 @@
                 stream.write_all(answer.as_bytes()).ok()?;
                 Some(got)
             });
-            let Some(News::Attempt { result, .. }) = within("no end", told.recv()).await else {
+            let Some(Input::AttemptEnded { result, .. }) = within("no end", told.recv()).await else {
                 panic!("something else")
             };
             drop(workers);
--- a/crates/gateway/tests/divided/mod.rs
+++ b/crates/gateway/tests/divided/mod.rs
@@ -7,7 +7,7 @@
 use stagehoist_emulator::broker::{self, Broker, BrokerOptions, Handle};
 use stagehoist_emulator::list::{Listed, Registry};
 use stagehoist_gateway::shards;
-use stagehoist_sharding::{Homes, Key, Shard};
+use stagehoist_sharding::{HomeShards, Key, Shard};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -204,7 +204,7 @@
         })
     }
 
-    pub fn publish(&mut self, id: &str, function: &str, homes: &Homes) {
+    pub fn publish(&mut self, id: &str, function: &str, homes: &HomeShards) {
         let mut headers = FieldTable::default();
         headers.insert(short("function"), long(function));
         let properties = BasicProperties::default()
--- a/crates/gateway/tests/first_list.rs
+++ b/crates/gateway/tests/first_list.rs
@@ -5,7 +5,7 @@
 mod world;
 
 use common::Stage;
-use stagehoist_gateway::state::News;
+use stagehoist_gateway::state::Input;
 use world::*;
 
 const BY: i64 = 9_000_000;
@@ -15,9 +15,9 @@
     let mut w = World::new("");
     w.cut();
     w.front = Front::new(config(""), 2, w.now);
-    w.front.await_list(BY);
+    w.front.await_endpoints(BY);
     connect(&mut w);
-    assert!(w.now < BY && !w.front.is_ready() && w.front.awaits_list());
+    assert!(w.now < BY && !w.front.is_ready() && w.front.awaits_endpoints());
     w
 }
 
@@ -37,9 +37,9 @@
     let mut w = awaiting();
     w.publish("a", "free-times", |p| p);
     assert_eq!((w.arrivals().len(), consumers(&w), w.broker.depth("calls")), (0, 0, Some(1)));
-    w.front.listed(w.now);
+    w.front.on_endpoints_ready(w.now);
     w.settle();
-    assert!(w.front.is_ready() && !w.front.awaits_list());
+    assert!(w.front.is_ready() && !w.front.awaits_endpoints());
     let calls = w.arrivals();
     assert_eq!((calls.len(), consumers(&w)), (1, 1));
     w.serve(&calls[0]);
@@ -57,13 +57,13 @@
     w.now = BY - 1;
     w.front.tick(BY - 1);
     w.push_front();
-    assert_eq!((consumers(&w), w.front.awaits_list()), (0, true));
+    assert_eq!((consumers(&w), w.front.awaits_endpoints()), (0, true));
     w.front.tick(BY);
     w.settle();
-    assert!(w.front.is_ready() && !w.front.awaits_list());
+    assert!(w.front.is_ready() && !w.front.awaits_endpoints());
     assert_eq!(w.arrivals().len(), 1);
     // One that comes after all changes nothing: no second consumer.
-    w.front.listed(w.now);
+    w.front.on_endpoints_ready(w.now);
     w.settle();
     assert_eq!(consumers(&w), 1);
 }
@@ -74,7 +74,7 @@
     let mut w = awaiting();
     w.publish("a", "free-times", |p| p);
     w.front.drain();
-    w.front.listed(w.now);
+    w.front.on_endpoints_ready(w.now);
     w.front.tick(BY);
     w.settle();
     assert_eq!((w.front.is_drained(), consumers(&w), w.arrivals().len()), (true, 0, 0));
@@ -91,7 +91,7 @@
     w.cut();
     w.front.drain();
     connect(&mut w);
-    w.front.listed(w.now);
+    w.front.on_endpoints_ready(w.now);
     w.settle();
     assert_eq!((w.front.is_drained(), consumers(&w)), (true, 0));
 }
@@ -103,13 +103,13 @@
         let mut w = awaiting();
         w.cut();
         if listed {
-            w.front.listed(w.now);
+            w.front.on_endpoints_ready(w.now);
         }
         w.now = w.now.max(at);
         connect(&mut w);
-        let seen = (w.front.is_ready(), w.front.awaits_list(), consumers(&w));
+        let seen = (w.front.is_ready(), w.front.awaits_endpoints(), consumers(&w));
         assert_eq!(seen, (ready, !ready, usize::from(ready)), "{listed} {at}");
-        w.front.listed(w.now);
+        w.front.on_endpoints_ready(w.now);
         w.settle();
         assert_eq!((w.front.is_ready(), consumers(&w)), (true, 1), "{listed} {at}");
     }
@@ -119,7 +119,7 @@
 #[test]
 fn the_first_list_is_awaited_once() {
     let mut w = awaiting();
-    w.front.listed(w.now);
+    w.front.on_endpoints_ready(w.now);
     w.settle();
     w.cut();
     connect(&mut w);
@@ -129,9 +129,9 @@
 #[test]
 fn a_whole_list_counts_though_it_is_empty_and_a_failure_does_not() {
     let mut stage = Stage::alone();
-    let before = stage.core.counters.lists;
-    stage.turn(0, vec![News::ListFailed]);
-    assert_eq!(stage.core.counters.lists, before);
-    stage.turn(0, vec![News::List(Vec::new())]);
-    assert_eq!((stage.core.counters.lists, stage.core.ready_workers()), (before + 1, 0));
+    let before = stage.core.counters.endpoint_lists;
+    stage.turn(0, vec![Input::EndpointListFailed]);
+    assert_eq!(stage.core.counters.endpoint_lists, before);
+    stage.turn(0, vec![Input::EndpointList(Vec::new())]);
+    assert_eq!((stage.core.counters.endpoint_lists, stage.core.ready_workers()), (before + 1, 0));
 }
--- a/crates/gateway/tests/first_list_sockets.rs
+++ b/crates/gateway/tests/first_list_sockets.rs
@@ -136,7 +136,7 @@
 fn a_call_that_came_before_the_first_list_is_served_by_it() {
     let mut w = World::new(PATIENT, "list-initial-wait 5m\nlisten metrics 127.0.0.1:0\n", true);
     w.caller.call();
-    w.until("the list is awaited", |s| s.awaits_list && !s.consuming);
+    w.until("the list is awaited", |s| s.awaits_endpoints && !s.consuming);
     assert_eq!(w.caller.declare("calls", true), (1, 0), "messages and consumers");
     assert!(!w.running.is_ready());
     let by = Instant::now() + LONG;
@@ -150,7 +150,7 @@
     w.caller.call();
     w.list_comes(true);
     assert_eq!(w.caller.reply(), ("served".to_string(), String::new()));
-    w.until("ready", |s| s.consuming && !s.awaits_list && s.ready_workers == 1);
+    w.until("ready", |s| s.consuming && !s.awaits_endpoints && s.ready_workers == 1);
     assert!(w.running.is_ready());
     while shown(&w.running, "stagehoist_amqp_awaits_list") != Some(0.0) {
         assert!(Instant::now() < by + LONG, "the page says that it waits");
@@ -163,9 +163,9 @@
 #[test]
 fn an_empty_list_is_a_list() {
     let mut w = World::new(USUAL, "list-initial-wait 5m\n", false);
-    w.until("the list is awaited", |s| s.awaits_list);
+    w.until("the list is awaited", |s| s.awaits_endpoints);
     w.list_comes(false);
-    w.until("consumes", |s| s.consuming && !s.awaits_list && s.ready_workers == 0);
+    w.until("consumes", |s| s.consuming && !s.awaits_endpoints && s.ready_workers == 0);
     w.caller.call();
     assert_eq!(w.caller.reply(), ("refused".to_string(), "no-workers".to_string()));
     w.running.drain();
@@ -177,7 +177,7 @@
 fn where_no_list_comes_calls_are_refused_in_the_end() {
     for told in ["list-initial-wait 0s\n", "list-initial-wait 700ms\n", "list-subscribe yes\n"] {
         let mut w = World::new(USUAL, told, false);
-        w.until("consumes", |s| s.consuming && !s.awaits_list);
+        w.until("consumes", |s| s.consuming && !s.awaits_endpoints);
         w.caller.call();
         assert_eq!(w.caller.reply(), ("refused".to_string(), "no-workers".to_string()), "{told}");
         w.running.drain();
@@ -190,7 +190,7 @@
 fn a_front_end_that_awaits_its_list_drains_at_once() {
     let mut w = World::new(PATIENT, "list-initial-wait 5m\ndrain-most 4m\n", false);
     w.caller.call();
-    w.until("the list is awaited", |s| s.awaits_list);
+    w.until("the list is awaited", |s| s.awaits_endpoints);
     let begin = Instant::now();
     w.running.drain();
     w.running.join().unwrap();
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use stagehoist::{Action, Event, Micros, Outcome};
-use stagehoist_gateway::state::{Answer, Command, Decide, News};
+use stagehoist_gateway::state::{Answer, Command, DecisionPolicy, Input};
 
 #[test]
 fn a_late_call_of_a_retired_function_fails_and_says_by_what() {
@@ -24,7 +24,7 @@
     s.view(&[retire("free-times", 1), retire("gone", 1)]);
     assert_eq!(answers(&s.call(2, "gone")), [(2, "failed", "retired")]);
     assert_eq!(attempts(&s.call(3, "recurring")).len(), 1);
-    assert_eq!(s.core.fleet_shows().unwrap().2, 2);
+    assert_eq!(s.core.fleet_state().unwrap().2, 2);
 }
 
 #[test]
@@ -88,7 +88,7 @@
         (0..100).for_each(|_| out.extend(s.turn(10 * MS, vec![])));
         assert_eq!(answers(&out), [(1, "failed", reason)], "{function} {outcome:?}");
         assert!(attempts(&out).is_empty() && loads(&out) == 0, "{function} {outcome:?}");
-        assert_eq!((s.core.out(), s.core.unanswered(), s.confirmed()), (0, 0, 1));
+        assert_eq!((s.core.attempts_in_flight(), s.core.unanswered(), s.confirmed()), (0, 0, 1));
     }
     // Without the tombstone the same call is tried again: it is the gate that keeps it back.
     let mut s = Stage::new();
@@ -100,7 +100,7 @@
 #[derive(Default)]
 struct Orders(u64);
 
-impl Decide for Orders {
+impl DecisionPolicy for Orders {
     fn handle(&mut self, _: Micros, events: &[Event], out: &mut Vec<Action>) {
         for event in events {
             match event {
@@ -157,7 +157,7 @@
     // The lease ran out while it was stopped; on waking an answer and a worker's coming lie in the sockets.
     s.now = s.fresh_until();
     let entries = entries(&["w1", "w2", "w3"]);
-    let out = s.turn(0, vec![ended(&sent[0], Outcome::Ok), News::List(entries)]);
+    let out = s.turn(0, vec![ended(&sent[0], Outcome::Ok), Input::EndpointList(entries)]);
     assert_eq!(answers(&out), [(1, "refused", "view-not-current"), (2, "refused", "view-not-current")]);
     assert_eq!(attempts(&out).iter().map(|a| &*a.function).collect::<Vec<_>>(), ["free-times"]);
     // With fresh word in between it serves and sends: it is the lease that holds it back.
@@ -174,12 +174,12 @@
 fn after_the_lease(stopped: bool) -> (Stage, Vec<(u64, &'static str, &'static str)>) {
     let mut s = Stage::new();
     s.fresh(200 * MS);
-    s.core.runs(s.now);
+    s.core.record_activity(s.now);
     let sent = attempts(&s.call(1, "free-times"));
     let gap = if stopped { 600 * MS } else { 250 * MS };
     while s.now < s.fresh_until() + 600 * MS {
         s.now += gap;
-        s.core.runs(s.now);
+        s.core.record_activity(s.now);
     }
     let out = s.turn(0, vec![ended(&sent[0], Outcome::Ok)]);
     let mut got = answers(&out);
@@ -201,7 +201,7 @@
     let (mut s, _) = after_the_lease(true);
     for _ in 0..20 {
         s.now += 100 * MS;
-        s.core.runs(s.now);
+        s.core.record_activity(s.now);
     }
     assert_eq!(attempts(&s.call(3, "free-times")).len(), 1);
 }
@@ -234,7 +234,7 @@
     s.turn(10 * MS, vec![]);
     assert_eq!(s.confirmed(), 1, "the first though the second still waits");
     // A caller that left is owed nothing, but its attempt is still at work.
-    s.turn(MS, vec![News::Gone(2)]);
+    s.turn(MS, vec![Input::ClientGone(2)]);
     assert_eq!(s.confirmed(), 1);
     s.turn(MS, vec![ended(&second[0], Outcome::Ok)]);
     assert_eq!(s.confirmed(), 2);
@@ -260,7 +260,7 @@
 #[test]
 fn without_a_fleet_nothing_is_told_and_a_generation_is_passed_over() {
     let mut s = Stage::alone();
-    assert_eq!(s.core.told(), None);
+    assert_eq!(s.core.session_report(), None);
     assert_eq!(attempts(&s.call_of(1, "free-times", Some(9))).len(), 1);
     assert!(s.view(&[retire("free-times", 1)]).is_empty());
     assert_eq!(attempts(&s.call(2, "free-times")).len(), 1);
--- a/crates/gateway/tests/fleet_sockets.rs
+++ b/crates/gateway/tests/fleet_sockets.rs
@@ -5,11 +5,11 @@
 use bytes::Bytes;
 use common::*;
 use stagehoist::Outcome;
-use stagehoist_cluster_state::{Record, Standing};
+use stagehoist_cluster_state::{ClusterState, ClusterStatus};
 use stagehoist_config::parse;
 use stagehoist_gateway::clock::Clock;
-use stagehoist_gateway::fleet::{Desk, Gate};
-use stagehoist_gateway::state::{Attempt, News};
+use stagehoist_gateway::fleet::{EgressCheck, RetirementGate};
+use stagehoist_gateway::state::{Attempt, Input};
 use stagehoist_gateway::workers::Workers;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -27,10 +27,10 @@
                 worker-list file none\nmember a\nkeeper 1 127.0.0.1:1\n";
     let config = Rc::new(parse("s.conf", text).unwrap());
     let now = Rc::new(Cell::new(0));
-    let mut gate = Gate::new(config.clone());
-    gate.told(Standing { fresh_until: 100, ..Standing::default() });
+    let mut gate = RetirementGate::new(config.clone());
+    gate.update(ClusterStatus { fresh_until: 100, ..ClusterStatus::default() });
     let clock = now.clone();
-    let desk = Desk::new(gate, move || clock.get());
+    let desk = EgressCheck::new(gate, move || clock.get());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address: Rc<str> = listener.local_addr().unwrap().to_string().into();
     let (news, mut told) = mpsc::channel(8);
@@ -42,27 +42,31 @@
         address: address.clone(),
         class: 0,
         function: function.into(),
-        due: 0,
+        deadline: 0,
         body: Bytes::from_static(b"{}"),
         content_type: None,
         correlation: "c".into(),
         ticket: 1,
-        begin_by: i64::MAX,
-        mark: None,
+        start_by: i64::MAX,
+        intent: None,
     });
     workers.load((1, address), (7, function), 1);
     // The choices are made, and their connections not yet there.
     now.set(at);
-    let mut record = Record::default();
+    let mut record = ClusterState::default();
     retires.iter().for_each(|f| drop(record.apply(1, &retire(f, 1))));
-    desk.gate_mut().told(Standing { view: Arc::new(record.view), fresh_until: 100, ..Standing::default() });
+    desk.gate_mut().update(ClusterStatus {
+        view: Arc::new(record.view),
+        fresh_until: 100,
+        ..ClusterStatus::default()
+    });
     let (mut run, mut loaded, mut bytes) = (None, None, 0);
     let mut streams = Vec::new();
     while run.is_none() || loaded.is_none() {
         tokio::select! {
             item = told.recv() => match item.unwrap() {
-                News::Attempt { result, .. } => run = Some(result.outcome),
-                News::Loaded { outcome, .. } => loaded = Some(outcome),
+                Input::AttemptEnded { result, .. } => run = Some(result.outcome),
+                Input::Loaded { outcome, .. } => loaded = Some(outcome),
                 other => panic!("{other:?}"),
             },
             accepted = listener.accept() => {
--- a/crates/gateway/tests/front.rs
+++ b/crates/gateway/tests/front.rs
@@ -3,8 +3,8 @@
 
 mod world;
 
-use stagehoist_endpoints::Entry;
-use stagehoist_gateway::state::{Core, Figures, News};
+use stagehoist_endpoints::ListedWorker;
+use stagehoist_gateway::state::{Core, CoreSettings, Input};
 use world::*;
 
 #[test]
@@ -34,14 +34,14 @@
     w.publish("a", "free-times", |p| p.with_expiration(short("900")));
     let call = w.arrivals().remove(0);
     let (by, now) = (w.now + call.budget, w.now + 300_000);
-    let mut core = Core::new(Figures::from(&*config("")), 3, w.now);
-    let worker = Entry { capacity: 4.0, ..Entry::new("w1", "w1:1") };
+    let mut core = Core::new(CoreSettings::from(&*config("")), 3, w.now);
+    let worker = ListedWorker { capacity: 4.0, ..ListedWorker::new("w1", "w1:1") };
     let mut out = Vec::new();
-    core.turn(w.now, &mut vec![News::List(vec![worker])], &mut out);
-    core.turn(now, &mut vec![News::Call(call)], &mut out);
+    core.process(w.now, &mut vec![Input::EndpointList(vec![worker])], &mut out);
+    core.process(now, &mut vec![Input::Call(call)], &mut out);
     // The worker never answers.
     while let Some(due) = core.due().filter(|due| *due <= by) {
-        core.turn(due.max(now), &mut Vec::new(), &mut out);
+        core.process(due.max(now), &mut Vec::new(), &mut out);
     }
     assert_eq!(core.unanswered(), 0, "its time ended at {by}: {out:?}");
 }
@@ -121,7 +121,7 @@
     w.front = Front::new(config(""), 2, w.now);
     w.connect();
     let again = w.arrivals();
-    assert_eq!((again.len(), &*again[0].correlation, again[0].repeat), (1, "b", true));
+    assert_eq!((again.len(), &*again[0].correlation, again[0].is_repeat), (1, "b", true));
     w.serve(&again[0]);
     w.settle();
     let mut outcomes = w.outcomes();
--- a/crates/gateway/tests/front_marks.rs
+++ b/crates/gateway/tests/front_marks.rs
@@ -5,11 +5,11 @@
 
 use stagehoist::Outcome;
 use stagehoist_gateway::clock::Clock;
-use stagehoist_gateway::marked::Marker;
-use stagehoist_gateway::state::{Attempt, News};
+use stagehoist_gateway::marked::IntentRecorder;
+use stagehoist_gateway::state::{Attempt, Input};
 use stagehoist_gateway::workers::Workers;
-use stagehoist_intent_log::{start, Done, Marks, Options, Place};
-use stagehoist_recovery::inquiry::{Patience, Told};
+use stagehoist_intent_log::{start, IntentLog, LogEvent, LogLocation, Options};
+use stagehoist_recovery::inquiry::{AttemptKnowledge, InquiryLimits};
 use stagehoist_recovery::marked::Limits;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
@@ -24,7 +24,7 @@
     w.cut();
     w.front = Front::new(config(""), 2, w.now);
     let members: Vec<Rc<str>> = vec!["".into(), "other".into()];
-    w.front.ask(members.clone(), Patience::default());
+    w.front.set_inquiry(members.clone(), InquiryLimits::default());
     w.connect();
     assert!(w.arrivals().is_empty() && w.outcomes().is_empty(), "it waits");
     (w, members)
@@ -37,26 +37,28 @@
     assert_eq!(questions.iter().map(|q| q.2.clone()).collect::<Vec<_>>(), members);
     let ticket = questions[0].0;
     w.now += 50_000;
-    w.front.told(ticket, &members[0], Some(Told::None), w.now);
+    w.front.on_inquiry_answer(ticket, &members[0], Some(AttemptKnowledge::None), w.now);
     assert!(w.arrivals().is_empty(), "one word of two");
-    w.front.told(ticket, &members[1], Some(Told::None), w.now);
+    w.front.on_inquiry_answer(ticket, &members[1], Some(AttemptKnowledge::None), w.now);
     let calls = w.arrivals();
     assert_eq!((calls.len(), calls[0].identity), (1, Some(questions[0].1)));
-    assert!(calls[0].repeat && (700_000..=830_000).contains(&calls[0].budget), "{}", calls[0].budget);
+    assert!(calls[0].is_repeat && (700_000..=830_000).contains(&calls[0].budget), "{}", calls[0].budget);
     w.serve(&calls[0]);
     w.settle();
     assert_eq!(w.outcomes(), [("a", "served")]);
-    assert_eq!((w.front.counters.asked, w.front.counters.run_by_marks, w.front.unsettled()), (1, 1, 0));
+    assert_eq!((w.front.counters.inquired, w.front.counters.run_by_intents, w.front.unsettled()), (1, 1, 0));
 }
 
 #[test]
 fn a_mark_doubt_and_silence_fail_it_in_time() {
-    for told in [Some(Some(Told::MayHaveRun)), Some(Some(Told::NotKnown)), Some(None), None] {
+    for told in
+        [Some(Some(AttemptKnowledge::MayHaveRun)), Some(Some(AttemptKnowledge::NotKnown)), Some(None), None]
+    {
         let (mut w, members) = restarted();
         let ticket = w.front.take_questions()[0].0;
-        w.front.told(ticket, &members[0], Some(Told::None), w.now);
+        w.front.on_inquiry_answer(ticket, &members[0], Some(AttemptKnowledge::None), w.now);
         match told {
-            Some(told) => w.front.told(ticket, &members[1], told, w.now),
+            Some(told) => w.front.on_inquiry_answer(ticket, &members[1], told, w.now),
             None => {
                 let from = w.now;
                 while w.front.counters.failed_unknown == 0 {
@@ -70,7 +72,7 @@
         w.settle();
         assert!(w.arrivals().is_empty());
         assert_eq!(w.outcomes(), [("a", "failed")], "{told:?}");
-        w.front.told(ticket, &members[1], Some(Told::None), w.now);
+        w.front.on_inquiry_answer(ticket, &members[1], Some(AttemptKnowledge::None), w.now);
         assert!(w.arrivals().is_empty(), "a word after the answer");
     }
 }
@@ -83,23 +85,23 @@
         address: address.into(),
         class,
         function: function.into(),
-        due: i64::MAX / 2,
+        deadline: i64::MAX / 2,
         body: Bytes::from_static(b"{}"),
         content_type: None,
         correlation: format!("c{request}").into(),
         ticket: u64::from(request),
-        begin_by: i64::MAX,
-        mark: Some((u128::from(request), u64::from(request))),
+        start_by: i64::MAX,
+        intent: Some((u128::from(request), u64::from(request))),
     }
 }
 
 /// Plays with a marker, its store and a worker that takes calls and never answers.
 fn with_marker<F: std::future::Future<Output = ()>>(
     begun: bool,
-    play: impl FnOnce(Marker, Marks, mpsc::Receiver<News>, TcpListener) -> F,
+    play: impl FnOnce(IntentRecorder, IntentLog, mpsc::Receiver<Input>, TcpListener) -> F,
 ) {
     let folder = tempfile::tempdir().unwrap();
-    let place = Place { folder: folder.path().into(), name: "f".into(), alone: begun };
+    let place = LogLocation { folder: folder.path().into(), name: "f".into(), standalone: begun };
     let (marks, thread) = start(&place, Options::default()).unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -107,7 +109,7 @@
         let (config, clock) = (config(""), Clock::new());
         let workers = Rc::new(Workers::new(config.clone(), clock, news.clone(), None));
         let limits = Limits { longest: 60_000_000, ..Limits::default() };
-        let (marker, task) = Marker::start(config, clock, marks.clone(), workers, news, limits);
+        let (marker, task) = IntentRecorder::start(config, clock, marks.clone(), workers, news, limits);
         play(marker, marks, heard, TcpListener::bind("127.0.0.1:0").await.unwrap()).await;
         task.await.unwrap();
     });
@@ -119,7 +121,7 @@
     with_marker(true, |mut marker, marks, _heard, worker| async move {
         let address = worker.local_addr().unwrap().to_string();
         assert!(marker.attempt(attempt(1, "free-times", 0, &address)).is_some(), "safe to repeat");
-        let unnamed = Attempt { mark: None, ..attempt(2, "recurring", 1, &address) };
+        let unnamed = Attempt { intent: None, ..attempt(2, "recurring", 1, &address) };
         assert!(marker.attempt(unnamed).is_some(), "nothing to mark it by");
         assert!(marker.attempt(attempt(3, "recurring", 1, &address)).is_none());
         marker.abort(3, 0);
@@ -130,8 +132,8 @@
         let text = String::from_utf8_lossy(&bytes[..n]).to_string();
         assert!(text.contains("c4"), "the one that was taken back left: {text}");
         let (reply, mut done) = mpsc::unbounded_channel();
-        assert!(marks.ask(9, 4, &reply));
-        assert_eq!(done.recv().await, Some(Done::Told(9, Told::MayHaveRun)));
+        assert!(marks.query(9, 4, &reply));
+        assert_eq!(done.recv().await, Some(LogEvent::Answered(9, AttemptKnowledge::MayHaveRun)));
     });
 }
 
@@ -140,7 +142,9 @@
     with_marker(false, |mut marker, _marks, mut heard, worker| async move {
         let address = worker.local_addr().unwrap().to_string();
         assert!(marker.attempt(attempt(1, "recurring", 1, &address)).is_none());
-        let Some(News::Attempt { request: 1, attempt: 0, result }) = heard.recv().await else { panic!() };
+        let Some(Input::AttemptEnded { request: 1, attempt: 0, result }) = heard.recv().await else {
+            panic!()
+        };
         assert_eq!(result.outcome, Outcome::Superseded);
     });
 }
--- a/crates/gateway/tests/front_window.rs
+++ b/crates/gateway/tests/front_window.rs
@@ -48,7 +48,7 @@
 #[test]
 fn a_backlog_without_stamps_is_dated_by_when_its_queue_was_last_seen_empty() {
     let mut w = World::new("");
-    w.front.dry(w.now);
+    w.front.on_socket_drained(w.now);
     w.cut();
     // Ten messages, one each 400 ms, while no front end is there.
     for n in 0..10 {
@@ -69,16 +69,16 @@
 #[test]
 fn a_stamp_from_a_wrong_clock_does_no_harm_to_a_queue_that_is_kept_empty() {
     let mut w = World::new("");
-    w.front.dry(w.now);
+    w.front.on_socket_drained(w.now);
     // A publisher whose clock is an hour behind, and one whose clock is an hour ahead.
     let seconds = |w: &World, by: i64| ((w.now + 7_200_000_000) / 1_000_000 + by) as u64;
     w.now += 7_200_000_000;
-    w.front.dry(w.now);
+    w.front.on_socket_drained(w.now);
     for (id, by) in [("behind", -3600), ("ahead", 3600)] {
         let at = seconds(&w, by) - 7200;
         w.publish(id, "free-times", |p| p.with_timestamp(at));
         let budgets: Vec<i64> = w.arrivals().iter().map(|a| a.budget).collect();
         assert!(budgets.len() == 1 && budgets[0] > 2_300_000, "{id}: {budgets:?} {:?}", w.caller.answers);
-        w.front.dry(w.now);
+        w.front.on_socket_drained(w.now);
     }
 }
--- a/crates/gateway/tests/lanes.rs
+++ b/crates/gateway/tests/lanes.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use stagehoist::{Action, Event, Micros, Outcome, RequestId};
-use stagehoist_gateway::state::{module, Command, Decide, News};
+use stagehoist_gateway::state::{module, Command, DecisionPolicy, Input};
 use std::cell::RefCell;
 
 /// Ten lanes, of which each of two front ends always has one.
@@ -16,7 +16,7 @@
 }
 
 fn demand(s: &Stage) -> Vec<(u32, u32, u64)> {
-    s.core.told().unwrap().demand.iter().map(|d| (d.in_use, d.waiting, d.applied)).collect()
+    s.core.session_report().unwrap().demand.iter().map(|d| (d.in_use, d.waiting, d.applied)).collect()
 }
 
 /// Tickets of attempts, by the order in which their calls came.
@@ -43,7 +43,7 @@
     let first = attempts(&s.call_by(1, 0, 2500 * MS));
     s.call_by(2, 0, 2500 * MS);
     // Its caller leaves; its attempt goes on at the worker, and with it the lane.
-    assert!(attempts(&s.turn(MS, vec![News::Gone(1)])).is_empty());
+    assert!(attempts(&s.turn(MS, vec![Input::ClientGone(1)])).is_empty());
     assert_eq!(demand(&s)[0], (1, 1, 0));
     assert!(attempts(&s.turn(50 * MS, vec![])).is_empty());
     let out = s.turn(50 * MS, vec![ended(&first[0], Outcome::Ok)]);
@@ -68,7 +68,7 @@
     let first = attempts(&s.call_by(1, 0, 2500 * MS));
     s.call_by(2, 0, 2500 * MS);
     s.call_by(3, 0, 2500 * MS);
-    assert!(s.turn(MS, vec![News::Gone(2)]).is_empty());
+    assert!(s.turn(MS, vec![Input::ClientGone(2)]).is_empty());
     assert_eq!(demand(&s)[0], (1, 1, 0));
     let out = s.turn(30 * MS, vec![ended(&first[0], Outcome::Ok)]);
     assert_eq!(sent(&out), [3], "the one behind it enters");
@@ -118,9 +118,9 @@
     static SEEN: RefCell<Vec<(RequestId, Micros, Micros)>> = const { RefCell::new(Vec::new()) };
 }
 
-struct Watching(Box<dyn Decide>);
+struct Watching(Box<dyn DecisionPolicy>);
 
-impl Decide for Watching {
+impl DecisionPolicy for Watching {
     fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
         let requests = events.iter().filter_map(|e| match e {
             Event::Request(r) => Some((r.id, r.accepted_at, r.budget)),
@@ -136,7 +136,7 @@
     SEEN.with(|seen| seen.borrow().iter().any(|s| s.0 == request))
 }
 
-fn watching(settings: stagehoist::Settings, seed: u64, now: Micros) -> Box<dyn Decide> {
+fn watching(settings: stagehoist::Settings, seed: u64, now: Micros) -> Box<dyn DecisionPolicy> {
     Box::new(Watching(module(settings, seed, now)))
 }
 
@@ -148,7 +148,7 @@
     let came = s.now;
     // It never knew of this one, so it is told nothing of its end.
     s.call_by(3, 0, 1000 * MS);
-    s.turn(MS, vec![News::Gone(3)]);
+    s.turn(MS, vec![Input::ClientGone(3)]);
     s.turn(299 * MS, vec![ended(&first[0], Outcome::Ok)]);
     let now = s.now;
     SEEN.with(|seen| assert_eq!(seen.borrow()[1..], [(2, came, 1000 * MS - (now - came))]));
@@ -164,6 +164,6 @@
         let ends = |out: &[Command]| attempts(out).iter().map(|a| ended(a, Outcome::Ok)).collect::<Vec<_>>();
         assert_eq!(told(&with.turn(20 * MS, ends(&a))), told(&without.turn(20 * MS, ends(&b))));
     }
-    assert_eq!(with.core.told().unwrap().demand, []);
+    assert_eq!(with.core.session_report().unwrap().demand, []);
     assert_eq!(with.core.counters.served, 39);
 }
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -3,9 +3,10 @@
 use bytes::Bytes;
 use stagehoist::{Action, Endpoint, EndpointUpdate, Event, Lifecycle, Micros, Outcome, Settings, WorkerId};
 use stagehoist_config::{parse, Config};
-use stagehoist_endpoints::Told;
+use stagehoist_endpoints::NumberedEndpoint;
 use stagehoist_gateway::state::{
-    module, Arrival, Attempt, AttemptResult, CallFigures, Command, Core, Decide, Figures, News, Ticket,
+    module, Arrival, Attempt, AttemptResult, Command, Core, CoreSettings, DecisionPolicy, FunctionProperties,
+    Input, Ticket,
 };
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,9 +23,9 @@
     Outcome::Timeout,
 ];
 
-fn told(id: WorkerId, lifecycle: Lifecycle, address: &str) -> Told {
+fn told(id: WorkerId, lifecycle: Lifecycle, address: &str) -> NumberedEndpoint {
     let row = Endpoint { worker: id, kind: 0, lifecycle, zone: 0, started: 0, cell: 0, capacity: 4.0 };
-    Told { name: format!("w{id}"), address: address.into(), row }
+    NumberedEndpoint { name: format!("w{id}"), address: address.into(), endpoint: row }
 }
 
 thread_local! {
@@ -33,9 +34,9 @@
 }
 
 /// The module, with notes of what it is told and what it chooses.
-struct Noted(Box<dyn Decide>);
+struct Noted(Box<dyn DecisionPolicy>);
 
-impl Decide for Noted {
+impl DecisionPolicy for Noted {
     fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
         let from = out.len();
         self.0.handle(now, events, out);
@@ -54,7 +55,7 @@
     }
 }
 
-fn noted(settings: Settings, seed: u64, now: Micros) -> Box<dyn Decide> {
+fn noted(settings: Settings, seed: u64, now: Micros) -> Box<dyn DecisionPolicy> {
     CHOSEN.set(Default::default());
     Box::new(Noted(module(settings, seed, now)))
 }
@@ -84,14 +85,14 @@
         );
         let config = parse("orders.conf", &text).unwrap();
         let now = 1_700_000_000_000_000;
-        let figures = Figures { stop_when_gone, ..Figures::from(&config) };
+        let figures = CoreSettings { cancel_when_gone: stop_when_gone, ..CoreSettings::from(&config) };
         let core = Core::with(noted, figures, 3, now);
         let (sent, ended, answers) = Default::default();
         let (left, crossed, tickets, leaving, case) = Default::default();
         let mut stage =
             Stage { core, config, now, sent, ended, answers, left, crossed, tickets, leaving, case };
         let told = (1..=3).map(|id| told(id, Lifecycle::Ready, &format!("10.0.0.{id}:1"))).collect();
-        stage.turn(0, vec![News::Roster { form: EndpointUpdate::Full, told }]);
+        stage.turn(0, vec![Input::EndpointUpdate { kind: EndpointUpdate::Full, endpoints: told }]);
         stage
     }
 
@@ -99,12 +100,12 @@
         let arrival = Arrival {
             ticket,
             function: "recurring".into(),
-            figures: CallFigures::configured(&self.config, "recurring").map(|f| f.0),
+            properties: FunctionProperties::configured(&self.config, "recurring").map(|f| f.0),
             tenant: 0,
             budget: 2500 * MS,
-            read: 0,
-            repeat: false,
-            known: true,
+            read_at: 0,
+            is_repeat: false,
+            client_verified: true,
             body: Bytes::from_static(b"{}"),
             content_type: None,
             correlation: "c".into(),
@@ -112,7 +113,7 @@
             identity: None,
         };
         let before: Vec<_> = self.sent.keys().copied().collect();
-        self.turn(MS, vec![News::Call(arrival)]);
+        self.turn(MS, vec![Input::Call(arrival)]);
         let new = self.sent.iter().find(|(key, _)| !before.contains(key));
         let attempt = new.expect("a call is sent at once").1.clone();
         self.tickets.insert(attempt.request, ticket);
@@ -120,20 +121,20 @@
     }
 
     /// One batch, checked: all that is told in it counts before anything is chosen.
-    fn turn(&mut self, after: Micros, mut news: Vec<News>) {
+    fn turn(&mut self, after: Micros, mut news: Vec<Input>) {
         self.now += after;
         let mut over = Vec::new();
         for item in &news {
             match item {
-                News::Roster { told, .. } => {
-                    let gone = told.iter().filter(|t| t.row.lifecycle != Lifecycle::Ready);
-                    self.leaving.extend(gone.map(|t| t.row.worker));
+                Input::EndpointUpdate { endpoints: told, .. } => {
+                    let gone = told.iter().filter(|t| t.endpoint.lifecycle != Lifecycle::Ready);
+                    self.leaving.extend(gone.map(|t| t.endpoint.worker));
                 }
-                News::Gone(ticket) => {
+                Input::ClientGone(ticket) => {
                     self.left.push(*ticket);
                     self.crossed.extend(over.contains(ticket).then_some(*ticket));
                 }
-                News::Attempt { request, attempt, .. } => {
+                Input::AttemptEnded { request, attempt, .. } => {
                     over.extend(self.tickets.get(request));
                     *self.ended.entry((*request, *attempt)).or_default() += 1;
                 }
@@ -141,7 +142,7 @@
             }
         }
         let mut out = Vec::new();
-        self.core.turn(self.now, &mut news, &mut out);
+        self.core.process(self.now, &mut news, &mut out);
         for command in out {
             match command {
                 Command::Attempt(a) => {
@@ -162,7 +163,7 @@
                     assert!(!left, "{}: answered one that had left", self.case);
                     *self.answers.entry(ticket).or_default() += 1;
                 }
-                Command::Load { worker, .. } | Command::Probe { worker, .. } => {
+                Command::Load { worker, .. } | Command::HealthCheck { worker, .. } => {
                     assert!(!self.leaving.contains(&worker), "{}: told worker {worker}", self.case);
                 }
                 _ => {}
@@ -183,7 +184,7 @@
             self.turn(10 * MS, over);
         }
         let case = &self.case;
-        assert_eq!((self.core.unanswered(), self.core.out()), (0, 0), "{case}");
+        assert_eq!((self.core.unanswered(), self.core.attempts_in_flight()), (0, 0), "{case}");
         let [mut chosen, mut told] = CHOSEN.take();
         chosen.sort();
         told.sort();
@@ -197,8 +198,12 @@
     }
 }
 
-fn end_of(a: &Attempt, outcome: Outcome) -> News {
-    News::Attempt { request: a.request, attempt: a.attempt, result: AttemptResult::bare(outcome) }
+fn end_of(a: &Attempt, outcome: Outcome) -> Input {
+    Input::AttemptEnded {
+        request: a.request,
+        attempt: a.attempt,
+        result: AttemptResult::without_answer(outcome),
+    }
 }
 
 /// All orders of `n` items.
@@ -218,7 +223,7 @@
     effect: &str,
     stop: bool,
     calls: &[Ticket],
-    news: impl Fn(&[Attempt]) -> Vec<News>,
+    news: impl Fn(&[Attempt]) -> Vec<Input>,
     case: &str,
 ) -> usize {
     let mut played = 0;
@@ -232,8 +237,8 @@
             let mut s = Stage::new(effect, stop);
             s.case = format!("{case}, {effect}, stop {stop}, order {order:?}, cut at {cut}");
             let sent: Vec<_> = calls.iter().map(|t| s.call(*t)).collect();
-            let mut items: Vec<Option<News>> = news(&sent).into_iter().map(Some).collect();
-            let mut batch: Vec<News> = order.iter().filter_map(|&i| items[i].take()).collect();
+            let mut items: Vec<Option<Input>> = news(&sent).into_iter().map(Some).collect();
+            let mut batch: Vec<Input> = order.iter().filter_map(|&i| items[i].take()).collect();
             let second = batch.split_off(cut);
             s.turn(MS, batch);
             s.turn(0, second);
@@ -255,8 +260,8 @@
                         let a = &sent[0];
                         let told = vec![told(a.worker, lifecycle, &a.address)];
                         vec![
-                            News::Roster { form: EndpointUpdate::Delta, told },
-                            News::Gone(1),
+                            Input::EndpointUpdate { kind: EndpointUpdate::Delta, endpoints: told },
+                            Input::ClientGone(1),
                             end_of(a, outcome),
                             // The end of another call, at whichever worker, that must go on elsewhere.
                             end_of(&sent[1], Outcome::Miss),
@@ -278,7 +283,7 @@
     for outcome in [Outcome::Miss, Outcome::Reset, Outcome::ConnectFailed, Outcome::Full] {
         let news = |sent: &[Attempt]| {
             let a = &sent[0];
-            let event = |told| News::Roster { form: EndpointUpdate::Delta, told: vec![told] };
+            let event = |told| Input::EndpointUpdate { kind: EndpointUpdate::Delta, endpoints: vec![told] };
             vec![
                 event(told(a.worker, Lifecycle::Draining, &a.address)),
                 event(told(a.worker, Lifecycle::Gone, &a.address)),
--- a/crates/gateway/tests/retirements.rs
+++ b/crates/gateway/tests/retirements.rs
@@ -1,6 +1,8 @@
 //! The watched file of retired functions, and the file of states beside it.
 
-use stagehoist_cluster_state::{Command, Member, Mode, Record, Retirement, Standing, View};
+use stagehoist_cluster_state::{
+    ClusterState, ClusterStatus, ClusterView, Command, Member, Retirement, RetirementMode,
+};
 use stagehoist_config::{parse as configured, Config};
 use stagehoist_gateway::fleet::retirements::{follow, parse, Proposer};
 use stagehoist_gateway::fleet::states;
@@ -24,14 +26,14 @@
         generation,
         successor: None,
         reason: "old".into(),
-        mode: Mode::Available,
-        asked_ms: 7,
+        mode: RetirementMode::Available,
+        requested_ms: 7,
     }
 }
 
 /// The view after these commands.
-fn view(commands: &[Command]) -> View {
-    let mut record = Record::default();
+fn view(commands: &[Command]) -> ClusterView {
+    let mut record = ClusterState::default();
     commands.iter().enumerate().for_each(|(i, c)| drop(record.apply(i as u64 + 1, c)));
     record.view
 }
@@ -55,16 +57,16 @@
     let mut text: String = (0..5000).map(|n| format!("f{n} 1\n")).collect();
     text.push_str("broken\n");
     assert_eq!(proposer.read(text.clone()).len(), 1);
-    let open: Vec<_> = proposer.open().cloned().collect();
+    let open: Vec<_> = proposer.pending().cloned().collect();
     assert_eq!(open.len(), 5000);
-    open.iter().for_each(|line| proposer.done(line));
+    open.iter().for_each(|line| proposer.on_proposed(line));
     text.push_str("f7 1\nf7 2\n");
     assert!(proposer.read(text).is_empty(), "a fault that was told");
-    let open: Vec<_> = proposer.open().map(|l| (l.function.clone(), l.generation)).collect();
+    let open: Vec<_> = proposer.pending().map(|l| (l.function.clone(), l.generation)).collect();
     assert_eq!(open, [("f7".to_string(), 2)]);
     // Another file in its place takes nothing back, and a lower generation asks for nothing.
     proposer.read("f1 1\nnew 1\n".into());
-    assert_eq!(proposer.open().map(|l| l.function.as_str()).collect::<Vec<_>>(), ["new"]);
+    assert_eq!(proposer.pending().map(|l| l.function.as_str()).collect::<Vec<_>>(), ["new"]);
 }
 
 #[test]
@@ -103,17 +105,17 @@
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("retired");
     let state = folder.path().join("retired.state");
-    let (standing, seen) = watch::channel(Standing::default());
+    let (standing, seen) = watch::channel(ClusterStatus::default());
     let (retire, mut asked) = mpsc::channel(4);
     std::fs::write(&path, "free 1 reason=old\nother 1").unwrap();
     let task = tokio::spawn(follow(config(), path.clone(), seen, retire));
     let first = asked.recv().await.unwrap();
-    assert_eq!((first.function.as_str(), first.mode), ("free", Mode::Strict));
+    assert_eq!((first.function.as_str(), first.mode), ("free", RetirementMode::Strict));
     assert!(!state.exists(), "no state before any view came");
     // The half line gets its end, beside garbage; the file is then replaced by one with more lines than the session takes.
     std::fs::write(&path, b"free 1 reason=old\n\xff\xfe nothing\nother 1\n").unwrap();
     let second = asked.recv().await.unwrap();
-    assert_eq!((second.function.as_str(), second.mode), ("other", Mode::Available));
+    assert_eq!((second.function.as_str(), second.mode), ("other", RetirementMode::Available));
     let many: String = (0..20).map(|n| format!("nobody{n} 1\n")).collect();
     std::fs::write(folder.path().join("next"), many).unwrap();
     std::fs::rename(folder.path().join("next"), &path).unwrap();
@@ -121,7 +123,7 @@
         assert_eq!(asked.recv().await.unwrap().function, format!("nobody{n}"));
     }
     let told = view(&[Command::Retire(retirement("free", 1))]);
-    standing.send_replace(Standing { view: Arc::new(told), ..Standing::default() });
+    standing.send_replace(ClusterStatus { view: Arc::new(told), ..ClusterStatus::default() });
     let is_whole = |text: &str| text.starts_with("free 1 proposed ") && text.ends_with("\n# version 1\n");
     until(&state, is_whole).await;
     // Damaged or lost, it is written anew; one of a later view is left alone.
@@ -144,12 +146,12 @@
     let path = folder.path().join("retired");
     let state = folder.path().join("retired.state");
     std::fs::write(&path, "free 1\nother 2\nthird 1\n").unwrap();
-    let (standing, seen) = watch::channel(Standing::default());
+    let (standing, seen) = watch::channel(ClusterStatus::default());
     let (retire, mut asked) = mpsc::channel(2);
     let _task = tokio::spawn(follow(config(), path.clone(), seen, retire));
     let show = |commands: &[Command]| {
         let view = Arc::new(view(commands));
-        standing.send_replace(Standing { view, ..Standing::default() });
+        standing.send_replace(ClusterStatus { view, ..ClusterStatus::default() });
     };
     // One is taken by the record, one is refused for now, and one is not handed over yet.
     let mut taken = vec![Command::Retire(retirement("free", 1))];
@@ -185,7 +187,7 @@
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("retired");
     std::fs::write(&path, "free 1\n").unwrap();
-    let (_standing, seen) = watch::channel(Standing::default());
+    let (_standing, seen) = watch::channel(ClusterStatus::default());
     let (retire, mut asked) = mpsc::channel(4);
     let _task = tokio::spawn(follow(config(), path.clone(), seen, retire));
     assert_eq!(asked.recv().await.unwrap().function, "free");
