--- a/crates/gateway/tests/shards.rs
+++ b/crates/gateway/tests/shards.rs
@@ -8,8 +8,8 @@
 use stagehoist_config::Consume;
 use stagehoist_endpoints::Update;
 use stagehoist_gateway::shards::{own, queue, Places, Shards};
-use stagehoist_gateway::state::{AttemptResult, CallFigures, Core, Figures, News};
-use stagehoist_sharding::{Homes, Key, Place, Shard};
+use stagehoist_gateway::state::{AttemptResult, Core, CoreSettings, FunctionProperties, Input};
+use stagehoist_sharding::{FunctionPlacement, HomeShards, Key, Shard};
 use std::collections::{BTreeMap, BTreeSet};
 use world::*;
 
@@ -21,7 +21,7 @@
 }
 
 /// A function of the test's class whose place at the first front end is as wanted.
-fn function(more: &str, wanted: impl Fn(Place) -> bool) -> String {
+fn function(more: &str, wanted: impl Fn(FunctionPlacement) -> bool) -> String {
     let places = Places::new(&of(more, 0)).unwrap();
     (0..).map(|i| format!("f{i}")).find(|f| wanted(places.of(f))).unwrap()
 }
@@ -43,7 +43,7 @@
     let alone = config("fleet-front-ends 4\n");
     assert_eq!(own(Config::clone(&alone), 3), *alone);
     assert!(Shards::new(&alone).is_none() && Places::new(&alone).is_none());
-    assert_eq!(Figures::from(&*alone).settings, alone.settings());
+    assert_eq!(CoreSettings::from(&*alone).settings, alone.settings());
 }
 
 /// While both divisions are served, the queues and functions of both.
@@ -55,7 +55,7 @@
         assert_eq!(queues.len(), shards, "{stage}");
     }
     let both = "fleet-front-ends 4\nshards 4 generation 1 next 5 stage both\n";
-    assert!(!function(both, |p| p == Place::Leaving).is_empty());
+    assert!(!function(both, |p| p == FunctionPlacement::Leaving).is_empty());
 }
 
 /// Whoever consumes the queue that a caller computes by either division serves the call, though the front ends that own a
@@ -68,14 +68,18 @@
             (0..24).map(|n| of(&more, n)).map(|c| (Places::new(&c).unwrap(), c.consume)).collect();
         let told = of(&more, 0).sharding.unwrap();
         for division in told.divisions.each() {
-            let homes = Homes::new(division, told.calls, &told.hot).unwrap();
-            let expected = if division.generation() == 3 { Place::Leaving } else { Place::Own };
+            let homes = HomeShards::new(division, told.calls, &told.hot).unwrap();
+            let expected = if division.generation() == 3 {
+                FunctionPlacement::Leaving
+            } else {
+                FunctionPlacement::Owned
+            };
             for function in (0..400).map(|i| format!("f{i}")) {
                 let to = queue("calls", division.generation(), homes.for_call(Key::of(&function), 0));
                 let over = |(places, consume): &(Places, Vec<Consume>)| {
                     Some(places.over(consume.iter().position(|c| c.queue == to)?, &function))
                 };
-                let places: Vec<Place> = all.iter().filter_map(over).collect();
+                let places: Vec<FunctionPlacement> = all.iter().filter_map(over).collect();
                 assert!(places.len() >= 2, "{to}");
                 assert!(
                     places.iter().all(|p| *p == expected),
@@ -92,7 +96,7 @@
 }
 
 fn told(shards: &mut Shards, form: EndpointUpdate, rows: Vec<Endpoint>, now: i64) -> Vec<Endpoint> {
-    shards.heard(Update { form, rows }, |_| None::<&str>, now).rows
+    shards.apply(Update { kind: form, endpoints: rows }, |_| None::<&str>, now).endpoints
 }
 
 /// Over the fleet each worker's capacity is told once, in parts, to the front ends of each shard.
@@ -140,7 +144,7 @@
     assert!(!pushed.is_empty(), "the list was to push one out");
     let due = shards.due().unwrap();
     assert_eq!(due, MS + config.load_timeout + 1_000_000);
-    take(shards.expired(due).unwrap().rows);
+    take(shards.expired(due).unwrap().endpoints);
     module.retain(|_, l| *l != Lifecycle::Gone);
     let mut whole = Shards::new(&config).unwrap();
     let whole = told(&mut whole, EndpointUpdate::Full, ready(listed), 0);
@@ -156,47 +160,48 @@
     );
     let config = Rc::new(of(&more, 0));
     let mut now = 1_700_000_000_000_000;
-    let mut core = Core::new(Figures::from(&*config), 3, now);
-    core.divide(Shards::new(&config));
+    let mut core = Core::new(CoreSettings::from(&*config), 3, now);
+    core.set_shards(Shards::new(&config));
     let names: Vec<String> = (0..40).map(|i| format!("w{i}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut used = [BTreeSet::new(), BTreeSet::new()];
     let mut ticket = 0;
     for (round, list) in [&names[..], &names[20..]].into_iter().enumerate() {
         let mut out = Vec::new();
-        core.turn(now, &mut vec![News::List(entries(list))], &mut out);
+        core.process(now, &mut vec![Input::EndpointList(entries(list))], &mut out);
         for _ in 0..400 {
             (ticket, now) = (ticket + 1, now + 5 * MS);
             let function = format!("f{}", ticket % 29);
             let arrival = Arrival {
                 ticket,
                 function: function.as_str().into(),
-                figures: CallFigures::configured(&config, &function).map(|f| f.0),
+                properties: FunctionProperties::configured(&config, &function).map(|f| f.0),
                 tenant: 0,
                 budget: 2_000 * MS,
-                read: 0,
-                repeat: false,
-                known: true,
+                read_at: 0,
+                is_repeat: false,
+                client_verified: true,
                 body: Bytes::new(),
                 content_type: None,
                 correlation: "c".into(),
                 generation: None,
                 identity: None,
             };
-            core.turn(now, &mut vec![News::Call(arrival)], &mut out);
+            core.process(now, &mut vec![Input::Call(arrival)], &mut out);
             for attempt in attempts(&std::mem::take(&mut out)) {
                 used[round].insert(attempt.worker);
-                let result = AttemptResult::bare(stagehoist::Outcome::Ok);
-                let ended = News::Attempt { request: attempt.request, attempt: attempt.attempt, result };
-                core.turn(now, &mut vec![ended], &mut out);
+                let result = AttemptResult::without_answer(stagehoist::Outcome::Ok);
+                let ended =
+                    Input::AttemptEnded { request: attempt.request, attempt: attempt.attempt, result };
+                core.process(now, &mut vec![ended], &mut out);
             }
         }
     }
     let subset = |list: &[&str]| -> BTreeSet<WorkerId> {
-        let mut members = stagehoist_endpoints::Members::new(vec![], vec![], 0);
-        let update = members.listed(entries(list), 0);
+        let mut members = stagehoist_endpoints::EndpointSet::new(vec![], vec![], 0);
+        let update = members.apply_list(entries(list), 0);
         let mut shards = Shards::new(&config).unwrap();
-        shards.heard(update, |w| members.name(w), 0).rows.iter().map(|r| r.worker).collect()
+        shards.apply(update, |w| members.name(w), 0).endpoints.iter().map(|r| r.worker).collect()
     };
     let (before, after) = (subset(&names), subset(&names[20..]));
     assert!(before.len() < 40 && after.len() < 20, "{} {}", before.len(), after.len());
@@ -207,8 +212,8 @@
 #[test]
 fn a_call_of_another_shard_is_refused_and_counted() {
     let more = format!("{FOUR}function f* class record memory 64MB\n");
-    let other = function(&more, |p| matches!(p, Place::Elsewhere(_)));
-    let mine = function(&more, |p| p == Place::Own);
+    let other = function(&more, |p| matches!(p, FunctionPlacement::Elsewhere(_)));
+    let mine = function(&more, |p| p == FunctionPlacement::Owned);
     let mut w = World::new(&more);
     w.publish("a", &other, |p| p);
     w.publish("b", &mine, |p| p);
@@ -226,7 +231,7 @@
 #[test]
 fn an_unsafe_call_delivered_again_across_a_change_fails() {
     let more = format!("{FOUR}function f* class record memory 64MB\n");
-    let other = function(&more, |p| matches!(p, Place::Elsewhere(_)));
+    let other = function(&more, |p| matches!(p, FunctionPlacement::Elsewhere(_)));
     // A front end of before, which owned all, takes it and is lost.
     let mut w = World::new("function f* class record memory 64MB\n");
     w.publish("a", &other, |p| p);
@@ -246,7 +251,7 @@
     for functions in ["", " functions recurring"] {
         let more = format!("{FOUR}tenant south quota 100/s{functions}\n");
         let share = |number| {
-            let settings = Figures::from(&of(&more, number)).settings;
+            let settings = CoreSettings::from(&of(&more, number)).settings;
             settings.tenant_quotas[1] / f64::from(settings.front_ends)
         };
         let shares: Vec<f64> = (0..4).map(share).collect();
--- a/crates/gateway/tests/shards_follow.rs
+++ b/crates/gateway/tests/shards_follow.rs
@@ -4,7 +4,7 @@
 use stagehoist_emulator::list::{Listed, Registry};
 use stagehoist_gateway::clock::Clock;
 use stagehoist_gateway::list::front_ends::follow;
-use stagehoist_gateway::state::News;
+use stagehoist_gateway::state::Input;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -22,9 +22,9 @@
 }
 
 /// Names of the next list; None: it could not be had.
-async fn next(news: &mut mpsc::Receiver<News>) -> Option<Vec<String>> {
+async fn next(news: &mut mpsc::Receiver<Input>) -> Option<Vec<String>> {
     match tokio::time::timeout(LONG, news.recv()).await.expect("no news in time") {
-        Some(News::FrontEnds(list)) => list.map(|l| l.into_iter().map(|e| e.name).collect()),
+        Some(Input::FrontEndList(list)) => list.map(|l| l.into_iter().map(|e| e.name).collect()),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/gateway/tests/shards_home.rs
+++ b/crates/gateway/tests/shards_home.rs
@@ -5,7 +5,7 @@
 use stagehoist_amqp::header_int;
 use stagehoist_config::Consume;
 use stagehoist_gateway::shards::{own, queue, Places};
-use stagehoist_sharding::{Homes, Key, Place};
+use stagehoist_sharding::{FunctionPlacement, HomeShards, Key};
 use std::collections::{BTreeMap, BTreeSet};
 use world::{config, Config, FieldTable, World};
 
@@ -16,7 +16,7 @@
 }
 
 /// A function whose place at the first front end is as wanted.
-fn function(more: &str, wanted: impl Fn(Place) -> bool) -> String {
+fn function(more: &str, wanted: impl Fn(FunctionPlacement) -> bool) -> String {
     let places = Places::new(&of(more, 0)).unwrap();
     (0..).map(|i| format!("f{i}")).find(|f| wanted(places.of(f))).unwrap()
 }
@@ -29,8 +29,8 @@
 
 #[test]
 fn the_refusal_tells_generation_and_shard_of_the_queue_that_the_call_belongs_to() {
-    let other = function(FOUR, |p| matches!(p, Place::Elsewhere(_)));
-    let mine = function(FOUR, |p| p == Place::Own);
+    let other = function(FOUR, |p| matches!(p, FunctionPlacement::Elsewhere(_)));
+    let mine = function(FOUR, |p| p == FunctionPlacement::Owned);
     let mut w = World::new(FOUR);
     w.publish("a", &other, |p| p);
     w.publish("b", &mine, |p| p);
@@ -47,7 +47,7 @@
     let takes = |number: &u32| {
         let config = of(FOUR, *number);
         let at = config.consume.iter().position(|c| c.queue == to);
-        at.is_some_and(|at| Places::new(&config).unwrap().over(at, &other) == Place::Own)
+        at.is_some_and(|at| Places::new(&config).unwrap().over(at, &other) == FunctionPlacement::Owned)
     };
     assert_eq!((0..4).filter(takes).count(), 2, "{to}");
 }
@@ -55,7 +55,7 @@
 /// The refusal had not left when the connection broke: it is given from memory, with all it says.
 #[test]
 fn a_refusal_that_is_sent_again_tells_the_same() {
-    let other = function(FOUR, |p| matches!(p, Place::Elsewhere(_)));
+    let other = function(FOUR, |p| matches!(p, FunctionPlacement::Elsewhere(_)));
     let mut w = World::new(FOUR);
     w.send("a", &other, b"{}", |p| p);
     let out = w.caller.client.output().split();
@@ -80,17 +80,17 @@
         let consumed: BTreeSet<&str> =
             fleet.iter().flat_map(|c| &c.consume).map(|c| c.queue.as_str()).collect();
         let told = fleet[0].sharding.clone().unwrap();
-        let homes: BTreeMap<u32, Homes> = told
+        let homes: BTreeMap<u32, HomeShards> = told
             .divisions
             .each()
-            .map(|d| (d.generation(), Homes::new(d, told.calls, &told.hot).unwrap()))
+            .map(|d| (d.generation(), HomeShards::new(d, told.calls, &told.hot).unwrap()))
             .collect();
         let mut met = BTreeSet::new();
         for config in &fleet {
             let places = Places::new(config).unwrap();
             for (at, Consume { queue: over, .. }) in config.consume.iter().enumerate() {
                 for function in (0..100).map(|i| format!("f{i}")) {
-                    if !matches!(places.over(at, &function), Place::Elsewhere(_)) {
+                    if !matches!(places.over(at, &function), FunctionPlacement::Elsewhere(_)) {
                         continue;
                     }
                     let (generation, shard) = places.home(at, &function, 0).unwrap();
--- a/crates/gateway/tests/shards_list.rs
+++ b/crates/gateway/tests/shards_list.rs
@@ -3,8 +3,8 @@
 mod world;
 
 use stagehoist_gateway::list::front_ends::{of_body, of_text, Entry};
-use stagehoist_gateway::shards::{own, Owned, Ownership};
-use stagehoist_sharding::{ranked, Shard, MEMBERS_MOST};
+use stagehoist_gateway::shards::{own, OwnedShards, Ownership};
+use stagehoist_sharding::{ranked, Shard, MAX_MEMBERS};
 use std::collections::{BTreeMap, BTreeSet};
 use world::*;
 
@@ -38,8 +38,8 @@
     Ownership::new(&of(number, fleet, shards)).unwrap()
 }
 
-fn own_of(owned: &[Owned]) -> BTreeSet<Shard> {
-    owned.iter().flat_map(|o| o.own.clone()).collect()
+fn own_of(owned: &[OwnedShards]) -> BTreeSet<Shard> {
+    owned.iter().flat_map(|o| o.owned.clone()).collect()
 }
 
 /// Own shards of front ends with these lists.
@@ -68,7 +68,7 @@
     assert!(!it.is_known() && it.due().is_none() && it.tick(S).is_none());
     let mut whole = list(0..8);
     let first = it.listed(&whole, S).unwrap();
-    assert!(!own_of(&first).is_empty() && it.others() == 3, "{first:?}");
+    assert!(!own_of(&first).is_empty() && it.front_end_count() == 3, "{first:?}");
     whole.reverse();
     assert!(it.listed(&whole, 2 * S).is_none() && it.due().is_none());
     assert_eq!(it.changes, 1);
@@ -149,24 +149,24 @@
     assert_eq!(it.handover(), HANDOVER);
     it.listed(&list([0]), 0).unwrap();
     let now = it.listed(&list([0, 2]), S).unwrap().remove(0);
-    assert!(!now.leaving.is_empty() && now.kept.is_empty());
+    assert!(!now.leaving.is_empty() && now.retained.is_empty());
     let all: Vec<Shard> = (0..4).collect();
     assert_eq!(now.served(), all);
     assert_eq!(now.consumed().collect::<BTreeSet<_>>().len(), 4);
     assert_eq!(it.due(), Some(S + HANDOVER));
     assert!(it.tick(S + HANDOVER - 1).is_none());
     let kept = it.tick(S + HANDOVER).unwrap().remove(0);
-    assert_eq!((&kept.kept, &kept.leaving[..]), (&now.leaving, &[][..]));
-    assert_eq!((kept.served(), kept.consumed().collect::<Vec<_>>()), (all.clone(), now.own.clone()));
+    assert_eq!((&kept.retained, &kept.leaving[..]), (&now.leaving, &[][..]));
+    assert_eq!((kept.served(), kept.consumed().collect::<Vec<_>>()), (all.clone(), now.owned.clone()));
     assert_eq!(it.due(), Some(S + 2 * HANDOVER));
     let gone = it.tick(S + 2 * HANDOVER).unwrap().remove(0);
-    assert_eq!((gone.served(), it.due()), (now.own.clone(), None));
+    assert_eq!((gone.served(), it.due()), (now.owned.clone(), None));
     // The other dies, and is back before anything of its shards was left.
     let alone = it.listed(&list([0]), 20 * S).unwrap().remove(0);
-    assert_eq!(alone.own, all);
+    assert_eq!(alone.owned, all);
     it.listed(&list([0, 2]), 21 * S).unwrap();
     let back = it.listed(&list([0]), 21 * S + HANDOVER / 2).unwrap().remove(0);
-    assert_eq!((back.own, back.leaving, it.due()), (all, vec![], None));
+    assert_eq!((back.owned, back.leaving, it.due()), (all, vec![], None));
 }
 
 /// Front ends of a generation alone count in its division; a tag of it comes with the restart.
@@ -182,10 +182,10 @@
 #[test]
 fn a_list_over_the_bound_is_cut_and_service_goes_on() {
     let mut it = ownership(0, 8, 4);
-    let long = list((0..2 * MEMBERS_MOST as u32 + 200).filter(|n| n % 2 == 0));
+    let long = list((0..2 * MAX_MEMBERS as u32 + 200).filter(|n| n % 2 == 0));
     let owned = it.listed(&long, 0).unwrap();
     assert!(!own_of(&owned).is_empty());
-    assert_eq!(it.others(), MEMBERS_MOST - 1);
+    assert_eq!(it.front_end_count(), MAX_MEMBERS - 1);
 }
 
 #[test]
--- a/crates/gateway/tests/shards_list_sockets.rs
+++ b/crates/gateway/tests/shards_list_sockets.rs
@@ -8,7 +8,7 @@
 use stagehoist_emulator::list::Registry;
 use stagehoist_gateway::list::front_ends::Entry;
 use stagehoist_gateway::{serve, shards};
-use stagehoist_sharding::{Division, Homes, Key, Shard};
+use stagehoist_sharding::{Division, HomeShards, Key, Shard};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
@@ -33,7 +33,7 @@
     let list: Vec<Entry> = (0..4).map(entry).collect();
     let of = |n| {
         let mut it = shards::Ownership::new(&configuration(n, "h:1", "h:2", "w")).unwrap();
-        it.listed(&list, 0).unwrap()[0].own.clone()
+        it.listed(&list, 0).unwrap()[0].owned.clone()
     };
     let owned: Vec<Vec<Shard>> = (0..4).map(of).collect();
     let owners = |s: &Shard| owned.iter().filter(|own| own.contains(s)).count();
@@ -73,7 +73,7 @@
 
     // It dies with calls in its hands, and more come while its queues may have nobody.
     let division = Division::new(SHARDS, 1).unwrap();
-    let homes = Homes::new(&division, 0.0, &[]).unwrap();
+    let homes = HomeShards::new(&division, 0.0, &[]).unwrap();
     let functions: Vec<String> = (0..12).flat_map(|i| [format!("f{i}"), format!("u{i}")]).collect();
     let reached: BTreeSet<Shard> = functions.iter().map(|f| homes.for_call(Key::of(f), 0)).collect();
     assert_eq!(reached.len(), SHARDS as usize);
--- a/crates/gateway/tests/shards_queues.rs
+++ b/crates/gateway/tests/shards_queues.rs
@@ -3,8 +3,8 @@
 
 mod world;
 
-use stagehoist_gateway::shards::{own, queue, Owned, Places};
-use stagehoist_sharding::{Place, Shard};
+use stagehoist_gateway::shards::{own, queue, OwnedShards, Places};
+use stagehoist_sharding::{FunctionPlacement, Shard};
 use world::*;
 
 const LISTED: &str = "\
@@ -18,9 +18,9 @@
     Rc::new(own(Config::clone(&config(LISTED)), number))
 }
 
-fn owned(own: &[Shard], leaving: &[Shard], kept: &[Shard]) -> [Owned; 1] {
+fn owned(own: &[Shard], leaving: &[Shard], kept: &[Shard]) -> [OwnedShards; 1] {
     let [own, leaving, kept] = [own, leaving, kept].map(<[Shard]>::to_vec);
-    [Owned { generation: 1, own, leaving, kept }]
+    [OwnedShards { generation: 1, owned: own, leaving, retained: kept }]
 }
 
 /// A function of this shard, whose effect is unsafe.
@@ -28,7 +28,7 @@
     let config = of(0);
     let mut places = Places::new(&config).unwrap();
     places.owns(&owned(&[shard], &[], &[]), vec![]);
-    (0..).map(|i| format!("f{i}")).find(|f| places.of(f) == Place::Own).unwrap()
+    (0..).map(|i| format!("f{i}")).find(|f| places.of(f) == FunctionPlacement::Owned).unwrap()
 }
 
 fn publish(w: &mut World, id: &str, shard: Shard) {
@@ -73,25 +73,25 @@
     assert!(!w.front.is_ready());
     assert_eq!((consumers(&w), w.broker.consumers_of("calls").len()), (vec![0, 0, 0, 0], 0));
     // Nor is it ready by a list that gives it nothing.
-    w.front.owns(&owned(&[], &[], &[]), w.now);
+    w.front.serve_shards(&owned(&[], &[], &[]), w.now);
     w.settle();
     assert!(!w.front.is_ready());
-    w.front.owns(&owned(&[0, 1], &[], &[]), w.now);
+    w.front.serve_shards(&owned(&[0, 1], &[], &[]), w.now);
     w.settle();
     assert!(w.front.is_ready());
     assert_eq!(consumers(&w), [1, 1, 0, 0]);
     // One comes, one is left but consumed still, and then is cancelled.
-    w.front.owns(&owned(&[1, 2], &[0], &[]), w.now);
+    w.front.serve_shards(&owned(&[1, 2], &[0], &[]), w.now);
     w.settle();
     assert_eq!(consumers(&w), [1, 1, 1, 0]);
-    w.front.owns(&owned(&[1, 2], &[], &[0]), w.now);
+    w.front.serve_shards(&owned(&[1, 2], &[], &[0]), w.now);
     w.settle();
     assert_eq!((consumers(&w), w.front.is_ready()), (vec![0, 1, 1, 0], true));
     // Over a new connection what is owned now; and what comes back is consumed again.
     w.cut();
     w.connect();
     assert_eq!(consumers(&w), [0, 1, 1, 0]);
-    w.front.owns(&owned(&[0, 1, 2], &[], &[]), w.now);
+    w.front.serve_shards(&owned(&[0, 1, 2], &[], &[]), w.now);
     w.settle();
     assert_eq!(consumers(&w), [1, 1, 1, 0]);
     assert_eq!(w.front.counters.channels_lost, 0);
@@ -109,8 +109,8 @@
     w.front_at = Some(w.broker.connect(w.now));
     w.front.connected(&of(0).brokers[0], w.now);
     for _ in 0..12 {
-        w.front.owns(&owned(&[0, 3], &[], &[]), w.now);
-        w.front.owns(&owned(&[3], &[], &[0]), w.now);
+        w.front.serve_shards(&owned(&[0, 3], &[], &[]), w.now);
+        w.front.serve_shards(&owned(&[3], &[], &[0]), w.now);
         w.push_front();
         let bytes = w.front_at.and_then(|n| w.broker.take_output(n));
         w.front.receive(&bytes.unwrap_or_default(), w.now, 0);
@@ -130,17 +130,17 @@
 #[test]
 fn what_was_delivered_over_a_cancelled_queue_is_answered_while_it_is_kept() {
     let mut w = world();
-    w.front.owns(&owned(&[0, 1], &[], &[]), w.now);
+    w.front.serve_shards(&owned(&[0, 1], &[], &[]), w.now);
     w.settle();
     publish(&mut w, "a", 0);
     carry_caller(&mut w);
     assert_eq!(w.broker.depth(&queue("calls", 1, 0)), Some(0), "not delivered");
-    w.front.owns(&owned(&[1], &[], &[0]), w.now);
+    w.front.serve_shards(&owned(&[1], &[], &[0]), w.now);
     w.settle();
     let calls = w.arrivals();
     assert_eq!((calls.len(), w.front.counters.leaving_shard, consumers(&w)[0]), (1, 1, 0));
     // Its shard is gone altogether by the time that it is answered.
-    w.front.owns(&owned(&[1], &[], &[]), w.now);
+    w.front.serve_shards(&owned(&[1], &[], &[]), w.now);
     w.serve(&calls[0]);
     w.settle();
     assert_eq!((w.outcomes(), w.front.unsettled()), (vec![("a", "served")], 0));
@@ -156,17 +156,17 @@
         w.front = Front::new(Rc::new(own(Config::clone(&config(&format!("{LISTED}{by}"))), 0)), 2, w.now);
         w.front_at = Some(w.broker.connect(w.now));
         w.front.connected(&of(0).brokers[0], w.now);
-        w.front.owns(&owned(&[0, 1], &[], &[]), w.now);
+        w.front.serve_shards(&owned(&[0, 1], &[], &[]), w.now);
         w.settle();
         publish(&mut w, "a", 0);
         carry_caller(&mut w);
-        w.front.owns(&owned(&[1], &[], &[0]), w.now);
-        w.front.owns(&owned(&[1], &[], &[]), w.now);
+        w.front.serve_shards(&owned(&[1], &[], &[0]), w.now);
+        w.front.serve_shards(&owned(&[1], &[], &[]), w.now);
         w.settle();
         assert_eq!((w.arrivals().len(), w.front.counters.given_back, w.front.unsettled()), (0, 1, 0), "{by}");
         assert_eq!((w.broker.depth(&queue("calls", 1, 0)), w.caller.answers.len()), (Some(1), 0), "{by}");
         // It had not been taken: when this front end owns the shard again, it is an ordinary call that comes again.
-        w.front.owns(&owned(&[0, 1], &[], &[]), w.now);
+        w.front.serve_shards(&owned(&[0, 1], &[], &[]), w.now);
         w.settle();
         w.front.flush(w.now);
         w.settle();
@@ -179,11 +179,11 @@
 #[test]
 fn a_drain_beside_a_change_waits_for_all_that_is_on_its_way() {
     let mut w = world();
-    w.front.owns(&owned(&[0, 1], &[], &[]), w.now);
+    w.front.serve_shards(&owned(&[0, 1], &[], &[]), w.now);
     w.settle();
     // The one that is told to stop twice is the last to be told: its first answer isn't that to the drain.
-    w.front.owns(&owned(&[0], &[], &[1]), w.now);
-    w.front.owns(&owned(&[0, 1], &[], &[]), w.now);
+    w.front.serve_shards(&owned(&[0], &[], &[1]), w.now);
+    w.front.serve_shards(&owned(&[0, 1], &[], &[]), w.now);
     w.front.drain();
     w.push_front();
     // The broker's answers come one by one: as often as a consumer was told to stop, it has to say so.
--- a/crates/gateway/tests/shards_sums.rs
+++ b/crates/gateway/tests/shards_sums.rs
@@ -3,9 +3,9 @@
 mod world;
 
 use stagehoist_gateway::list::front_ends::Entry;
-use stagehoist_gateway::shards::{own, Owned, Ownership};
-use stagehoist_gateway::state::Figures;
-use stagehoist_sharding::{Homes, Key, Shard};
+use stagehoist_gateway::shards::{own, OwnedShards, Ownership};
+use stagehoist_gateway::state::CoreSettings;
+use stagehoist_sharding::{HomeShards, Key, Shard};
 use std::collections::BTreeSet;
 use world::*;
 
@@ -41,16 +41,16 @@
 impl Fleet {
     fn new(fleet: u32, shards: u32) -> Fleet {
         let config = of(0, fleet, shards);
-        let settings = Figures::from(&config).settings;
+        let settings = CoreSettings::from(&config).settings;
         for n in 1..fleet.min(4) {
-            let other = Figures::from(&of(n, fleet, shards)).settings;
+            let other = CoreSettings::from(&of(n, fleet, shards)).settings;
             assert_eq!(
                 (other.front_ends, &other.tenant_quotas),
                 (settings.front_ends, &settings.tenant_quotas)
             );
         }
         let told = config.sharding.as_ref().unwrap();
-        let homes = Homes::new(told.divisions.old(), told.calls, &told.hot).unwrap();
+        let homes = HomeShards::new(told.divisions.old(), told.calls, &told.hot).unwrap();
         let of = |names: &[&str]| names.iter().flat_map(|n| homes.of(Key::of(n))).collect();
         let homes = vec![of(&["recurring"]), of(&["recurring", "free-times"]), (0..shards).collect()];
         // The first tenant is that of the common lines; what the module gives is its quota over its front ends.
@@ -70,8 +70,8 @@
     }
 }
 
-fn served(owned: &[Owned]) -> BTreeSet<Shard> {
-    owned.iter().flat_map(Owned::served).collect()
+fn served(owned: &[OwnedShards]) -> BTreeSet<Shard> {
+    owned.iter().flat_map(OwnedShards::served).collect()
 }
 
 /// All have the same list, of whichever front ends are alive: never more than the whole, and most of it.
--- a/crates/gateway/tests/shards_turns.rs
+++ b/crates/gateway/tests/shards_turns.rs
@@ -5,8 +5,8 @@
 
 use common::entries;
 use stagehoist_gateway::list::front_ends::Entry;
-use stagehoist_gateway::shards::{own, Owned, Shards};
-use stagehoist_gateway::state::{Command, Core, Figures, News};
+use stagehoist_gateway::shards::{own, OwnedShards, Shards};
+use stagehoist_gateway::state::{Command, Core, CoreSettings, Input};
 use std::collections::BTreeSet;
 use world::*;
 
@@ -27,15 +27,15 @@
 }
 
 struct Turned {
-    own: Vec<Vec<Owned>>,
+    own: Vec<Vec<OwnedShards>>,
     due: Option<i64>,
 }
 
-fn turn(core: &mut Core, now: i64, news: Vec<News>) -> Turned {
+fn turn(core: &mut Core, now: i64, news: Vec<Input>) -> Turned {
     let mut out = Vec::new();
-    core.turn(now, &mut { news }, &mut out);
+    core.process(now, &mut { news }, &mut out);
     let own = out.into_iter().filter_map(|c| match c {
-        Command::Own(owned) => Some(owned.to_vec()),
+        Command::ServeShards(owned) => Some(owned.to_vec()),
         _ => None,
     });
     Turned { own: own.collect(), due: core.due() }
@@ -49,8 +49,8 @@
     let whole: Vec<Entry> = (0..4).map(entry).collect();
     let mut all: Vec<Core> = (0..4)
         .map(|n| {
-            let mut core = Core::new(Figures::from(&*of(n)), 3, now);
-            core.divide(Shards::new(&of(n)));
+            let mut core = Core::new(CoreSettings::from(&*of(n)), 3, now);
+            core.set_shards(Shards::new(&of(n)));
             core
         })
         .collect();
@@ -58,28 +58,31 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let (mut shards, mut workers) = (Vec::new(), Vec::new());
     for core in &mut all {
-        assert!(turn(core, now, vec![News::List(entries(&names))]).own.is_empty());
-        assert_eq!(core.subset(), Some((0, 0)), "no worker is told before the first list");
-        assert!(turn(core, now, vec![News::FrontEnds(None)]).own.is_empty());
-        let told = turn(core, now, vec![News::FrontEnds(Some(whole.clone()))]).own;
-        shards.push(told[0][0].own.clone());
-        workers.push(core.subset().unwrap().0);
+        assert!(turn(core, now, vec![Input::EndpointList(entries(&names))]).own.is_empty());
+        assert_eq!(core.shard_workers(), Some((0, 0)), "no worker is told before the first list");
+        assert!(turn(core, now, vec![Input::FrontEndList(None)]).own.is_empty());
+        let told = turn(core, now, vec![Input::FrontEndList(Some(whole.clone()))]).own;
+        shards.push(told[0][0].owned.clone());
+        workers.push(core.shard_workers().unwrap().0);
         assert!(workers.last().is_some_and(|n| *n > 0));
     }
     assert_eq!(shards.concat().iter().collect::<BTreeSet<_>>().len(), 4);
     // The list fails, is empty and stalls: nothing changes however long.
     for core in &mut all {
-        let lost = vec![News::FrontEnds(None), News::FrontEnds(Some(Vec::new()))];
+        let lost = vec![Input::FrontEndList(None), Input::FrontEndList(Some(Vec::new()))];
         assert!(turn(core, now + 60_000 * MS, lost).own.is_empty());
-        assert_eq!(core.counters.front_ends_failed, 3);
+        assert_eq!(core.counters.front_end_list_failures, 3);
     }
     let later = now + 60_001 * MS;
     let (mut after, mut gained) = (BTreeSet::new(), 0);
     for (n, core) in all.iter_mut().enumerate().skip(1) {
-        let before = core.subset().unwrap().0;
-        let told = turn(core, later, vec![News::FrontEnds(Some(whole[1..].to_vec()))]);
-        let own = told.own.first().map_or(shards[n].clone(), |o| o[0].own.clone());
-        assert!(own.len() == shards[n].len() || core.subset().unwrap().0 > before, "{n}: workers come too");
+        let before = core.shard_workers().unwrap().0;
+        let told = turn(core, later, vec![Input::FrontEndList(Some(whole[1..].to_vec()))]);
+        let own = told.own.first().map_or(shards[n].clone(), |o| o[0].owned.clone());
+        assert!(
+            own.len() == shards[n].len() || core.shard_workers().unwrap().0 > before,
+            "{n}: workers come too"
+        );
         gained = if own.len() > shards[n].len() { n } else { gained };
         after.extend(own);
     }
@@ -89,17 +92,18 @@
     assert_ne!(gained, 0, "nobody took the shards over");
     let core = &mut all[gained];
     let mut at = back;
-    let mut told = turn(core, at, vec![News::FrontEnds(Some(whole))]);
+    let mut told = turn(core, at, vec![Input::FrontEndList(Some(whole))]);
     let (mut steps, mut owned) = (Vec::new(), told.own.concat());
     while let Some(due) = told.due.filter(|d| *d < back + 60_000 * MS) {
         at = due.max(at + 1);
         told = turn(core, at, vec![]);
         owned.extend(told.own.concat());
-        steps.push((at - back, core.subset().unwrap()));
+        steps.push((at - back, core.shard_workers().unwrap()));
     }
-    let held: Vec<(bool, bool)> = owned.iter().map(|o| (o.leaving.is_empty(), o.kept.is_empty())).collect();
+    let held: Vec<(bool, bool)> =
+        owned.iter().map(|o| (o.leaving.is_empty(), o.retained.is_empty())).collect();
     assert_eq!(held, [(false, true), (true, false), (true, true)], "{owned:?}");
-    assert_eq!(owned[2].own, shards[gained]);
+    assert_eq!(owned[2].owned, shards[gained]);
     assert!(steps.iter().any(|(_, (_, draining))| *draining > 0), "{steps:?}");
-    assert_eq!(core.subset(), Some((workers[gained], 0)), "{steps:?}");
+    assert_eq!(core.shard_workers(), Some((workers[gained], 0)), "{steps:?}");
 }
--- a/crates/gateway/tests/shards_whole.rs
+++ b/crates/gateway/tests/shards_whole.rs
@@ -22,8 +22,8 @@
     let names: Vec<String> = (0..=WORKERS).map(|w| format!("w{w}")).collect();
     let mut known = BTreeMap::new();
     for update in updates {
-        let update = shards.heard(update, |w| Some(&*names[w as usize]), 0);
-        known.extend(update.rows.into_iter().map(|row| (row.worker, row)));
+        let update = shards.apply(update, |w| Some(&*names[w as usize]), 0);
+        known.extend(update.endpoints.into_iter().map(|row| (row.worker, row)));
     }
     known.retain(|_, row| row.lifecycle == Lifecycle::Ready);
     known
@@ -36,9 +36,9 @@
         for number in 0..8 {
             let config = own(Config::clone(&config), number);
             let new = || Shards::new(&config).unwrap();
-            let whole = Update { form: EndpointUpdate::Full, rows: (1..=WORKERS).map(row).collect() };
+            let whole = Update { kind: EndpointUpdate::Full, endpoints: (1..=WORKERS).map(row).collect() };
             let (mut at_once, mut by_one) = (new(), new());
-            let each = (1..=WORKERS).map(|w| Update { form: EndpointUpdate::Delta, rows: vec![row(w)] });
+            let each = (1..=WORKERS).map(|w| Update { kind: EndpointUpdate::Delta, endpoints: vec![row(w)] });
             let (one, other) = (told(&mut at_once, [whole]), told(&mut by_one, each));
             assert!(one.len() > 100 && one.len() < WORKERS as usize, "{}", one.len());
             assert_eq!(one, other, "front end {number}, {more}");
--- a/crates/gateway/tests/starting.rs
+++ b/crates/gateway/tests/starting.rs
@@ -5,12 +5,12 @@
 use bytes::Bytes;
 use common::{answers, attempts, ended, in_force, retire, MS};
 use stagehoist::{Micros, Outcome};
-use stagehoist_cluster_state::{Record, Standing};
+use stagehoist_cluster_state::{ClusterState, ClusterStatus};
 use stagehoist_config::{parse, Config};
-use stagehoist_endpoints::Entry;
-use stagehoist_gateway::fleet::{Desk, Gate, Starting, Witness};
-use stagehoist_gateway::state::{Arrival, CallFigures, Command, Core, Figures, News};
-use stagehoist_recovery::stages::Stage;
+use stagehoist_endpoints::ListedWorker;
+use stagehoist_gateway::fleet::{EgressCheck, FleetRecovery, RetirementGate, ShutdownMarker};
+use stagehoist_gateway::state::{Arrival, Command, Core, CoreSettings, FunctionProperties, Input};
+use stagehoist_recovery::stages::RecoveryPhase;
 use std::rc::Rc;
 use std::sync::Arc;
 
@@ -43,11 +43,11 @@
     /// Without word of the keepers; `unordered`: the last run fell; None: no stages are told.
     fn new(unordered: Option<bool>) -> Front {
         let config = Rc::new(config("recover share 0.01"));
-        let mut core = Core::new(Figures::from(&*config), 3, START);
-        core.join(Desk::new(Gate::new(config.clone()), || START));
+        let mut core = Core::new(CoreSettings::from(&*config), 3, START);
+        core.join_fleet(EgressCheck::new(RetirementGate::new(config.clone()), || START));
         if let Some(unordered) = unordered {
             let told = config.fleet.as_ref().unwrap().recover.unwrap();
-            core.recover(Starting::new(&config, &told, unordered, 3, START));
+            core.set_recovery(FleetRecovery::new(&config, &told, unordered, 3, START));
         }
         Front { core, config, now: START, next: 0 }
     }
@@ -55,35 +55,40 @@
     /// After a loss, with workers just started and the keepers' word here.
     fn lost() -> Front {
         let mut front = Front::new(Some(true));
-        front.fresh(Record::default());
+        front.fresh(ClusterState::default());
         front.list(START - S);
-        assert_eq!(front.core.recovery_stage(), Some(Stage::Reserved));
+        assert_eq!(front.core.recovery_phase(), Some(RecoveryPhase::Ramping));
         front
     }
 
-    fn turn(&mut self, after: Micros, mut news: Vec<News>) -> Vec<Command> {
+    fn turn(&mut self, after: Micros, mut news: Vec<Input>) -> Vec<Command> {
         let until = self.now + after;
         let mut out = Vec::new();
         // What is due before then is done at its time.
         while let Some(due) = self.core.due().filter(|due| *due < until) {
             self.now = self.now.max(due);
-            self.core.turn(self.now, &mut Vec::new(), &mut out);
+            self.core.process(self.now, &mut Vec::new(), &mut out);
         }
         self.now = until;
-        self.core.turn(self.now, &mut news, &mut out);
+        self.core.process(self.now, &mut news, &mut out);
         out
     }
 
     fn list(&mut self, started: Micros) -> Vec<Command> {
-        let entry = |n: &str| Entry { capacity: 4.0, started, ..Entry::new(n, format!("{n}:1")) };
-        self.turn(0, vec![News::List(["w1", "w2", "w3"].map(entry).into())])
+        let entry =
+            |n: &str| ListedWorker { capacity: 4.0, started, ..ListedWorker::new(n, format!("{n}:1")) };
+        self.turn(0, vec![Input::EndpointList(["w1", "w2", "w3"].map(entry).into())])
     }
 
-    fn fresh(&mut self, record: Record) -> Vec<Command> {
+    fn fresh(&mut self, record: ClusterState) -> Vec<Command> {
         let view = Arc::new(record.view);
         self.turn(
             0,
-            vec![News::Standing(Standing { view, fresh_until: START + 600 * S, ..Standing::default() })],
+            vec![Input::ClusterStatus(ClusterStatus {
+                view,
+                fresh_until: START + 600 * S,
+                ..ClusterStatus::default()
+            })],
         )
     }
 
@@ -92,19 +97,19 @@
         let arrival = Arrival {
             ticket: self.next,
             function: function.into(),
-            figures: CallFigures::configured(&self.config, function).map(|f| f.0),
+            properties: FunctionProperties::configured(&self.config, function).map(|f| f.0),
             tenant,
             budget: 2500 * MS,
-            read: 0,
-            repeat: false,
-            known: true,
+            read_at: 0,
+            is_repeat: false,
+            client_verified: true,
             body: Bytes::from_static(b"{}"),
             content_type: None,
             correlation: "c".into(),
             generation: None,
             identity: None,
         };
-        self.turn(0, vec![News::Call(arrival)])
+        self.turn(0, vec![Input::Call(arrival)])
     }
 
     /// As many calls of nobody with a reservation as wait at once.
@@ -122,10 +127,10 @@
     for heard in [true, false] {
         let mut front = Front::new(Some(true));
         if heard {
-            front.fresh(Record::default());
+            front.fresh(ClusterState::default());
         }
         front.list(OLD);
-        assert_eq!(front.core.recovery_stage(), Some(Stage::Open));
+        assert_eq!(front.core.recovery_phase(), Some(RecoveryPhase::Serving));
         for tenant in [0, 1] {
             assert_eq!(attempts(&front.call(tenant, "free")).len(), 1);
         }
@@ -133,7 +138,7 @@
     // One old worker among new ones is a fleet that still stands, also where it is listed later.
     let mut front = Front::lost();
     front.list(OLD);
-    assert_eq!(front.core.recovery_stage(), Some(Stage::Open));
+    assert_eq!(front.core.recovery_phase(), Some(RecoveryPhase::Serving));
 }
 
 #[test]
@@ -184,14 +189,14 @@
     let mut front = Front::lost();
     let mut served = 0;
     for step in 0..100 {
-        if front.core.recovery_stage() == Some(Stage::Open) {
+        if front.core.recovery_phase() == Some(RecoveryPhase::Serving) {
             assert!(step > 10 && served > 50, "{step} {served}");
             return;
         }
         for _ in 0..5 {
             let mut out = front.call(CLINIC, "free");
             out.extend(front.turn(20 * MS, Vec::new()));
-            let news: Vec<News> = attempts(&out).iter().map(|a| ended(a, Outcome::Ok)).collect();
+            let news: Vec<Input> = attempts(&out).iter().map(|a| ended(a, Outcome::Ok)).collect();
             served += news.len();
             front.turn(20 * MS, news);
         }
@@ -204,35 +209,38 @@
     let mut front = Front::lost();
     let waiting = front.waiting();
     let taken = front.core.counters.taken;
-    let gone: Vec<News> = (1..=front.next / 2).map(News::Gone).collect();
+    let gone: Vec<Input> = (1..=front.next / 2).map(Input::ClientGone).collect();
     let left = gone.len() as u64;
     assert!(answers(&front.turn(MS, gone)).is_empty());
     assert_eq!(front.core.unanswered() as u64, waiting - left);
-    let mut record = Record::default();
+    let mut record = ClusterState::default();
     record.apply(1, &retire("rare", 1));
     record.apply(2, &in_force("rare", 1));
     let told = answers(&front.fresh(record));
     assert_eq!((told.len() as u64, front.core.unanswered()), (waiting - left, 0));
     assert!(told.iter().all(|a| a.2 == "retired") && taken < 5, "{told:?}");
-    assert_eq!(front.core.told().unwrap().confirmed, 2);
+    assert_eq!(front.core.session_report().unwrap().confirmed, 2);
 }
 
 #[test]
 fn a_lone_survivor_without_workers_or_keepers_is_open_after_the_limits() {
     let mut front = Front::new(Some(true));
-    front.turn(0, vec![News::List(Vec::new())]);
-    assert_eq!(front.core.recovery_stage(), Some(Stage::Asking));
+    front.turn(0, vec![Input::EndpointList(Vec::new())]);
+    assert_eq!(front.core.recovery_phase(), Some(RecoveryPhase::ResolvingInDoubt));
     let mut stages = Vec::new();
     for tenth in 1..600 {
         front.turn(100 * MS, Vec::new());
-        if stages.last() != Some(&front.core.recovery_stage()) {
-            stages.push(front.core.recovery_stage());
+        if stages.last() != Some(&front.core.recovery_phase()) {
+            stages.push(front.core.recovery_phase());
             if stages.len() == 3 {
                 assert!((400..=440).contains(&tenth), "open after {tenth} tenths of a second");
             }
         }
     }
-    assert_eq!(stages, [Stage::Asking, Stage::Reserved, Stage::Open].map(Some));
+    assert_eq!(
+        stages,
+        [RecoveryPhase::ResolvingInDoubt, RecoveryPhase::Ramping, RecoveryPhase::Serving].map(Some)
+    );
 }
 
 #[test]
@@ -240,14 +248,14 @@
     let folder = tempfile::tempdir().unwrap();
     let mut config = config("recover");
     config.fleet.as_mut().unwrap().folder = Some(folder.path().join("of").display().to_string());
-    let begin = || Witness::begin(&config, 0).unwrap();
+    let begin = || ShutdownMarker::begin(&config, 0).unwrap();
     let first = begin();
-    assert!(!first.is_unordered());
-    first.end();
+    assert!(!first.is_unclean());
+    first.remove();
     let second = begin();
-    assert!(!second.is_unordered());
+    assert!(!second.is_unclean());
     drop(second);
-    assert!(begin().is_unordered() && !Witness::begin(&config, 1).unwrap().is_unordered());
+    assert!(begin().is_unclean() && !ShutdownMarker::begin(&config, 1).unwrap().is_unclean());
     config.fleet.as_mut().unwrap().recover = None;
-    assert!(Witness::begin(&config, 0).is_none());
+    assert!(ShutdownMarker::begin(&config, 0).is_none());
 }
--- a/crates/harness/src/day/fleet.rs
+++ b/crates/harness/src/day/fleet.rs
@@ -39,7 +39,7 @@
 pub struct Pool {
     pub name: String,
     pub functions: Vec<String>,
-    pub lanes: u32,
+    pub permits: u32,
 }
 
 /// Lanes of a pool kept for a tenant.
@@ -86,7 +86,7 @@
                 w.is("functions", "functions and patterns")?;
                 let functions = w.names("patterns separated by commas")?;
                 w.is("lanes", "lanes and a number")?;
-                self.pools.push(Pool { name, functions, lanes: w.number("", "a number of lanes")? });
+                self.pools.push(Pool { name, functions, permits: w.number("", "a number of lanes")? });
             }
             "reserve" => {
                 let tenant = w.word("a tenant's name")?.to_string();
--- a/crates/harness/src/division.rs
+++ b/crates/harness/src/division.rs
@@ -3,15 +3,18 @@
 use crate::day::Day;
 use crate::layout::QUEUE;
 use stagehoist_sharding as sharding;
-use stagehoist_sharding::{DivisionError, Homes, HotFunction, Key, Shard, Stage};
+use stagehoist_sharding::{DivisionError, HomeShards, HotFunction, Key, Shard, TransitionPhase};
 use std::sync::Arc;
 
 /// Functions with much traffic and their part of all calls, as [`crate::Layout::function`] draws them.
 pub const HOT: [(&str, f64); 3] = [("free-times", 0.45), ("clashes", 0.30), ("recurring", 0.17)];
 
 /// Words of the configuration's directive for the stages of a change, in their order.
-const STAGES: [(Stage, &str); 3] =
-    [(Stage::Announced, "announced"), (Stage::Both, "both"), (Stage::Closing, "closing")];
+const STAGES: [(TransitionPhase, &str); 3] = [
+    (TransitionPhase::Announced, "announced"),
+    (TransitionPhase::Both, "both"),
+    (TransitionPhase::Closing, "closing"),
+];
 
 /// What front ends are told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,7 +22,7 @@
     pub shards: u32,
     pub generation: u32,
     /// The number of shards that it changes to, and how far that has come.
-    pub next: Option<(u32, Stage)>,
+    pub next: Option<(u32, TransitionPhase)>,
 }
 
 impl Division {
@@ -32,10 +35,10 @@
         let next = |stage| Some(Division { next: Some((to, stage)), ..self });
         match self.next {
             None if self.shards == to => None,
-            None => next(Stage::Announced),
-            Some((_, Stage::Announced)) => next(Stage::Both),
-            Some((_, Stage::Both)) => next(Stage::Closing),
-            Some((_, Stage::Closing)) => {
+            None => next(TransitionPhase::Announced),
+            Some((_, TransitionPhase::Announced)) => next(TransitionPhase::Both),
+            Some((_, TransitionPhase::Both)) => next(TransitionPhase::Closing),
+            Some((_, TransitionPhase::Closing)) => {
                 Some(Division { shards: to, generation: self.generation + 1, next: None })
             }
         }
@@ -79,7 +82,7 @@
     /// All to one queue.
     One,
     Shards {
-        homes: Arc<Homes>,
+        homes: Arc<HomeShards>,
         shards: u32,
         generation: u32,
     },
@@ -96,7 +99,7 @@
         };
         let divisions = told.divisions()?;
         let division = divisions.addressed();
-        let homes = Homes::new(division, day.rate, &HOT.map(hot))?;
+        let homes = HomeShards::new(division, day.rate, &HOT.map(hot))?;
         let (shards, generation) = (division.shards(), division.generation());
         Ok(Addresses::Shards { homes: Arc::new(homes), shards, generation })
     }
--- a/crates/harness/src/division/tests.rs
+++ b/crates/harness/src/division/tests.rs
@@ -27,12 +27,14 @@
 #[test]
 fn callers_compute_the_homes_that_front_ends_are_told() {
     let mut day = day();
-    for stage in [None, Some(Stage::Announced), Some(Stage::Both), Some(Stage::Closing)] {
+    for stage in
+        [None, Some(TransitionPhase::Announced), Some(TransitionPhase::Both), Some(TransitionPhase::Closing)]
+    {
         day.division = Some(Division { next: stage.map(|s| (9, s)), ..Division::new(8) });
         let text = Layout::of(&day).config(&day, 7, "127.0.0.1:8", "127.0.0.1:9");
         let config = stagehoist_config::parse("front-end", &text).unwrap();
         let told = config.sharding.unwrap();
-        let homes = Homes::new(told.divisions.addressed(), told.calls, &told.hot).unwrap();
+        let homes = HomeShards::new(told.divisions.addressed(), told.calls, &told.hot).unwrap();
         let addresses = Addresses::of(&day).unwrap();
         let mut used = BTreeSet::new();
         for call in 0..2_000u64 {
@@ -53,7 +55,7 @@
             used.insert(queue);
         }
         let all: BTreeSet<String> = addresses.queues().into_iter().collect();
-        assert_eq!(all.len(), if stage >= Some(Stage::Both) { 9 } else { 8 });
+        assert_eq!(all.len(), if stage >= Some(TransitionPhase::Both) { 9 } else { 8 });
         assert_eq!(used, all, "{stage:?}");
     }
 }
--- a/crates/harness/src/fleet.rs
+++ b/crates/harness/src/fleet.rs
@@ -70,8 +70,13 @@
         let _ = writeln!(text, "tenant {tenant} quota {quota}");
     }
     for pool in fleet.pools.iter().filter(|_| !fleet.without_pools) {
-        let _ =
-            writeln!(text, "pool {} functions {} lanes {}", pool.name, pool.functions.join(","), pool.lanes);
+        let _ = writeln!(
+            text,
+            "pool {} functions {} lanes {}",
+            pool.name,
+            pool.functions.join(","),
+            pool.permits
+        );
     }
     for reserve in fleet.reserves.iter().filter(|_| !fleet.without_pools) {
         let _ = writeln!(text, "reserve {} pool {} lanes {}", reserve.tenant, reserve.pool, reserve.lanes);
--- a/crates/harness/src/play/ledger.rs
+++ b/crates/harness/src/play/ledger.rs
@@ -21,7 +21,7 @@
     let rule = |pool: &Pool| PoolRule {
         name: pool.name.clone(),
         functions: pool.functions.clone(),
-        lanes: pool.lanes,
+        lanes: pool.permits,
         reservations: reserved(&pool.name),
         within: lent.as_micros() as i64,
     };
--- a/crates/intent-log/src/commit.rs
+++ b/crates/intent-log/src/commit.rs
@@ -1,7 +1,7 @@
 //! One commit: marks that come, and marks that go.
 
-use crate::store::{write, Batch, Mark, Micros, Store, BLIND, MARKS, RUNS, STATE};
-use crate::MarksError;
+use crate::store::{write, Batch, Intent, IntentStore, Micros, BLIND, MARKS, RUNS, STATE};
+use crate::IntentLogError;
 use redb::{ReadableTable, ReadableTableMetadata};
 use stagehoist_recovery::Identity;
 use std::collections::VecDeque;
@@ -9,20 +9,24 @@
 /// Marks dropped in one commit at most, so that no commit takes long.
 const DROPPED_MOST: usize = 4096;
 
-impl Store {
-    pub(crate) fn write(&mut self, batch: &Batch, now: Micros) -> Result<(), MarksError> {
+impl IntentStore {
+    pub(crate) fn write(&mut self, batch: &Batch, now: Micros) -> Result<(), IntentLogError> {
         let (Some(run), Some(database)) = (self.run, &self.database) else {
-            return Err(MarksError::NotBegun);
+            return Err(IntentLogError::NotStarted);
         };
         let transaction = write(database)?;
-        let mut plan = Plan { kept: due(&self.kept, now), ended: due(&self.ended, now), ..Plan::new(self) };
+        let mut plan = Plan {
+            expired: due(&self.expiring, now),
+            ended_expired: due(&self.ended_expiring, now),
+            ..Plan::new(self)
+        };
         {
             let mut marks = transaction.open_table(MARKS)?;
-            for mark in &batch.marks {
+            for mark in &batch.intents {
                 marks.insert((mark.identity, run, mark.number), ())?;
             }
-            let ended = self.ended.iter().take(plan.ended);
-            for (_, mark) in self.kept.iter().take(plan.kept).chain(ended) {
+            let ended = self.ended_expiring.iter().take(plan.ended_expired);
+            for (_, mark) in self.expiring.iter().take(plan.expired).chain(ended) {
                 marks.remove((mark.identity, run, mark.number))?;
             }
             if plan.former.is_some_and(|f| f.due <= now) {
@@ -31,30 +35,30 @@
             let over = marks.len()?.saturating_sub(self.options.most);
             if over > 0 {
                 let gone = plan.drop_former(&mut marks, run, over)?;
-                let own = self.kept.iter().skip(plan.kept).take((over - gone) as usize);
+                let own = self.expiring.iter().skip(plan.expired).take((over - gone) as usize);
                 for (_, mark) in own {
                     marks.remove((mark.identity, run, mark.number))?;
                 }
-                plan.kept = self.kept.len().min(plan.kept + (over - gone) as usize);
+                plan.expired = self.expiring.len().min(plan.expired + (over - gone) as usize);
             }
             let mut state = transaction.open_table(STATE)?;
             if over > 0 {
                 // In one commit with what is dropped: a file that lacks something says so.
                 state.insert(BLIND, 1)?;
-                plan.blind_until = Some(now + self.options.keep);
-            } else if plan.blind_until.is_some_and(|at| at <= now) {
+                plan.unproven_until = Some(now + self.options.replica);
+            } else if plan.unproven_until.is_some_and(|at| at <= now) {
                 state.remove(BLIND)?;
-                plan.blind_until = None;
+                plan.unproven_until = None;
             }
-            transaction.open_table(RUNS)?.insert(self.told, self.commits + 1)?;
+            transaction.open_table(RUNS)?.insert(self.current_number, self.commits + 1)?;
         }
         transaction.commit()?;
         self.commits += 1;
-        (self.former, self.blind_until) = (plan.former, plan.blind_until);
-        self.kept.drain(..plan.kept);
-        self.ended.drain(..plan.ended);
-        self.kept.extend(batch.marks.iter().map(|m| (now + self.options.keep, *m)));
-        self.ended.extend(batch.ended.iter().map(|m| (now + self.options.keep_ended, *m)));
+        (self.former, self.unproven_until) = (plan.former, plan.unproven_until);
+        self.expiring.drain(..plan.expired);
+        self.ended_expiring.drain(..plan.ended_expired);
+        self.expiring.extend(batch.intents.iter().map(|m| (now + self.options.replica, *m)));
+        self.ended_expiring.extend(batch.ended.iter().map(|m| (now + self.options.ended_retention, *m)));
         Ok(())
     }
 }
@@ -70,15 +74,15 @@
 
 /// What a commit will have changed.
 struct Plan {
-    kept: usize,
-    ended: usize,
+    expired: usize,
+    ended_expired: usize,
     former: Option<Former>,
-    blind_until: Option<Micros>,
+    unproven_until: Option<Micros>,
 }
 
 impl Plan {
-    fn new(store: &Store) -> Plan {
-        Plan { kept: 0, ended: 0, former: store.former, blind_until: store.blind_until }
+    fn new(store: &IntentStore) -> Plan {
+        Plan { expired: 0, ended_expired: 0, former: store.former, unproven_until: store.unproven_until }
     }
 
     /// Drops up to `most` marks of former runs; how many went.
@@ -87,7 +91,7 @@
         marks: &mut redb::Table<(Identity, u64, u64), ()>,
         run: u64,
         most: u64,
-    ) -> Result<u64, MarksError> {
+    ) -> Result<u64, IntentLogError> {
         let Some(former) = self.former.as_mut() else { return Ok(0) };
         let mut found = Vec::new();
         let mut more = false;
@@ -112,6 +116,6 @@
 }
 
 /// Entries of a line whose time has come, so many as go into one commit.
-fn due(line: &VecDeque<(Micros, Mark)>, now: Micros) -> usize {
+fn due(line: &VecDeque<(Micros, Intent)>, now: Micros) -> usize {
     line.iter().take(DROPPED_MOST).take_while(|(at, _)| *at <= now).count()
 }
--- a/crates/intent-log/src/error.rs
+++ b/crates/intent-log/src/error.rs
@@ -4,66 +4,66 @@
 
 /// Marks that were to be written are then not on disk, as far as is known; marks acknowledged before still are.
 #[derive(Debug, thiserror::Error)]
-pub enum MarksError {
+pub enum IntentLogError {
     #[error("no run of this store has begun")]
-    NotBegun,
-    #[error("run {asked} is not after run {last}, which is in the store")]
-    RunGone { asked: u64, last: u64 },
+    NotStarted,
+    #[error("run {requested} is not after run {last}, which is in the store")]
+    RunSuperseded { requested: u64, last: u64 },
     #[error("the store is damaged: {0}")]
     Damaged(String),
     #[error("the store can't be read or written: {0}")]
-    Store(String),
+    Unavailable(String),
     #[error("can't use the folder of the marks: {0}")]
     Folder(#[from] io::Error),
 }
 
-impl From<redb::StorageError> for MarksError {
-    fn from(e: redb::StorageError) -> MarksError {
+impl From<redb::StorageError> for IntentLogError {
+    fn from(e: redb::StorageError) -> IntentLogError {
         match e {
-            redb::StorageError::Corrupted(what) => MarksError::Damaged(what),
+            redb::StorageError::Corrupted(what) => IntentLogError::Damaged(what),
             redb::StorageError::Io(e)
                 if matches!(e.kind(), io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof) =>
             {
-                MarksError::Damaged(e.to_string())
+                IntentLogError::Damaged(e.to_string())
             }
-            other => MarksError::Store(other.to_string()),
+            other => IntentLogError::Unavailable(other.to_string()),
         }
     }
 }
 
-impl From<redb::DatabaseError> for MarksError {
-    fn from(e: redb::DatabaseError) -> MarksError {
+impl From<redb::DatabaseError> for IntentLogError {
+    fn from(e: redb::DatabaseError) -> IntentLogError {
         match e {
             redb::DatabaseError::Storage(e) => e.into(),
-            other => MarksError::Store(other.to_string()),
+            other => IntentLogError::Unavailable(other.to_string()),
         }
     }
 }
 
-impl From<redb::TransactionError> for MarksError {
-    fn from(e: redb::TransactionError) -> MarksError {
+impl From<redb::TransactionError> for IntentLogError {
+    fn from(e: redb::TransactionError) -> IntentLogError {
         match e {
             redb::TransactionError::Storage(e) => e.into(),
-            other => MarksError::Store(other.to_string()),
+            other => IntentLogError::Unavailable(other.to_string()),
         }
     }
 }
 
-impl From<redb::TableError> for MarksError {
-    fn from(e: redb::TableError) -> MarksError {
+impl From<redb::TableError> for IntentLogError {
+    fn from(e: redb::TableError) -> IntentLogError {
         match e {
             redb::TableError::Storage(e) => e.into(),
             // A table of another shape under our name is not a store of ours.
-            other => MarksError::Damaged(other.to_string()),
+            other => IntentLogError::Damaged(other.to_string()),
         }
     }
 }
 
-impl From<redb::CommitError> for MarksError {
-    fn from(e: redb::CommitError) -> MarksError {
+impl From<redb::CommitError> for IntentLogError {
+    fn from(e: redb::CommitError) -> IntentLogError {
         match e {
             redb::CommitError::Storage(e) => e.into(),
-            other => MarksError::Store(other.to_string()),
+            other => IntentLogError::Unavailable(other.to_string()),
         }
     }
 }
--- a/crates/intent-log/src/file.rs
+++ b/crates/intent-log/src/file.rs
@@ -1,7 +1,7 @@
 //! The files of one member's marks: the store, those set aside, and the number of the last run beside it.
 
 use crate::store::Opener;
-use crate::{MarksError, Witness};
+use crate::{IntentLogError, LastRun};
 use redb::Database;
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -35,9 +35,9 @@
 ///
 /// # Errors
 /// The file can't be read; a missing or unreadable number is `Ok(None)`.
-pub fn witness(folder: &Path, name: &str) -> Result<Option<Witness>, MarksError> {
+pub fn witness(folder: &Path, name: &str) -> Result<Option<LastRun>, IntentLogError> {
     match fs::read_to_string(folder.join(format!("marks-{name}.run"))) {
-        Ok(text) => Ok(text.trim().parse().ok().map(|run| Witness { run, commits: 0 })),
+        Ok(text) => Ok(text.trim().parse().ok().map(|run| LastRun { run, commits: 0 })),
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
         Err(e) => Err(e.into()),
     }
@@ -55,14 +55,14 @@
 }
 
 /// Opens a database and sees that it is whole. A file that makes the opening panic is a damaged one.
-pub(crate) fn checked(opener: &mut Opener) -> Result<Database, MarksError> {
+pub(crate) fn checked(opener: &mut Opener) -> Result<Database, IntentLogError> {
     let opened = catch_unwind(AssertUnwindSafe(|| {
         let mut database = opener()?;
         match database.check_integrity() {
             // False: it was not, and now is; what was not whole had not been acknowledged.
             Ok(_) => Ok(database),
-            Err(e) => Err(MarksError::from(e)),
+            Err(e) => Err(IntentLogError::from(e)),
         }
     }));
-    opened.unwrap_or_else(|_| Err(MarksError::Damaged("it can't be read to its end".into())))
+    opened.unwrap_or_else(|_| Err(IntentLogError::Damaged("it can't be read to its end".into())))
 }
--- a/crates/intent-log/src/lib.rs
+++ b/crates/intent-log/src/lib.rs
@@ -1,12 +1,12 @@
 //! Marks of attempts on disk: before the first attempt of a call that may not simply be repeated, that it may have run.
 //! After a restart a message that is delivered again and has no mark is known not to have run here.
 //!
-//! - [`Store`]: one member's marks in redb; each commit is on disk when it returns. No thread, no clock.
-//! - [`Marks`]: a store on a thread of its own, asked and told by channels; what came while a commit ran goes into the next.
+//! - [`IntentStore`]: one member's marks in redb; each commit is on disk when it returns. No thread, no clock.
+//! - [`IntentLog`]: a store on a thread of its own, asked and told by channels; what came while a commit ran goes into the next.
 //!
-//! A store answers [`Told::None`](stagehoist_recovery::Told) only if it can show that it lacks nothing:
+//! A store answers [`Told::None`](stagehoist_recovery::AttemptKnowledge) only if it can show that it lacks nothing:
 //! - a run has begun, and that is on disk;
-//! - the last run before it is the one that a [`Witness`] from elsewhere names, with no fewer commits than it names: else the
+//! - the last run before it is the one that a [`LastRun`] from elsewhere names, with no fewer commits than it names: else the
 //!   file is older than what was, set back by a copy, or another one;
 //! - nothing was dropped early, and the file was not new, within the last `keep`. A new file (the first start, or after a
 //!   damaged one was set aside) knows nothing of what its forerunner sent.
@@ -22,7 +22,7 @@
 mod store;
 mod thread;
 
-pub use error::MarksError;
+pub use error::IntentLogError;
 pub use file::witness;
-pub use store::{Batch, Mark, Opener, Options, Store, Witness};
-pub use thread::{start, Done, Marks, Place, Reply};
+pub use store::{Batch, Intent, IntentStore, LastRun, Opener, Options};
+pub use thread::{start, EventSender, IntentLog, LogEvent, LogLocation};
--- a/crates/intent-log/src/store.rs
+++ b/crates/intent-log/src/store.rs
@@ -2,9 +2,9 @@
 
 use crate::commit::Former;
 use crate::file::checked;
-use crate::MarksError;
+use crate::IntentLogError;
 use redb::{Database, Durability, ReadableTable, ReadableTableMetadata, TableDefinition, WriteTransaction};
-use stagehoist_recovery::{Identity, Told};
+use stagehoist_recovery::{AttemptKnowledge, Identity};
 use std::collections::VecDeque;
 
 pub(crate) type Micros = i64;
@@ -20,14 +20,14 @@
 const RUNS_MOST: u64 = 1024;
 /// A mark: the message, and the number of its call, unique within the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Mark {
+pub struct Intent {
     pub identity: Identity,
     pub number: u64,
 }
 
 /// What is known elsewhere of the run before the present one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Witness {
+pub struct LastRun {
     pub run: u64,
     /// Commits that it is known to have made at least.
     pub commits: u64,
@@ -36,9 +36,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// How long a mark is kept, in microseconds; to exceed the age of any message that may still be delivered again.
-    pub keep: Micros,
+    pub replica: Micros,
     /// How long a mark is kept that is told to have ended.
-    pub keep_ended: Micros,
+    pub ended_retention: Micros,
     /// Marks held; the oldest go before their time where there are more, and nothing is proven for `keep` after that. A
     /// mark takes some 70 bytes on disk.
     pub most: u64,
@@ -46,66 +46,66 @@
 
 impl Default for Options {
     fn default() -> Options {
-        Options { keep: 3_600_000_000, keep_ended: 60_000_000, most: 1_000_000 }
+        Options { replica: 3_600_000_000, ended_retention: 60_000_000, most: 1_000_000 }
     }
 }
 
 /// What goes into one commit.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
-    pub marks: Vec<Mark>,
+    pub intents: Vec<Intent>,
     /// Marks of this run whose message can't come again.
-    pub ended: Vec<Mark>,
+    pub ended: Vec<Intent>,
 }
 
 /// Opens the database; called anew after an error that it does not recover from.
-pub type Opener = Box<dyn FnMut() -> Result<Database, MarksError> + Send>;
+pub type Opener = Box<dyn FnMut() -> Result<Database, IntentLogError> + Send>;
 
 /// A store of marks.
-pub struct Store {
+pub struct IntentStore {
     opener: Opener,
     pub(crate) database: Option<Database>,
     pub(crate) options: Options,
     pub(crate) run: Option<u64>,
     /// The number that this run last began under; its marks go by the first one.
-    pub(crate) told: u64,
+    pub(crate) current_number: u64,
     pub(crate) commits: u64,
     /// The last run before this one in the file, and its commits.
     before: Option<(u64, u64)>,
     /// The run before is whole in the file.
-    whole: bool,
+    is_complete: bool,
     /// None: they are gone.
     pub(crate) former: Option<Former>,
-    pub(crate) blind_until: Option<Micros>,
+    pub(crate) unproven_until: Option<Micros>,
     /// Marks of this run by when they go. What ended goes by a shorter line and is then missing in the longer one.
-    pub(crate) kept: VecDeque<(Micros, Mark)>,
-    pub(crate) ended: VecDeque<(Micros, Mark)>,
+    pub(crate) expiring: VecDeque<(Micros, Intent)>,
+    pub(crate) ended_expiring: VecDeque<(Micros, Intent)>,
 }
 
-impl Store {
-    /// Opens a store. No mark is taken before [`Store::begin`].
-    pub fn open(mut opener: Opener, options: Options, now: Micros) -> Result<Store, MarksError> {
+impl IntentStore {
+    /// Opens a store. No mark is taken before [`IntentStore::begin`].
+    pub fn open(mut opener: Opener, options: Options, now: Micros) -> Result<IntentStore, IntentLogError> {
         let database = checked(&mut opener)?;
-        let mut store = Store {
+        let mut store = IntentStore {
             opener,
             database: None,
             options,
             run: None,
-            told: 0,
+            current_number: 0,
             commits: 0,
             before: None,
-            whole: false,
-            former: Some(Former { due: now + options.keep, from: (0, 0, 0) }),
-            blind_until: None,
-            kept: VecDeque::new(),
-            ended: VecDeque::new(),
+            is_complete: false,
+            former: Some(Former { due: now + options.replica, from: (0, 0, 0) }),
+            unproven_until: None,
+            expiring: VecDeque::new(),
+            ended_expiring: VecDeque::new(),
         };
         store.adopt(database, now)?;
         Ok(store)
     }
 
     /// Takes a database that was just opened. One without our tables is new: what came before it is not known.
-    fn adopt(&mut self, database: Database, now: Micros) -> Result<(), MarksError> {
+    fn adopt(&mut self, database: Database, now: Micros) -> Result<(), IntentLogError> {
         let transaction = write(&database)?;
         let new = {
             transaction.open_table(MARKS)?;
@@ -119,15 +119,15 @@
         };
         transaction.commit()?;
         if new {
-            self.whole = false;
-            self.blind_until = Some(now + self.options.keep);
+            self.is_complete = false;
+            self.unproven_until = Some(now + self.options.replica);
         }
         self.database = Some(database);
         Ok(())
     }
 
     /// The last run in the file.
-    pub fn last_run(&self) -> Result<Option<u64>, MarksError> {
+    pub fn last_run(&self) -> Result<Option<u64>, IntentLogError> {
         let Some(database) = &self.database else { return Ok(None) };
         let runs = database.begin_read()?.open_table(RUNS)?;
         let last = runs.last()?.map(|(run, _)| run.value());
@@ -138,16 +138,16 @@
     /// run before; without one nothing of former runs is proven.
     ///
     /// # Errors
-    /// [`MarksError::RunGone`] where the file knows this run or a later one: an older count than the store's.
-    pub fn begin(&mut self, run: u64, witness: Option<Witness>, now: Micros) -> Result<(), MarksError> {
+    /// [`IntentLogError::RunGone`] where the file knows this run or a later one: an older count than the store's.
+    pub fn begin(&mut self, run: u64, witness: Option<LastRun>, now: Micros) -> Result<(), IntentLogError> {
         self.reopen(now)?;
-        let database = self.database.as_ref().ok_or(MarksError::NotBegun)?;
+        let database = self.database.as_ref().ok_or(IntentLogError::NotStarted)?;
         let transaction = write(database)?;
         let before = {
             let mut runs = transaction.open_table(RUNS)?;
             let last = runs.last()?.map(|(run, commits)| (run.value(), commits.value()));
             if let Some((last, _)) = last.filter(|(last, _)| *last >= run) {
-                return Err(MarksError::RunGone { asked: run, last });
+                return Err(IntentLogError::RunSuperseded { requested: run, last });
             }
             runs.insert(run, self.commits)?;
             while runs.len()? > RUNS_MOST {
@@ -157,35 +157,36 @@
             self.run.map_or(last, |_| self.before)
         };
         transaction.commit()?;
-        self.whole = matches!((before, witness), (Some((r, c)), Some(w)) if r == w.run && c >= w.commits);
-        (self.before, self.told) = (before, run);
+        self.is_complete =
+            matches!((before, witness), (Some((r, c)), Some(w)) if r == w.run && c >= w.commits);
+        (self.before, self.current_number) = (before, run);
         self.run.get_or_insert(run);
         Ok(())
     }
 
     /// Commits of this run so far, for a witness.
-    pub fn commits(&self) -> Option<Witness> {
-        self.run.map(|_| Witness { run: self.told, commits: self.commits })
+    pub fn commits(&self) -> Option<LastRun> {
+        self.run.map(|_| LastRun { run: self.current_number, commits: self.commits })
     }
 
     /// Whether a commit would only drop what is no longer needed.
     pub fn is_due(&self, now: Micros) -> bool {
-        let first = |line: &VecDeque<(Micros, Mark)>| line.front().is_some_and(|(at, _)| *at <= now);
+        let first = |line: &VecDeque<(Micros, Intent)>| line.front().is_some_and(|(at, _)| *at <= now);
         self.database.is_none()
-            || first(&self.kept)
-            || first(&self.ended)
+            || first(&self.expiring)
+            || first(&self.ended_expiring)
             || self.former.is_some_and(|f| f.due <= now)
-            || self.blind_until.is_some_and(|at| at <= now)
+            || self.unproven_until.is_some_and(|at| at <= now)
     }
 
     /// Writes marks; all of them are on disk when this returns.
     ///
     /// # Errors
     /// None of them counts as written, though some may be. The database is opened anew with the next call.
-    pub fn commit(&mut self, batch: &Batch, now: Micros) -> Result<(), MarksError> {
+    pub fn commit(&mut self, batch: &Batch, now: Micros) -> Result<(), IntentLogError> {
         self.reopen(now)?;
         let written = self.write(batch, now);
-        if written.is_err() && !matches!(written, Err(MarksError::NotBegun)) {
+        if written.is_err() && !matches!(written, Err(IntentLogError::NotStarted)) {
             // After a failed write redb takes no more.
             self.database = None;
         }
@@ -193,7 +194,7 @@
     }
 
     /// Opens the database anew if it failed.
-    fn reopen(&mut self, now: Micros) -> Result<(), MarksError> {
+    fn reopen(&mut self, now: Micros) -> Result<(), IntentLogError> {
         if self.database.is_some() {
             return Ok(());
         }
@@ -206,14 +207,14 @@
     }
 
     /// The same run goes on in a database that was opened anew. In a new file it is the first.
-    fn resume(&mut self) -> Result<(), MarksError> {
+    fn resume(&mut self) -> Result<(), IntentLogError> {
         let (Some(_), Some(database)) = (self.run, &self.database) else { return Ok(()) };
         let transaction = write(database)?;
         {
             let mut runs = transaction.open_table(RUNS)?;
-            if runs.get(self.told)?.is_none() {
-                self.whole = false;
-                runs.insert(self.told, self.commits)?;
+            if runs.get(self.current_number)?.is_none() {
+                self.is_complete = false;
+                runs.insert(self.current_number, self.commits)?;
             }
         }
         transaction.commit()?;
@@ -221,21 +222,21 @@
     }
 
     /// What this member can say about a message: that an attempt may have left it, that none did, or that it can't tell.
-    pub fn ask(&self, identity: Identity, now: Micros) -> Told {
-        match self.look(identity) {
-            Ok(true) => Told::MayHaveRun,
-            Ok(false) if self.proves(now) => Told::None,
-            _ => Told::NotKnown,
+    pub fn query(&self, identity: Identity, now: Micros) -> AttemptKnowledge {
+        match self.contains(identity) {
+            Ok(true) => AttemptKnowledge::MayHaveRun,
+            Ok(false) if self.is_proof(now) => AttemptKnowledge::None,
+            _ => AttemptKnowledge::NotKnown,
         }
     }
 
     /// Whether a missing mark means that no attempt left, in this run or the one before or any earlier one.
-    pub fn proves(&self, now: Micros) -> bool {
-        self.run.is_some() && self.whole && self.blind_until.is_none_or(|at| at <= now)
+    pub fn is_proof(&self, now: Micros) -> bool {
+        self.run.is_some() && self.is_complete && self.unproven_until.is_none_or(|at| at <= now)
     }
 
-    fn look(&self, identity: Identity) -> Result<bool, MarksError> {
-        let database = self.database.as_ref().ok_or(MarksError::NotBegun)?;
+    fn contains(&self, identity: Identity) -> Result<bool, IntentLogError> {
+        let database = self.database.as_ref().ok_or(IntentLogError::NotStarted)?;
         let marks = database.begin_read()?.open_table(MARKS)?;
         let found =
             marks.range((identity, 0, 0)..=(identity, u64::MAX, u64::MAX))?.next().transpose()?.is_some();
@@ -243,7 +244,7 @@
     }
 }
 
-pub(crate) fn write(database: &Database) -> Result<WriteTransaction, MarksError> {
+pub(crate) fn write(database: &Database) -> Result<WriteTransaction, IntentLogError> {
     let mut transaction = database.begin_write()?;
     transaction.set_durability(Durability::Immediate);
     Ok(transaction)
--- a/crates/intent-log/src/thread.rs
+++ b/crates/intent-log/src/thread.rs
@@ -1,8 +1,8 @@
 //! A store on a thread of its own. Nobody waits for it: what is told goes into a bounded line, what it answers comes back by
 //! the asker's channel. A line that is full, and a store that can't write, count as "not marked".
 
-use crate::{file, Batch, Mark, MarksError, Options, Store, Witness};
-use stagehoist_recovery::{Identity, Told};
+use crate::{file, Batch, Intent, IntentLogError, IntentStore, LastRun, Options};
+use stagehoist_recovery::{AttemptKnowledge, Identity};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{sync_channel, Receiver, RecvTimeoutError, SyncSender};
 use std::thread::JoinHandle;
@@ -18,112 +18,112 @@
 
 /// Where a member's marks are kept.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct LogLocation {
     pub folder: PathBuf,
     /// The member's; letters, digits, `-` and `_`, others become `_`.
     pub name: String,
     /// Counts its runs by itself, with the small file beside the store as the witness of the last: for a member without
-    /// keepers. Else [`Marks::begin`] tells the run, and until then nothing is marked or proven.
-    pub alone: bool,
+    /// keepers. Else [`IntentLog::begin`] tells the run, and until then nothing is marked or proven.
+    pub standalone: bool,
 }
 
 /// An answer of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Done {
+pub enum LogEvent {
     /// The mark is on disk, or (false) not as far as is known.
-    Marked(Mark, bool),
-    /// To [`Marks::ask`] under this number.
-    Told(u64, Told),
+    Recorded(Intent, bool),
+    /// To [`IntentLog::ask`] under this number.
+    Answered(u64, AttemptKnowledge),
 }
 
 /// Where answers go. One comes for each word that asks for one, so that what waits there is bounded by what was asked.
-pub type Reply = mpsc::UnboundedSender<Done>;
+pub type EventSender = mpsc::UnboundedSender<LogEvent>;
 
-enum Word {
-    Mark(Mark, Reply),
-    Ended(Mark),
-    Ask(u64, Identity, Reply),
-    Begin(u64, Option<Witness>),
+enum LogRequest {
+    Record(Intent, EventSender),
+    Ended(Intent),
+    Query(u64, Identity, EventSender),
+    Begin(u64, Option<LastRun>),
 }
 
 /// Talks to a store; it ends with the last of its kind.
 #[derive(Clone, Debug)]
-pub struct Marks {
-    line: SyncSender<Word>,
-    state: watch::Receiver<Option<Witness>>,
+pub struct IntentLog {
+    requests: SyncSender<LogRequest>,
+    state: watch::Receiver<Option<LastRun>>,
 }
 
-impl Marks {
+impl IntentLog {
     /// Asks for a mark. False: the line is full or the store gone, and nothing will be answered.
-    pub fn mark(&self, mark: Mark, reply: &Reply) -> bool {
-        self.line.try_send(Word::Mark(mark, reply.clone())).is_ok()
+    pub fn record(&self, mark: Intent, reply: &EventSender) -> bool {
+        self.requests.try_send(LogRequest::Record(mark, reply.clone())).is_ok()
     }
 
     /// The message of a mark can't come again. Where it is lost, the mark goes by its age.
-    pub fn ended(&self, mark: Mark) {
-        let _ = self.line.try_send(Word::Ended(mark));
+    pub fn ended(&self, mark: Intent) {
+        let _ = self.requests.try_send(LogRequest::Ended(mark));
     }
 
-    /// Asks what is known of a message; all marks asked for before are looked at. False as with [`Marks::mark`].
-    pub fn ask(&self, number: u64, identity: Identity, reply: &Reply) -> bool {
-        self.line.try_send(Word::Ask(number, identity, reply.clone())).is_ok()
+    /// Asks what is known of a message; all marks asked for before are looked at. False as with [`IntentLog::mark`].
+    pub fn query(&self, number: u64, identity: Identity, reply: &EventSender) -> bool {
+        self.requests.try_send(LogRequest::Query(number, identity, reply.clone())).is_ok()
     }
 
     /// This run's number was told, with what is known of the run before.
-    pub fn begin(&self, run: u64, witness: Option<Witness>) -> bool {
-        self.line.try_send(Word::Begin(run, witness)).is_ok()
+    pub fn begin(&self, run: u64, witness: Option<LastRun>) -> bool {
+        self.requests.try_send(LogRequest::Begin(run, witness)).is_ok()
     }
 
     /// The run that is at work and its commits so far; for the record's keepers, as the next run's witness.
-    pub fn commits(&self) -> Option<Witness> {
+    pub fn commits(&self) -> Option<LastRun> {
         *self.state.borrow()
     }
 }
 
-/// Opens a member's store, sets a damaged one aside, and starts its thread, which ends once all of [`Marks`] are dropped.
+/// Opens a member's store, sets a damaged one aside, and starts its thread, which ends once all of [`IntentLog`] are dropped.
 ///
 /// # Errors
 /// The folder or the file can't be used at all, or another process has it.
-pub fn start(place: &Place, options: Options) -> Result<(Marks, JoinHandle<()>), MarksError> {
+pub fn start(place: &LogLocation, options: Options) -> Result<(IntentLog, JoinHandle<()>), IntentLogError> {
     std::fs::create_dir_all(&place.folder)?;
     let keep = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     let name: String = place.name.chars().map(keep).collect();
     let path = file::store(&place.folder, &name);
     let clock = Instant::now();
-    let open = || Store::open(file::opener(path.clone()), options, 0);
+    let open = || IntentStore::open(file::opener(path.clone()), options, 0);
     let mut store = match open() {
-        Err(MarksError::Damaged(why)) => {
+        Err(IntentLogError::Damaged(why)) => {
             let aside = file::set_aside(&path)?;
             tracing::error!(file = %aside.display(), why, "marks are damaged and set aside; what they told is not known now");
             open()?
         }
         other => other?,
     };
-    if place.alone {
+    if place.standalone {
         let witness = file::witness(&place.folder, &name)?;
         let last = store.last_run()?.max(witness.map(|w| w.run));
         let run = last.unwrap_or(0) + 1;
         // The number beside the store first: a store that has begun and is then set back is told by it.
         file::note_run(&place.folder, &name, run)?;
         store.begin(run, witness, 0)?;
-        tracing::info!(run, proves = store.proves(0), "marks of attempts open");
+        tracing::info!(run, proves = store.is_proof(0), "marks of attempts open");
     }
     let (line, words) = sync_channel(LINE);
     let (state, seen) = watch::channel(store.commits());
     let thread = std::thread::Builder::new().name(format!("marks-{name}"));
     let thread = thread.spawn(move || run(store, &words, clock, &state, &path))?;
-    Ok((Marks { line, state: seen }, thread))
+    Ok((IntentLog { requests: line, state: seen }, thread))
 }
 
 fn run(
-    mut store: Store,
-    words: &Receiver<Word>,
+    mut store: IntentStore,
+    words: &Receiver<LogRequest>,
     clock: Instant,
-    state: &watch::Sender<Option<Witness>>,
+    state: &watch::Sender<Option<LastRun>>,
     path: &Path,
 ) {
     let now = || clock.elapsed().as_micros() as i64;
-    let mut begins: Option<(u64, Option<Witness>)> = None;
+    let mut begins: Option<(u64, Option<LastRun>)> = None;
     loop {
         let first = match words.recv_timeout(IDLE) {
             Ok(first) => Some(first),
@@ -136,13 +136,13 @@
         let more = std::iter::from_fn(|| words.try_recv().ok());
         for word in first.into_iter().chain(more).take(BATCH) {
             match word {
-                Word::Mark(mark, reply) => {
-                    batch.marks.push(mark);
+                LogRequest::Record(mark, reply) => {
+                    batch.intents.push(mark);
                     marks.push((mark, reply));
                 }
-                Word::Ended(mark) => batch.ended.push(mark),
-                Word::Ask(number, identity, reply) => asks.push((number, identity, reply)),
-                Word::Begin(run, witness) => begins = Some((run, witness)),
+                LogRequest::Ended(mark) => batch.ended.push(mark),
+                LogRequest::Query(number, identity, reply) => asks.push((number, identity, reply)),
+                LogRequest::Begin(run, witness) => begins = Some((run, witness)),
             }
         }
         if let Some((run, witness)) = begins {
@@ -151,16 +151,16 @@
                 Err(fault) => {
                     tracing::error!(run, %fault, "marks can't begin this run");
                     // A disk may come back; a number that is too low stays so.
-                    begins = begins.filter(|_| !matches!(fault, MarksError::RunGone { .. }));
+                    begins = begins.filter(|_| !matches!(fault, IntentLogError::RunSuperseded { .. }));
                 }
             }
         }
         let begun = store.commits().is_some();
-        if !batch.marks.is_empty() || !batch.ended.is_empty() || (begun && store.is_due(now())) {
+        if !batch.intents.is_empty() || !batch.ended.is_empty() || (begun && store.is_due(now())) {
             let written = store.commit(&batch, now());
             if let Err(fault) = &written {
                 tracing::error!(%fault, marks = marks.len(), "marks not written; their attempts are not sent");
-                if let MarksError::Damaged(why) = fault {
+                if let IntentLogError::Damaged(why) = fault {
                     match file::set_aside(path) {
                         Ok(aside) => tracing::error!(file = %aside.display(), why, "marks set aside"),
                         Err(error) => tracing::error!(%error, "marks can't be set aside"),
@@ -169,11 +169,11 @@
             }
             // An asker that is gone needs no answer.
             for (mark, reply) in marks {
-                let _ = reply.send(Done::Marked(mark, written.is_ok()));
+                let _ = reply.send(LogEvent::Recorded(mark, written.is_ok()));
             }
         }
         for (number, identity, reply) in asks {
-            let _ = reply.send(Done::Told(number, store.ask(identity, now())));
+            let _ = reply.send(LogEvent::Answered(number, store.query(identity, now())));
         }
         state.send_replace(store.commits());
     }
--- a/crates/intent-log/tests/store.rs
+++ b/crates/intent-log/tests/store.rs
@@ -4,31 +4,37 @@
 
 use disk::{Disk, Draw};
 use redb::Database;
-use stagehoist_intent_log::{start, witness, Batch, Done, Mark, MarksError, Options, Place, Store, Witness};
-use stagehoist_recovery::Told;
+use stagehoist_intent_log::{
+    start, witness, Batch, Intent, IntentLogError, IntentStore, LastRun, LogEvent, LogLocation, Options,
+};
+use stagehoist_recovery::AttemptKnowledge;
 
 const KEEP: i64 = 1_000_000;
-const OPTIONS: Options = Options { keep: KEEP, keep_ended: KEEP / 10, most: 1000 };
+const OPTIONS: Options = Options { replica: KEEP, ended_retention: KEEP / 10, most: 1000 };
 
-fn open(disk: &Disk, now: i64) -> Result<Store, MarksError> {
+fn open(disk: &Disk, now: i64) -> Result<IntentStore, IntentLogError> {
     open_with(disk, OPTIONS, now)
 }
 
-fn open_with(disk: &Disk, options: Options, now: i64) -> Result<Store, MarksError> {
+fn open_with(disk: &Disk, options: Options, now: i64) -> Result<IntentStore, IntentLogError> {
     let disk = disk.clone();
-    Store::open(Box::new(move || Ok(Database::builder().create_with_backend(disk.clone())?)), options, now)
+    IntentStore::open(
+        Box::new(move || Ok(Database::builder().create_with_backend(disk.clone())?)),
+        options,
+        now,
+    )
 }
 
-fn mark(n: u64) -> Mark {
-    Mark { identity: u128::from(n) << 64 | 7, number: n }
+fn mark(n: u64) -> Intent {
+    Intent { identity: u128::from(n) << 64 | 7, number: n }
 }
 
 fn marks(numbers: impl IntoIterator<Item = u64>) -> Batch {
-    Batch { marks: numbers.into_iter().map(mark).collect(), ended: Vec::new() }
+    Batch { intents: numbers.into_iter().map(mark).collect(), ended: Vec::new() }
 }
 
 /// A store whose first run has seen its time of knowing nothing pass, and which is then at work in its second.
-fn grown(disk: &Disk) -> Store {
+fn grown(disk: &Disk) -> IntentStore {
     let mut first = open(disk, 0).unwrap();
     first.begin(1, None, 0).unwrap();
     first.commit(&marks([1]), KEEP + 1).unwrap();
@@ -79,8 +85,8 @@
             continue;
         };
         for n in acknowledged {
-            match store.ask(mark(n).identity, 0) {
-                Told::MayHaveRun => kept += 1,
+            match store.query(mark(n).identity, 0) {
+                AttemptKnowledge::MayHaveRun => kept += 1,
                 _ => lost += 1,
             }
         }
@@ -106,21 +112,21 @@
 fn a_missing_mark_proves_something_only_in_a_store_that_is_whole() {
     let disk = Disk::default();
     let store = grown(&disk);
-    assert_eq!(store.ask(mark(1).identity, 0), Told::MayHaveRun);
-    assert_eq!(store.ask(mark(2).identity, 0), Told::None);
+    assert_eq!(store.query(mark(1).identity, 0), AttemptKnowledge::MayHaveRun);
+    assert_eq!(store.query(mark(2).identity, 0), AttemptKnowledge::None);
     let last = store.commits();
     drop(store);
-    let told = |before: Option<Witness>| {
+    let told = |before: Option<LastRun>| {
         let mut store = open(&disk.set_back(), 0).unwrap();
-        assert_eq!(store.ask(mark(2).identity, 0), Told::NotKnown, "no run has begun");
+        assert_eq!(store.query(mark(2).identity, 0), AttemptKnowledge::NotKnown, "no run has begun");
         store.begin(9, before, 0).unwrap();
-        store.ask(mark(2).identity, 0)
+        store.query(mark(2).identity, 0)
     };
-    assert_eq!(told(last), Told::None);
-    assert_eq!(told(None), Told::NotKnown);
+    assert_eq!(told(last), AttemptKnowledge::None);
+    assert_eq!(told(None), AttemptKnowledge::NotKnown);
     // The record knows a later run, or later commits, than the file does: it was set back.
-    assert_eq!(told(Some(Witness { run: 3, commits: 0 })), Told::NotKnown);
-    assert_eq!(told(last.map(|w| Witness { commits: w.commits + 1, ..w })), Told::NotKnown);
+    assert_eq!(told(Some(LastRun { run: 3, commits: 0 })), AttemptKnowledge::NotKnown);
+    assert_eq!(told(last.map(|w| LastRun { commits: w.commits + 1, ..w })), AttemptKnowledge::NotKnown);
 }
 
 #[test]
@@ -133,9 +139,9 @@
     drop(store);
     let mut store = open(&disk, 0).unwrap();
     store.begin(2, last, 0).unwrap();
-    assert_eq!(store.ask(mark(2).identity, KEEP / 2), Told::NotKnown);
+    assert_eq!(store.query(mark(2).identity, KEEP / 2), AttemptKnowledge::NotKnown);
     store.commit(&marks([3]), KEEP).unwrap();
-    assert_eq!(store.ask(mark(2).identity, KEEP), Told::None);
+    assert_eq!(store.query(mark(2).identity, KEEP), AttemptKnowledge::None);
 }
 
 #[test]
@@ -143,12 +149,16 @@
     let disk = Disk::default();
     let mut store = grown(&disk);
     store.commit(&marks([5]), 0).unwrap();
-    store.begin(7, Some(Witness { run: 1, commits: 1 }), 0).unwrap();
-    assert_eq!(store.ask(mark(2).identity, 0), Told::None);
-    assert_eq!(store.commits(), Some(Witness { run: 7, commits: 1 }));
-    assert!(matches!(store.begin(7, None, 0), Err(MarksError::RunGone { asked: 7, last: 7 })));
+    store.begin(7, Some(LastRun { run: 1, commits: 1 }), 0).unwrap();
+    assert_eq!(store.query(mark(2).identity, 0), AttemptKnowledge::None);
+    assert_eq!(store.commits(), Some(LastRun { run: 7, commits: 1 }));
+    assert!(matches!(store.begin(7, None, 0), Err(IntentLogError::RunSuperseded { requested: 7, last: 7 })));
     store.commit(&marks([6]), KEEP).unwrap();
-    assert_eq!(store.ask(mark(5).identity, KEEP), Told::None, "dropped by its age, under the number it had");
+    assert_eq!(
+        store.query(mark(5).identity, KEEP),
+        AttemptKnowledge::None,
+        "dropped by its age, under the number it had"
+    );
 }
 
 #[test]
@@ -156,25 +166,25 @@
     let disk = Disk::default();
     let mut store = grown(&disk);
     store.commit(&marks([5, 6]), 10).unwrap();
-    store.commit(&Batch { marks: Vec::new(), ended: vec![mark(5)] }, 20).unwrap();
+    store.commit(&Batch { intents: Vec::new(), ended: vec![mark(5)] }, 20).unwrap();
     assert!(!store.is_due(KEEP / 10));
     store.commit(&Batch::default(), 20 + KEEP / 10).unwrap();
-    assert_eq!(store.ask(mark(5).identity, KEEP / 5), Told::None);
-    assert_eq!(store.ask(mark(6).identity, KEEP / 5), Told::MayHaveRun);
-    assert_eq!(store.ask(mark(1).identity, KEEP / 5), Told::MayHaveRun, "of the run before");
+    assert_eq!(store.query(mark(5).identity, KEEP / 5), AttemptKnowledge::None);
+    assert_eq!(store.query(mark(6).identity, KEEP / 5), AttemptKnowledge::MayHaveRun);
+    assert_eq!(store.query(mark(1).identity, KEEP / 5), AttemptKnowledge::MayHaveRun, "of the run before");
     store.commit(&Batch::default(), KEEP + 10).unwrap();
-    assert_eq!(store.ask(mark(6).identity, KEEP + 10), Told::None);
-    assert_eq!(store.ask(mark(1).identity, KEEP + 10), Told::None);
+    assert_eq!(store.query(mark(6).identity, KEEP + 10), AttemptKnowledge::None);
+    assert_eq!(store.query(mark(1).identity, KEEP + 10), AttemptKnowledge::None);
 }
 
 #[test]
 fn one_id_used_twice_keeps_the_mark_of_the_second_when_the_first_ends() {
     let disk = Disk::default();
     let mut store = grown(&disk);
-    let [first, second] = [1, 2].map(|number| Mark { identity: 77, number });
-    store.commit(&Batch { marks: vec![first, second], ended: vec![first] }, 0).unwrap();
+    let [first, second] = [1, 2].map(|number| Intent { identity: 77, number });
+    store.commit(&Batch { intents: vec![first, second], ended: vec![first] }, 0).unwrap();
     store.commit(&Batch::default(), KEEP / 2).unwrap();
-    assert_eq!(store.ask(77, KEEP / 2), Told::MayHaveRun);
+    assert_eq!(store.query(77, KEEP / 2), AttemptKnowledge::MayHaveRun);
 }
 
 #[test]
@@ -184,15 +194,19 @@
     for n in 0..30 {
         store.commit(&marks(10 + n * 100..110 + n * 100), 5).unwrap();
     }
-    assert_eq!(store.ask(mark(11).identity, 5), Told::NotKnown, "pushed out");
-    assert_eq!(store.ask(mark(3000).identity, 5), Told::MayHaveRun);
+    assert_eq!(store.query(mark(11).identity, 5), AttemptKnowledge::NotKnown, "pushed out");
+    assert_eq!(store.query(mark(3000).identity, 5), AttemptKnowledge::MayHaveRun);
     let last = store.commits();
     drop(store);
     let mut store = open(&disk, 0).unwrap();
     store.begin(3, last, 0).unwrap();
-    assert_eq!(store.ask(mark(11).identity, 0), Told::NotKnown, "the file says that it lacks something");
+    assert_eq!(
+        store.query(mark(11).identity, 0),
+        AttemptKnowledge::NotKnown,
+        "the file says that it lacks something"
+    );
     store.commit(&Batch::default(), KEEP).unwrap();
-    assert_eq!(store.ask(mark(11).identity, KEEP), Told::None);
+    assert_eq!(store.query(mark(11).identity, KEEP), AttemptKnowledge::None);
 }
 
 #[test]
@@ -203,11 +217,11 @@
     disk.state().left = Some(1);
     assert!(store.commit(&marks([6]), 0).is_err());
     assert!(store.commit(&marks([7]), 0).is_err());
-    assert_eq!(store.ask(mark(8).identity, 0), Told::NotKnown);
+    assert_eq!(store.query(mark(8).identity, 0), AttemptKnowledge::NotKnown);
     disk.state().left = None;
     store.commit(&marks([8]), 0).unwrap();
-    assert_eq!(store.ask(mark(5).identity, 0), Told::MayHaveRun);
-    assert_eq!(store.ask(mark(8).identity, 0), Told::MayHaveRun);
+    assert_eq!(store.query(mark(5).identity, 0), AttemptKnowledge::MayHaveRun);
+    assert_eq!(store.query(mark(8).identity, 0), AttemptKnowledge::MayHaveRun);
 }
 
 #[test]
@@ -215,17 +229,17 @@
     let disk = Disk::default();
     drop(grown(&disk));
     disk.spoil();
-    assert!(matches!(open(&disk, 0), Err(MarksError::Damaged(_))));
+    assert!(matches!(open(&disk, 0), Err(IntentLogError::Damaged(_))));
 }
 
 /// Starts, marks, and ends a run; what it could tell of another message.
-fn run(place: &Place, n: u64) -> Told {
-    let (marks, thread) = start(place, Options { keep: 0, ..OPTIONS }).unwrap();
+fn run(place: &LogLocation, n: u64) -> AttemptKnowledge {
+    let (marks, thread) = start(place, Options { replica: 0, ..OPTIONS }).unwrap();
     let (reply, mut done) = tokio::sync::mpsc::unbounded_channel();
-    assert!(marks.ask(1, 999, &reply));
-    let Some(Done::Told(1, told)) = done.blocking_recv() else { panic!("no answer") };
-    assert!(marks.mark(mark(n), &reply));
-    assert_eq!(done.blocking_recv(), Some(Done::Marked(mark(n), true)));
+    assert!(marks.query(1, 999, &reply));
+    let Some(LogEvent::Answered(1, told)) = done.blocking_recv() else { panic!("no answer") };
+    assert!(marks.record(mark(n), &reply));
+    assert_eq!(done.blocking_recv(), Some(LogEvent::Recorded(mark(n), true)));
     drop(marks);
     thread.join().unwrap();
     told
@@ -234,17 +248,17 @@
 #[test]
 fn a_member_alone_counts_its_runs_and_sets_a_damaged_store_aside() {
     let folder = tempfile::tempdir().unwrap();
-    let place = Place { folder: folder.path().into(), name: "front/0".into(), alone: true };
+    let place = LogLocation { folder: folder.path().into(), name: "front/0".into(), standalone: true };
     let store = folder.path().join("marks-front_0.redb");
-    assert_eq!(run(&place, 1), Told::NotKnown, "the first");
+    assert_eq!(run(&place, 1), AttemptKnowledge::NotKnown, "the first");
     let old = std::fs::read(&store).unwrap();
-    assert_eq!(run(&place, 2), Told::None);
+    assert_eq!(run(&place, 2), AttemptKnowledge::None);
     assert_eq!(witness(folder.path(), "front_0").unwrap().map(|w| w.run), Some(2));
     std::fs::write(&store, &old).unwrap();
-    assert_eq!(run(&place, 3), Told::NotKnown, "a store set back");
+    assert_eq!(run(&place, 3), AttemptKnowledge::NotKnown, "a store set back");
     let whole = std::fs::read(&store).unwrap();
     std::fs::write(&store, &whole[..whole.len() / 3]).unwrap();
-    assert_eq!(run(&place, 4), Told::NotKnown, "a store torn in the middle");
+    assert_eq!(run(&place, 4), AttemptKnowledge::NotKnown, "a store torn in the middle");
     assert!(folder.path().join("marks-front_0.damaged-1").exists());
-    assert_eq!(run(&place, 5), Told::None);
+    assert_eq!(run(&place, 5), AttemptKnowledge::None);
 }
--- a/crates/load-generator/src/baseline.rs
+++ b/crates/load-generator/src/baseline.rs
@@ -5,7 +5,7 @@
     Action, AttemptEnd, Effect, EndpointUpdate, Event, Lifecycle, Micros, Outcome, Request, RequestId,
     Settings, WorkerId,
 };
-use stagehoist_gateway::state::Decide;
+use stagehoist_gateway::state::DecisionPolicy;
 use std::collections::{BTreeSet, HashMap};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,12 +36,12 @@
 }
 
 /// Workers in turn.
-pub fn round_robin(settings: Settings, _seed: u64, _now: Micros) -> Box<dyn Decide> {
+pub fn round_robin(settings: Settings, _seed: u64, _now: Micros) -> Box<dyn DecisionPolicy> {
     Box::new(Textbook::new(Choice::InTurn, settings))
 }
 
 /// The worker with the fewest of this front end's own calls.
-pub fn least_in_flight(settings: Settings, _seed: u64, _now: Micros) -> Box<dyn Decide> {
+pub fn least_in_flight(settings: Settings, _seed: u64, _now: Micros) -> Box<dyn DecisionPolicy> {
     Box::new(Textbook::new(Choice::LeastInFlight, settings))
 }
 
@@ -103,7 +103,7 @@
     }
 }
 
-impl Decide for Textbook {
+impl DecisionPolicy for Textbook {
     fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
         for event in events {
             match event {
--- a/crates/platform/src/bounds.rs
+++ b/crates/platform/src/bounds.rs
@@ -9,13 +9,13 @@
 /// Connections to one executor at most.
 const EACH: u64 = 24;
 /// A client that said nothing whole for so long is closed.
-pub const SAY_WITHIN: Micros = 2_000_000;
+pub const FIRST_REQUEST_TIMEOUT: Micros = 2_000_000;
 /// The first request of a connection may be so long on its way.
-const ON_ITS_WAY: Micros = 50_000;
+const CANCELLATION_TRANSIT: Micros = 50_000;
 /// A connection without an open request is closed after so long; clients close theirs sooner.
 pub const IDLE: Micros = 6_000_000;
 /// A client that takes no bytes for so long is closed.
-pub const TAKE_WITHIN: Micros = 3_000_000;
+pub const ANSWER_READ_TIMEOUT: Micros = 3_000_000;
 
 /// Bounds derived from what the process may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,28 +49,28 @@
 
 /// What a client's connection is doing, for the choice of the one to close when there are too many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ConnectionActivity {
     /// It has asked something whole.
-    pub asked: bool,
+    pub has_requested: bool,
     /// Requests open on it.
-    pub open: usize,
+    pub open_requests: usize,
     /// When something last came or went.
-    pub active: Micros,
+    pub active_at: Micros,
 }
 
 /// Which connection makes way for a new one: the longest silent of those that had time to ask and never did, else the
 /// longest idle. None where all are at work. One that was just accepted is no better a choice than one that has asked: its
 /// request is on its way.
-pub fn victim<K: Copy>(seen: impl Iterator<Item = (K, Seen)>, now: Micros) -> Option<K> {
-    let spared = |s: &Seen| s.asked || now - s.active < ON_ITS_WAY;
-    seen.filter(|(_, s)| s.open == 0).min_by_key(|(_, s)| (spared(s), s.active)).map(|(k, _)| k)
+pub fn victim<K: Copy>(seen: impl Iterator<Item = (K, ConnectionActivity)>, now: Micros) -> Option<K> {
+    let spared = |s: &ConnectionActivity| s.has_requested || now - s.active_at < CANCELLATION_TRANSIT;
+    seen.filter(|(_, s)| s.open_requests == 0).min_by_key(|(_, s)| (spared(s), s.active_at)).map(|(k, _)| k)
 }
 
 /// Whether a client's connection is over by its own silence: nothing whole in time, half a request, or long idle.
-pub fn is_over(seen: &Seen, born: Micros, partial_since: Option<Micros>, now: Micros) -> bool {
-    let silent = !seen.asked && now - born >= SAY_WITHIN;
-    let half = partial_since.is_some_and(|t| now - t >= SAY_WITHIN);
-    let idle = seen.open == 0 && now - seen.active >= IDLE;
+pub fn is_over(seen: &ConnectionActivity, born: Micros, partial_since: Option<Micros>, now: Micros) -> bool {
+    let silent = !seen.has_requested && now - born >= FIRST_REQUEST_TIMEOUT;
+    let half = partial_since.is_some_and(|t| now - t >= FIRST_REQUEST_TIMEOUT);
+    let idle = seen.open_requests == 0 && now - seen.active_at >= IDLE;
     silent || half || idle
 }
 
@@ -90,9 +90,13 @@
 
     #[test]
     fn who_never_asked_makes_way_first_and_who_is_at_work_never() {
-        let s = |asked, open, active| Seen { asked, open, active };
+        let s = |asked, open, active| ConnectionActivity {
+            has_requested: asked,
+            open_requests: open,
+            active_at: active,
+        };
         let all = [s(true, 0, 1), s(false, 0, 7), s(false, 0, 5), s(true, 1, 0)];
-        let late = 2 * ON_ITS_WAY;
+        let late = 2 * CANCELLATION_TRANSIT;
         assert_eq!(victim(all.iter().copied().enumerate(), late), Some(2));
         assert_eq!(victim([s(true, 0, 9), s(true, 0, 3)].into_iter().enumerate(), late), Some(1));
         assert_eq!(victim([s(true, 1, 1)].into_iter().enumerate(), late), None);
@@ -105,9 +109,13 @@
 
     #[test]
     fn silence_ends_a_connection_and_a_call_at_work_keeps_it() {
-        let s = |asked, open, active| Seen { asked, open, active };
-        assert!(is_over(&s(false, 0, 0), 0, None, SAY_WITHIN));
-        assert!(is_over(&s(true, 1, 0), 0, Some(0), SAY_WITHIN));
+        let s = |asked, open, active| ConnectionActivity {
+            has_requested: asked,
+            open_requests: open,
+            active_at: active,
+        };
+        assert!(is_over(&s(false, 0, 0), 0, None, FIRST_REQUEST_TIMEOUT));
+        assert!(is_over(&s(true, 1, 0), 0, Some(0), FIRST_REQUEST_TIMEOUT));
         assert!(is_over(&s(true, 0, 0), 0, None, IDLE));
         assert!(!is_over(&s(true, 1, 0), 0, None, 10 * IDLE));
         assert!(!is_over(&s(true, 0, IDLE), 0, None, IDLE + 1));
--- a/crates/platform/src/bus/tests.rs
+++ b/crates/platform/src/bus/tests.rs
@@ -8,13 +8,13 @@
     b
 }
 
-fn numbers(news: &[Event]) -> Vec<u64> {
+fn numbers(news: &[EndpointEvent]) -> Vec<u64> {
     news.iter().map(|e| e.number).collect()
 }
 
 #[test]
 fn numbers_decide_what_is_news() {
-    let (mut bus, mut news) = (Bus::new(3, 0), Vec::new());
+    let (mut bus, mut news) = (EventSubscription::new(3, 0), Vec::new());
     assert_eq!(bus.connected(0), 3u64.to_be_bytes());
     let mut bytes = frame(3, 2, &[]);
     bytes.extend(frame(4, 2, &[0; 27]));
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_frame_cut_off_is_dropped_whole_and_told_again() {
-    let (mut bus, mut news) = (Bus::new(0, 0), Vec::new());
+    let (mut bus, mut news) = (EventSubscription::new(0, 0), Vec::new());
     let bytes = frame(1, 1, &[0; 54]);
     bus.feed(&bytes[..40], 0, &mut news).unwrap();
     assert_eq!(bus.connected(1), 0u64.to_be_bytes());
@@ -39,8 +39,8 @@
 
 #[test]
 fn a_gap_is_asked_for_once_and_then_taken_as_it_is() {
-    let (mut bus, mut news) = (Bus::new(1, 0), Vec::new());
-    let gap = Err(BusError::Gap { expected: 2, got: 4 });
+    let (mut bus, mut news) = (EventSubscription::new(1, 0), Vec::new());
+    let gap = Err(SubscriptionError::Gap { expected: 2, got: 4 });
     assert_eq!(bus.feed(&frame(4, 2, &[]), 0, &mut news), gap);
     bus.connected(1);
     bus.feed(&frame(4, 2, &[]), 1, &mut news).unwrap();
@@ -50,17 +50,17 @@
 #[test]
 fn absurd_frames_end_the_connection_before_anything_is_kept() {
     for length in [0u32, 8, 1 << 30, u32::MAX] {
-        let mut bus = Bus::new(0, 0);
+        let mut bus = EventSubscription::new(0, 0);
         let fed = bus.feed(&length.to_be_bytes(), 0, &mut Vec::new());
-        assert_eq!(fed, Err(BusError::Length(length as usize)));
+        assert_eq!(fed, Err(SubscriptionError::Length(length as usize)));
     }
-    let mut bus = Bus::new(0, 0);
-    assert!(matches!(bus.feed(&frame(1, 7, &[]), 0, &mut Vec::new()), Err(BusError::Event { .. })));
+    let mut bus = EventSubscription::new(0, 0);
+    assert!(matches!(bus.feed(&frame(1, 7, &[]), 0, &mut Vec::new()), Err(SubscriptionError::Event { .. })));
 }
 
 #[test]
 fn connections_follow_at_once_and_then_with_short_pauses() {
-    let mut bus = Bus::new(0, 0);
+    let mut bus = EventSubscription::new(0, 0);
     let pauses: Vec<_> = (0..6).map(|_| bus.pause() / 1000).collect();
     assert_eq!(pauses, [0, 50, 100, 200, 400, 400]);
     bus.feed(&frame(0, 0, &[]), 0, &mut Vec::new()).unwrap();
@@ -75,16 +75,16 @@
     b
 }
 
-fn states(event: &Event) -> Vec<(u32, u8)> {
-    event.told.iter().map(|t| (t.row.worker, t.row.lifecycle as u8)).collect()
+fn states(event: &EndpointEvent) -> Vec<(u32, u8)> {
+    event.endpoints.iter().map(|t| (t.endpoint.worker, t.endpoint.lifecycle as u8)).collect()
 }
 
 #[test]
 fn after_a_gap_all_events_are_told_anew_and_count_as_one_list() {
-    let (mut bus, mut news) = (Bus::new(1, 0), Vec::new());
+    let (mut bus, mut news) = (EventSubscription::new(1, 0), Vec::new());
     bus.feed(&frame(2, 2, &row(1, 1)), 0, &mut news).unwrap();
     // Event 3, a drain, is missing.
-    let gap = Err(BusError::Gap { expected: 3, got: 4 });
+    let gap = Err(SubscriptionError::Gap { expected: 3, got: 4 });
     assert_eq!(bus.feed(&frame(4, 2, &row(3, 2)), 0, &mut news), gap);
     assert_eq!((bus.connected(1), numbers(&news)), (0u64.to_be_bytes(), vec![2]));
     let whole = [row(1, 0), row(2, 0), row(3, 0)].concat();
@@ -103,14 +103,14 @@
         bus.feed(piece, 2, &mut news).unwrap();
     }
     assert_eq!((numbers(&news), bus.last()), (vec![4, 5], 5));
-    assert_eq!((news[0].update, states(&news[0])), (EndpointUpdate::Full, vec![(1, 1), (2, 1)]));
-    assert_eq!((news[1].update, states(&news[1])), (EndpointUpdate::Delta, vec![(4, 0)]));
+    assert_eq!((news[0].kind, states(&news[0])), (EndpointUpdate::Full, vec![(1, 1), (2, 1)]));
+    assert_eq!((news[1].kind, states(&news[1])), (EndpointUpdate::Delta, vec![(4, 0)]));
     assert_eq!(bus.connected(3), 5u64.to_be_bytes());
 }
 
 #[test]
 fn an_event_that_cannot_be_read_is_asked_for_once_more_and_holds_up_nothing() {
-    let (mut bus, mut news) = (Bus::new(1, 0), Vec::new());
+    let (mut bus, mut news) = (EventSubscription::new(1, 0), Vec::new());
     let bad = [row(1, 1), row(2, 9)].concat();
     let all = [frame(2, 2, &bad), frame(3, 9, &[1, 2]), frame(4, 1, &bad[..40]), frame(5, 2, &row(4, 1))];
     let mut ends = 0;
@@ -123,7 +123,7 @@
         }
     }
     assert_eq!((ends, numbers(&news)), (3, vec![2, 3, 4, 5]));
-    let told: Vec<_> = news.iter().map(|e| (e.update, states(e))).collect();
+    let told: Vec<_> = news.iter().map(|e| (e.kind, states(e))).collect();
     let changes = |rows: &[(u32, u8)]| (EndpointUpdate::Delta, rows.to_vec());
     // What is left of a whole list makes no one gone.
     assert_eq!(told, [changes(&[(1, 1)]), changes(&[]), changes(&[(1, 1)]), changes(&[(4, 1)])]);
@@ -131,22 +131,22 @@
 
 #[test]
 fn a_bus_that_lost_its_events_is_followed_from_its_first_one() {
-    let (mut bus, mut news) = (Bus::new(40, 0), Vec::new());
+    let (mut bus, mut news) = (EventSubscription::new(40, 0), Vec::new());
     bus.feed(&frame(40, 0, &[]), 0, &mut news).unwrap();
-    let back = Err(BusError::Back { last: 40, got: 2 });
+    let back = Err(SubscriptionError::Regressed { last: 40, got: 2 });
     assert_eq!(bus.feed(&frame(2, 0, &[]), 1, &mut news), back);
     assert_eq!(bus.connected(2), 0u64.to_be_bytes());
     let events =
         [frame(1, 1, &row(1, 0)), frame(2, 2, &row(1, 1)), frame(2, 0, &[]), frame(3, 2, &row(2, 0))];
     bus.feed(&events.concat(), 2, &mut news).unwrap();
     assert_eq!((numbers(&news), bus.last()), (vec![2, 3], 3));
-    assert_eq!((news[0].update, states(&news[0])), (EndpointUpdate::Full, vec![(1, 1)]));
+    assert_eq!((news[0].kind, states(&news[0])), (EndpointUpdate::Full, vec![(1, 1)]));
 }
 
 #[test]
 fn empty_frames_with_other_numbers_cost_one_connection_at_most() {
     // Never with the number of the last event: they say nothing.
-    let (mut bus, mut news) = (Bus::new(40, 0), Vec::new());
+    let (mut bus, mut news) = (EventSubscription::new(40, 0), Vec::new());
     for number in [0, 1, 39, 41, 7] {
         bus.feed(&frame(number, 0, &[]), 0, &mut news).unwrap();
     }
@@ -168,7 +168,7 @@
 /// Also at the start: the first try comes at once, the second soon after.
 #[test]
 fn a_bus_that_refuses_is_asked_again_soon_and_for_as_long_as_it_does() {
-    let mut bus = Bus::new(3, 0);
+    let mut bus = EventSubscription::new(3, 0);
     let pauses: Vec<Micros> = (0..1000).map(|_| bus.pause()).collect();
     assert_eq!(pauses[..6], [0, 50_000, 100_000, 200_000, 400_000, 400_000]);
     assert!(pauses[6..].iter().all(|p| *p == PAUSE.1));
@@ -176,7 +176,7 @@
 
 #[test]
 fn a_bus_that_answers_and_ends_at_once_is_asked_with_pauses() {
-    let mut bus = Bus::new(3, 0);
+    let mut bus = EventSubscription::new(3, 0);
     let mut pauses = Vec::new();
     for n in 0..6 {
         let now = n * 1000;
--- a/crates/platform/src/clients/accept.rs
+++ b/crates/platform/src/clients/accept.rs
@@ -1,8 +1,8 @@
 //! Clients accepted within bounds.
 
-use super::{sockets, Clients, Conn};
+use super::{sockets, ClientConnection, Clients};
 use crate::bounds;
-use crate::descriptors::{is_want, Holder, Refused};
+use crate::descriptors::{is_want, DescriptorHolder, Refusal};
 use crate::session::Session;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 
 /// Connections looked at for one that makes way.
-const VICTIMS_MOST: usize = 8;
+const MAX_VICTIMS: usize = 8;
 
 impl Clients {
     /// Accepts until dropped.
@@ -37,8 +37,8 @@
                     // The system takes a descriptor before it looks whether anyone is in line: after the last newcomer one
                     // more connection makes way, and its descriptor is in hand for the next.
                     if is_want(&error) {
-                        descriptors.refused(Refused::Client);
-                        descriptors.make_way();
+                        descriptors.refused(Refusal::Client);
+                        descriptors.release_one();
                     }
                     // A pause whatever became of it, so that the loop does not spin at the limit of descriptors.
                     descriptors.wait_last().await;
@@ -48,8 +48,8 @@
     }
 
     pub(super) fn admit(self: &Rc<Self>, stream: TcpStream) -> bool {
-        let full = self.held() >= self.bounds.clients;
-        if full && !self.make_way() {
+        let full = self.open_connections() >= self.bounds.clients;
+        if full && !self.release_one() {
             self.count(|c| c.not_admitted += 1);
             return true;
         }
@@ -62,19 +62,19 @@
         let session = RefCell::new(Session::new(self.shared.clock.now()));
         let [over, silent, dirty] = [false; 3].map(Cell::new);
         let (news, wake) = (RefCell::default(), Notify::new());
-        let conn = Rc::new(Conn { id, session, stream, news, wake, over, silent, dirty });
+        let conn = Rc::new(ClientConnection { id, session, stream, inputs: news, wake, over, silent, dirty });
         self.conns.borrow_mut().insert(id, conn.clone());
         tokio::task::spawn_local(self.clone().talk(conn));
         full
     }
 
     /// The connection that makes way, no longer listed; none in whose socket something lies, as that may be a request.
-    fn victim(&self) -> Option<Rc<Conn>> {
+    fn victim(&self) -> Option<Rc<ClientConnection>> {
         let (mut passed, now) = (Vec::new(), self.shared.clock.now());
-        for _ in 0..VICTIMS_MOST {
+        for _ in 0..MAX_VICTIMS {
             let conns = self.conns.borrow();
             let open = conns.values().filter(|c| !passed.contains(&c.id));
-            let id = bounds::victim(open.map(|c| (c.id, c.session.borrow().seen())), now)?;
+            let id = bounds::victim(open.map(|c| (c.id, c.session.borrow().activity())), now)?;
             if conns.get(&id).is_some_and(|c| !sockets::has_unread(&c.stream)) {
                 drop(conns);
                 return self.conns.borrow_mut().remove(&id);
@@ -85,15 +85,15 @@
     }
 }
 
-impl Holder for Clients {
+impl DescriptorHolder for Clients {
     /// Those that are closed and read on for a while hold theirs too.
-    fn held(&self) -> usize {
+    fn open_connections(&self) -> usize {
         self.connections() + self.lingering.get()
     }
 
-    fn make_way(&self) -> bool {
+    fn release_one(&self) -> bool {
         let Some(conn) = self.victim() else { return false };
-        self.count(|c| c.made_way += 1);
+        self.count(|c| c.released += 1);
         conn.over.set(true);
         conn.wake.notify_one();
         true
--- a/crates/platform/src/clients/calls.rs
+++ b/crates/platform/src/clients/calls.rs
@@ -1,21 +1,26 @@
 //! Calls that clients wait for, from what they said to their answers.
 
-use super::{Clients, Conn, Held};
-use crate::session::{Asked, Said};
+use super::{AcceptedCall, ClientConnection, Clients};
+use crate::session::{ClientEvent, ClientRequest};
 use stagehoist::Micros;
-use stagehoist_gateway::state::{Answer, Arrival, News, Ticket};
+use stagehoist_gateway::state::{Answer, Arrival, Input, Ticket};
 use std::rc::Rc;
 
 impl Clients {
-    pub(super) fn heard(&self, conn: &Rc<Conn>, said: Vec<Said>, (now, late): (Micros, Micros)) -> Vec<News> {
+    pub(super) fn on_client_events(
+        &self,
+        conn: &Rc<ClientConnection>,
+        said: Vec<ClientEvent>,
+        (now, late): (Micros, Micros),
+    ) -> Vec<Input> {
         let mut news = Vec::with_capacity(said.len());
         for said in said {
             match said {
-                Said::Call(ticket, asked) => news.extend(self.call(conn, ticket, *asked, (now, late))),
-                Said::Gone(ticket) => {
+                ClientEvent::Call(ticket, asked) => news.extend(self.call(conn, ticket, *asked, (now, late))),
+                ClientEvent::Cancelled(ticket) => {
                     if self.release(ticket).is_some() {
                         self.cancelled.borrow_mut().insert(ticket, now);
-                        news.push(News::Gone(ticket));
+                        news.push(Input::ClientGone(ticket));
                     }
                 }
             }
@@ -25,11 +30,11 @@
 
     pub(super) fn call(
         &self,
-        conn: &Rc<Conn>,
+        conn: &Rc<ClientConnection>,
         ticket: Ticket,
-        asked: Asked,
+        asked: ClientRequest,
         (now, late): (Micros, Micros),
-    ) -> Option<News> {
+    ) -> Option<Input> {
         let bytes = asked.body.len() + 512;
         if self.references.borrow().contains_key(&asked.reference) {
             // Its answer could be meant for either; the one that is open goes on.
@@ -40,24 +45,24 @@
         if !self.taking.get() || self.held_bytes.get() + bytes > self.bounds.held_bytes {
             let answer = Answer::Refused { reason: "too-many-held", retry_after: 0 };
             conn.session.borrow_mut().answer(ticket, &answer, now);
-            self.count(|c| c.turned_away += 1);
+            self.count(|c| c.rejected_at_intake += 1);
             return None;
         }
         self.held_bytes.set(self.held_bytes.get() + bytes);
         self.references.borrow_mut().insert(asked.reference, ticket);
-        let held = Held { conn: conn.clone(), reference: asked.reference, bytes };
+        let held = AcceptedCall { conn: conn.clone(), reference: asked.reference, bytes };
         self.calls.borrow_mut().insert(ticket, held);
         let ends = self.ends.get().map_or(Micros::MAX, |at| at - now);
-        Some(News::Call(Arrival {
+        Some(Input::Call(Arrival {
             ticket,
             function: asked.function,
-            figures: Some(asked.figures),
+            properties: Some(asked.figures),
             tenant: asked.tenant,
             // What it may have waited in its socket is taken off with its age.
             budget: asked.budget.min(ends.saturating_add(late)),
-            read: now - late,
-            repeat: false,
-            known: conn.session.borrow().is_known(),
+            read_at: now - late,
+            is_repeat: false,
+            client_verified: conn.session.borrow().is_known(),
             body: asked.body,
             content_type: None,
             correlation: asked.id,
@@ -66,7 +71,7 @@
         }))
     }
 
-    pub(super) fn release(&self, ticket: Ticket) -> Option<Held> {
+    pub(super) fn release(&self, ticket: Ticket) -> Option<AcceptedCall> {
         let mut calls = self.calls.borrow_mut();
         let held = calls.remove(&ticket)?;
         if calls.capacity() > 8 * calls.len() + 1024 {
@@ -79,7 +84,7 @@
 
     /// The final answer of a call; written at the end of the turn.
     pub fn answer(&self, ticket: Ticket, answer: &Answer) {
-        let Some(Held { conn, .. }) = self.release(ticket) else { return };
+        let Some(AcceptedCall { conn, .. }) = self.release(ticket) else { return };
         conn.session.borrow_mut().answer(ticket, answer, self.shared.clock.now());
         if !conn.dirty.replace(true) {
             self.dirty.borrow_mut().push(conn);
--- a/crates/platform/src/clients/cancelled.rs
+++ b/crates/platform/src/clients/cancelled.rs
@@ -2,27 +2,27 @@
 //! before it last waited.
 
 use super::finish::Socket;
-use super::{sockets, Clients, Conn};
-use crate::executors::{Caller, Callers};
+use super::{sockets, ClientConnection, Clients};
+use crate::executors::{ClientLookup, ClientPresence};
 use stagehoist::Micros;
 use stagehoist_gateway::state::Ticket;
 use std::rc::Rc;
 
 /// For how long it is kept that a request was cancelled: until the driver has heard of it and nothing of it
 /// waits to be written.
-const KEPT: Micros = 1_000_000;
+const CANCELLATION_RETENTION: Micros = 1_000_000;
 
-impl Callers for Clients {
-    fn ask(&self, ticket: Ticket) -> Caller {
+impl ClientLookup for Clients {
+    fn presence(&self, ticket: Ticket) -> ClientPresence {
         let conn = self.calls.borrow().get(&ticket).map(|held| held.conn.clone());
-        let heard = conn.as_ref().is_none_or(|conn| self.hear(conn));
+        let heard = conn.as_ref().is_none_or(|conn| self.read_pending(conn));
         if conn.is_some_and(|conn| conn.over.get()) || self.cancelled.borrow().contains_key(&ticket) {
-            return Caller::Left;
+            return ClientPresence::Gone;
         }
         if heard {
-            Caller::Waits
+            ClientPresence::Waiting
         } else {
-            Caller::Unheard
+            ClientPresence::Unread
         }
     }
 }
@@ -30,7 +30,7 @@
 impl Clients {
     /// Reads what lies in a client's socket now; its own task passes it on, in its order. False where more lies there than
     /// is read at once or from a client that takes no answers: what it cancels may be among it.
-    fn hear(&self, conn: &Rc<Conn>) -> bool {
+    fn read_pending(&self, conn: &Rc<ClientConnection>) -> bool {
         if conn.over.get() {
             return true;
         }
@@ -40,10 +40,10 @@
         if socket == Socket::Over || (!more && sockets::has_left(&conn.stream)) {
             conn.over.set(true);
         }
-        if conn.over.get() || !news.is_empty() || !conn.session.borrow().out().is_empty() {
+        if conn.over.get() || !news.is_empty() || !conn.session.borrow().output().is_empty() {
             conn.wake.notify_one();
         }
-        conn.news.borrow_mut().extend(news);
+        conn.inputs.borrow_mut().extend(news);
         socket == Socket::Dry && !conn.session.borrow().has_unheard()
     }
 
@@ -51,7 +51,7 @@
     pub(super) fn forget_cancelled(&self) {
         let (now, late) = self.shared.read_time();
         if late == 0 {
-            self.cancelled.borrow_mut().retain(|_, at| now - *at < KEPT);
+            self.cancelled.borrow_mut().retain(|_, at| now - *at < CANCELLATION_RETENTION);
         }
     }
 }
--- a/crates/platform/src/clients/finish.rs
+++ b/crates/platform/src/clients/finish.rs
@@ -1,16 +1,16 @@
 //! The end of a process: whatever reached it whole is answered, and no close resets what was written.
 
-use super::{sockets, Clients, Conn};
-use stagehoist_gateway::state::{Answer, News, Ticket};
+use super::{sockets, ClientConnection, Clients};
+use stagehoist_gateway::state::{Answer, Input, Ticket};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 
 /// Connections looked for in the listener's line at most: as many as the system lets wait there.
-const WAITING_MOST: usize = 4096;
+const MAX_WAITING: usize = 4096;
 /// Reads of one socket in a row at most, as some clients never cease to write.
-const READS_MOST: usize = 64;
+const MAX_READS: usize = 64;
 /// How long clients are given to take what was written and to close.
 const CLOSING: Duration = Duration::from_millis(60);
 
@@ -35,12 +35,12 @@
         for ticket in left {
             self.answer(ticket, &Answer::Refused { reason: "front-end-ends", retry_after: 0 });
         }
-        self.turned();
-        self.answer_what_lies_there();
-        for stream in std::iter::from_fn(|| sockets::accept(listener)).take(WAITING_MOST) {
+        self.flush_all();
+        self.answer_unread();
+        for stream in std::iter::from_fn(|| sockets::accept(listener)).take(MAX_WAITING) {
             self.admit(stream);
         }
-        self.answer_what_lies_there();
+        self.answer_unread();
         for conn in self.conns.borrow().values() {
             // What waits for its client is written first. Nothing is open any more.
             conn.session.borrow_mut().close(&mut Vec::new());
@@ -55,8 +55,8 @@
         let _ = tokio::time::timeout(CLOSING, all_closed).await;
     }
 
-    fn answer_what_lies_there(self: &Rc<Self>) {
-        let conns: Vec<Rc<Conn>> = self.conns.borrow().values().cloned().collect();
+    fn answer_unread(self: &Rc<Self>) {
+        let conns: Vec<Rc<ClientConnection>> = self.conns.borrow().values().cloned().collect();
         for conn in conns.iter().filter(|c| !c.over.get()) {
             // The driver is over: what is left to say is refused here, and it needs no news.
             if self.read_all(conn, &mut Vec::new()) == Socket::Over || !self.write_all(conn) {
@@ -66,8 +66,8 @@
     }
 
     /// Reads what lies in the socket now, as far as it is to be read.
-    pub(super) fn read_all(&self, conn: &Rc<Conn>, news: &mut Vec<News>) -> Socket {
-        for _ in 0..READS_MOST {
+    pub(super) fn read_all(&self, conn: &Rc<ClientConnection>, news: &mut Vec<Input>) -> Socket {
+        for _ in 0..MAX_READS {
             if !conn.session.borrow().wants_read() {
                 break;
             }
@@ -88,10 +88,10 @@
     }
 
     /// False once the client is gone.
-    fn write_all(&self, conn: &Conn) -> bool {
+    fn write_all(&self, conn: &ClientConnection) -> bool {
         let mut session = conn.session.borrow_mut();
-        while !session.out().is_empty() {
-            match sockets::write(&conn.stream, session.out()) {
+        while !session.output().is_empty() {
+            match sockets::write(&conn.stream, session.output()) {
                 Ok(n) => session.wrote(n, self.shared.clock.now()),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return true,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -11,19 +11,19 @@
 use crate::session::{Catalog, Session};
 pub use crate::shared::Shared;
 use stagehoist::Micros;
-use stagehoist_gateway::state::{News, Ticket};
+use stagehoist_gateway::state::{Input, Ticket};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-struct Conn {
+struct ClientConnection {
     id: u64,
     session: RefCell<Session>,
     stream: TcpStream,
     /// What was read and not passed on yet, in its order.
-    news: RefCell<VecDeque<News>>,
+    inputs: RefCell<VecDeque<Input>>,
     wake: Notify,
     /// The client is gone, or takes nothing.
     over: Cell<bool>,
@@ -32,8 +32,8 @@
     dirty: Cell<bool>,
 }
 
-struct Held {
-    conn: Rc<Conn>,
+struct AcceptedCall {
+    conn: Rc<ClientConnection>,
     reference: u64,
     bytes: usize,
 }
@@ -42,13 +42,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientCounters {
     pub accepted: u64,
-    pub made_way: u64,
+    pub released: u64,
     pub not_admitted: u64,
     /// The system refused to accept one.
     pub not_accepted: u64,
     pub unusable: u64,
     pub unreadable: u64,
-    pub turned_away: u64,
+    pub rejected_at_intake: u64,
 }
 
 /// All clients of a front end.
@@ -56,8 +56,8 @@
     shared: Rc<Shared>,
     catalog: Catalog,
     bounds: Bounds,
-    conns: RefCell<HashMap<u64, Rc<Conn>>>,
-    calls: RefCell<HashMap<Ticket, Held>>,
+    conns: RefCell<HashMap<u64, Rc<ClientConnection>>>,
+    calls: RefCell<HashMap<Ticket, AcceptedCall>>,
     references: RefCell<HashMap<u64, Ticket>>,
     /// When clients cancelled what, or left over it, for as long as something of it may wait to be written.
     cancelled: RefCell<HashMap<Ticket, Micros>>,
@@ -72,7 +72,7 @@
     lingering: Cell<usize>,
     /// Something was written to its end, or a connection ended.
     written: Notify,
-    dirty: RefCell<Vec<Rc<Conn>>>,
+    dirty: RefCell<Vec<Rc<ClientConnection>>>,
     pub counters: Cell<ClientCounters>,
 }
 
@@ -127,7 +127,10 @@
     /// Requests that wait for their answer, and connections that wait to be written.
     pub fn unfinished(&self) -> (usize, usize) {
         let conns = self.conns.borrow();
-        (self.calls.borrow().len(), conns.values().filter(|c| !c.session.borrow().out().is_empty()).count())
+        (
+            self.calls.borrow().len(),
+            conns.values().filter(|c| !c.session.borrow().output().is_empty()).count(),
+        )
     }
 
     pub fn connections(&self) -> usize {
@@ -140,7 +143,7 @@
     }
 
     /// Closes connections whose clients are silent.
-    pub fn tend(&self) {
+    pub fn on_tick(&self) {
         self.forget_cancelled();
         let now = self.shared.clock.now();
         for conn in self.conns.borrow().values() {
--- a/crates/platform/src/clients/talk.rs
+++ b/crates/platform/src/clients/talk.rs
@@ -1,25 +1,25 @@
 //! One client's connection: read into its session, its answers written, closed in order.
 
-use super::{finish::Socket, sockets, Clients, Conn};
+use super::{finish::Socket, sockets, ClientConnection, Clients};
 use crate::shared::Shared;
-use stagehoist_gateway::state::News;
+use stagehoist_gateway::state::Input;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
 /// A connection that is closed over what it sent is read on for so long and so much, so that the error reaches it.
-const LINGER: (Duration, usize) = (Duration::from_millis(250), 1 << 20);
+const LINGER_LIMITS: (Duration, usize) = (Duration::from_millis(250), 1 << 20);
 /// How soon a client's leaving is seen while nothing is read from it.
 const LEFT_WITHIN: Duration = Duration::from_millis(50);
 
 impl Clients {
-    pub(super) async fn talk(self: Rc<Self>, conn: Rc<Conn>) {
+    pub(super) async fn talk(self: Rc<Self>, conn: Rc<ClientConnection>) {
         let mut retired = false;
         loop {
             let (read, write, closing) = {
                 let session = conn.session.borrow();
-                (session.wants_read(), !session.out().is_empty(), session.is_closing())
+                (session.wants_read(), !session.output().is_empty(), session.is_closing())
             };
             if conn.over.get() || retired || (closing && !write) {
                 break;
@@ -50,12 +50,12 @@
                 if self.read_all(&conn, &mut news) == Socket::Over {
                     conn.over.set(true);
                 }
-                conn.news.borrow_mut().extend(news);
+                conn.inputs.borrow_mut().extend(news);
                 retired = conn.session.borrow().is_over(self.shared.clock.now());
             }
             if conn.session.borrow().can_resume() {
                 let news = self.receive(&conn, b"");
-                conn.news.borrow_mut().extend(news);
+                conn.inputs.borrow_mut().extend(news);
             }
             self.pass_on(&conn).await;
         }
@@ -64,8 +64,8 @@
         let in_order = retired || conn.session.borrow().is_closing();
         let lingers = in_order && !conn.over.get() && self.lingering.get() < self.bounds.clients / 4;
         conn.session.borrow_mut().close(&mut said);
-        let news = self.heard(&conn, said, self.shared.read_time());
-        conn.news.borrow_mut().extend(news);
+        let news = self.on_client_events(&conn, said, self.shared.read_time());
+        conn.inputs.borrow_mut().extend(news);
         self.pass_on(&conn).await;
         if lingers {
             self.lingering.set(self.lingering.get() + 1);
@@ -77,16 +77,16 @@
         self.shared.descriptors.freed();
     }
 
-    async fn pass_on(&self, conn: &Conn) {
+    async fn pass_on(&self, conn: &ClientConnection) {
         loop {
-            let Some(item) = conn.news.borrow_mut().pop_front() else { return };
+            let Some(item) = conn.inputs.borrow_mut().pop_front() else { return };
             // A driver that ended needs no news.
-            let _ = self.shared.news.send(item).await;
+            let _ = self.shared.inputs.send(item).await;
         }
     }
 
     /// False once the client is gone.
-    fn read(&self, conn: &Rc<Conn>) -> bool {
+    fn read(&self, conn: &Rc<ClientConnection>) -> bool {
         let mut scratch = self.shared.scratch.borrow_mut();
         let n = match conn.stream.try_read(&mut scratch) {
             Ok(0) => return false,
@@ -96,13 +96,13 @@
         };
         let news = self.receive(conn, &scratch[..n]);
         drop(scratch);
-        conn.news.borrow_mut().extend(news);
-        let waits = !conn.session.borrow().out().is_empty();
+        conn.inputs.borrow_mut().extend(news);
+        let waits = !conn.session.borrow().output().is_empty();
         !waits || self.flush(conn)
     }
 
     /// What these bytes mean; answers that are owed at once wait to be written.
-    pub(super) fn receive(&self, conn: &Rc<Conn>, bytes: &[u8]) -> Vec<News> {
+    pub(super) fn receive(&self, conn: &Rc<ClientConnection>, bytes: &[u8]) -> Vec<Input> {
         let time = self.shared.read_time();
         let mut said = Vec::new();
         {
@@ -118,11 +118,11 @@
                 self.count(|c| c.unreadable += 1);
             }
         }
-        self.heard(conn, said, time)
+        self.on_client_events(conn, said, time)
     }
 
     /// Writes what the turn brought.
-    pub fn turned(&self) {
+    pub fn flush_all(&self) {
         let dirty = std::mem::take(&mut *self.dirty.borrow_mut());
         for conn in dirty {
             conn.dirty.set(false);
@@ -130,17 +130,17 @@
                 conn.over.set(true);
             }
             let session = conn.session.borrow();
-            if conn.over.get() || !session.out().is_empty() || session.can_resume() {
+            if conn.over.get() || !session.output().is_empty() || session.can_resume() {
                 conn.wake.notify_one();
             }
         }
     }
 
     /// False once the client is gone.
-    pub(super) fn flush(&self, conn: &Conn) -> bool {
+    pub(super) fn flush(&self, conn: &ClientConnection) -> bool {
         let mut session = conn.session.borrow_mut();
-        while !session.out().is_empty() {
-            match conn.stream.try_write(session.out()) {
+        while !session.output().is_empty() {
+            match conn.stream.try_write(session.output()) {
                 Ok(n) => session.wrote(n, self.shared.clock.now()),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return true,
                 Err(_) => return false,
@@ -157,7 +157,7 @@
     sockets::end_writing(stream);
     let drop_all = async {
         let mut dropped = 0;
-        while dropped < LINGER.1 && stream.readable().await.is_ok() {
+        while dropped < LINGER_LIMITS.1 && stream.readable().await.is_ok() {
             let mut scratch = shared.scratch.borrow_mut();
             match stream.try_read(&mut scratch) {
                 Ok(0) => return,
@@ -167,5 +167,5 @@
             }
         }
     };
-    let _ = tokio::time::timeout(LINGER.0, drop_all).await;
+    let _ = tokio::time::timeout(LINGER_LIMITS.0, drop_all).await;
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -3,12 +3,12 @@
 
 use crate::fields;
 pub use crate::flat::flatten;
-use crate::roster::{Event, Known};
+use crate::roster::{EndpointEvent, KnownEndpoints};
 use rustix::fs::OFlags;
 use serde::Deserialize;
 use serde_json::Value;
 use stagehoist::{wire, Micros, Settings};
-use stagehoist_gateway::state::Figures;
+use stagehoist_gateway::state::CoreSettings;
 use std::collections::BTreeSet;
 use std::fs::File;
 use std::io::{self, Read};
@@ -35,7 +35,7 @@
     seed: String,
     limits: Limits,
     bus: String,
-    known: Known,
+    known: KnownEndpoints,
     settings: Value,
 }
 
@@ -60,7 +60,7 @@
 }
 
 /// An order to load counts as lost after this time at least.
-const ORDER_LEAST: Micros = 1_000_000;
+const MIN_LOAD_TIMEOUT: Micros = 1_000_000;
 
 /// A class as clients name it.
 #[derive(Clone, Debug, PartialEq)]
@@ -72,14 +72,14 @@
 
 /// The configuration, checked and translated.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct PlatformSettings {
     pub name: String,
     pub listen: SocketAddr,
     pub seed: u64,
     pub limits: Limits,
     pub bus: SocketAddr,
     /// The events of the start in their order, and the number of the last.
-    pub known: (Vec<Event>, u64),
+    pub known: (Vec<EndpointEvent>, u64),
     /// The settings as they were told, one line each.
     pub lines: String,
     pub settings: Settings,
@@ -88,30 +88,30 @@
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
     /// Names of the values in a load report, in the order of the settings.
-    pub report: Vec<String>,
+    pub report_fields: Vec<String>,
     /// Requests that one connection to an executor carries.
     pub streams: usize,
     pub idle_close: Micros,
-    pub held_most: u64,
-    pub memory_most_mb: f64,
+    pub max_calls: u64,
+    pub max_memory_mb: f64,
 }
 
-impl Told {
+impl PlatformSettings {
     /// Reads the file that `GW_CONFIG` names.
-    pub fn read() -> Result<Told, ConfigError> {
+    pub fn read() -> Result<PlatformSettings, ConfigError> {
         let path = std::env::var("GW_CONFIG").map_err(|_| ConfigError::Unset)?;
         let text = std::fs::read_to_string(&path).map_err(|error| ConfigError::Read { path, error })?;
-        Told::parse(&text)
+        PlatformSettings::parse(&text)
     }
 
     /// Reads it again while the process runs.
-    pub fn read_again() -> Result<Told, ConfigError> {
-        Told::read_plain(&std::env::var("GW_CONFIG").map_err(|_| ConfigError::Unset)?)
+    pub fn read_again() -> Result<PlatformSettings, ConfigError> {
+        PlatformSettings::read_plain(&std::env::var("GW_CONFIG").map_err(|_| ConfigError::Unset)?)
     }
 
     /// Reads a plain file only: opening a pipe waits for its writer, and calls would wait with it. So it is opened without
     /// waiting, and what was opened is looked at: what stands under the path may be another file by then.
-    pub fn read_plain(path: &str) -> Result<Told, ConfigError> {
+    pub fn read_plain(path: &str) -> Result<PlatformSettings, ConfigError> {
         let read = || {
             let flags = OFlags::NONBLOCK.bits() as i32;
             let mut file = File::options().read(true).custom_flags(flags).open(path)?;
@@ -122,11 +122,11 @@
             file.read_to_string(&mut text)?;
             Ok(text)
         };
-        Told::parse(&read().map_err(|error| ConfigError::Read { path: path.into(), error })?)
+        PlatformSettings::parse(&read().map_err(|error| ConfigError::Read { path: path.into(), error })?)
     }
 
     /// Names what differs in `new`, but for the address of the bus and what is new each time: the seed and the events so far.
-    pub fn differs(&self, new: &Told) -> Vec<String> {
+    pub fn differs(&self, new: &PlatformSettings) -> Vec<String> {
         let mut fields = Vec::new();
         let plain = [
             ("name", self.name == new.name),
@@ -134,7 +134,7 @@
             ("limits", self.limits == new.limits),
         ];
         fields.extend(plain.iter().filter(|f| !f.1).map(|f| f.0.to_string()));
-        let lines = |told: &Told| told.lines.lines().map(str::to_string).collect::<BTreeSet<_>>();
+        let lines = |told: &PlatformSettings| told.lines.lines().map(str::to_string).collect::<BTreeSet<_>>();
         let (old, new) = (lines(self), lines(new));
         let path = |line: &String| format!("settings.{}", line.split('=').next().unwrap_or_default());
         let changed: BTreeSet<String> = old.symmetric_difference(&new).map(path).collect();
@@ -143,7 +143,7 @@
     }
 
     /// Checks and translates a configuration.
-    pub fn parse(text: &str) -> Result<Told, ConfigError> {
+    pub fn parse(text: &str) -> Result<PlatformSettings, ConfigError> {
         let file: Document = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(text))?;
         let field =
             |field, what: &dyn std::fmt::Display| ConfigError::Field { field, what: what.to_string() };
@@ -153,7 +153,7 @@
         let lines = flatten(&file.settings);
         let mut settings = wire::parse_settings(&lines).map_err(|e| field("settings", &e))?;
         // Here an order counts when it has arrived whole, at the latest when it counts as lost.
-        settings.load_delay = settings.load_timeout.max(ORDER_LEAST);
+        settings.load_delay = settings.load_timeout.max(MIN_LOAD_TIMEOUT);
         let list = |key: &str| -> Vec<String> {
             let items = file.settings.get(key).and_then(Value::as_array);
             items.into_iter().flatten().map(name_of).collect()
@@ -181,17 +181,17 @@
         let report = file.settings.get("load_info").and_then(|l| l.get("fields")?.as_array());
         let memory = file.settings.get("specifics").and_then(|s| s.get("ram_mb_by_kind")?.as_array());
         let memory = memory.into_iter().flatten().filter_map(Value::as_f64).fold(0.0, f64::max);
-        Ok(Told {
+        Ok(PlatformSettings {
             listen: address("listen", &file.listen)?,
             seed: fields::hex16(file.seed.as_bytes()).ok_or_else(|| field("seed", &"not 16 hex digits"))?,
             bus: address("bus", &file.bus)?,
             known: (events, file.known.offset),
-            report: report.into_iter().flatten().map(name_of).collect(),
+            report_fields: report.into_iter().flatten().map(name_of).collect(),
             streams: number("limits", "multiplex").map_or(1, |n| n.clamp(1.0, 1024.0) as usize),
             idle_close: (number("limits", "idle_close").unwrap_or(10_000.0).clamp(100.0, 1e9) * 1000.0)
                 as Micros,
-            held_most: number("limits", "most_held").map_or(20_000, |n| n.clamp(1.0, 1e6) as u64),
-            memory_most_mb: if memory > 0.0 { memory } else { 1e9 },
+            max_calls: number("limits", "most_held").map_or(20_000, |n| n.clamp(1.0, 1e6) as u64),
+            max_memory_mb: if memory > 0.0 { memory } else { 1e9 },
             name: file.name,
             limits: file.limits,
             tenants: list("parties"),
@@ -204,19 +204,19 @@
     }
 
     /// What the front end's state is told.
-    pub fn figures(&self) -> Figures {
-        Figures {
+    pub fn core_settings(&self) -> CoreSettings {
+        CoreSettings {
             settings: self.settings.clone(),
             kinds: self.kinds.clone(),
             zones: self.zones.clone(),
-            announcement_keep: 0,
-            workers_most: None,
-            held_most: self.held_most,
-            retry_after_most: self.settings.max_retry_after,
+            announcement_retention: 0,
+            max_workers: None,
+            max_calls: self.max_calls,
+            max_retry_after: self.settings.max_retry_after,
             load_timeout: self.settings.load_delay,
             // The module forgets functions after eight times the keep-alive.
-            names: (50_000, (10 * self.settings.idle_retention).max(30_000_000)),
-            stop_when_gone: true,
+            name_limits: (50_000, (10 * self.settings.idle_retention).max(30_000_000)),
+            cancel_when_gone: true,
         }
     }
 
--- a/crates/platform/src/config/tests.rs
+++ b/crates/platform/src/config/tests.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_configuration_says_what_the_simulators_first_message_says() {
-    let told = Told::parse(TEXT).unwrap();
+    let told = PlatformSettings::parse(TEXT).unwrap();
     let s = &told.settings;
     assert_eq!((s.front_ends, s.max_attempts, s.tick, s.idle_retention), (3, 3, 1000, 4_000_000));
     assert_eq!(
@@ -20,10 +20,10 @@
     );
     assert_eq!((s.memory_mb.clone(), s.load_window), (vec![4096.0], 10_000_000));
     assert_eq!((told.tenants[1].as_str(), told.classes[1].hard_limit), ("other corp", 2_500_000));
-    assert_eq!((told.streams, told.held_most, told.seed), (32, 2000, 0x8c1f_30d2_7a5b_e964));
+    assert_eq!((told.streams, told.max_calls, told.seed), (32, 2000, 0x8c1f_30d2_7a5b_e964));
     let (events, last) = &told.known;
     assert_eq!((events.len(), events[0].number, *last), (2, 1, 2));
-    assert_eq!((events[0].told[0].row.zone, events[0].told.len()), (1, 2));
+    assert_eq!((events[0].endpoints[0].endpoint.zone, events[0].endpoints.len()), (1, 2));
 }
 
 #[test]
@@ -48,7 +48,7 @@
         ("\"hard_limit\":2000.0", "\"hard\":1", "classes"),
     ] {
         assert!(TEXT.contains(from), "{from}");
-        let error = Told::parse(&TEXT.replace(from, to)).unwrap_err().to_string();
+        let error = PlatformSettings::parse(&TEXT.replace(from, to)).unwrap_err().to_string();
         assert!(error.starts_with("GW_CONFIG: ") && error.contains(named), "{error}");
     }
 }
--- a/crates/platform/src/descriptors.rs
+++ b/crates/platform/src/descriptors.rs
@@ -13,9 +13,9 @@
 use tokio::time::{timeout, timeout_at, Instant};
 
 /// A wait for a descriptor is looked at again after so long: what was let go of may have been closed a turn later.
-pub const LOOK_AGAIN: Duration = Duration::from_millis(20);
+pub const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// The log tells of refusals as often at most.
-const TELL_AGAIN: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// Clients wait behind executors' connections for so long at most.
 const EXECUTORS_FIRST: Duration = Duration::from_millis(100);
 
@@ -30,16 +30,16 @@
 }
 
 /// One who holds descriptors.
-pub trait Holder {
+pub trait DescriptorHolder {
     /// So many now.
-    fn held(&self) -> usize;
+    fn open_connections(&self) -> usize;
     /// Lets go of an idle connection soon; false where all are at work.
-    fn make_way(&self) -> bool;
+    fn release_one(&self) -> bool;
 }
 
 /// Whom the system refused one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum Refusal {
     Client,
     Executor,
     Bus,
@@ -48,9 +48,9 @@
 /// Who holds descriptors and who waits for one.
 #[derive(Default)]
 pub struct Descriptors {
-    /// When it was last told in the log that one was refused, for each of [`Refused`].
-    told: [Cell<Option<Instant>>; 3],
-    holders: RefCell<Vec<Weak<dyn Holder>>>,
+    /// When it was last told in the log that one was refused, for each of [`Refusal`].
+    last_logged: [Cell<Option<Instant>>; 3],
+    holders: RefCell<Vec<Weak<dyn DescriptorHolder>>>,
     /// Connections to executors that wait for one.
     waiting: Cell<usize>,
     /// Connections that make way and are not closed yet.
@@ -73,15 +73,15 @@
 
 impl Descriptors {
     /// Adds one who holds some.
-    pub fn add<H: Holder + 'static>(&self, holder: &Rc<H>) {
+    pub fn add<H: DescriptorHolder + 'static>(&self, holder: &Rc<H>) {
         let holder: Weak<H> = Rc::downgrade(holder);
         self.holders.borrow_mut().push(holder);
     }
 
     /// The system refused one: every descriptor that the process may have is open at this instant.
-    pub fn refused(&self, whom: Refused) {
-        let (told, now) = (&self.told[whom as usize], Instant::now());
-        if told.get().is_none_or(|at| now - at >= TELL_AGAIN) {
+    pub fn refused(&self, whom: Refusal) {
+        let (told, now) = (&self.last_logged[whom as usize], Instant::now());
+        if told.get().is_none_or(|at| now - at >= LOG_INTERVAL) {
             told.set(Some(now));
             tracing::warn!(?whom, most = most(), "the system refuses a descriptor");
         }
@@ -89,14 +89,14 @@
 
     /// Sees to it that one is let go of beyond those that others wait for: an idle connection makes way, of whoever holds
     /// more. False where all are at work.
-    pub fn make_way(&self) -> bool {
+    pub fn release_one(&self) -> bool {
         if self.coming.get() > self.waiting.get() {
             return true;
         }
-        let mut holders: Vec<Rc<dyn Holder>> =
+        let mut holders: Vec<Rc<dyn DescriptorHolder>> =
             self.holders.borrow().iter().filter_map(Weak::upgrade).collect();
-        holders.sort_by_key(|h| Reverse(h.held()));
-        let comes = holders.iter().any(|h| h.make_way());
+        holders.sort_by_key(|h| Reverse(h.open_connections()));
+        let comes = holders.iter().any(|h| h.release_one());
         self.coming.set(self.coming.get() + usize::from(comes));
         comes
     }
@@ -114,14 +114,14 @@
         let place = Place(self);
         self.changed.notify_one();
         // The caller looks for itself.
-        let _ = timeout(LOOK_AGAIN, self.freed.notified()).await;
+        let _ = timeout(RETRY_INTERVAL, self.freed.notified()).await;
         drop(place);
     }
 
     /// Waits a while for one, behind executors' connections.
     pub async fn wait_last(&self) {
         // The caller looks for itself.
-        let _ = timeout(LOOK_AGAIN, self.freed.notified()).await;
+        let _ = timeout(RETRY_INTERVAL, self.freed.notified()).await;
         self.executors_first().await;
     }
 
--- a/crates/platform/src/executors/choice.rs
+++ b/crates/platform/src/executors/choice.rs
@@ -1,9 +1,9 @@
 //! Which connection a request goes to, and when a further one is opened.
 
-use super::links::{Link, State};
+use super::links::{Connection, State};
 use super::Executors;
-use crate::descriptors::Holder;
-use crate::line::{End, Line};
+use crate::descriptors::DescriptorHolder;
+use crate::line::{Closure, ConnectionState};
 use socket2::SockRef;
 use stagehoist::WorkerId;
 use std::cell::{Cell, RefCell};
@@ -17,15 +17,15 @@
 
 impl Executors {
     /// Opens a connection, off the path of calls.
-    fn open(self: &Rc<Self>, worker: WorkerId) -> Option<Rc<Link>> {
-        if self.links.get() >= self.bounds.executors && !self.spare_one(Some(worker)) {
+    fn open(self: &Rc<Self>, worker: WorkerId) -> Option<Rc<Connection>> {
+        if self.links.get() >= self.bounds.executors && !self.release_for(Some(worker)) {
             return None;
         }
         let mut executors = self.executors.borrow_mut();
         let executor = executors.get_mut(&worker)?;
-        let link = Rc::new(Link {
+        let link = Rc::new(Connection {
             worker,
-            line: RefCell::new(Line::new(self.shared.clock.now())),
+            line: RefCell::new(ConnectionState::new(self.shared.clock.now())),
             stream: RefCell::default(),
             wake: Notify::new(),
             state: Cell::new(State::Connecting),
@@ -39,13 +39,13 @@
     }
 
     /// Closes an idle connection, of another executor than this one.
-    fn spare_one(&self, but: Option<WorkerId>) -> bool {
+    fn release_for(&self, but: Option<WorkerId>) -> bool {
         let executors = self.executors.borrow();
         let idle = executors.iter().filter(|(w, _)| Some(**w) != but).flat_map(|(_, e)| &e.links);
         let idle = idle.filter(|l| l.state.get() == State::Up && l.line.borrow().is_idle());
         match idle.min_by_key(|l| l.line.borrow().active()) {
             Some(link) => {
-                link.end(End::Broken);
+                link.end(Closure::Broken);
                 true
             }
             None => false,
@@ -54,12 +54,12 @@
 
     /// A connection for a request: an idle one, else one with room, else one in its handshake, else a new one. Connections
     /// come by need: a further one only where none stood idle, as every front end holds some at every executor.
-    pub(super) fn pick(self: &Rc<Self>, worker: WorkerId, id: Option<u64>) -> Option<Rc<Link>> {
+    pub(super) fn pick(self: &Rc<Self>, worker: WorkerId, id: Option<u64>) -> Option<Rc<Connection>> {
         let (chosen, spare) = {
             let executors = self.executors.borrow();
             let executor = executors.get(&worker)?;
             let each = self.bounds.each(executors.values().filter(|e| e.ready).count());
-            let usable = |l: &&Rc<Link>| {
+            let usable = |l: &&Rc<Connection>| {
                 let line = l.line.borrow();
                 let room = line.attempts() < self.limits.streams && !id.is_some_and(|id| line.has(id));
                 room && !l.moved.get()
@@ -74,7 +74,7 @@
                 }
                 // Found dead before anything is written.
                 if is_dead(link) {
-                    link.end(End::Broken);
+                    link.end(Closure::Broken);
                     continue;
                 }
                 let active = link.line.borrow().active();
@@ -100,18 +100,18 @@
     }
 }
 
-impl Holder for Executors {
-    fn held(&self) -> usize {
+impl DescriptorHolder for Executors {
+    fn open_connections(&self) -> usize {
         self.connections()
     }
 
-    fn make_way(&self) -> bool {
-        self.spare_one(None)
+    fn release_one(&self) -> bool {
+        self.release_for(None)
     }
 }
 
 /// Whether the other side closed a connection on which nothing more is to be read: what the socket knows already, asked without waiting.
-pub(super) fn is_dead(link: &Link) -> bool {
+pub(super) fn is_dead(link: &Connection) -> bool {
     let Some(stream) = link.stream.borrow().clone() else { return true };
     match SockRef::from(&*stream).peek(&mut [MaybeUninit::uninit(); 1]) {
         Ok(0) => true,
--- a/crates/platform/src/executors/handshake.rs
+++ b/crates/platform/src/executors/handshake.rs
@@ -1,8 +1,8 @@
 //! A connection to an executor on its way up, for want of descriptors too.
 
-use super::links::{Link, State};
+use super::links::{Connection, State};
 use super::Executors;
-use crate::descriptors::{is_want, Refused};
+use crate::descriptors::{is_want, Refusal};
 use std::cell::Cell;
 use std::io;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 impl Executors {
     /// What came up in time, and whether it was the want of a descriptor that kept it down.
-    pub(super) async fn handshake(&self, link: &Link, address: &str) -> (Option<TcpStream>, bool) {
+    pub(super) async fn handshake(&self, link: &Connection, address: &str) -> (Option<TcpStream>, bool) {
         let limit = Duration::from_micros(self.limits.connect_timeout as u64);
         let wants = Cell::new(false);
         let connecting = tokio::time::timeout(limit, self.connect(link, address, &wants));
@@ -28,15 +28,15 @@
     }
 
     /// Waits for a descriptor where the system has none and another connection makes way; `wants` tells that it had none.
-    async fn connect(&self, link: &Link, address: &str, wants: &Cell<bool>) -> io::Result<TcpStream> {
+    async fn connect(&self, link: &Connection, address: &str, wants: &Cell<bool>) -> io::Result<TcpStream> {
         loop {
             wants.set(false);
             match TcpStream::connect(address).await {
                 Err(error) if is_want(&error) => {
                     wants.set(true);
-                    self.shared.descriptors.refused(Refused::Executor);
+                    self.shared.descriptors.refused(Refusal::Executor);
                     // One beside others that nothing waits for is worth no one's.
-                    if link.line.borrow().is_idle() || !self.shared.descriptors.make_way() {
+                    if link.line.borrow().is_idle() || !self.shared.descriptors.release_one() {
                         return Err(error);
                     }
                     self.shared.descriptors.wait_first().await;
--- a/crates/platform/src/executors/mod.rs
+++ b/crates/platform/src/executors/mod.rs
@@ -9,11 +9,11 @@
 
 use crate::bounds::Bounds;
 use crate::clients::Shared;
-use crate::line::End;
-use links::{Link, State};
+use crate::line::Closure;
+use links::{Connection, State};
 use stagehoist::{EndpointUpdate, Lifecycle, Micros, RequestId, WorkerId};
-use stagehoist_endpoints::Told;
-use stagehoist_gateway::state::{News, Ticket};
+use stagehoist_endpoints::NumberedEndpoint;
+use stagehoist_gateway::state::{Input, Ticket};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 struct Executor {
     address: Rc<str>,
     ready: bool,
-    links: Vec<Rc<Link>>,
+    links: Vec<Rc<Connection>>,
 }
 
 /// Settings that the executors' side needs.
@@ -51,24 +51,24 @@
 }
 
 /// Those whose requests are sent on.
-pub trait Callers {
+pub trait ClientLookup {
     /// Whether the client of this call still waits for it, by all that has reached this process.
-    fn ask(&self, ticket: Ticket) -> Caller;
+    fn presence(&self, ticket: Ticket) -> ClientPresence;
 }
 
 /// What is known of a call's client in the instant before an attempt begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Caller {
+pub enum ClientPresence {
     /// Its socket was read to its end, and it waits.
-    Waits,
+    Waiting,
     /// It cancelled the call or is gone.
-    Left,
+    Gone,
     /// Its socket was not read to its end: what it cancelled may lie there, so nothing begins for it.
-    Unheard,
+    Unread,
 }
 
-struct Flying {
-    link: Rc<Link>,
+struct InFlight {
+    link: Rc<Connection>,
     id: (u64, Rc<str>),
     ticket: Ticket,
     begin_by: Micros,
@@ -77,30 +77,35 @@
 /// All executors of a front end.
 pub struct Executors {
     shared: Rc<Shared>,
-    callers: Rc<dyn Callers>,
+    callers: Rc<dyn ClientLookup>,
     limits: Limits,
     bounds: Bounds,
     executors: RefCell<HashMap<WorkerId, Executor>>,
-    flying: RefCell<HashMap<(RequestId, u16), Flying>>,
+    in_flight_attempts: RefCell<HashMap<(RequestId, u16), InFlight>>,
     links: Cell<usize>,
-    dirty: RefCell<Vec<Rc<Link>>>,
+    dirty: RefCell<Vec<Rc<Connection>>>,
     /// News that arose while choices were carried out.
-    late_news: RefCell<VecDeque<News>>,
+    late_inputs: RefCell<VecDeque<Input>>,
     pub counters: Cell<ExecutorCounters>,
 }
 
 impl Executors {
-    pub fn new(shared: Rc<Shared>, callers: Rc<dyn Callers>, limits: Limits, bounds: Bounds) -> Executors {
+    pub fn new(
+        shared: Rc<Shared>,
+        callers: Rc<dyn ClientLookup>,
+        limits: Limits,
+        bounds: Bounds,
+    ) -> Executors {
         Executors {
             shared,
             callers,
             limits,
             bounds,
             executors: RefCell::default(),
-            flying: RefCell::default(),
+            in_flight_attempts: RefCell::default(),
             links: Cell::new(0),
             dirty: RefCell::default(),
-            late_news: RefCell::default(),
+            late_inputs: RefCell::default(),
             counters: Cell::default(),
         }
     }
@@ -125,17 +130,17 @@
     }
 
     /// What the event bus told. What waits for an executor that takes nothing new is withdrawn at once.
-    pub fn told(&self, form: EndpointUpdate, told: &[Told]) -> Vec<News> {
+    pub fn apply(&self, form: EndpointUpdate, told: &[NumberedEndpoint]) -> Vec<Input> {
         let now = self.shared.clock.now();
         let mut news = Vec::new();
         let mut executors = self.executors.borrow_mut();
         if form != EndpointUpdate::Delta {
-            let listed: HashSet<WorkerId> = told.iter().map(|t| t.row.worker).collect();
+            let listed: HashSet<WorkerId> = told.iter().map(|t| t.endpoint.worker).collect();
             executors.iter_mut().filter(|(w, _)| !listed.contains(w)).for_each(|(_, e)| e.ready = false);
         }
         for t in told {
-            let ready = t.row.lifecycle == Lifecycle::Ready;
-            let entry = executors.entry(t.row.worker).or_insert_with(|| Executor {
+            let ready = t.endpoint.lifecycle == Lifecycle::Ready;
+            let entry = executors.entry(t.endpoint.worker).or_insert_with(|| Executor {
                 address: "".into(),
                 ready,
                 links: Vec::new(),
@@ -147,23 +152,23 @@
                 entry.links.iter().for_each(|l| l.moved.set(true));
             }
         }
-        let over = |e: &Executor, l: &Link| !e.ready || l.moved.get();
+        let over = |e: &Executor, l: &Connection| !e.ready || l.moved.get();
         for link in executors.values().flat_map(|e| e.links.iter().filter(|l| over(e, l))) {
             link.line.borrow_mut().withdraw(now, &mut news);
             if link.line.borrow().is_idle() || (link.moved.get() && link.state.get() == State::Connecting) {
-                link.end(End::Broken);
+                link.end(Closure::Broken);
             }
         }
         executors.retain(|_, e| e.ready || !e.links.is_empty());
-        self.settled(&news);
+        self.on_ended(&news);
         news
     }
 
     /// These attempts are over.
-    fn settled(&self, news: &[News]) {
-        let mut flying = self.flying.borrow_mut();
+    fn on_ended(&self, news: &[Input]) {
+        let mut flying = self.in_flight_attempts.borrow_mut();
         for item in news {
-            if let News::Attempt { request, attempt, .. } = item {
+            if let Input::AttemptEnded { request, attempt, .. } = item {
                 flying.remove(&(*request, *attempt));
             }
         }
--- a/crates/platform/src/executors/orders.rs
+++ b/crates/platform/src/executors/orders.rs
@@ -1,26 +1,26 @@
 //! Choices carried out: attempts, probes, orders.
 
-use super::links::Link;
-use super::{Executors, Flying};
+use super::links::Connection;
+use super::{Executors, InFlight};
 use crate::fields;
-use crate::line::{End, What};
+use crate::line::{Closure, Exchange};
 use stagehoist::{FunctionId, Outcome, RequestId, WorkerId};
-use stagehoist_gateway::state::{Attempt, AttemptResult, News};
+use stagehoist_gateway::state::{Attempt, AttemptResult, Input};
 use std::rc::Rc;
 
 impl Executors {
-    fn mark(&self, link: Rc<Link>) {
+    fn mark_dirty(&self, link: Rc<Connection>) {
         if !link.dirty.replace(true) {
             self.dirty.borrow_mut().push(link);
         }
     }
 
-    /// Begins an attempt; its end comes as [`News::Attempt`].
+    /// Begins an attempt; its end comes as [`Input::Attempt`].
     pub fn attempt(self: &Rc<Self>, attempt: Attempt) {
         let (request, number) = (attempt.request, attempt.attempt);
         if let Err(outcome) = self.begin(attempt) {
-            let result = AttemptResult::bare(outcome);
-            self.late_news.borrow_mut().push_back(News::Attempt { request, attempt: number, result });
+            let result = AttemptResult::without_answer(outcome);
+            self.late_inputs.borrow_mut().push_back(Input::AttemptEnded { request, attempt: number, result });
         }
     }
 
@@ -38,49 +38,50 @@
         }
         let Some(link) = self.pick(attempt.worker, Some(id)) else { return Err(Outcome::Full) };
         let now = self.shared.clock.now();
-        let wait = ((attempt.due - now) / 1000).max(1);
+        let wait = ((attempt.deadline - now) / 1000).max(1);
         let list = format!("class={class},key={},wait={wait}", attempt.function);
-        let what = What::Attempt { request: attempt.request, attempt: attempt.attempt };
-        let queued = link.line.borrow_mut().run((id, &attempt.correlation), &list, &attempt.body, what, now);
+        let what = Exchange::Attempt { request: attempt.request, attempt: attempt.attempt };
+        let queued =
+            link.line.borrow_mut().send_request((id, &attempt.correlation), &list, &attempt.body, what, now);
         if !queued {
             return Err(Outcome::ConnectFailed);
         }
-        let flying = Flying {
+        let flying = InFlight {
             link: link.clone(),
             id: (id, attempt.correlation),
             ticket: attempt.ticket,
-            begin_by: attempt.begin_by,
+            begin_by: attempt.start_by,
         };
-        self.flying.borrow_mut().insert((attempt.request, attempt.attempt), flying);
-        self.mark(link);
+        self.in_flight_attempts.borrow_mut().insert((attempt.request, attempt.attempt), flying);
+        self.mark_dirty(link);
         Ok(())
     }
 
     /// Gives up an attempt; nothing more is heard of it.
     pub fn abort(&self, request: RequestId, attempt: u16) {
-        let Some(flying) = self.flying.borrow_mut().remove(&(request, attempt)) else { return };
+        let Some(flying) = self.in_flight_attempts.borrow_mut().remove(&(request, attempt)) else { return };
         let ends = self.stop(&mut flying.link.line.borrow_mut(), (flying.id.0, &flying.id.1));
         if ends {
-            return flying.link.end(End::Poisoned);
+            return flying.link.end(Closure::ProtocolViolated);
         }
-        self.mark(flying.link);
+        self.mark_dirty(flying.link);
     }
 
-    /// Asks an executor for its load; the answer comes as [`News::Probed`].
+    /// Asks an executor for its load; the answer comes as [`Input::Probed`].
     pub fn probe(self: &Rc<Self>, worker: WorkerId) {
         let sent = self.shared.clock.now();
         match self.pick(worker, None) {
             Some(link) => {
                 let report = !self.limits.report.is_empty();
-                link.line.borrow_mut().probe(report, What::Probe { worker, sent }, sent);
-                self.mark(link);
+                link.line.borrow_mut().send_health_check(report, Exchange::Probe { worker, sent }, sent);
+                self.mark_dirty(link);
             }
             None => {
                 // For want of descriptors of its own it speaks against no executor; one that is not listed is gone.
                 let listed = self.executors.borrow().contains_key(&worker);
                 let outcome = if listed { Outcome::Full } else { Outcome::ConnectFailed };
                 let (report, draining) = (None, None);
-                self.late_news.borrow_mut().push_back(News::Probed {
+                self.late_inputs.borrow_mut().push_back(Input::HealthChecked {
                     worker,
                     sent,
                     outcome,
@@ -91,22 +92,22 @@
         }
     }
 
-    /// Orders copies of a function; the answer comes as [`News::Loaded`].
+    /// Orders copies of a function; the answer comes as [`Input::Loaded`].
     pub fn load(self: &Rc<Self>, worker: WorkerId, function: FunctionId, name: &str, copies: u8) {
         let sent = self.shared.clock.now();
         let ready = self.executors.borrow().get(&worker).is_some_and(|e| e.ready);
         let link = if ready || copies == 0 { self.pick(worker, None) } else { None };
         match link {
             Some(link) => {
-                let what = What::Load { worker, function, sent };
-                link.line.borrow_mut().hold(name, copies, what, sent);
+                let what = Exchange::Load { worker, function, sent };
+                link.line.borrow_mut().send_load(name, copies, what, sent);
                 // Its task sets an alarm for when this counts as lost.
                 link.wake.notify_one();
-                self.mark(link);
+                self.mark_dirty(link);
             }
             None => {
                 let (outcome, copies) = (Outcome::ConnectFailed, 0);
-                self.late_news.borrow_mut().push_back(News::Loaded {
+                self.late_inputs.borrow_mut().push_back(Input::Loaded {
                     worker,
                     function,
                     sent,
@@ -120,20 +121,20 @@
     /// Has idle copies unloaded; nothing is heard of it.
     pub fn unload(self: &Rc<Self>, worker: WorkerId, name: &str) {
         if let Some(link) = self.pick(worker, None) {
-            link.line.borrow_mut().free(name, self.shared.clock.now());
-            self.mark(link);
+            link.line.borrow_mut().send_unload(name, self.shared.clock.now());
+            self.mark_dirty(link);
         }
     }
 
     /// Closes idle connections to an executor.
     pub fn close_idle(&self, worker: WorkerId) {
         if let Some(executor) = self.executors.borrow().get(&worker) {
-            executor.links.iter().filter(|l| l.line.borrow().is_idle()).for_each(|l| l.end(End::Broken));
+            executor.links.iter().filter(|l| l.line.borrow().is_idle()).for_each(|l| l.end(Closure::Broken));
         }
     }
 
     /// Writes what the turn brought, and passes on what arose from it.
-    pub fn turned(&self) {
+    pub fn flush_all(&self) {
         let dirty = std::mem::take(&mut *self.dirty.borrow_mut());
         for link in dirty {
             link.dirty.set(false);
@@ -144,9 +145,10 @@
 
     /// Passes on what arose while choices were carried out.
     pub(super) fn pass_on_late(&self) {
-        let mut late = self.late_news.borrow_mut();
+        let mut late = self.late_inputs.borrow_mut();
         while let Some(item) = late.pop_front() {
-            if let Err(tokio::sync::mpsc::error::TrySendError::Full(item)) = self.shared.news.try_send(item) {
+            if let Err(tokio::sync::mpsc::error::TrySendError::Full(item)) = self.shared.inputs.try_send(item)
+            {
                 // Told with the next turn, which comes at once as the line is full.
                 late.push_front(item);
                 return;
--- a/crates/platform/src/executors/writing.rs
+++ b/crates/platform/src/executors/writing.rs
@@ -1,9 +1,9 @@
 //! Writing to a connection: each request is looked at once more in the instant before its first byte.
 
 use super::choice::is_dead;
-use super::links::{Link, State};
-use super::{Caller, Executors};
-use crate::line::{End, Line};
+use super::links::{Connection, State};
+use super::{ClientPresence, Executors};
+use crate::line::{Closure, ConnectionState};
 use stagehoist::RequestId;
 use std::io;
 
@@ -11,7 +11,7 @@
     /// Writes what the socket takes. What was chosen in an earlier turn, or before this process paused, may
     /// be wanted no more: a request is written only while its client waits by all that lies in that client's
     /// socket now.
-    pub(super) fn flush(&self, link: &Link) {
+    pub(super) fn flush(&self, link: &Connection) {
         let Some(stream) = link.stream.borrow().clone() else { return };
         if link.state.get() != State::Up {
             return;
@@ -20,14 +20,14 @@
         let mut bytes = Vec::new();
         let mut news = Vec::new();
         line.withdraw_overdue(self.shared.clock.now(), self.limits.order_timeout, &mut news);
-        self.late_news.borrow_mut().extend(news);
+        self.late_inputs.borrow_mut().extend(news);
         if line.wants_write() && is_dead(link) {
             // It was closed since it was chosen: what was not begun is known not to have run.
-            return link.end(End::Broken);
+            return link.end(Closure::Broken);
         }
         loop {
             if self.give_up_unwanted(&mut line) {
-                return link.end(End::Poisoned);
+                return link.end(Closure::ProtocolViolated);
             }
             if !line.wants_write() {
                 return;
@@ -35,31 +35,32 @@
             bytes.clear();
             line.fill(&mut bytes);
             match stream.try_write(&bytes) {
-                Ok(n) => line.wrote(n, self.shared.clock.now()),
+                Ok(n) => line.on_written(n, self.shared.clock.now()),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return link.wake.notify_one(),
-                Err(_) => return link.end(End::Broken),
+                Err(_) => return link.end(Closure::Broken),
             }
         }
     }
 
     /// Gives up what the next write would carry of requests that were cancelled, or may have been; the driver
     /// hears of it in its next turn. True where the connection is to be ended.
-    fn give_up_unwanted(&self, line: &mut Line) -> bool {
+    fn give_up_unwanted(&self, line: &mut ConnectionState) -> bool {
         line.next_calls().into_iter().any(|id| {
             let Some(attempt) = line.awaits(id).and_then(|what| what.attempt()) else { return false };
-            let flying = self.flying.borrow().get(&attempt).map(|flying| (flying.ticket, flying.begin_by));
+            let flying =
+                self.in_flight_attempts.borrow().get(&attempt).map(|flying| (flying.ticket, flying.begin_by));
             let Some((ticket, begin_by)) = flying else { return false };
-            match self.callers.ask(ticket) {
-                Caller::Waits if self.shared.clock.now() >= begin_by => {
+            match self.callers.presence(ticket) {
+                ClientPresence::Waiting if self.shared.clock.now() >= begin_by => {
                     self.count(|c| c.too_late += 1);
                     self.take_back(line, id, attempt)
                 }
-                Caller::Waits => false,
-                Caller::Left => {
-                    self.flying.borrow_mut().remove(&attempt);
+                ClientPresence::Waiting => false,
+                ClientPresence::Gone => {
+                    self.in_flight_attempts.borrow_mut().remove(&attempt);
                     self.stop(line, (id, &format!("{id:016x}")))
                 }
-                Caller::Unheard => {
+                ClientPresence::Unread => {
                     self.count(|c| c.unheard += 1);
                     self.take_back(line, id, attempt)
                 }
@@ -69,28 +70,28 @@
 
     /// Ends an attempt before it begins, as it may be unwanted or come too late. That is this side's doing: the module
     /// hears that there was no room for it. True where the connection is to be ended.
-    fn take_back(&self, line: &mut Line, id: u64, attempt: (RequestId, u16)) -> bool {
-        self.flying.borrow_mut().remove(&attempt);
+    fn take_back(&self, line: &mut ConnectionState, id: u64, attempt: (RequestId, u16)) -> bool {
+        self.in_flight_attempts.borrow_mut().remove(&attempt);
         let (now, mut news) = (self.shared.clock.now(), Vec::new());
         let ends = line.take_back(id, now, &mut news);
         if line.is_cut() && !ends {
             line.withdraw(now, &mut news);
         }
-        self.settled(&news);
-        self.late_news.borrow_mut().extend(news);
+        self.on_ended(&news);
+        self.late_inputs.borrow_mut().extend(news);
         ends
     }
 
     /// Gives up a request; what waits behind one that is not completed is withdrawn. True where the
     /// connection is to be ended.
-    pub(super) fn stop(&self, line: &mut Line, (id, text): (u64, &str)) -> bool {
+    pub(super) fn stop(&self, line: &mut ConnectionState, (id, text): (u64, &str)) -> bool {
         let now = self.shared.clock.now();
         let ends = line.stop(id, text, now, self.limits.connect_timeout);
         if line.is_cut() && !ends {
             let mut news = Vec::new();
             line.withdraw(now, &mut news);
-            self.settled(&news);
-            self.late_news.borrow_mut().extend(news);
+            self.on_ended(&news);
+            self.late_inputs.borrow_mut().extend(news);
         }
         ends
     }
--- a/crates/platform/src/follow.rs
+++ b/crates/platform/src/follow.rs
@@ -1,11 +1,11 @@
 //! The event bus' socket: one connection at a time, from the last event taken, anew after a break, silence, or word of
 //! another address.
 
-use crate::bus::Bus;
+use crate::bus::EventSubscription;
 use crate::clients::Shared;
-use crate::descriptors::{is_want, Refused};
+use crate::descriptors::{is_want, Refusal};
 use crate::executors::Executors;
-use stagehoist_gateway::state::News;
+use stagehoist_gateway::state::Input;
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 pub async fn follow(
     shared: Rc<Shared>,
     executors: Rc<Executors>,
-    mut bus: Bus,
+    mut bus: EventSubscription,
     mut address: watch::Receiver<SocketAddr>,
 ) {
     // Read and not yet handed to the driver. It outlives the connection: the next one is asked for later events only.
@@ -32,11 +32,11 @@
         let socket = unconnected(to);
         if let Err(error) = &socket {
             if is_want(error) {
-                shared.descriptors.refused(Refused::Bus);
+                shared.descriptors.refused(Refusal::Bus);
             }
-            shared.descriptors.make_way();
+            shared.descriptors.release_one();
         }
-        if !hand_over(&shared.news, &mut waiting).await {
+        if !hand_over(&shared.inputs, &mut waiting).await {
             return;
         }
         let pause = Duration::from_micros(bus.pause() as u64);
@@ -74,7 +74,7 @@
 
 /// Gives the driver what waits for it; false once there is no driver. Dropped at any time it loses nothing, as nothing is
 /// awaited between taking an item and handing it over.
-async fn hand_over(news: &mpsc::Sender<News>, waiting: &mut VecDeque<News>) -> bool {
+async fn hand_over(news: &mpsc::Sender<Input>, waiting: &mut VecDeque<Input>) -> bool {
     while !waiting.is_empty() {
         let Ok(permit) = news.reserve().await else { return false };
         if let Some(item) = waiting.pop_front() {
@@ -87,8 +87,8 @@
 async fn listen(
     shared: &Shared,
     executors: &Rc<Executors>,
-    bus: &mut Bus,
-    waiting: &mut VecDeque<News>,
+    bus: &mut EventSubscription,
+    waiting: &mut VecDeque<Input>,
     stream: &TcpStream,
     asks: &[u8],
 ) -> String {
@@ -120,14 +120,14 @@
         };
         // Without a pause between the bus' number and this: what counts as known is withdrawn from and on its way.
         for event in events.drain(..) {
-            let withdrawn = executors.told(event.update, &event.told);
-            waiting.push_back(News::Roster { form: event.update, told: event.told });
+            let withdrawn = executors.apply(event.kind, &event.endpoints);
+            waiting.push_back(Input::EndpointUpdate { kind: event.kind, endpoints: event.endpoints });
             waiting.extend(withdrawn);
         }
         if let Err(error) = fed {
             return error.to_string();
         }
-        if !hand_over(&shared.news, waiting).await {
+        if !hand_over(&shared.inputs, waiting).await {
             return "over".into();
         }
     }
--- a/crates/platform/src/follow/tests.rs
+++ b/crates/platform/src/follow/tests.rs
@@ -26,13 +26,13 @@
 /// No client cancels anything.
 struct All;
 
-impl executors::Callers for All {
-    fn ask(&self, _: stagehoist_gateway::state::Ticket) -> executors::Caller {
-        executors::Caller::Waits
+impl executors::ClientLookup for All {
+    fn presence(&self, _: stagehoist_gateway::state::Ticket) -> executors::ClientPresence {
+        executors::ClientPresence::Waiting
     }
 }
 
-fn stage(room: usize) -> (Rc<Shared>, Rc<Executors>, mpsc::Receiver<News>) {
+fn stage(room: usize) -> (Rc<Shared>, Rc<Executors>, mpsc::Receiver<Input>) {
     let (news, incoming) = mpsc::channel(room);
     let shared = Rc::new(Shared::new(Clock::new(), news));
     let bounds = Bounds::new(&Limits { cores: 1.0, memory_mb: 64.0, sockets: 256 });
@@ -67,15 +67,15 @@
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
         );
         let (moves, seen) = watch::channel(old.local_addr().unwrap());
-        let filler = News::Gone(0);
-        shared.news.send(filler).await.unwrap();
-        let bus = Bus::new(1, shared.clock.now());
+        let filler = Input::ClientGone(0);
+        shared.inputs.send(filler).await.unwrap();
+        let bus = EventSubscription::new(1, shared.clock.now());
         let following = tokio::task::spawn_local(follow(shared.clone(), executors, bus, seen));
         let (mut stream, last) = asked(&old).await;
         assert_eq!(last, 1);
         let three = [drains(2, 7), drains(3, 8), drains(4, 9)].concat();
         stream.write_all(&three).await.unwrap();
-        while shared.news.capacity() > 0 {
+        while shared.inputs.capacity() > 0 {
             tokio::task::yield_now().await;
         }
         // Of what was read in that turn two events have no room.
@@ -87,19 +87,24 @@
         let mut drained = Vec::new();
         while drained.len() < 3 {
             match incoming.recv().await.unwrap() {
-                News::Roster { form, told } => {
-                    assert_eq!((form, told[0].row.lifecycle), (EndpointUpdate::Delta, Lifecycle::Draining));
-                    drained.push(told[0].row.worker);
+                Input::EndpointUpdate { kind: form, endpoints: told } => {
+                    assert_eq!(
+                        (form, told[0].endpoint.lifecycle),
+                        (EndpointUpdate::Delta, Lifecycle::Draining)
+                    );
+                    drained.push(told[0].endpoint.worker);
                 }
-                other => assert!(matches!(other, News::Gone(0)), "{other:?}"),
+                other => assert!(matches!(other, Input::ClientGone(0)), "{other:?}"),
             }
         }
         assert_eq!(drained, [7, 8, 9]);
         let (mut stream, last) = asked(&new).await;
         assert_eq!(last, 4);
         stream.write_all(&drains(5, 10)).await.unwrap();
-        let News::Roster { told, .. } = incoming.recv().await.unwrap() else { panic!("no event") };
-        assert_eq!(told[0].row.worker, 10);
+        let Input::EndpointUpdate { endpoints: told, .. } = incoming.recv().await.unwrap() else {
+            panic!("no event")
+        };
+        assert_eq!(told[0].endpoint.worker, 10);
         following.abort();
     });
     let done = runtime.block_on(async { tokio::time::timeout(LIMIT, test).await });
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`line`]: an executor's connection, many requests at once.
 //! - [`bus`], [`replay`], [`roster`]: the event bus' frames and what they say of executors.
 //! - [`bounds`]: how descriptors and memory are shared out, so that the process lives.
-//! - [`pulse`]: for how long this process itself did not run.
+//! - [`stalls`]: for how long this process itself did not run.
 //! - [`reload`]: a configuration read again at a signal, until it can be read.
 //!
 //! With sockets, thin: [`shared`], [`descriptors`], [`clients`], [`executors`], [`follow`], [`run`].
@@ -26,7 +26,6 @@
 pub mod follow;
 pub mod line;
 mod parked;
-pub mod pulse;
 pub mod reload;
 pub mod replay;
 pub mod request;
@@ -35,6 +34,7 @@
 pub mod run;
 pub mod session;
 pub mod shared;
+pub mod stalls;
 
-pub use config::{ConfigError, Told};
+pub use config::{ConfigError, PlatformSettings};
 pub use run::run;
--- a/crates/platform/src/line/ending.rs
+++ b/crates/platform/src/line/ending.rs
@@ -1,29 +1,29 @@
 //! What is given up, withdrawn or lost, and what the end of the connection means for each that was open.
 
-use super::{End, Line, Open, Poison, Tag, What, STOPPED};
+use super::{Closure, ConnectionState, Exchange, PendingExchange, ProtocolViolation, Tag, STOPPED};
 use bytes::BytesMut;
 use stagehoist::{Micros, Outcome};
-use stagehoist_gateway::state::{AttemptResult, News};
+use stagehoist_gateway::state::{AttemptResult, Input};
 
-impl Line {
+impl ConnectionState {
     /// Gives up a request. Nothing is written where none of it was; the line counts as silent where nothing
     /// came since it was written `patience` ago or longer. Where a part of it was written the rest never is,
-    /// as that would have it begin: the line takes nothing more ([`Line::is_cut`]), and what waits on it is
+    /// as that would have it begin: the line takes nothing more ([`ConnectionState::is_cut`]), and what waits on it is
     /// to be withdrawn. True where the connection is to be ended, as nothing that began is left on such a
     /// line.
     pub fn stop(&mut self, id: u64, text: &str, now: Micros, patience: Micros) -> bool {
         let tag = Tag::Call(id);
-        let Some(open) = self.open.remove(&tag) else { return false };
+        let Some(open) = self.pending.remove(&tag) else { return false };
         self.attempts -= 1;
-        match open.begun {
+        match open.started_at {
             None => self.unqueue(tag),
             Some(at) => {
                 self.silent |= self.read <= at && now - at >= patience;
-                if open.whole.is_none() {
-                    self.cut = true;
+                if open.written_at.is_none() {
+                    self.is_cut_short = true;
                     self.queue.clear();
                 }
-                if !self.cut {
+                if !self.is_cut_short {
                     if self.stopped.len() == STOPPED {
                         self.stopped.pop_front();
                     }
@@ -36,13 +36,15 @@
     }
 
     /// Takes back a request that is not written whole and must not begin now. Where nothing of it was written that is told as
-    /// `Full`; else as an error, and the line takes nothing more, as after [`Line::stop`]. True where the connection is to be
+    /// `Full`; else as an error, and the line takes nothing more, as after [`ConnectionState::stop`]. True where the connection is to be
     /// ended.
-    pub fn take_back(&mut self, id: u64, now: Micros, news: &mut Vec<News>) -> bool {
+    pub fn take_back(&mut self, id: u64, now: Micros, news: &mut Vec<Input>) -> bool {
         let tag = Tag::Call(id);
-        let Some(open) = self.open.get(&tag).filter(|open| open.whole.is_none()) else { return false };
-        let outcome = if open.begun.is_some() {
-            self.cut = true;
+        let Some(open) = self.pending.get(&tag).filter(|open| open.written_at.is_none()) else {
+            return false;
+        };
+        let outcome = if open.started_at.is_some() {
+            self.is_cut_short = true;
             self.queue.clear();
             Outcome::Error
         } else {
@@ -55,21 +57,21 @@
 
     /// When the next order that is awaited here counts as lost.
     pub fn order_due(&self, order: Micros) -> Option<Micros> {
-        let due = |o: &Open| match o.what {
-            What::Load { sent, .. } => Some(sent + order),
+        let due = |o: &PendingExchange| match o.exchange {
+            Exchange::Load { sent, .. } => Some(sent + order),
             _ => None,
         };
-        self.open.values().filter_map(due).min()
+        self.pending.values().filter_map(due).min()
     }
 
     /// Whether nothing more is written here.
     pub fn is_cut(&self) -> bool {
-        self.cut
+        self.is_cut_short
     }
 
     /// Whether nothing is awaited any more on a line that takes nothing.
     pub fn is_spent(&self) -> bool {
-        self.cut && self.open.values().all(|o| o.begun.is_none())
+        self.is_cut_short && self.pending.values().all(|o| o.started_at.is_none())
     }
 
     /// Takes out what was not begun to be written. What was must be written to its end, or nothing behind it can be read.
@@ -78,10 +80,11 @@
     }
 
     /// Orders that waited here for longer than they count are not begun any more.
-    pub fn withdraw_overdue(&mut self, now: Micros, order: Micros, news: &mut Vec<News>) {
-        let over =
-            |o: &Open| o.begun.is_none() && matches!(o.what, What::Load { sent, .. } if now - sent >= order);
-        let tags: Vec<Tag> = self.open.iter().filter(|(_, o)| over(o)).map(|(t, _)| *t).collect();
+    pub fn withdraw_overdue(&mut self, now: Micros, order: Micros, news: &mut Vec<Input>) {
+        let over = |o: &PendingExchange| {
+            o.started_at.is_none() && matches!(o.exchange, Exchange::Load { sent, .. } if now - sent >= order)
+        };
+        let tags: Vec<Tag> = self.pending.iter().filter(|(_, o)| over(o)).map(|(t, _)| *t).collect();
         for tag in tags {
             self.unqueue(tag);
             self.finish(tag, Outcome::Timeout, now, news);
@@ -90,35 +93,38 @@
 
     /// Withdraws what was not begun to be written, as the executor or this connection takes nothing new. The latter is this
     /// side's doing and says nothing against the executor.
-    pub fn withdraw(&mut self, now: Micros, news: &mut Vec<News>) {
-        let outcome = if self.cut { Outcome::Full } else { Outcome::ConnectFailed };
-        let unbegun = |o: &Open| o.begun.is_none() && (self.cut || !matches!(o.what, What::Probe { .. }));
-        let tags: Vec<Tag> = self.open.iter().filter(|(_, o)| unbegun(o)).map(|(t, _)| *t).collect();
+    pub fn withdraw(&mut self, now: Micros, news: &mut Vec<Input>) {
+        let outcome = if self.is_cut_short { Outcome::Full } else { Outcome::ConnectFailed };
+        let unbegun = |o: &PendingExchange| {
+            o.started_at.is_none() && (self.is_cut_short || !matches!(o.exchange, Exchange::Probe { .. }))
+        };
+        let tags: Vec<Tag> = self.pending.iter().filter(|(_, o)| unbegun(o)).map(|(t, _)| *t).collect();
         for tag in tags {
             self.unqueue(tag);
             self.finish(tag, outcome, now, news);
         }
     }
 
-    fn finish(&mut self, tag: Tag, outcome: Outcome, at: Micros, news: &mut Vec<News>) {
-        self.answered(tag, AttemptResult { read: at, ..AttemptResult::bare(outcome) }, 0, news);
+    fn finish(&mut self, tag: Tag, outcome: Outcome, at: Micros, news: &mut Vec<Input>) {
+        self.answered(tag, AttemptResult { read_at: at, ..AttemptResult::without_answer(outcome) }, 0, news);
     }
 
     /// The connection ended: each that was open ends, by what is known of it.
-    pub fn end(&mut self, how: End, now: Micros, news: &mut Vec<News>) {
-        let mut tags: Vec<(Tag, bool)> = self.open.iter().map(|(t, o)| (*t, o.begun.is_some())).collect();
+    pub fn end(&mut self, how: Closure, now: Micros, news: &mut Vec<Input>) {
+        let mut tags: Vec<(Tag, bool)> =
+            self.pending.iter().map(|(t, o)| (*t, o.started_at.is_some())).collect();
         tags.sort_by_key(|(tag, _)| match tag {
-            Tag::Call(id) | Tag::Own(id) => *id,
+            Tag::Call(id) | Tag::Internal(id) => *id,
         });
         for (tag, begun) in tags {
-            let order = self.open.get(&tag).is_some_and(|o| matches!(o.what, What::Load { .. }));
+            let order = self.pending.get(&tag).is_some_and(|o| matches!(o.exchange, Exchange::Load { .. }));
             let outcome = match how {
                 // That an order never arrived is told by `ConnectFailed` alone, and costs its worker nothing.
-                End::NoRoom if !order => Outcome::Full,
+                Closure::NoDescriptors if !order => Outcome::Full,
                 _ if !begun => Outcome::ConnectFailed,
-                End::NotUp | End::NoRoom => Outcome::ConnectFailed,
-                End::Broken => Outcome::Reset,
-                End::Poisoned => Outcome::Error,
+                Closure::NotConnected | Closure::NoDescriptors => Outcome::ConnectFailed,
+                Closure::Broken => Outcome::Reset,
+                Closure::ProtocolViolated => Outcome::Error,
             };
             self.finish(tag, outcome, now, news);
         }
@@ -132,26 +138,28 @@
         now: Micros,
         patience: Micros,
         order: Micros,
-        news: &mut Vec<News>,
-    ) -> Result<(), Poison> {
+        news: &mut Vec<Input>,
+    ) -> Result<(), ProtocolViolation> {
         if !self.buffer.is_empty() && now - self.read >= patience {
-            return Err(Poison::Short);
+            return Err(ProtocolViolation::Short);
         }
-        let over = |o: &Open| match o.what {
-            What::Attempt { .. } => false,
-            What::Probe { sent, .. } => now - sent >= patience,
-            What::Load { sent, .. } => now - sent >= order,
+        let over = |o: &PendingExchange| match o.exchange {
+            Exchange::Attempt { .. } => false,
+            Exchange::Probe { sent, .. } => now - sent >= patience,
+            Exchange::Load { sent, .. } => now - sent >= order,
         };
         self.withdraw_overdue(now, order, news);
         // An order that counts as lost must not arrive after all: what may still lie on its way goes with the connection.
         // It does where a part of it is not written, whatever came meanwhile, and where nothing came since it was.
-        let lies = |o: &Open| {
-            matches!(o.what, What::Load { .. }) && over(o) && o.whole.is_none_or(|at| self.read <= at)
+        let lies = |o: &PendingExchange| {
+            matches!(o.exchange, Exchange::Load { .. })
+                && over(o)
+                && o.written_at.is_none_or(|at| self.read <= at)
         };
-        if self.open.values().any(lies) {
-            return Err(Poison::Silent);
+        if self.pending.values().any(lies) {
+            return Err(ProtocolViolation::Silent);
         }
-        let tags: Vec<Tag> = self.open.iter().filter(|(_, o)| over(o)).map(|(t, _)| *t).collect();
+        let tags: Vec<Tag> = self.pending.iter().filter(|(_, o)| over(o)).map(|(t, _)| *t).collect();
         for tag in tags {
             self.unqueue(tag);
             self.finish(tag, Outcome::Timeout, now, news);
--- a/crates/platform/src/line/mod.rs
+++ b/crates/platform/src/line/mod.rs
@@ -10,15 +10,15 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Longest body of an answer.
-pub const ANSWER_MOST: usize = 64 << 10;
+pub const MAX_ANSWER: usize = 64 << 10;
 /// Bytes gathered for one write.
-const WRITE_MOST: usize = 64 << 10;
+const MAX_WRITE: usize = 64 << 10;
 /// Ids kept that were given up: as many as may be on their way at once, twice over.
 const STOPPED: usize = 64;
 
 /// Why an executor's bytes can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Poison {
+pub enum ProtocolViolation {
     #[error("a line can't be read")]
     Line,
     #[error("a line without end")]
@@ -35,38 +35,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Tag {
     Call(u64),
-    Own(u64),
+    Internal(u64),
 }
 
 /// What an answer is awaited for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum What {
+pub enum Exchange {
     Attempt { request: RequestId, attempt: u16 },
     Probe { worker: WorkerId, sent: Micros },
     Load { worker: WorkerId, function: FunctionId, sent: Micros },
 }
 
-impl What {
+impl Exchange {
     /// Which attempt it is, if one.
     pub fn attempt(&self) -> Option<(RequestId, u16)> {
         match self {
-            What::Attempt { request, attempt } => Some((*request, *attempt)),
+            Exchange::Attempt { request, attempt } => Some((*request, *attempt)),
             _ => None,
         }
     }
 }
 
 #[derive(Debug)]
-struct Open {
-    what: What,
+struct PendingExchange {
+    exchange: Exchange,
     /// When its first byte was written; None: none was.
-    begun: Option<Micros>,
+    started_at: Option<Micros>,
     /// When its last byte was written.
-    whole: Option<Micros>,
+    written_at: Option<Micros>,
 }
 
 #[derive(Debug)]
-struct Item {
+struct Outgoing {
     tag: Option<Tag>,
     bytes: Vec<u8>,
     done: usize,
@@ -74,23 +74,23 @@
 
 /// How a connection ended, for what was on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Closure {
     /// Refused, or not up in time: nothing was written.
-    NotUp,
+    NotConnected,
     /// It had no descriptor of this process: nothing was written, and it speaks against no executor.
-    NoRoom,
+    NoDescriptors,
     /// It broke or was closed.
     Broken,
     /// What came can't be read.
-    Poisoned,
+    ProtocolViolated,
 }
 
 /// The state of one connection.
 #[derive(Debug, Default)]
-pub struct Line {
+pub struct ConnectionState {
     buffer: BytesMut,
-    queue: VecDeque<Item>,
-    open: HashMap<Tag, Open>,
+    queue: VecDeque<Outgoing>,
+    pending: HashMap<Tag, PendingExchange>,
     attempts: usize,
     /// Given up after they were begun and not answered since, the newest last.
     stopped: VecDeque<u64>,
@@ -99,13 +99,13 @@
     active: Micros,
     silent: bool,
     /// A request of which a part was written is not completed: nothing more is written here.
-    cut: bool,
+    is_cut_short: bool,
     next: u64,
 }
 
-impl Line {
-    pub fn new(now: Micros) -> Line {
-        Line { read: now, active: now, ..Line::default() }
+impl ConnectionState {
+    pub fn new(now: Micros) -> ConnectionState {
+        ConnectionState { read: now, active: now, ..ConnectionState::default() }
     }
 
     /// Requests open.
@@ -115,7 +115,7 @@
 
     /// Nothing is awaited and nothing waits to be written.
     pub fn is_idle(&self) -> bool {
-        self.open.is_empty() && self.queue.is_empty()
+        self.pending.is_empty() && self.queue.is_empty()
     }
 
     /// When something last came or was asked.
@@ -133,11 +133,18 @@
     pub fn has(&self, id: u64) -> bool {
         let tag = Tag::Call(id);
         let written = || self.queue.front().is_some_and(|item| item.tag == Some(tag));
-        self.open.contains_key(&tag) || self.stopped.contains(&id) || written()
+        self.pending.contains_key(&tag) || self.stopped.contains(&id) || written()
     }
 
     /// Queues a request. False where one with this id is open here.
-    pub fn run(&mut self, id: (u64, &str), fields: &str, body: &[u8], what: What, now: Micros) -> bool {
+    pub fn send_request(
+        &mut self,
+        id: (u64, &str),
+        fields: &str,
+        body: &[u8],
+        what: Exchange,
+        now: Micros,
+    ) -> bool {
         if self.has(id.0) {
             return false;
         }
@@ -152,36 +159,36 @@
     }
 
     /// Queues a probe, with the load report asked for or not.
-    pub fn probe(&mut self, report: bool, what: What, now: Micros) {
-        let (word, tag) = (if report { "INFO" } else { "NOOP" }, self.own());
-        self.push(Some((Tag::Own(tag), what)), format!("{word} {tag}\r\n").into_bytes(), now);
+    pub fn send_health_check(&mut self, report: bool, what: Exchange, now: Micros) {
+        let (word, tag) = (if report { "INFO" } else { "NOOP" }, self.next_own_tag());
+        self.push(Some((Tag::Internal(tag), what)), format!("{word} {tag}\r\n").into_bytes(), now);
     }
 
     /// Queues an order to load.
-    pub fn hold(&mut self, key: &str, copies: u8, what: What, now: Micros) {
-        let tag = self.own();
+    pub fn send_load(&mut self, key: &str, copies: u8, what: Exchange, now: Micros) {
+        let tag = self.next_own_tag();
         let bytes = format!("HOLD {tag} key={key},copies={copies}\r\n").into_bytes();
-        self.push(Some((Tag::Own(tag), what)), bytes, now);
+        self.push(Some((Tag::Internal(tag), what)), bytes, now);
     }
 
     /// Queues an order to unload.
-    pub fn free(&mut self, key: &str, now: Micros) {
+    pub fn send_unload(&mut self, key: &str, now: Micros) {
         self.push(None, format!("FREE {key}\r\n").into_bytes(), now);
     }
 
-    fn own(&mut self) -> u64 {
+    fn next_own_tag(&mut self) -> u64 {
         // Fewer digits than an id has, so that neither is taken for the other.
         self.next = self.next % 1_000_000_000 + 1;
         self.next
     }
 
-    fn push(&mut self, opens: Option<(Tag, What)>, bytes: Vec<u8>, now: Micros) {
+    fn push(&mut self, opens: Option<(Tag, Exchange)>, bytes: Vec<u8>, now: Micros) {
         self.active = now;
         let tag = opens.map(|(tag, what)| {
-            self.open.insert(tag, Open { what, begun: None, whole: None });
+            self.pending.insert(tag, PendingExchange { exchange: what, started_at: None, written_at: None });
             tag
         });
-        self.queue.push_back(Item { tag, bytes, done: 0 });
+        self.queue.push_back(Outgoing { tag, bytes, done: 0 });
     }
 
     /// Whether something waits to be written.
@@ -193,42 +200,42 @@
     pub fn next_calls(&self) -> Vec<u64> {
         let mut ahead = 0;
         let carried = self.queue.iter().take_while(|item| {
-            let carried = ahead < WRITE_MOST;
+            let carried = ahead < MAX_WRITE;
             ahead += item.bytes.len() - item.done;
             carried
         });
-        let tags = carried.filter_map(|item| item.tag).filter(|tag| self.open.contains_key(tag));
+        let tags = carried.filter_map(|item| item.tag).filter(|tag| self.pending.contains_key(tag));
         tags.filter_map(|tag| if let Tag::Call(id) = tag { Some(id) } else { None }).collect()
     }
 
     /// What the answer to a request is awaited for.
-    pub fn awaits(&self, id: u64) -> Option<What> {
-        self.open.get(&Tag::Call(id)).map(|open| open.what)
+    pub fn awaits(&self, id: u64) -> Option<Exchange> {
+        self.pending.get(&Tag::Call(id)).map(|open| open.exchange)
     }
 
     /// Gathers what goes into one write.
     pub fn fill(&self, out: &mut Vec<u8>) {
         for item in &self.queue {
             out.extend_from_slice(&item.bytes[item.done..]);
-            if out.len() >= WRITE_MOST {
+            if out.len() >= MAX_WRITE {
                 return;
             }
         }
     }
 
     /// So many bytes were written.
-    pub fn wrote(&mut self, mut n: usize, now: Micros) {
+    pub fn on_written(&mut self, mut n: usize, now: Micros) {
         while n > 0 {
             let Some(item) = self.queue.front_mut() else { return };
-            if let Some(open) = item.tag.and_then(|t| self.open.get_mut(&t)) {
-                open.begun.get_or_insert(now);
+            if let Some(open) = item.tag.and_then(|t| self.pending.get_mut(&t)) {
+                open.started_at.get_or_insert(now);
             }
             let part = n.min(item.bytes.len() - item.done);
             item.done += part;
             n -= part;
             if item.done == item.bytes.len() {
-                if let Some(open) = item.tag.and_then(|t| self.open.get_mut(&t)) {
-                    open.whole = Some(now);
+                if let Some(open) = item.tag.and_then(|t| self.pending.get_mut(&t)) {
+                    open.written_at = Some(now);
                 }
                 self.queue.pop_front();
             }
