--- a/crates/scale-tests/src/record/state.rs
+++ b/crates/scale-tests/src/record/state.rs
@@ -2,13 +2,15 @@
 
 use super::fault::Outcome;
 use super::names::{function_name, member_name};
-use stagehoist_cluster_state::{Command, Done, Member, Mode, Record, Retirement, ToMember};
+use stagehoist_cluster_state::{
+    ClusterState, Command, CommandOutcome, Member, Retirement, RetirementMode, SessionResponse,
+};
 use std::collections::BTreeSet;
 
 /// A record grown to some size.
 #[derive(Clone, Debug, Default)]
 pub struct Grown {
-    pub record: Record,
+    pub record: ClusterState,
     version: u64,
     /// Commands that were refused.
     pub refused: usize,
@@ -23,23 +25,23 @@
     pub view: usize,
 }
 
-pub fn retirement(n: usize, mode: Mode) -> Retirement {
+pub fn retirement(n: usize, mode: RetirementMode) -> Retirement {
     Retirement {
         function: function_name(n),
         generation: 1,
         successor: None,
         reason: "replaced by its next version".into(),
         mode,
-        asked_ms: 1_796_200_000_000,
+        requested_ms: 1_796_200_000_000,
     }
 }
 
 impl Grown {
     /// Applies one change.
-    pub fn apply(&mut self, command: &Command) -> Done {
+    pub fn apply(&mut self, command: &Command) -> CommandOutcome {
         self.version += 1;
         let done = self.record.apply(self.version, command);
-        self.refused += usize::from(matches!(done, Done::Refused { .. }));
+        self.refused += usize::from(matches!(done, CommandOutcome::Rejected { .. }));
         done
     }
 
@@ -53,7 +55,7 @@
     /// So many retirements, in force at all but the named members.
     pub fn retire(&mut self, first: usize, count: usize, but_for: &BTreeSet<Member>) {
         for n in first..first + count {
-            self.apply(&Command::Retire(retirement(n, Mode::Available)));
+            self.apply(&Command::Retire(retirement(n, RetirementMode::Available)));
             let (function, generation) = (function_name(n), 1);
             self.apply(&Command::InForce { function, generation, but_for: but_for.clone() });
         }
@@ -63,7 +65,7 @@
     /// It can't be encoded.
     pub fn bytes(&self) -> Outcome<Bytes> {
         let whole = postcard::to_stdvec(&self.record)?.len();
-        let view = postcard::to_stdvec(&ToMember::View(self.record.view.clone()))?.len();
+        let view = postcard::to_stdvec(&SessionResponse::View(self.record.view.clone()))?.len();
         Ok(Bytes { whole, view })
     }
 }
@@ -81,7 +83,7 @@
     joined.join(0, members);
     let mut retired = Grown::default();
     for n in 0..retirements {
-        retired.apply(&Command::Retire(retirement(n, Mode::Available)));
+        retired.apply(&Command::Retire(retirement(n, RetirementMode::Available)));
     }
     let mut again = Grown::default();
     again.join(0, replaced);
--- a/crates/scale-tests/src/traces/core.rs
+++ b/crates/scale-tests/src/traces/core.rs
@@ -4,10 +4,12 @@
 use bytes::Bytes;
 use metrics_exporter_prometheus::PrometheusBuilder;
 use stagehoist::{CopyReport, Endpoint, EndpointUpdate, Lifecycle, Outcome};
-use stagehoist_endpoints::Told;
+use stagehoist_endpoints::NumberedEndpoint;
 use stagehoist_gateway::amqp::link::LinkState;
 use stagehoist_gateway::metrics_page::Gauges;
-use stagehoist_gateway::state::{Arrival, AttemptResult, CallFigures, Command, Core, Figures, News};
+use stagehoist_gateway::state::{
+    Arrival, AttemptResult, Command, Core, CoreSettings, FunctionProperties, Input,
+};
 use std::io;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,20 +19,20 @@
 
 /// So many workers and functions, each function called once; each answer is told.
 fn run(n: u32, mut answered: impl FnMut(&Core, &Command)) -> Core {
-    let figures = Figures {
+    let figures = CoreSettings {
         settings: Scene::one(n, u64::from(n), 1.0, 7).settings(),
         kinds: vec!["large".into()],
-        held_most: 20_000,
+        max_calls: 20_000,
         load_timeout: 10_000_000,
-        names: (100_000, 600_000_000),
-        ..Figures::default()
+        name_limits: (100_000, 600_000_000),
+        ..CoreSettings::default()
     };
     let mut now = 1_000_000;
     let mut core = Core::new(figures, 7, now);
-    let told = |place: u32| Told {
+    let told = |place: u32| NumberedEndpoint {
         name: format!("worker-{place}"),
         address: "10.0.0.1:7000".into(),
-        row: Endpoint {
+        endpoint: Endpoint {
             worker: hash(u64::from(place)) as u32,
             lifecycle: Lifecycle::Ready,
             capacity: 20.0,
@@ -38,11 +40,11 @@
         },
     };
     let mut out = Vec::new();
-    let list = News::Roster { form: EndpointUpdate::Full, told: (0..n).map(told).collect() };
-    core.turn(now, &mut vec![list], &mut out);
+    let list = Input::EndpointUpdate { kind: EndpointUpdate::Full, endpoints: (0..n).map(told).collect() };
+    core.process(now, &mut vec![list], &mut out);
     for call in 0..n {
         now += STEP;
-        core.turn(now, &mut vec![News::Call(arrival(call))], &mut out);
+        core.process(now, &mut vec![Input::Call(arrival(call))], &mut out);
         while !out.is_empty() {
             now += STEP / 8;
             let mut news = Vec::new();
@@ -50,11 +52,11 @@
                 answered(&core, &command);
                 if let Command::Attempt(a) = command {
                     let note = CopyReport { state: 1, concurrency: 0 };
-                    let result = AttemptResult { note, ..AttemptResult::bare(Outcome::Ok) };
-                    news.push(News::Attempt { request: a.request, attempt: a.attempt, result });
+                    let result = AttemptResult { copy: note, ..AttemptResult::without_answer(Outcome::Ok) };
+                    news.push(Input::AttemptEnded { request: a.request, attempt: a.attempt, result });
                 }
             }
-            core.turn(now, &mut news, &mut out);
+            core.process(now, &mut news, &mut out);
         }
     }
     core
@@ -64,19 +66,19 @@
     Arrival {
         ticket: u64::from(call) + 1,
         function: Rc::from(format!("function-{call}")),
-        figures: Some(CallFigures {
+        properties: Some(FunctionProperties {
             id: hash(u64::from(call)) & ((1 << 40) - 1),
             class: 0,
             memory_mb: 100.0,
-            lanes: 4.0,
-            load: 500_000,
+            concurrency: 4.0,
+            load_time: 500_000,
             work: None,
         }),
         tenant: 0,
         budget: 6_000_000,
-        read: 0,
-        repeat: false,
-        known: true,
+        read_at: 0,
+        is_repeat: false,
+        client_verified: true,
         body: Bytes::new(),
         content_type: None,
         correlation: Rc::from(format!("call-{call}")),
@@ -93,7 +95,7 @@
     metrics::with_local_recorder(&recorder, || {
         let gauges = Gauges::new(0);
         let core = run(n, |_, command| {
-            if let Command::Answer { answer, took, .. } = command {
+            if let Command::Answer { answer, elapsed: took, .. } = command {
                 gauges.answered(answer, *took);
             }
         });
--- a/crates/sharding/examples/speed.rs
+++ b/crates/sharding/examples/speed.rs
@@ -1,7 +1,7 @@
 //! What the computations cost, at the size of `docs/design/sharding.md`. `cargo run --release -p
 //! stagehoist-sharding --example speed`
 
-use stagehoist_sharding::{Assignment, Division, Homes, HotFunction, Key, Member};
+use stagehoist_sharding::{Assignment, Division, HomeShards, HotFunction, Key, Member};
 use std::time::Instant;
 
 fn main() {
@@ -25,7 +25,7 @@
         .map(|i| HotFunction { name: format!("f{i}"), calls: 70_000.0 / f64::from(i + 1), spread: None })
         .collect();
     let begin = Instant::now();
-    let homes = Homes::new(&division, 880_000.0, &hot).expect("homes");
+    let homes = HomeShards::new(&division, 880_000.0, &hot).expect("homes");
     println!("1000 told functions in 300 shards: {:.1?}", begin.elapsed());
     let begin = Instant::now();
     let sum: u64 = (0..100_000).map(|i| u64::from(homes.for_call(Key::numbered(i), i))).sum();
--- a/crates/sharding/examples/weigh.rs
+++ b/crates/sharding/examples/weigh.rs
@@ -1,7 +1,7 @@
 //! The ways to divide a fleet, weighed at the size asked for: `cargo run --release -p stagehoist-sharding
 //! --example weigh`. Arithmetic over drawn ranks, the same every run; what is assumed stands in the constants.
 
-use stagehoist_sharding::{Assignment, Division, Homes, HotFunction, Key, Member};
+use stagehoist_sharding::{Assignment, Division, HomeShards, HotFunction, Key, Member};
 
 const FRONT_ENDS: f64 = 7_200.0;
 const WORKERS: usize = 30_000;
@@ -154,7 +154,7 @@
         let hot: Vec<HotFunction> = (0..1_000)
             .map(|f| HotFunction { name: format!("function-{f}"), calls: rates[f], spread: None })
             .collect();
-        let functions = Homes::new(&division, CALLS, &hot).expect("homes");
+        let functions = HomeShards::new(&division, CALLS, &hot).expect("homes");
         let (mut of_shard, mut traffic) = (vec![0usize; SHARDS as usize], vec![0.0; SHARDS as usize]);
         for (f, rate) in rates.iter().enumerate() {
             let shards = functions.of(Key::of(&format!("function-{f}")));
--- a/crates/sharding/src/assignment.rs
+++ b/crates/sharding/src/assignment.rs
@@ -10,14 +10,14 @@
 use std::sync::Arc;
 
 /// Most members kept; of a longer list those with the greatest keys are left out, the same everywhere.
-pub const MEMBERS_MOST: usize = 65_536;
+pub const MAX_MEMBERS: usize = 65_536;
 /// Most zones; members of further ones, by number, are left out.
-pub const ZONES_MOST: usize = 64;
+pub const MAX_ZONES: usize = 64;
 /// A zone of which more than one in so many members change at once is divided anew: dealing one member of a whole zone takes 2 us,
 /// a change of one 62 us.
 const ANEW: usize = 28;
 /// Greatest weight, in thousandths.
-const WEIGHT_MOST: f64 = 16_000_000.0;
+const MAX_WEIGHT: f64 = 16_000_000.0;
 
 /// A worker or front end as a list tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 
     pub fn keyed(key: Key, zone: u16, capacity: f64) -> Member {
         let capacity = if capacity.is_finite() && capacity > 0.0 { capacity } else { 1.0 };
-        Member { key, zone, weight: (capacity * UNIT as f64).round().clamp(1.0, WEIGHT_MOST) as i64 }
+        Member { key, zone, weight: (capacity * UNIT as f64).round().clamp(1.0, MAX_WEIGHT) as i64 }
     }
 }
 
@@ -55,8 +55,8 @@
 
 /// A member was not taken in, as a bound is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("more than {MEMBERS_MOST} members or {ZONES_MOST} zones")]
-pub struct Over;
+#[error("more than {MAX_MEMBERS} members or {MAX_ZONES} zones")]
+pub struct CapacityExceeded;
 
 /// Members and their shards. Each has one home; where a zone has few at home in a shard, those that want it
 /// most serve it beside their own, so that each shard has somebody in every zone that has anybody.
@@ -64,19 +64,19 @@
 pub struct Assignment {
     table: Arc<Table>,
     /// What of its share of a zone a shard has at least, stand-ins counted.
-    floor: Part,
+    min_load: Part,
     zones: BTreeMap<u16, Zone>,
     members: BTreeMap<Key, Member>,
 }
 
 impl Assignment {
     pub fn new(division: &Division) -> Assignment {
-        Assignment::with_floor(division, FLOOR)
+        Assignment::with_min_load(division, FLOOR)
     }
 
-    pub(crate) fn with_floor(division: &Division, floor: Part) -> Assignment {
+    pub(crate) fn with_min_load(division: &Division, floor: Part) -> Assignment {
         let table = division.table.clone();
-        Assignment { table, floor, zones: BTreeMap::new(), members: BTreeMap::new() }
+        Assignment { table, min_load: floor, zones: BTreeMap::new(), members: BTreeMap::new() }
     }
 
     /// A whole list, in any order; of two members with one key the one with the smaller zone and weight
@@ -95,13 +95,13 @@
         let mut zones: Vec<u16> = list.iter().map(|m| m.zone).collect();
         zones.sort_unstable();
         zones.dedup();
-        zones.truncate(ZONES_MOST);
+        zones.truncate(MAX_ZONES);
         let told = list.len();
         list.retain(|m| zones.binary_search(&m.zone).is_ok());
-        list.truncate(MEMBERS_MOST);
+        list.truncate(MAX_MEMBERS);
         for zone in zones {
             let members = list.iter().filter(|m| m.zone == zone).map(|m| (m.key, m.weight));
-            self.zones.insert(zone, Zone::new(&self.table, self.floor, zone, members));
+            self.zones.insert(zone, Zone::new(&self.table, self.min_load, zone, members));
         }
         self.members = list.into_iter().map(|m| (m.key, m)).collect();
         told - self.members.len()
@@ -116,12 +116,12 @@
     }
 
     /// One member comes or changes its weight or zone. Gives the homes that changed, its own among them.
-    pub fn insert(&mut self, member: Member) -> Result<Vec<Move>, Over> {
+    pub fn insert(&mut self, member: Member) -> Result<Vec<Move>, CapacityExceeded> {
         if self.members.get(&member.key) == Some(&member) {
             return Ok(Vec::new());
         }
-        if !self.has_room(&member) {
-            return Err(Over);
+        if !self.has_capacity(&member) {
+            return Err(CapacityExceeded);
         }
         let before = self.put(member, &BTreeSet::new());
         Ok(self.moves(before))
@@ -139,7 +139,7 @@
         if self.is_empty() {
             return self.fill(changes.values().flatten().copied());
         }
-        let anew = self.anew(changes);
+        let anew = self.rebuild_zones(changes);
         for (key, _) in changes.iter().filter(|c| c.1.is_none()) {
             self.take(*key, &anew);
         }
@@ -152,7 +152,7 @@
             if self.members.get(&member.key) == Some(member) {
                 continue;
             }
-            if self.has_room(member) {
+            if self.has_capacity(member) {
                 self.put(*member, &anew);
             } else {
                 left_out += 1;
@@ -167,14 +167,14 @@
         for (zone, members) in zones {
             match members.is_empty() {
                 true => self.zones.remove(&zone),
-                false => self.zones.insert(zone, Zone::new(&self.table, self.floor, zone, members)),
+                false => self.zones.insert(zone, Zone::new(&self.table, self.min_load, zone, members)),
             };
         }
         left_out
     }
 
     /// Zones of which so much changes that they are divided anew.
-    fn anew(&self, changes: &BTreeMap<Key, Option<Member>>) -> BTreeSet<u16> {
+    fn rebuild_zones(&self, changes: &BTreeMap<Key, Option<Member>>) -> BTreeSet<u16> {
         let mut counts: BTreeMap<u16, usize> = BTreeMap::new();
         for (was, now) in changes.iter().map(|(key, now)| (self.members.get(key), now.as_ref())) {
             let zones: BTreeSet<u16> = was.into_iter().chain(now).map(|m| m.zone).collect();
@@ -184,15 +184,15 @@
         counts.into_iter().filter(many).map(|c| c.0).collect()
     }
 
-    fn has_room(&self, member: &Member) -> bool {
+    fn has_capacity(&self, member: &Member) -> bool {
         let (known, zone) = (self.members.contains_key(&member.key), self.zones.contains_key(&member.zone));
-        (known || self.members.len() < MEMBERS_MOST) && (zone || self.zones.len() < ZONES_MOST)
+        (known || self.members.len() < MAX_MEMBERS) && (zone || self.zones.len() < MAX_ZONES)
     }
 
     /// A member comes or changes; zones that are divided `anew` afterwards aren't kept up.
     fn put(&mut self, member: Member, anew: &BTreeSet<u16>) -> Before {
         let mut before = self.take(member.key, anew);
-        let (table, floor) = (&self.table, self.floor);
+        let (table, floor) = (&self.table, self.min_load);
         let empty = || Zone::new(table, floor, member.zone, []);
         let zone = self.zones.entry(member.zone).or_insert_with(empty);
         if !anew.contains(&member.zone) {
--- a/crates/sharding/src/change.rs
+++ b/crates/sharding/src/change.rs
@@ -5,7 +5,7 @@
 /// How far a change has come. Front ends may differ by one stage and no more: then every queue is consumed,
 /// and what is divided by the number of front ends keeps its sum ([`crate::Serving`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stage {
+pub enum TransitionPhase {
     /// Only the old division is served; what is divided is divided for both.
     Announced,
     /// Both are served; callers go over to the new one.
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Divisions {
     first: Division,
-    change: Option<(Division, Stage)>,
+    change: Option<(Division, TransitionPhase)>,
 }
 
 impl Divisions {
@@ -26,14 +26,18 @@
         Divisions { first: division, change: None }
     }
 
-    pub fn changing(old: Division, new: Division, stage: Stage) -> Result<Divisions, DivisionError> {
+    pub fn changing(
+        old: Division,
+        new: Division,
+        stage: TransitionPhase,
+    ) -> Result<Divisions, DivisionError> {
         if new.generation() <= old.generation() {
             return Err(DivisionError::GenerationBack { new: new.generation(), old: old.generation() });
         }
         Ok(Divisions { first: old, change: Some((new, stage)) })
     }
 
-    pub fn stage(&self) -> Option<Stage> {
+    pub fn phase(&self) -> Option<TransitionPhase> {
         self.change.as_ref().map(|c| c.1)
     }
 
@@ -54,15 +58,15 @@
 
     /// Those whose queues a front end consumes and whose workers it uses.
     pub fn served(&self) -> impl Iterator<Item = &Division> {
-        let old = self.stage() != Some(Stage::Closing);
-        let new = self.stage().is_some_and(|s| s >= Stage::Both);
+        let old = self.phase() != Some(TransitionPhase::Closing);
+        let new = self.phase().is_some_and(|s| s >= TransitionPhase::Both);
         [Some(&self.first).filter(|_| old), self.next().filter(|_| new)].into_iter().flatten()
     }
 
-    /// Where a caller sends: to the new one from [`Stage::Both`] on.
+    /// Where a caller sends: to the new one from [`TransitionPhase::Both`] on.
     pub fn addressed(&self) -> &Division {
         match &self.change {
-            Some((new, stage)) if *stage >= Stage::Both => new,
+            Some((new, stage)) if *stage >= TransitionPhase::Both => new,
             _ => &self.first,
         }
     }
--- a/crates/sharding/src/division.rs
+++ b/crates/sharding/src/division.rs
@@ -6,16 +6,16 @@
 use std::sync::Arc;
 
 /// Most shards of a division. A front end alone in its zone serves them all.
-pub const SHARDS_MOST: u32 = 4_096;
+pub const MAX_SHARDS: u32 = 4_096;
 /// Most that one shard weighs.
-pub const SHARD_WEIGHT_MOST: u32 = 16;
+pub const MAX_SHARD_WEIGHT: u32 = 16;
 
 /// What is wrong with told settings; whoever read them knows the place.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DivisionError {
     #[error("no shards")]
     NoShards,
-    #[error("{shards} shards, more than {SHARDS_MOST}")]
+    #[error("{shards} shards, more than {MAX_SHARDS}")]
     TooManyShards { shards: u32 },
     #[error("{shards} shards for {workers} workers: some would have none")]
     MoreShardsThanWorkers { shards: u32, workers: u32 },
@@ -23,7 +23,7 @@
     TooFewFrontEnds { shards: u32, front_ends: u32, most: u32 },
     #[error("shard {shard} of {shards}")]
     UnknownShard { shard: Shard, shards: u32 },
-    #[error("weight {weight} of shard {shard}, not 1 to {SHARD_WEIGHT_MOST}")]
+    #[error("weight {weight} of shard {shard}, not 1 to {MAX_SHARD_WEIGHT}")]
     BadWeight { shard: Shard, weight: u32 },
     #[error("front end {rank} of {of} owns no shard")]
     NoneOwned { rank: u32, of: u32 },
@@ -72,14 +72,14 @@
         if shards == 0 {
             return Err(DivisionError::NoShards);
         }
-        if shards > SHARDS_MOST {
+        if shards > MAX_SHARDS {
             return Err(DivisionError::TooManyShards { shards });
         }
         for (&shard, &weight) in &weights {
             if shard >= shards {
                 return Err(DivisionError::UnknownShard { shard, shards });
             }
-            if !(1..=SHARD_WEIGHT_MOST).contains(&weight) {
+            if !(1..=MAX_SHARD_WEIGHT).contains(&weight) {
                 return Err(DivisionError::BadWeight { shard, weight });
             }
         }
--- a/crates/sharding/src/homes.rs
+++ b/crates/sharding/src/homes.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 /// Most functions with told traffic.
-pub const HOT_FUNCTIONS_MOST: usize = 8_192;
+pub const MAX_HOT_FUNCTIONS: usize = 8_192;
 /// A function is spread over so many shards that each part is at most one in so many of a shard's mean
 /// traffic.
 const PARTS: u64 = 4;
@@ -48,16 +48,16 @@
 
 /// Where functions are at home.
 #[derive(Clone, Debug)]
-pub struct Homes {
+pub struct HomeShards {
     table: Arc<Table>,
     hot: BTreeMap<Key, Vec<Shard>>,
 }
 
-impl Homes {
+impl HomeShards {
     /// `calls` a second are expected in all; at least as many as are told of functions.
-    pub fn new(division: &Division, calls: f64, hot: &[HotFunction]) -> Result<Homes, DivisionError> {
-        if hot.len() > HOT_FUNCTIONS_MOST {
-            return Err(DivisionError::TooManyHot { told: hot.len(), most: HOT_FUNCTIONS_MOST });
+    pub fn new(division: &Division, calls: f64, hot: &[HotFunction]) -> Result<HomeShards, DivisionError> {
+        if hot.len() > MAX_HOT_FUNCTIONS {
+            return Err(DivisionError::TooManyHot { told: hot.len(), most: MAX_HOT_FUNCTIONS });
         }
         let table = division.table.clone();
         let shards = division.shards();
@@ -101,7 +101,7 @@
             taken.iter().for_each(|s| load[*s as usize] = load[*s as usize].saturating_add(part));
             homes.insert(key, taken.into_iter().collect());
         }
-        Ok(Homes { table, hot: homes })
+        Ok(HomeShards { table, hot: homes })
     }
 
     /// The shards of a function: one, or several where its told traffic asks for it; in ascending order.
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! - [`Division`]: how many shards there are; [`Divisions`]: one in force, and the stages in which another
 //!   replaces it.
-//! - [`Homes`]: functions to shards. [`Assignment`]: workers, or front ends, to shards, zone by zone.
+//! - [`HomeShards`]: functions to shards. [`Assignment`]: workers, or front ends, to shards, zone by zone.
 //! - [`FrontEnds`]: the shards that one front end serves. [`Serving`]: what is divided by the front ends of a
 //!   shard.
 //! - [`Transition`]: what the decision module is told when a front end's subset of the workers changes.
@@ -32,14 +32,14 @@
 mod transition;
 mod zone;
 
-pub use assignment::{Assignment, Member, Move, Over, MEMBERS_MOST, ZONES_MOST};
-pub use change::{Divisions, Stage};
-pub use division::{Division, DivisionError, SHARDS_MOST, SHARD_WEIGHT_MOST};
-pub use homes::{Homes, HotFunction, HOT_FUNCTIONS_MOST};
+pub use assignment::{Assignment, CapacityExceeded, Member, Move, MAX_MEMBERS, MAX_ZONES};
+pub use change::{Divisions, TransitionPhase};
+pub use division::{Division, DivisionError, MAX_SHARDS, MAX_SHARD_WEIGHT};
+pub use homes::{HomeShards, HotFunction, MAX_HOT_FUNCTIONS};
 pub use key::Key;
-pub use ownership::{place, ranked, ranked_most, FrontEnd, FrontEnds, Place};
-pub use serving::{serving_most, Serving, TenantParts};
-pub use transition::{Told, Transition};
+pub use ownership::{max_ranked, place, ranked, FrontEnd, FrontEnds, FunctionPlacement};
+pub use serving::{max_serving, Serving, TenantParts};
+pub use transition::{ShardUpdate, Transition};
 
 /// Number of a shard, from 0.
 pub type Shard = u32;
--- a/crates/sharding/src/ownership.rs
+++ b/crates/sharding/src/ownership.rs
@@ -3,7 +3,7 @@
 use crate::assignment::{Assignment, Member};
 use crate::change::Divisions;
 use crate::division::{Division, DivisionError};
-use crate::homes::Homes;
+use crate::homes::HomeShards;
 use crate::limits::FLOOR_FRONT_ENDS;
 use crate::{Key, Shard};
 
@@ -18,7 +18,7 @@
 /// The front ends that are known, in the shards of each division that one of them serves.
 #[derive(Clone, Debug)]
 pub struct FrontEnds {
-    own: Key,
+    own_key: Key,
     /// By [`Divisions::served`].
     served: Vec<(u32, Assignment)>,
     /// Own shards of the divisions above, in ascending order.
@@ -27,9 +27,9 @@
 
 /// What a front end has to do with a function.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum FunctionPlacement {
     /// A home of it is among the front end's shards.
-    Own,
+    Owned,
     /// It is, but only in the division that is being replaced.
     Leaving,
     /// It is not; a call of it belongs to this shard.
@@ -45,20 +45,20 @@
         let assign = |d: &Division| {
             let serves = |f: &&FrontEnd| (f.serves.0..=f.serves.1).contains(&d.generation());
             let others = list.iter().filter(serves).map(|f| f.member.alike());
-            let mut all = Assignment::with_floor(d, FLOOR_FRONT_ENDS);
+            let mut all = Assignment::with_min_load(d, FLOOR_FRONT_ENDS);
             // Over the bounds they aren't counted.
             all.fill([own.alike()].into_iter().chain(others));
             (d.generation(), all)
         };
         let served: Vec<_> = divisions.served().map(assign).collect();
-        let mut all = FrontEnds { own: own.key, served, shards: Vec::new() };
+        let mut all = FrontEnds { own_key: own.key, served, shards: Vec::new() };
         all.renew();
         all
     }
 
     fn renew(&mut self) {
         let own = |(_, a): &(u32, Assignment)| {
-            let mut shards = a.shards(self.own);
+            let mut shards = a.shards(self.own_key);
             shards.sort_unstable();
             shards
         };
@@ -75,7 +75,7 @@
     pub fn apply(&mut self, changes: &[(Key, Option<FrontEnd>)]) -> bool {
         for (generation, assignment) in &mut self.served {
             let serves = |f: &FrontEnd| (f.serves.0..=f.serves.1).contains(generation);
-            let others = changes.iter().filter(|c| c.0 != self.own);
+            let others = changes.iter().filter(|c| c.0 != self.own_key);
             let changes = others.map(|(key, now)| (*key, now.filter(serves).map(|f| f.member.alike())));
             // A full table goes on with those it has; the list's reader counts what it leaves out.
             assignment.apply(&changes.collect());
@@ -91,7 +91,7 @@
     }
 
     /// Own shards in a division served, in ascending order; none in another.
-    pub fn own(&self, generation: u32) -> &[Shard] {
+    pub fn own_key(&self, generation: u32) -> &[Shard] {
         let at = self.served.iter().position(|s| s.0 == generation);
         at.map_or(&[], |at| &self.shards[at])
     }
@@ -105,7 +105,7 @@
     }
 
     /// What this front end has to do with a function; `homes` are those of the divisions served, in their order.
-    pub fn place(&self, homes: &[&Homes], function: Key, call: u64) -> Place {
+    pub fn place(&self, homes: &[&HomeShards], function: Key, call: u64) -> FunctionPlacement {
         let served = homes.iter().zip(&self.shards).map(|(homes, own)| (*homes, &own[..]));
         place(served, function, call)
     }
@@ -113,13 +113,17 @@
 
 /// What a front end has to do with a function, by the homes and its own shards, in ascending order, of each division that it
 /// serves, the newest last.
-pub fn place<'a>(served: impl Iterator<Item = (&'a Homes, &'a [Shard])>, function: Key, call: u64) -> Place {
-    let mut place = Place::Elsewhere(0);
+pub fn place<'a>(
+    served: impl Iterator<Item = (&'a HomeShards, &'a [Shard])>,
+    function: Key,
+    call: u64,
+) -> FunctionPlacement {
+    let mut place = FunctionPlacement::Elsewhere(0);
     for (homes, own) in served {
         place = match place {
-            _ if homes.any_in(function, own) => Place::Own,
-            Place::Own | Place::Leaving => Place::Leaving,
-            Place::Elsewhere(_) => Place::Elsewhere(homes.for_call(function, call)),
+            _ if homes.any_in(function, own) => FunctionPlacement::Owned,
+            FunctionPlacement::Owned | FunctionPlacement::Leaving => FunctionPlacement::Leaving,
+            FunctionPlacement::Elsewhere(_) => FunctionPlacement::Elsewhere(homes.for_call(function, call)),
         };
     }
     place
@@ -140,7 +144,7 @@
 }
 
 /// Front ends of each shard at most, where all own by their numbers.
-pub fn ranked_most(division: &Division, of: u32) -> u32 {
+pub fn max_ranked(division: &Division, of: u32) -> u32 {
     let (shards, of) = (u64::from(division.shards()), u64::from(of.max(1)));
     let each = (2 * shards).div_ceil(of).min(shards);
     (of * each).div_ceil(shards).min(of) as u32
--- a/crates/sharding/src/pool.rs
+++ b/crates/sharding/src/pool.rs
@@ -7,7 +7,7 @@
 //! Shapley is unique): who is pushed out asks on, and a free place goes to who waits for it with the smallest
 //! rank.
 
-use crate::division::{Table, SHARD_WEIGHT_MOST};
+use crate::division::{Table, MAX_SHARD_WEIGHT};
 use crate::limits::{rounding, share, turn, Part, LIMIT};
 use crate::{Key, Shard};
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 pub(crate) struct Pool {
     table: Arc<Table>,
     turn: i64,
-    floor: Part,
+    guaranteed: Part,
     items: BTreeMap<Key, Item>,
     slots: Vec<Slot>,
     /// What all members weigh, and what one does on average.
@@ -42,7 +42,7 @@
     /// Who comes while less than this is there is taken in.
     limit: i64,
     /// Where less than this is at home others stand in.
-    floor: i64,
+    min_load: i64,
     rounding: i64,
 }
 
@@ -93,7 +93,8 @@
     ) -> Pool {
         let slots = vec![Slot::default(); table.shards() as usize];
         let turn = turn(&table, zone);
-        let mut pool = Pool { table, turn, floor, items: BTreeMap::new(), slots, total: 0, mean: 0 };
+        let mut pool =
+            Pool { table, turn, guaranteed: floor, items: BTreeMap::new(), slots, total: 0, mean: 0 };
         for (key, weight) in members {
             pool.items.insert(key, Item { weight, shard: 0, score: 0 });
         }
@@ -122,7 +123,7 @@
 
     /// What a shard lacks to its floor; any shard of a zone with members must have something.
     pub fn lacks(&self, shard: Shard) -> i64 {
-        self.slots.get(shard as usize).map_or(0, |s| s.floor.max(1) - s.load)
+        self.slots.get(shard as usize).map_or(0, |s| s.min_load.max(1) - s.load)
     }
 
     pub fn shard(&self, key: Key) -> Option<Shard> {
@@ -171,16 +172,17 @@
                 slot.rounding = rounding(&self.table, self.turn, shard as Shard, mean);
             }
         }
-        let mut shares = [None; SHARD_WEIGHT_MOST as usize + 1];
+        let mut shares = [None; MAX_SHARD_WEIGHT as usize + 1];
         let mut risen = Vec::new();
         for (shard, (slot, weight)) in self.slots.iter_mut().zip(&self.table.weights).enumerate() {
             let of = |part| share(&self.table, *weight, total, part);
-            let (limit, floor) = *shares[*weight as usize].get_or_insert_with(|| (of(LIMIT), of(self.floor)));
+            let (limit, floor) =
+                *shares[*weight as usize].get_or_insert_with(|| (of(LIMIT), of(self.guaranteed)));
             let limit = limit + slot.rounding;
             if limit > slot.limit && !slot.waiting.is_empty() {
                 risen.push(shard as Shard);
             }
-            (slot.limit, slot.floor) = (limit, floor + slot.rounding);
+            (slot.limit, slot.min_load) = (limit, floor + slot.rounding);
         }
         risen
     }
--- a/crates/sharding/src/serving.rs
+++ b/crates/sharding/src/serving.rs
@@ -2,18 +2,18 @@
 //! tenants' quotas. Divided are they by those that serve a shard, so that the sums over the fleet keep their
 //! bounds.
 
-use crate::change::{Divisions, Stage};
+use crate::change::{Divisions, TransitionPhase};
 use crate::division::Division;
-use crate::homes::Homes;
+use crate::homes::HomeShards;
 use crate::limits::{rounding, share, turn, LIMIT, UNIT};
-use crate::ownership::{ranked_most, FrontEnds};
+use crate::ownership::{max_ranked, FrontEnds};
 use crate::{Key, Shard};
 use std::collections::BTreeMap;
 
 /// Most front ends that a shard of a division can have while the zones, by number, have at most so many each:
 /// exact for a list that is full, and never less for a shorter one. Front ends whose lists differ may be more
 /// for as long as they do.
-pub fn serving_most(division: &Division, shard: Shard, zones: &[(u16, u32)]) -> u32 {
+pub fn max_serving(division: &Division, shard: Shard, zones: &[(u16, u32)]) -> u32 {
     if shard >= division.shards() {
         return 0;
     }
@@ -63,8 +63,8 @@
     }
 
     fn most_of(&self, division: &Division, shard: Shard) -> u32 {
-        let ranked = self.ranked.map(|of| ranked_most(division, of));
-        ranked.unwrap_or_else(|| serving_most(division, shard, self.zones))
+        let ranked = self.ranked.map(|of| max_ranked(division, of));
+        ranked.unwrap_or_else(|| max_serving(division, shard, self.zones))
     }
 
     /// Most front ends that may call a worker, or have calls of a function, in these shards of the old and of
@@ -86,11 +86,11 @@
         };
         let mut each = self.divisions.each().zip(parts).zip(own).map(of);
         let (old, new) = (each.next().unwrap_or(0.0), each.next().unwrap_or(0.0));
-        match self.divisions.stage() {
+        match self.divisions.phase() {
             None => old,
-            Some(Stage::Announced) => old / 2.0,
-            Some(Stage::Both) => (old + new) / 2.0,
-            Some(Stage::Closing) => new / 2.0,
+            Some(TransitionPhase::Announced) => old / 2.0,
+            Some(TransitionPhase::Both) => (old + new) / 2.0,
+            Some(TransitionPhase::Closing) => new / 2.0,
         }
     }
 
@@ -107,7 +107,7 @@
 impl TenantParts {
     /// By the tenant's told functions and what each is of its traffic; a tenant whose functions are all in
     /// one shard has its whole share there. Without told functions by the weights of shards.
-    pub fn new(division: &Division, homes: &Homes, functions: &[(Key, f64)]) -> TenantParts {
+    pub fn new(division: &Division, homes: &HomeShards, functions: &[(Key, f64)]) -> TenantParts {
         let mut parts = BTreeMap::new();
         let sizes = functions.iter().map(|f| (f.0, if f.1.is_finite() { f.1.max(0.0) } else { 0.0 }));
         for (key, size) in sizes.filter(|f| f.1 > 0.0) {
--- a/crates/sharding/src/zone.rs
+++ b/crates/sharding/src/zone.rs
@@ -11,7 +11,7 @@
 pub(crate) struct Zone {
     pub pool: Pool,
     /// Those at home elsewhere that want a shard most, with their scores and weights, best first.
-    stand_ins: BTreeMap<Shard, Vec<(u64, Key, i64)>>,
+    substitutes: BTreeMap<Shard, Vec<(u64, Key, i64)>>,
 }
 
 impl Zone {
@@ -22,7 +22,7 @@
         members: impl IntoIterator<Item = (Key, i64)>,
     ) -> Zone {
         let pool = Pool::new(table.clone(), floor, zone, members);
-        let mut zone = Zone { pool, stand_ins: BTreeMap::new() };
+        let mut zone = Zone { pool, substitutes: BTreeMap::new() };
         for shard in 0..table.shards() {
             zone.choose(shard);
         }
@@ -31,34 +31,34 @@
 
     pub fn insert(&mut self, key: Key, weight: i64) -> Before {
         let before = self.pool.insert(key, weight);
-        self.keep_up(&before, key);
+        self.update_substitutes(&before, key);
         before
     }
 
     pub fn remove(&mut self, key: Key) -> Before {
         let before = self.pool.remove(key);
-        self.keep_up(&before, key);
+        self.update_substitutes(&before, key);
         before
     }
 
     /// Those at home in a shard and those that stand in.
     pub fn members(&self, shard: Shard) -> impl Iterator<Item = Key> + '_ {
-        self.pool.members(shard).chain(self.stand_ins(shard).iter().map(|s| s.1))
+        self.pool.members(shard).chain(self.substitutes(shard).iter().map(|s| s.1))
     }
 
     /// Shards in which a member stands in.
     pub fn beside(&self, key: Key) -> impl Iterator<Item = Shard> + '_ {
         let has = move |s: &(&Shard, &Vec<(u64, Key, i64)>)| s.1.iter().any(|m| m.1 == key);
-        self.stand_ins.iter().filter(has).map(|s| *s.0)
+        self.substitutes.iter().filter(has).map(|s| *s.0)
     }
 
-    fn stand_ins(&self, shard: Shard) -> &[(u64, Key, i64)] {
-        self.stand_ins.get(&shard).map_or(&[], |s| &s[..])
+    fn substitutes(&self, shard: Shard) -> &[(u64, Key, i64)] {
+        self.substitutes.get(&shard).map_or(&[], |s| &s[..])
     }
 
     /// Chooses the stand-ins of a shard.
     fn choose(&mut self, shard: Shard) {
-        self.stand_ins.remove(&shard);
+        self.substitutes.remove(&shard);
         let mut lacks = self.pool.lacks(shard);
         if lacks <= 0 {
             return;
@@ -73,7 +73,7 @@
             if enough.is_some() || best.len() < most {
                 best.truncate(enough.map_or(best.len(), |at| at + 1));
                 if !best.is_empty() {
-                    self.stand_ins.insert(shard, best);
+                    self.substitutes.insert(shard, best);
                 }
                 return;
             }
@@ -102,20 +102,20 @@
     }
 
     /// Keeps the stand-ins up after a change of one member, which moved the homes of those in `before`.
-    fn keep_up(&mut self, before: &Before, changed: Key) {
+    fn update_substitutes(&mut self, before: &Before, changed: Key) {
         let came = self.pool.shard(changed).is_some();
         let after = before.keys().filter_map(|k| self.pool.shard(*k));
         let touched: BTreeSet<Shard> = before.values().flatten().copied().chain(after).collect();
         for shard in 0..self.pool.table().shards() {
-            if touched.contains(&shard) || !self.stands(shard, changed, came) {
+            if touched.contains(&shard) || !self.is_substitute(shard, changed, came) {
                 self.choose(shard);
             }
         }
     }
 
     /// Whether a shard's stand-ins, no home of it having changed, are still the right ones.
-    fn stands(&self, shard: Shard, changed: Key, came: bool) -> bool {
-        let (lacks, chosen) = (self.pool.lacks(shard), self.stand_ins(shard));
+    fn is_substitute(&self, shard: Shard, changed: Key, came: bool) -> bool {
+        let (lacks, chosen) = (self.pool.lacks(shard), self.substitutes(shard));
         let Some(last) = chosen.last() else { return lacks <= 0 };
         let sum: i64 = chosen.iter().map(|s| s.2).sum();
         let better = || (self.pool.table().score(changed, shard), changed) > (last.0, last.1);
--- a/crates/sharding/tests/agreement.rs
+++ b/crates/sharding/tests/agreement.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::{Rng, RngExt};
-use stagehoist_sharding::{Assignment, Division, Homes, HotFunction, Key, Member};
+use stagehoist_sharding::{Assignment, Division, HomeShards, HotFunction, Key, Member};
 use std::collections::BTreeMap;
 
 fn shuffled<T>(mut list: Vec<T>, rng: &mut impl Rng) -> Vec<T> {
@@ -121,8 +121,8 @@
         let hot: Vec<HotFunction> = (0..60)
             .map(|i| HotFunction { name: format!("f{i}"), calls: 900.0 / f64::from(i + 1), spread: None })
             .collect();
-        let one = Homes::new(&division(shards), 6_000.0, &hot).unwrap();
-        let other = Homes::new(&division(shards), 6_000.0, &shuffled(hot, &mut rng)).unwrap();
+        let one = HomeShards::new(&division(shards), 6_000.0, &hot).unwrap();
+        let other = HomeShards::new(&division(shards), 6_000.0, &shuffled(hot, &mut rng)).unwrap();
         for i in 0..500 {
             let key = Key::of(&format!("f{i}"));
             assert_eq!(one.of(key), other.of(key));
@@ -135,7 +135,7 @@
 #[test]
 fn answers_are_the_same_in_every_version() {
     let division = Division::new(300, 1).unwrap();
-    let functions = Homes::new(&division, 0.0, &[]).unwrap();
+    let functions = HomeShards::new(&division, 0.0, &[]).unwrap();
     let of = |name: &str| functions.of(Key::of(name))[0];
     let list = (0..90).map(|i| Member::new(&format!("worker-{i}"), i % 3, f64::from(1 + i % 2)));
     let small = Division::weighted(8, 1, BTreeMap::from([(2, 3)])).unwrap();
--- a/crates/sharding/tests/balance.rs
+++ b/crates/sharding/tests/balance.rs
@@ -4,7 +4,7 @@
 
 use common::{division, drawn, even, zipf};
 use stagehoist_sharding::{
-    Assignment, Division, Divisions, FrontEnd, FrontEnds, Homes, HotFunction, Key, Member,
+    Assignment, Division, Divisions, FrontEnd, FrontEnds, HomeShards, HotFunction, Key, Member,
 };
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
 }
 
 fn plain(shards: u32, list: &[Member]) -> Vec<f64> {
-    let homes = Homes::new(&division(shards), 0.0, &[]).unwrap();
+    let homes = HomeShards::new(&division(shards), 0.0, &[]).unwrap();
     let mut loads = vec![0.0; shards as usize];
     list.iter().for_each(|m| loads[homes.of(m.key)[0] as usize] += 1.0);
     loads
@@ -66,7 +66,7 @@
     assert!((1_800.0..=2_250.0).contains(&loads[7]), "{}", loads[7]);
     let others = (0..20).filter(|s| *s != 7).map(|s| loads[s]).fold(0.0, f64::max);
     assert!(others <= 250.0, "{others}");
-    let homes = Homes::new(&division, 0.0, &[]).unwrap();
+    let homes = HomeShards::new(&division, 0.0, &[]).unwrap();
     let mine = (0..29_000).filter(|i| homes.of(Key::of(&format!("f{i}"))) == [7]).count();
     assert!((9_500..10_500).contains(&mine), "{mine}");
 }
@@ -81,7 +81,7 @@
     let name = |rank: usize| format!("function-{rank}");
     let hot: Vec<HotFunction> =
         (0..told).map(|r| HotFunction { name: name(r), calls: part[r] * CALLS, spread: None }).collect();
-    let homes = Homes::new(&division(shards), CALLS, &hot).unwrap();
+    let homes = HomeShards::new(&division(shards), CALLS, &hot).unwrap();
     let mut traffic = vec![0.0; shards as usize];
     let mut spread = 0;
     for (rank, part) in part.iter().enumerate() {
--- a/crates/sharding/tests/change.rs
+++ b/crates/sharding/tests/change.rs
@@ -8,11 +8,11 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// The stages that a front end goes through, and the generations that it says it serves there.
-const STAGES: [(Option<Stage>, (u32, u32)); 5] = [
+const STAGES: [(Option<TransitionPhase>, (u32, u32)); 5] = [
     (None, (1, 1)),
-    (Some(Stage::Announced), (1, 1)),
-    (Some(Stage::Both), (1, 2)),
-    (Some(Stage::Closing), (2, 2)),
+    (Some(TransitionPhase::Announced), (1, 1)),
+    (Some(TransitionPhase::Both), (1, 2)),
+    (Some(TransitionPhase::Closing), (2, 2)),
     (None, (2, 2)),
 ];
 
@@ -57,7 +57,7 @@
     fn consumers(&self, generation: u32, shards: u32) -> Vec<BTreeSet<u16>> {
         let mut all = vec![BTreeSet::new(); shards as usize];
         for (member, front_end) in self.members.iter().zip(&self.each) {
-            for shard in front_end.own(generation) {
+            for shard in front_end.own_key(generation) {
                 all[*shard as usize].insert(member.zone);
             }
         }
@@ -105,7 +105,8 @@
         let shards: Vec<Vec<u32>> = assigned.iter().map(|a| a.shards(worker.key)).collect();
         let mut sum = 0.0;
         for (front_end, at) in fleet.each.iter().zip(&fleet.at) {
-            let serves = (0..2).any(|g| front_end.own(g as u32 + 1).iter().any(|s| shards[g].contains(s)));
+            let serves =
+                (0..2).any(|g| front_end.own_key(g as u32 + 1).iter().any(|s| shards[g].contains(s)));
             if serves {
                 let both = [&shards[0][..], &shards[1][..]];
                 sum += 1.0 / by(*at, if *at == 4 { &both[1..] } else { &both });
@@ -177,7 +178,7 @@
         let fleet = Fleet::new(24, (8, 9), (2, 3), false, &mut rng);
         let one = |n, shards: &[u32]| -> u32 {
             let division = Division::new(n, 1).unwrap();
-            shards.iter().map(|s| serving_most(&division, *s, &ZONES)).sum()
+            shards.iter().map(|s| max_serving(&division, *s, &ZONES)).sum()
         };
         let by = |_, shards: &[&[u32]]| f64::from(one(8, shards[0]).max(one(9, shards[1])));
         greater = greater.max(sums(&fleet, 8, 9, by));
@@ -195,7 +196,7 @@
 fn tenants_have_their_share_and_no_more() {
     let parts = |n: u32, functions: &[(Key, f64)]| {
         let division = Division::new(n, 1).unwrap();
-        TenantParts::new(&division, &Homes::new(&division, 0.0, &[]).unwrap(), functions)
+        TenantParts::new(&division, &HomeShards::new(&division, 0.0, &[]).unwrap(), functions)
     };
     let one: &[(Key, f64)] = &[(Key::of("payroll"), 3.0)];
     for (functions, seed) in [one, &[]].into_iter().flat_map(|f| (0..6).map(move |s| (f, s))) {
@@ -212,7 +213,7 @@
                 let share = |(f, at): (&FrontEnds, &usize)| {
                     let divisions = divisions(*at, old, new);
                     let serving = Serving::new(&divisions, &ZONES).listed(f);
-                    let own = [f.own(1), f.own(2)];
+                    let own = [f.own_key(1), f.own_key(2)];
                     let parts = [&of_old, &of_new];
                     let from = usize::from(*at == 4);
                     serving.share_of(&parts[from..], &own[from..])
@@ -230,18 +231,18 @@
 #[test]
 fn where_a_function_belongs() {
     let both = divisions(2, 8, 9);
-    let homes: Vec<Homes> = both.served().map(|d| Homes::new(d, 0.0, &[]).unwrap()).collect();
-    let homes: Vec<&Homes> = homes.iter().collect();
+    let homes: Vec<HomeShards> = both.served().map(|d| HomeShards::new(d, 0.0, &[]).unwrap()).collect();
+    let homes: Vec<&HomeShards> = homes.iter().collect();
     let members = even("f", 24, 2);
     let front_end = FrontEnds::of(&both, members[0], front_ends(&members, (1, 2)));
     let mut seen = HashMap::new();
     for i in 0..2_000 {
         let key = Key::of(&format!("f{i}"));
         let (old, new) = (homes[0].of(key)[0], homes[1].of(key)[0]);
-        let place = match (front_end.own(2).contains(&new), front_end.own(1).contains(&old)) {
-            (true, _) => Place::Own,
-            (false, true) => Place::Leaving,
-            (false, false) => Place::Elsewhere(new),
+        let place = match (front_end.own_key(2).contains(&new), front_end.own_key(1).contains(&old)) {
+            (true, _) => FunctionPlacement::Owned,
+            (false, true) => FunctionPlacement::Leaving,
+            (false, false) => FunctionPlacement::Elsewhere(new),
         };
         assert_eq!(front_end.place(&homes, key, 7), place);
         *seen.entry(std::mem::discriminant(&place)).or_insert(0) += 1;
--- a/crates/sharding/tests/errors.rs
+++ b/crates/sharding/tests/errors.rs
@@ -4,7 +4,7 @@
 
 use common::division;
 use stagehoist_sharding::{
-    ranked, Division, DivisionError, Divisions, Homes, HotFunction, Stage, SHARDS_MOST,
+    ranked, Division, DivisionError, Divisions, HomeShards, HotFunction, TransitionPhase, MAX_SHARDS,
 };
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 #[test]
 fn absurd_divisions() {
     assert_eq!(Division::new(0, 1), Err(DivisionError::NoShards));
-    let shards = SHARDS_MOST + 1;
+    let shards = MAX_SHARDS + 1;
     assert_eq!(Division::new(shards, 1), Err(DivisionError::TooManyShards { shards }));
     let weighted = |shard, weight| Division::weighted(4, 1, BTreeMap::from([(shard, weight)]));
     assert_eq!(weighted(4, 2), Err(DivisionError::UnknownShard { shard: 4, shards: 4 }));
@@ -38,7 +38,7 @@
 
 #[test]
 fn absurd_functions() {
-    let of = |list: &[HotFunction]| Homes::new(&division(8), 100.0, list).map(|_| ());
+    let of = |list: &[HotFunction]| HomeShards::new(&division(8), 100.0, list).map(|_| ());
     let bad = |spread| DivisionError::BadSpread { name: "f".into(), spread, shards: 8 };
     assert_eq!(of(&[hot("f", Some(0))]), Err(bad(0)));
     assert_eq!(of(&[hot("f", Some(9))]), Err(bad(9)));
@@ -55,5 +55,5 @@
 fn a_change_goes_forward() {
     let (old, new) = (division(4), Division::new(5, 1).unwrap());
     let back = DivisionError::GenerationBack { new: 1, old: 1 };
-    assert_eq!(Divisions::changing(old, new, Stage::Both), Err(back));
+    assert_eq!(Divisions::changing(old, new, TransitionPhase::Both), Err(back));
 }
--- a/crates/sharding/tests/movement.rs
+++ b/crates/sharding/tests/movement.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{division, drawn, even, homes, modulo, moved};
-use stagehoist_sharding::{Assignment, Homes, HotFunction, Key, Member, Move};
+use stagehoist_sharding::{Assignment, HomeShards, HotFunction, Key, Member, Move};
 use std::collections::BTreeSet;
 
 /// Most members that one change may move beside the changed one, whatever the fleet.
@@ -85,7 +85,7 @@
 #[test]
 fn functions_when_a_shard_comes_in() {
     let (old, new) = (division(300), division(301));
-    let (old, new) = (Homes::new(&old, 0.0, &[]).unwrap(), Homes::new(&new, 0.0, &[]).unwrap());
+    let (old, new) = (HomeShards::new(&old, 0.0, &[]).unwrap(), HomeShards::new(&new, 0.0, &[]).unwrap());
     let names: Vec<String> = (0..170_000).map(|i| format!("function-{i}")).collect();
     let (mut moved, mut by_remainder) = (0, 0);
     for name in &names {
@@ -105,7 +105,7 @@
 }
 
 /// Told functions of which a home is gone, each counted by the part of its homes.
-fn homes_gone(before: &Homes, after: &Homes) -> f64 {
+fn homes_gone(before: &HomeShards, after: &HomeShards) -> f64 {
     let gone = |f: usize| {
         let key = Key::of(&format!("f{f}"));
         let (a, b) = (before.of(key), after.of(key));
@@ -119,7 +119,7 @@
 #[test]
 fn one_hot_function_changes() {
     let division = division(300);
-    let of = |changed| Homes::new(&division, 880_000.0, &hot(changed)).unwrap();
+    let of = |changed| HomeShards::new(&division, 880_000.0, &hot(changed)).unwrap();
     let before = of(None);
     let gone: Vec<f64> = (0..1_000).step_by(10).map(|i| homes_gone(&before, &of(Some(i)))).collect();
     let (mean, still) = (gone.iter().sum::<f64>() / 100.0, gone.iter().filter(|g| **g < 1e-9).count());
@@ -134,7 +134,7 @@
 /// little.
 #[test]
 fn hot_functions_when_a_shard_comes_in() {
-    let of = |shards| Homes::new(&division(shards), 880_000.0, &hot(None)).unwrap();
+    let of = |shards| HomeShards::new(&division(shards), 880_000.0, &hot(None)).unwrap();
     for shards in [8, 100, 300] {
         let gone = homes_gone(&of(shards), &of(shards + 1));
         println!("{shards} shards and one: {gone:.1} of 1000 told functions moved");
--- a/crates/sharding/tests/transition.rs
+++ b/crates/sharding/tests/transition.rs
@@ -2,7 +2,7 @@
 //! nothing new.
 
 use stagehoist::*;
-use stagehoist_sharding::{Told, Transition};
+use stagehoist_sharding::{ShardUpdate, Transition};
 use std::rc::Rc;
 
 const S: Micros = 1_000_000;
@@ -16,8 +16,8 @@
     workers.iter().map(|w| row(*w, Lifecycle::Ready)).collect()
 }
 
-fn seen(told: &Told) -> Vec<(WorkerId, Lifecycle)> {
-    told.rows.iter().map(|r| (r.worker, r.lifecycle)).collect()
+fn seen(told: &ShardUpdate) -> Vec<(WorkerId, Lifecycle)> {
+    told.endpoints.iter().map(|r| (r.worker, r.lifecycle)).collect()
 }
 
 use Lifecycle::{Draining, Gone, Ready};
@@ -25,50 +25,50 @@
 #[test]
 fn what_leaves_drains_and_then_is_gone() {
     let mut t = Transition::new(DRAIN);
-    let first = t.listed(EndpointUpdate::Full, &ready(&[1, 2, 3, 4]), |w| w <= 2, 0);
-    assert_eq!((first.form, seen(&first)), (EndpointUpdate::Full, vec![(1, Ready), (2, Ready)]));
-    let told = t.moved(&ready(&[3]), &[2], S);
-    assert_eq!((told.form, seen(&told)), (EndpointUpdate::Delta, vec![(2, Draining), (3, Ready)]));
+    let first = t.apply_list(EndpointUpdate::Full, &ready(&[1, 2, 3, 4]), |w| w <= 2, 0);
+    assert_eq!((first.kind, seen(&first)), (EndpointUpdate::Full, vec![(1, Ready), (2, Ready)]));
+    let told = t.apply_move(&ready(&[3]), &[2], S);
+    assert_eq!((told.kind, seen(&told)), (EndpointUpdate::Delta, vec![(2, Draining), (3, Ready)]));
     assert_eq!((t.counts(), t.due()), ((2, 1), Some(S + DRAIN)));
     // A whole list in between still has it draining, and its time runs on.
-    let whole = t.listed(EndpointUpdate::Full, &ready(&[1, 2, 3, 4]), |w| w != 2 && w != 4, 5 * S);
+    let whole = t.apply_list(EndpointUpdate::Full, &ready(&[1, 2, 3, 4]), |w| w != 2 && w != 4, 5 * S);
     assert_eq!(seen(&whole), [(1, Ready), (2, Draining), (3, Ready)]);
     assert_eq!(t.expire(S + DRAIN - 1), None);
     assert_eq!(seen(&t.expire(S + DRAIN).unwrap()), [(2, Gone)]);
     assert_eq!((t.expire(S + DRAIN), t.counts(), t.due()), (None, (2, 0), None));
     // Gone here, it isn't told any more.
-    let whole = t.listed(EndpointUpdate::Full, &ready(&[1, 2, 3, 4]), |w| w != 2 && w != 4, 20 * S);
+    let whole = t.apply_list(EndpointUpdate::Full, &ready(&[1, 2, 3, 4]), |w| w != 2 && w != 4, 20 * S);
     assert_eq!(seen(&whole), [(1, Ready), (3, Ready)]);
-    assert_eq!(t.moved(&[], &[2, 77], 21 * S).rows, []);
+    assert_eq!(t.apply_move(&[], &[2, 77], 21 * S).endpoints, []);
 }
 
 #[test]
 fn what_comes_back_is_told_as_it_stands() {
     let mut t = Transition::new(DRAIN);
-    t.listed(EndpointUpdate::Full, &ready(&[1, 2]), |_| true, 0);
-    t.moved(&[], &[1], S);
-    assert_eq!(seen(&t.moved(&ready(&[1]), &[], 2 * S)), [(1, Ready)]);
+    t.apply_list(EndpointUpdate::Full, &ready(&[1, 2]), |_| true, 0);
+    t.apply_move(&[], &[1], S);
+    assert_eq!(seen(&t.apply_move(&ready(&[1]), &[], 2 * S)), [(1, Ready)]);
     assert_eq!((t.counts(), t.due(), t.expire(100 * S)), ((2, 0), None, None));
     // It drains by itself: that too is told as it stands, in the subset or outside.
-    t.moved(&[], &[1], 3 * S);
-    assert_eq!(seen(&t.moved(&[row(1, Draining)], &[], 4 * S)), [(1, Draining)]);
-    t.moved(&[], &[1], 5 * S);
-    let told = t.listed(EndpointUpdate::Delta, &[row(1, Draining)], |_| false, 6 * S);
+    t.apply_move(&[], &[1], 3 * S);
+    assert_eq!(seen(&t.apply_move(&[row(1, Draining)], &[], 4 * S)), [(1, Draining)]);
+    t.apply_move(&[], &[1], 5 * S);
+    let told = t.apply_list(EndpointUpdate::Delta, &[row(1, Draining)], |_| false, 6 * S);
     assert_eq!((seen(&told), t.due()), (vec![(1, Draining)], Some(5 * S + DRAIN)));
 }
 
 #[test]
 fn what_the_list_says_gone_is_gone_at_once() {
     let mut t = Transition::new(DRAIN);
-    t.listed(EndpointUpdate::Full, &ready(&[1, 2, 3]), |_| true, 0);
-    t.moved(&[], &[1, 2], S);
-    let told = t.listed(EndpointUpdate::Delta, &[row(1, Gone), row(9, Gone)], |_| false, 2 * S);
+    t.apply_list(EndpointUpdate::Full, &ready(&[1, 2, 3]), |_| true, 0);
+    t.apply_move(&[], &[1, 2], S);
+    let told = t.apply_list(EndpointUpdate::Delta, &[row(1, Gone), row(9, Gone)], |_| false, 2 * S);
     assert_eq!(seen(&told), [(1, Gone)]);
-    assert_eq!(seen(&t.listed(EndpointUpdate::Full, &ready(&[3]), |_| true, 3 * S)), [(3, Ready)]);
+    assert_eq!(seen(&t.apply_list(EndpointUpdate::Full, &ready(&[3]), |_| true, 3 * S)), [(3, Ready)]);
     assert_eq!((t.counts(), t.due()), ((1, 0), None));
     // A list that couldn't be had changes nothing.
-    let failed = t.listed(EndpointUpdate::Failed, &[], |_| true, 4 * S);
-    assert_eq!((failed.form, seen(&failed), t.counts()), (EndpointUpdate::Failed, vec![], (1, 0)));
+    let failed = t.apply_list(EndpointUpdate::Failed, &[], |_| true, 4 * S);
+    assert_eq!((failed.kind, seen(&failed), t.counts()), (EndpointUpdate::Failed, vec![], (1, 0)));
 }
 
 /// The real module, 400 calls, the subset changed in the middle: after the change nothing goes to the worker
@@ -81,14 +81,15 @@
         let mut now = 1_000 * S;
         let mut module = FrontEnd::new(settings, 7, now);
         let mut t = Transition::new(DRAIN);
-        let first = t.listed(EndpointUpdate::Full, &ready(&[1, 2, 3]), |w| w <= 2, now);
-        let roster = |told: Told| Event::Endpoints { update: told.form, endpoints: Rc::from(told.rows) };
+        let first = t.apply_list(EndpointUpdate::Full, &ready(&[1, 2, 3]), |w| w <= 2, now);
+        let roster =
+            |told: ShardUpdate| Event::Endpoints { update: told.kind, endpoints: Rc::from(told.endpoints) };
         let mut events = vec![roster(first)];
         let mut sent = [0u32; 4];
         for id in 1..=400u32 {
             now += 20_000;
             if id == 200 && leaves {
-                events.push(roster(t.moved(&ready(&[3]), &[1], now)));
+                events.push(roster(t.apply_move(&ready(&[3]), &[1], now)));
             }
             events.push(Event::Request(Request {
                 id,
--- a/crates/sharding/tests/zones.rs
+++ b/crates/sharding/tests/zones.rs
@@ -8,8 +8,8 @@
 use proptest::test_runner::RngSeed;
 use rand::RngExt;
 use stagehoist_sharding::{
-    ranked, ranked_most, serving_most, Assignment, Division, Divisions, FrontEnd, FrontEnds, Member,
-    MEMBERS_MOST,
+    max_ranked, max_serving, ranked, Assignment, Division, Divisions, FrontEnd, FrontEnds, Member,
+    MAX_MEMBERS,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -153,8 +153,8 @@
     assert_eq!(alone.queues(), (0..8).collect::<Vec<_>>());
     let named = FrontEnds::of(&divisions, own, front_ends(&all, (1, 1)));
     let mut unnamed = FrontEnds::of(&divisions, own, without);
-    assert_eq!(named.own(1), unnamed.own(1));
-    assert!(!named.own(1).is_empty() && named.own(2).is_empty());
+    assert_eq!(named.own_key(1), unnamed.own_key(1));
+    assert!(!named.own_key(1).is_empty() && named.own_key(2).is_empty());
     // The death of others is made up for as soon as the list tells it.
     for other in all.iter().filter(|m| m.key != own.key) {
         unnamed.changed(other.key, None);
@@ -173,18 +173,18 @@
             ranked(&division, rank, of).unwrap().into_iter().for_each(|s| owners[s as usize] += 1);
         }
         assert!(owners.iter().all(|n| *n >= 2.min(of)), "{shards} {of}: {owners:?}");
-        assert!(owners.iter().all(|n| *n <= ranked_most(&division, of)), "{shards} {of}: {owners:?}");
+        assert!(owners.iter().all(|n| *n <= max_ranked(&division, of)), "{shards} {of}: {owners:?}");
     }
 }
 
 /// Over the bound the same are left out everywhere, and service goes on with the others.
 #[test]
 fn a_list_over_its_bound() {
-    let list = even("w", MEMBERS_MOST as u32 + 100, 3);
+    let list = even("w", MAX_MEMBERS as u32 + 100, 3);
     let reversed: Vec<Member> = list.iter().rev().copied().collect();
     let (one, left_out) = Assignment::of(&division(5), list.clone());
     let (mut other, _) = Assignment::of(&division(5), reversed);
-    assert_eq!((left_out, one.len()), (100, MEMBERS_MOST));
+    assert_eq!((left_out, one.len()), (100, MAX_MEMBERS));
     assert_eq!(homes(&one, &list), homes(&other, &list));
     assert!(other.insert(Member::new("one more", 0, 1.0)).is_err());
     assert_eq!(homes(&one, &list), homes(&other, &list));
@@ -199,10 +199,10 @@
         for few in (1..=140).step_by(3) {
             let (all, _) = Assignment::of(&division, members[..few].iter().copied());
             for shard in 0..shards {
-                let most = serving_most(&division, shard, &[(0, 47), (1, 47), (2, 46)]);
+                let most = max_serving(&division, shard, &[(0, 47), (1, 47), (2, 46)]);
                 assert!(all.of_shard(shard).len() as u32 <= most, "{few} in {shards}");
             }
         }
-        assert_eq!(serving_most(&division, shards, &[(0, 47)]), 0);
+        assert_eq!(max_serving(&division, shards, &[(0, 47)]), 0);
     }
 }
