--- a/crates/admission/src/lanes/mod.rs
+++ b/crates/admission/src/permits/mod.rs
@@ -7,12 +7,12 @@
 //! keep counting until they end.
 
 mod class;
-mod queue;
+mod tenant_queue;
 
 use class::Pool;
-use queue::TenantQueue;
 use stagehoist::Micros;
 use std::collections::{BTreeSet, HashMap};
+use tenant_queue::TenantQueue;
 
 pub use class::{PoolDemand, PoolRules};
 
--- a/crates/admission/tests/lanes.rs
+++ b/crates/admission/tests/lanes.rs
@@ -1,6 +1,6 @@
 //! Which calls may start by lanes and floor, in which order, and which are refused.
 
-use stagehoist_admission::lanes::{Permit, PermitDecision, PermitPools, PoolRules, WaitOutcome};
+use stagehoist_admission::permits::{Permit, PermitDecision, PermitPools, PoolRules, WaitOutcome};
 
 const S: i64 = 1_000_000;
 const OWNER: u32 = 7;
--- /dev/null
+++ b/crates/amqp/src/acks/tests.rs
@@ -0,0 +1,60 @@
+//! Tests of `acks`.
+
+use super::*;
+use proptest::prelude::*;
+use std::collections::BTreeSet;
+
+#[test]
+fn a_run_at_the_front_goes_in_one_and_what_is_behind_a_gap_alone() {
+    let mut acks = Acks::default();
+    (1..=6).for_each(|t| acks.delivered(t));
+    [2, 1, 3, 5].iter().for_each(|t| acks.settle(*t));
+    assert_eq!(acks.take(), [(3, true), (5, false)]);
+    assert_eq!(acks.take(), []);
+    acks.remove(4);
+    acks.settle(6);
+    assert_eq!((acks.waiting(), acks.take()), (1, vec![(6, false)]));
+    // A tag of another channel, or settled twice, changes nothing.
+    acks.settle(99);
+    assert_eq!(acks.take(), []);
+}
+
+proptest! {
+    /// Against a broker's own reading of `multiple`: exactly the settled tags are acknowledged, each once.
+    #[test]
+    fn a_broker_sees_each_settled_tag_once_and_no_other(ops in prop::collection::vec((0u8..4, 0u64..40), 1..200)) {
+        let mut acks = Acks::default();
+        let (mut next, mut at_broker, mut settled) = (1, BTreeSet::new(), BTreeSet::new());
+        for (op, pick) in ops {
+            match op {
+                0 => {
+                    acks.delivered(next);
+                    at_broker.insert(next);
+                    next += 1;
+                }
+                1 | 2 => {
+                    let Some(&tag) = at_broker.iter().nth(pick as usize % at_broker.len().max(1)) else { continue };
+                    if op == 1 {
+                        acks.settle(tag);
+                        settled.insert(tag);
+                    } else if !settled.contains(&tag) {
+                        acks.remove(tag);
+                        at_broker.remove(&tag);
+                    }
+                }
+                _ => {
+                    for (tag, multiple) in acks.take() {
+                        let covered: Vec<u64> =
+                            at_broker.iter().copied().filter(|t| *t == tag || multiple && *t < tag).collect();
+                        prop_assert!(covered.contains(&tag));
+                        for t in covered {
+                            prop_assert!(settled.remove(&t), "{t} was not settled");
+                            at_broker.remove(&t);
+                        }
+                    }
+                    prop_assert!(settled.is_empty());
+                }
+            }
+        }
+    }
+}
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -7,6 +7,9 @@
 use std::time::Instant;
 use tracing_subscriber::fmt::MakeWriter;
 
+#[cfg(test)]
+mod tests;
+
 /// Lines that go to the log at most in one second; what is beyond is left out.
 const LINES: u64 = 40;
 
@@ -76,17 +79,3 @@
         Line(!self.is_over())
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn lines_beyond_those_of_a_second_are_left_out() {
-        let log = SparseLog { born: Instant::now(), written: AtomicU64::new(0), most: LINES };
-        let written = (0..10_000).filter(|_| !log.is_over()).count() as u64;
-        let seconds = log.born.elapsed().as_secs() + 1;
-        assert!((LINES..=LINES * seconds).contains(&written), "{written}");
-        assert!(Line(false).write(b"left out").is_ok_and(|n| n == 8));
-    }
-}
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -4,7 +4,7 @@
 use stagehoist_config::load;
 use stagehoist_gateway::clock::Clock;
 use stagehoist_gateway::state::{module, PolicyFactory};
-use stagehoist_gateway::{metrics_page, serve_with as start, GatewayError};
+use stagehoist_gateway::{metrics, serve_with as start, GatewayError};
 use std::path::Path;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -50,7 +50,7 @@
     let metrics = if config.listen.is_empty() {
         None
     } else {
-        match metrics_page::install() {
+        match metrics::install() {
             Ok(handle) => Some(handle),
             Err(e) => return fail(&e),
         }
--- a/crates/cluster-state/src/deal/mod.rs
+++ b/crates/cluster-state/src/allocation/mod.rs
@@ -8,15 +8,15 @@
 //! given only what is left of the pool after all floors and what the others have out.
 
 mod account;
-mod share;
-mod size;
+mod limits;
+mod targets;
 
-pub use size::{guaranteed_permits, AllocationLimits, GUARANTEED_SHARE};
+pub use limits::{guaranteed_permits, AllocationLimits, GUARANTEED_SHARE};
 
 use crate::{ClusterState, LeaseTerms, Member, Micros, Pool, PoolSize, Report, Version};
 use account::Account;
-use share::Targets;
 use std::collections::{BTreeMap, BTreeSet};
+use targets::Targets;
 
 /// Rules that a test takes out one at a time; all stand in use.
 #[doc(hidden)]
--- a/crates/cluster-state/src/deal/share.rs
+++ b/crates/cluster-state/src/allocation/targets.rs
@@ -4,6 +4,9 @@
 use crate::{Member, Reservation};
 use std::collections::BTreeMap;
 
+#[cfg(test)]
+mod tests;
+
 type Wants<'a> = [(&'a Member, Option<&'a BTreeMap<String, u32>>)];
 
 /// Lanes each member should have in a pool; together no more than may be dealt.
@@ -102,16 +105,3 @@
     }
     parts
 }
-
-#[cfg(test)]
-mod tests {
-    use super::max_min;
-
-    #[test]
-    fn small_wants_are_met_and_large_ones_share_evenly() {
-        assert_eq!(max_min(10, &[1, 100, 2, 100]), [1, 4, 2, 3]);
-        assert_eq!(max_min(10, &[]), [0; 0]);
-        assert_eq!(max_min(2, &[5, 5, 5]), [1, 1, 0]);
-        assert_eq!(max_min(100, &[5, 0, 7]), [5, 0, 7]);
-    }
-}
--- a/crates/cluster-state/src/lead.rs
+++ b/crates/cluster-state/src/leader.rs
@@ -2,7 +2,7 @@
 //! with the leadership; a new leader counts every promise that it does not know of as standing for
 //! [`LeaseTerms::silence`].
 
-mod due;
+mod commands;
 
 use crate::{
     AllocationLimits, ClusterState, Grant, LeaseTerms, Member, Micros, PermitAllocator, Report, Version,
--- a/crates/cluster-state/src/lib.rs
+++ b/crates/cluster-state/src/lib.rs
@@ -1,34 +1,34 @@
 //! The record that the processes of one fleet share, and the decisions around it, without I/O.
 //!
-//! - [`record`]: what keepers agree on ([`Command`]) and what it comes to ([`ClusterState`]): members with
+//! - [`state`]: what keepers agree on ([`Command`]) and what it comes to ([`ClusterState`]): members with
 //!   incarnations, tombstones of retired functions, pools with reservations.
 //! - [`bounds`]: how much of each.
-//! - [`lead`]: what only the keeper that leads knows and decides: sessions, leases, when a retirement is in
+//! - [`leader`]: what only the keeper that leads knows and decides: sessions, leases, when a retirement is in
 //!   force.
-//! - [`marks`]: what front ends ask each other about messages that are delivered again.
+//! - [`inquiry`]: what front ends ask each other about messages that are delivered again.
 //! - [`wire`]: what a front end and the leading keeper say to each other.
-//! - [`deal`]: lanes dealt from reported demand, beside the floors.
-//! - [`holder`]: a front end's side of its session: what it holds, and until when by its own clock.
+//! - [`allocation`]: lanes dealt from reported demand, beside the floors.
+//! - [`lease`]: a front end's side of its session: what it holds, and until when by its own clock.
 //!
 //! Times are microseconds of the monotonic clock of whoever is called. Two processes' clocks never agree: a
 //! promise is counted by its holder from when it asked, and by its giver from when it gave, with
 //! [`LeaseTerms::drift`] between. The clock must go on while its process is stopped.
 #![forbid(unsafe_code)]
 
+pub mod allocation;
 mod apply;
 pub mod bounds;
-pub mod deal;
-pub mod holder;
-pub mod lead;
-pub mod marks;
-pub mod record;
+pub mod inquiry;
+pub mod leader;
+pub mod lease;
+pub mod state;
 pub mod wire;
 
-pub use deal::{guaranteed_permits, AllocationLimits, PermitAllocator, GUARANTEED_SHARE};
-pub use holder::{ClusterStatus, LeaseHolder};
-pub use lead::Leader;
-pub use marks::{InquiryEvent, InquiryMessage, InquiryRounds, MessageKey, MessageKnowledge};
-pub use record::{
+pub use allocation::{guaranteed_permits, AllocationLimits, PermitAllocator, GUARANTEED_SHARE};
+pub use inquiry::{InquiryEvent, InquiryMessage, InquiryRounds, MessageKey, MessageKnowledge};
+pub use leader::Leader;
+pub use lease::{ClusterStatus, LeaseHolder};
+pub use state::{
     ClusterState, ClusterView, Command, CommandOutcome, Member, MemberRun, Pool, PoolSize, Reservation,
     Retirement, RetirementMode, Tombstone, TombstoneState,
 };
--- a/crates/cluster-state/tests/deal_model.rs
+++ b/crates/cluster-state/tests/deal_model.rs
@@ -6,7 +6,7 @@
 }
 
 use deal_model::world::{Bounds, World};
-use stagehoist_cluster_state::deal::Guards;
+use stagehoist_cluster_state::allocation::Guards;
 use stateright::{Checker, Model};
 
 /// Steps taken at most, breadth first. The models of one word each end before it, explored whole; the
--- a/crates/cluster-state/tests/deal_model/world.rs
+++ b/crates/cluster-state/tests/deal_model/world.rs
@@ -1,6 +1,6 @@
 //! Two front ends, an old and a new leader, what is under way between them, and clocks that run apart.
 
-use stagehoist_cluster_state::deal::{AllocationLimits, Guards, PermitAllocator};
+use stagehoist_cluster_state::allocation::{AllocationLimits, Guards, PermitAllocator};
 use stagehoist_cluster_state::{
     guaranteed_permits, ClusterState, Command, Demand, Grant, LeaseHolder, LeaseTerms, Member, Micros, Pool,
     PoolSize, Report,
--- a/crates/cluster-state/tests/deal_world/mod.rs
+++ b/crates/cluster-state/tests/deal_world/mod.rs
@@ -4,7 +4,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stagehoist_admission::lanes::{Permit, PermitDecision, PermitPools, PoolRules, WaitOutcome};
+use stagehoist_admission::permits::{Permit, PermitDecision, PermitPools, PoolRules, WaitOutcome};
 use stagehoist_cluster_state::{
     guaranteed_permits, AllocationLimits, ClusterState, Command, Demand, Grant, LeaseHolder, LeaseTerms,
     Member, Micros, PermitAllocator, Pool, PoolSize, Report, Reservation,
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -7,25 +7,25 @@
 //!
 //! What a keeper acknowledged is on its disk. One that lost its store, or finds it older than a file beside
 //! it tells, is
-//! brought back without a second vote in any term (`keep::gate`); how a store is judged stands in
+//! brought back without a second vote in any term (`replica::participation`); how a store is judged stands in
 //! `store::open`.
 #![forbid(unsafe_code)]
 
-mod client;
 mod error;
-mod figures;
 mod frames;
-mod keep;
-mod kept;
-mod kinds;
+mod replica;
+mod session;
+mod session_file;
 mod start;
+mod statistics;
 mod store;
 #[cfg(test)]
 mod tests;
+mod types;
 
 pub use error::ConsensusError;
-pub use figures::Statistics;
 pub use start::{start, Running};
+pub use statistics::Statistics;
 
 use stagehoist_cluster_state::{
     AllocationLimits, ClusterStatus, Demand, InquiryEvent, InquiryMessage, LeaseTerms, Member, Micros, Pool,
--- a/crates/consensus/src/keep/serve.rs
+++ b/crates/consensus/src/replica/connection.rs
@@ -1,6 +1,6 @@
 //! A front end's connection at a keeper: frames in to the desk, frames out from it.
 
-use super::desk::{Notes, ServiceMessage};
+use super::service::{Notes, ServiceMessage};
 use crate::frames::{apart, decode, Frames, WRITE_TIMEOUT};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -15,7 +15,7 @@
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Serves one connection until either side ends it. The desk ends it by dropping its sender.
-pub async fn serve(conn: u64, frames: Frames, hello: SessionRequest, desk: Notes) {
+pub async fn serve_session(conn: u64, frames: Frames, hello: SessionRequest, desk: Notes) {
     let (out, mut outgoing) = mpsc::channel::<Bytes>(OUTPUT_CAPACITY);
     if desk.send(ServiceMessage::Connected { conn, hello, out }).await.is_err() {
         return;
--- a/crates/consensus/src/keep/form.rs
+++ b/crates/consensus/src/replica/formation.rs
@@ -1,14 +1,17 @@
 //! How a keeper that has nothing, or lost what it had, finds its place.
 
-use super::gate::{Participation, State};
-use super::peer::Peers;
-use super::wire::{PeerRequest, PeerResponse, ReplicaStatus};
-use crate::kinds::{Applied, Raft};
+use super::messages::{PeerRequest, PeerResponse, ReplicaStatus};
+use super::network::Peers;
+use super::participation::{Participation, State};
 use crate::store::{Start, Store};
+use crate::types::{Applied, Raft};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tokio::sync::watch;
 
+#[cfg(test)]
+mod tests;
+
 const STATUS_INTERVAL: Duration = Duration::from_millis(200);
 /// Rounds of questions between two lines in the log.
 const LOG_INTERVAL_ROUNDS: u32 = 25;
@@ -49,7 +52,7 @@
 }
 
 /// Brings a keeper to where it takes part fully; ends then.
-pub async fn form(
+pub async fn join_or_form(
     start: Start,
     numbers: BTreeSet<u64>,
     store: Store,
@@ -117,38 +120,3 @@
     });
     futures_util::future::join_all(asked).await.into_iter().flatten().collect()
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn answers(stands: &[(bool, u64, bool)]) -> BTreeMap<u64, ReplicaStatus> {
-        let stand = |&(fresh, term, voter)| ReplicaStatus {
-            is_new: fresh,
-            is_participating: true,
-            term,
-            is_voter: voter,
-        };
-        (2..).zip(stands.iter().map(stand)).collect()
-    }
-
-    #[test]
-    fn the_first_membership_is_formed_once_a_majority_has_nothing_and_nobody_has_something() {
-        let fresh = (true, 0, false);
-        assert_eq!(choose(Start::Pristine, 0, &answers(&[])), Choice::Form);
-        assert_eq!(choose(Start::Pristine, 2, &answers(&[])), Choice::Wait);
-        assert_eq!(choose(Start::Pristine, 2, &answers(&[fresh])), Choice::Form);
-        assert_eq!(choose(Start::Pristine, 2, &answers(&[fresh, (false, 3, true)])), Choice::Return(3));
-        assert_eq!(choose(Start::Returning(None), 2, &answers(&[fresh])), Choice::Wait);
-    }
-
-    #[test]
-    fn one_that_lost_its_disk_is_bounded_by_all_others_and_one_never_taken_in_just_joins() {
-        let voter = (false, 5, true);
-        assert_eq!(choose(Start::Pristine, 2, &answers(&[voter])), Choice::Wait);
-        assert_eq!(choose(Start::Pristine, 2, &answers(&[voter, (false, 7, true)])), Choice::Return(7));
-        let without = (false, 5, false);
-        assert_eq!(choose(Start::Pristine, 3, &answers(&[without, without])), Choice::Join);
-        assert_eq!(choose(Start::Returning(None), 2, &answers(&[without, without])), Choice::Return(5));
-    }
-}
--- a/crates/consensus/src/keep/listen.rs
+++ b/crates/consensus/src/replica/listener.rs
@@ -1,9 +1,9 @@
 //! The one address of a keeper: peers and front ends come here; their first frame tells which they are.
 
-use super::desk::Notes;
-use super::host::PeerHandler;
-use super::serve::serve;
-use super::wire::{RequestFrame, ResponseFrame};
+use super::connection::serve_session;
+use super::messages::{RequestFrame, ResponseFrame};
+use super::peer_handler::PeerHandler;
+use super::service::Notes;
 use crate::frames::{
     decode, decode_first, encode, frames, First, Frames, MAX_FIRST_FRAME, MAX_PEER_FRAME, PEER_PROTOCOL,
     WRITE_TIMEOUT,
@@ -22,7 +22,7 @@
 const PEER_SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Accepts until it is dropped, and with it all connections.
-pub async fn listen(listener: TcpListener, own: u64, host: PeerHandler, desk: Notes) {
+pub async fn accept_connections(listener: TcpListener, own: u64, host: PeerHandler, desk: Notes) {
     let host = Arc::new(host);
     let mut tasks = JoinSet::new();
     let mut conn = 0;
@@ -53,7 +53,7 @@
     let mut frames = frames(stream, MAX_FIRST_FRAME);
     let Ok(Some(Ok(first))) = timeout(FIRST_FRAME_TIMEOUT, frames.next()).await else { return };
     match decode_first(&first) {
-        Some(First::Member(hello)) => serve(conn, frames, hello, desk).await,
+        Some(First::Member(hello)) => serve_session(conn, frames, hello, desk).await,
         Some(First::Peer { protocol: PEER_PROTOCOL, from, to }) if to == own && from != own => {
             frames.codec_mut().set_max_frame_length(MAX_PEER_FRAME);
             peer(frames, from, &host).await;
--- a/crates/consensus/src/keep/tend.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -1,8 +1,8 @@
 //! What a leader does for the membership of the keepers.
 
-use super::peer::Peers;
-use super::wire::{PeerRequest, PeerResponse};
-use crate::kinds::Raft;
+use super::messages::{PeerRequest, PeerResponse};
+use super::network::Peers;
+use crate::types::Raft;
 use openraft::{EmptyNode, ServerState};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Brings Raft's membership in line with the keepers that this process is told of, while it leads.
-pub async fn tend(raft: Raft, told: BTreeSet<u64>, peers: Peers) {
+pub async fn maintain_membership(raft: Raft, told: BTreeSet<u64>, peers: Peers) {
     let mut differed = 0;
     loop {
         sleep(CHECK_INTERVAL).await;
@@ -74,7 +74,7 @@
 pub async fn yield_term(raft: Raft, mut raised: mpsc::Receiver<u64>) {
     let mut metrics = raft.metrics();
     while let Some(above) = raised.recv().await {
-        let leads = |m: &crate::kinds::Metrics| m.state == ServerState::Leader && m.current_term <= above;
+        let leads = |m: &crate::types::Metrics| m.state == ServerState::Leader && m.current_term <= above;
         if !leads(&metrics.borrow_and_update()) {
             continue;
         }
--- a/crates/consensus/src/keep/wire.rs
+++ b/crates/consensus/src/replica/messages.rs
@@ -1,6 +1,6 @@
 //! What keepers say to each other.
 
-use crate::kinds::TypeConfig;
+use crate::types::TypeConfig;
 use openraft::error::InstallSnapshotError;
 use openraft::raft::{
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
--- a/crates/consensus/src/keep/peer.rs
+++ b/crates/consensus/src/replica/network.rs
@@ -1,11 +1,11 @@
 //! A keeper's connections to the others: one to each, kept, made anew when it breaks.
 
-use super::wire::{PeerRequest, PeerResponse, RequestFrame, ResponseFrame};
+use super::messages::{PeerRequest, PeerResponse, RequestFrame, ResponseFrame};
 use crate::frames::{
     decode, encode, encode_first, frames, First, Frames, CONNECT_TIMEOUT, MAX_PEER_FRAME, PEER_PROTOCOL,
     WRITE_TIMEOUT,
 };
-use crate::kinds::TypeConfig;
+use crate::types::TypeConfig;
 use futures_util::{SinkExt, StreamExt};
 use openraft::error::{InstallSnapshotError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::{Backoff, RPCOption, RaftNetwork, RaftNetworkFactory};
--- a/crates/consensus/src/keep/host.rs
+++ b/crates/consensus/src/replica/peer_handler.rs
@@ -1,8 +1,8 @@
 //! A keeper's answers to the others.
 
-use super::gate::{Participation, State};
-use super::wire::{PeerRequest, PeerResponse, ReplicaStatus};
-use crate::kinds::Raft;
+use super::messages::{PeerRequest, PeerResponse, ReplicaStatus};
+use super::participation::{Participation, State};
+use crate::types::Raft;
 use openraft::error::RaftError;
 use tokio::sync::mpsc;
 
--- a/crates/consensus/src/keep/run.rs
+++ b/crates/consensus/src/replica/run.rs
@@ -1,16 +1,16 @@
 //! Puts a keeper together.
 
-use super::desk::{desk, ServiceContext, NOTES_MOST};
-use super::form::form;
-use super::gate::{Participation, State};
-use super::host::PeerHandler;
-use super::listen::listen;
-use super::peer::Peers;
-use super::tend::{tend, yield_term};
-use crate::figures::Statistics;
+use super::formation::join_or_form;
+use super::listener::accept_connections;
+use super::membership::{maintain_membership, yield_term};
+use super::network::Peers;
+use super::participation::{Participation, State};
+use super::peer_handler::PeerHandler;
+use super::service::{run_service, ServiceContext, NOTES_MOST};
 use crate::frames::{MAX_ENTRIES, MAX_SNAPSHOT_PART};
-use crate::kinds::Raft;
+use crate::statistics::Statistics;
 use crate::store::{Start, StateMachine, Store};
+use crate::types::Raft;
 use crate::{ConsensusError, Now, Options};
 use openraft::{Config, SnapshotPolicy};
 use std::collections::BTreeSet;
@@ -79,10 +79,10 @@
         statistics: figures,
     };
     let numbers: BTreeSet<u64> = options.replicas.keys().copied().collect();
-    tasks.spawn(listen(listener, number, host, notes));
-    tasks.spawn(desk(tools, noted));
+    tasks.spawn(accept_connections(listener, number, host, notes));
+    tasks.spawn(run_service(tools, noted));
     tasks.spawn(yield_term(raft.clone(), raised));
-    tasks.spawn(tend(raft.clone(), numbers.clone(), peers.clone()));
-    tasks.spawn(form(start, numbers, store, raft.clone(), gate, peers, applied));
+    tasks.spawn(maintain_membership(raft.clone(), numbers.clone(), peers.clone()));
+    tasks.spawn(join_or_form(start, numbers, store, raft.clone(), gate, peers, applied));
     Ok(raft)
 }
--- a/crates/consensus/src/keep/desk.rs
+++ b/crates/consensus/src/replica/service.rs
@@ -2,10 +2,10 @@
 //! nothing while it
 //! does not lead but who does.
 
-use super::desk_state::SessionService;
-use super::gate::Participation;
-use crate::figures::Statistics;
-use crate::kinds::{Applied, Metrics, Raft};
+use super::participation::Participation;
+use super::service_state::SessionService;
+use crate::statistics::Statistics;
+use crate::types::{Applied, Metrics, Raft};
 use crate::Now;
 use bytes::Bytes;
 use stagehoist_cluster_state::{AllocationLimits, LeaseTerms, Micros, SessionRequest};
@@ -39,7 +39,7 @@
 }
 
 /// Runs the desk until every sender of notes is gone.
-pub async fn desk(tools: ServiceContext, mut notes: mpsc::Receiver<ServiceMessage>) {
+pub async fn run_service(tools: ServiceContext, mut notes: mpsc::Receiver<ServiceMessage>) {
     let mut applied = tools.applied.clone();
     let mut metrics = tools.raft.metrics();
     let mut fresh = metrics.clone();
--- a/crates/consensus/src/keep/desk_state.rs
+++ b/crates/consensus/src/replica/service_state.rs
@@ -1,17 +1,17 @@
 //! What the desk does with each note.
 
-mod agree;
-mod asks;
-mod out;
-mod retiring;
+mod inquiries;
+mod output;
+mod proposals;
+mod retirements;
 
-use super::desk::ServiceContext;
 use super::leading::Leading;
-use crate::figures::Statistics;
-use crate::kinds::{Applied, BatchOutcome, Metrics};
-use agree::MAX_QUEUE;
+use super::service::ServiceContext;
+use crate::statistics::Statistics;
+use crate::types::{Applied, BatchOutcome, Metrics};
 use bytes::Bytes;
 use openraft::ServerState;
+use proposals::MAX_QUEUE;
 use stagehoist_cluster_state::{
     Command, Leader, Member, Micros, Report, SessionRequest, SessionResponse, Version, PROTOCOL,
 };
--- a/crates/consensus/src/keep/desk_state/asks.rs
+++ b/crates/consensus/src/replica/service_state/inquiries.rs
@@ -4,8 +4,8 @@
 mod tests;
 
 use super::SessionService;
-use crate::keep::serve::OUTPUT_CAPACITY;
-use stagehoist_cluster_state::marks::MAX_KEYS;
+use crate::replica::connection::OUTPUT_CAPACITY;
+use stagehoist_cluster_state::inquiry::MAX_KEYS;
 use stagehoist_cluster_state::{Member, MessageKey, MessageKnowledge, Micros, SessionResponse};
 use std::collections::BTreeSet;
 
--- a/crates/consensus/src/keep/desk_state/agree.rs
+++ b/crates/consensus/src/replica/service_state/proposals.rs
@@ -2,7 +2,7 @@
 
 use super::{Agreed, Proposer, SessionService};
 use crate::frames::{encode, MAX_REQUEST};
-use crate::kinds::{Batch, MAX_CHANGES};
+use crate::types::{Batch, MAX_CHANGES};
 use stagehoist_cluster_state::{Command, CommandOutcome, Leader, SessionResponse};
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/consensus/src/client.rs
+++ b/crates/consensus/src/session.rs
@@ -1,18 +1,18 @@
 //! A front end's session: finds the keeper that leads, reports, and tells the front end how things stand.
 
-mod lanes;
-mod retiring;
-mod talk;
+mod exchange;
+mod permits;
+mod retirements;
 
 use crate::frames::{
     decode, encode_first, frames, First, Frames, CONNECT_TIMEOUT, MAX_RESPONSE, WRITE_TIMEOUT,
 };
-use crate::kept::{SessionFile, SessionMemory};
+use crate::session_file::{SessionFile, SessionMemory};
 use crate::{Now, SessionReport};
 use futures_util::{SinkExt, StreamExt};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use retiring::RetirementQueue;
+use retirements::RetirementQueue;
 use stagehoist_cluster_state::{
     ClusterStatus, InquiryEvent, InquiryMessage, InquiryRounds, LeaseHolder, LeaseTerms, Member, Pool,
     Retirement, SessionRequest, SessionResponse, PROTOCOL,
--- a/crates/consensus/src/kept.rs
+++ b/crates/consensus/src/session_file.rs
@@ -11,6 +11,9 @@
 use std::io::{Error, ErrorKind, Result, Write as _};
 use std::path::{Path, PathBuf};
 
+#[cfg(test)]
+mod tests;
+
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionMemory {
     pub incarnation: u64,
@@ -100,23 +103,3 @@
     }
     name + ".session"
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_was_kept_is_read_again_and_a_damaged_file_is_set_aside() {
-        let folder = tempfile::tempdir().unwrap();
-        let mut kept = SessionFile::open(Some(folder.path()), "A/1").unwrap();
-        kept.change(|m| m.incarnation = 7).unwrap();
-        assert_eq!(SessionFile::open(Some(folder.path()), "A/1").unwrap().memory.incarnation, 7);
-        assert_eq!(SessionFile::open(Some(folder.path()), "a/1").unwrap().memory.incarnation, 0);
-        let path = folder.path().join(file_name("A/1"));
-        let mut bytes = std::fs::read(&path).unwrap();
-        bytes[9] ^= 1;
-        std::fs::write(&path, bytes).unwrap();
-        assert_eq!(SessionFile::open(Some(folder.path()), "A/1").unwrap().memory, SessionMemory::default());
-        assert!(path.with_extension("damaged-1").exists());
-    }
-}
--- a/crates/consensus/src/start.rs
+++ b/crates/consensus/src/start.rs
@@ -1,8 +1,8 @@
 //! Start and end of a process's part in the agreement.
 
-use crate::client::{seed, session, SessionClient};
-use crate::keep::{run, Parts};
-use crate::kept::SessionFile;
+use crate::replica::{run, Parts};
+use crate::session::{seed, session, SessionClient};
+use crate::session_file::SessionFile;
 use crate::store;
 use crate::{ConsensusError, Now, Options, Session, SessionReport, Statistics};
 use stagehoist_cluster_state::{LeaseHolder, Retirement};
--- a/crates/consensus/src/store/guard.rs
+++ b/crates/consensus/src/store/fingerprint.rs
@@ -13,6 +13,9 @@
 use std::io::{Read, Result, Seek, SeekFrom, Write};
 use std::path::Path;
 
+#[cfg(test)]
+mod tests;
+
 const SLOT: usize = 48;
 const MAGIC: u64 = 0x5354_4b50_4755_4152;
 
@@ -88,31 +91,3 @@
         (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
     })
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_torn_slot_costs_the_newest_mark_only_and_a_term_never_falls() {
-        let folder = tempfile::tempdir().unwrap();
-        let path = folder.path().join("guard");
-        let mut guard = StoreFingerprint::open(&path).unwrap();
-        assert_eq!(guard.fingerprint(), None);
-        guard.set(Fingerprint { term: 3, last: (3, 10) }).unwrap();
-        guard.set(Fingerprint { term: 2, last: (3, 11) }).unwrap();
-        let whole = StoreFingerprint::open(&path).unwrap().fingerprint();
-        assert_eq!(whole, Some(Fingerprint { term: 3, last: (3, 11) }));
-        // The second mark went to the first slot.
-        let mut bytes = std::fs::read(&path).unwrap();
-        bytes[20] ^= 1;
-        std::fs::write(&path, &bytes).unwrap();
-        assert_eq!(
-            StoreFingerprint::open(&path).unwrap().fingerprint(),
-            Some(Fingerprint { term: 3, last: (3, 10) })
-        );
-        bytes[SLOT + 20] ^= 1;
-        std::fs::write(&path, &bytes).unwrap();
-        assert_eq!(StoreFingerprint::open(&path).unwrap().fingerprint(), None);
-    }
-}
--- /dev/null
+++ b/crates/consensus/src/store/fingerprint/tests.rs
@@ -0,0 +1,26 @@
+//! Tests of `fingerprint`.
+
+use super::*;
+
+#[test]
+fn a_torn_slot_costs_the_newest_mark_only_and_a_term_never_falls() {
+    let folder = tempfile::tempdir().unwrap();
+    let path = folder.path().join("guard");
+    let mut guard = StoreFingerprint::open(&path).unwrap();
+    assert_eq!(guard.fingerprint(), None);
+    guard.set(Fingerprint { term: 3, last: (3, 10) }).unwrap();
+    guard.set(Fingerprint { term: 2, last: (3, 11) }).unwrap();
+    let whole = StoreFingerprint::open(&path).unwrap().fingerprint();
+    assert_eq!(whole, Some(Fingerprint { term: 3, last: (3, 11) }));
+    // The second mark went to the first slot.
+    let mut bytes = std::fs::read(&path).unwrap();
+    bytes[20] ^= 1;
+    std::fs::write(&path, &bytes).unwrap();
+    assert_eq!(
+        StoreFingerprint::open(&path).unwrap().fingerprint(),
+        Some(Fingerprint { term: 3, last: (3, 10) })
+    );
+    bytes[SLOT + 20] ^= 1;
+    std::fs::write(&path, &bytes).unwrap();
+    assert_eq!(StoreFingerprint::open(&path).unwrap().fingerprint(), None);
+}
--- a/crates/consensus/src/store/log.rs
+++ b/crates/consensus/src/store/log.rs
@@ -1,7 +1,7 @@
 //! The log as Raft asks for it.
 
 use super::{fault, key, Outcome, Store, LOG};
-use crate::kinds::{Entry, LogId, RaftStorageError, TypeConfig, Vote};
+use crate::types::{Entry, LogId, RaftStorageError, TypeConfig, Vote};
 use openraft::storage::{LogFlushed, RaftLogStorage};
 use openraft::{LogState, OptionalSend, RaftLogReader};
 use redb::Durability;
--- a/crates/consensus/src/store/mod.rs
+++ b/crates/consensus/src/store/mod.rs
@@ -6,18 +6,18 @@
 //! and entries are
 //! purged by a later, flushed one.
 
-mod guard;
+mod fingerprint;
 mod log;
-mod machine;
 mod open;
+mod state_machine;
 #[cfg(test)]
 mod tests;
 
-pub use guard::{sum, Fingerprint, StoreFingerprint};
-pub use machine::StateMachine;
+pub use fingerprint::{sum, Fingerprint, StoreFingerprint};
 pub use open::{open, Start};
+pub use state_machine::StateMachine;
 
-use crate::kinds::{Entry, LogId, RaftStorageError, Vote};
+use crate::types::{Entry, LogId, RaftStorageError, Vote};
 use openraft::{AnyError, StorageIOError};
 use redb::{Database, Durability, ReadableTable, TableDefinition};
 use serde::de::DeserializeOwned;
--- a/crates/consensus/src/store/open.rs
+++ b/crates/consensus/src/store/open.rs
@@ -2,7 +2,7 @@
 //!
 //! | found | then |
 //! | --- | --- |
-//! | nothing, no guard | new, or its disk was lost: the others are asked ([`crate::keep::form`]) |
+//! | nothing, no guard | new, or its disk was lost: the others are asked ([`crate::replica::formation`]) |
 //! | a whole store, as far as the guard tells | it goes on |
 //! | a store behind its guard, damaged, or gone | set aside by name; it begins empty and takes no part up to the guard's term |
 //! | a damaged store and no guard | the same, with the highest term of all others as the bound |
@@ -11,7 +11,7 @@
 //! tell that.
 
 use super::{key, Fingerprint, Store, StoreError, StoreFingerprint, LOG, META};
-use crate::kinds::{Entry, LogId, Vote};
+use crate::types::{Entry, LogId, Vote};
 use crate::ConsensusError;
 use redb::{Database, DatabaseError, ReadableTable};
 use std::panic::{catch_unwind, AssertUnwindSafe};
--- a/crates/consensus/src/store/machine.rs
+++ b/crates/consensus/src/store/state_machine.rs
@@ -1,7 +1,7 @@
 //! The record as Raft applies it, and its snapshots.
 
 use super::{fault, key, Outcome, Store, StoreError};
-use crate::kinds::{Applied, BatchOutcome, Entry, LogId, Members, RaftStorageError, TypeConfig, MAX_CHANGES};
+use crate::types::{Applied, BatchOutcome, Entry, LogId, Members, RaftStorageError, TypeConfig, MAX_CHANGES};
 use openraft::storage::RaftStateMachine;
 use openraft::{EntryPayload, OptionalSend, RaftSnapshotBuilder, Snapshot, SnapshotMeta};
 use redb::Durability;
--- a/crates/consensus/src/store/tests/golden.rs
+++ b/crates/consensus/src/store/tests/golden.rs
@@ -2,7 +2,7 @@
 //! and continued. `tests/golden/store` and `tests/golden/snapshot.txt` never change with the code.
 
 use super::super::{open, Start, StateMachine, Store};
-use crate::kinds::{Batch, Entry, LogId, Vote};
+use crate::types::{Batch, Entry, LogId, Vote};
 use openraft::storage::{RaftLogStorage, RaftStateMachine};
 use openraft::{EntryPayload, LeaderId, Membership, RaftLogReader, RaftSnapshotBuilder};
 use stagehoist_cluster_state::{Command, Member, Retirement, RetirementMode};
--- a/crates/consensus/src/store/tests/mod.rs
+++ b/crates/consensus/src/store/tests/mod.rs
@@ -3,10 +3,10 @@
 mod disk;
 mod golden;
 
-use super::machine::State;
 use super::open::judge;
+use super::state_machine::State;
 use super::{key, Start, StateMachine, Store, StoreFingerprint};
-use crate::kinds::{Batch, Entry, LogId, Vote};
+use crate::types::{Batch, Entry, LogId, Vote};
 use disk::{Disk, Draw};
 use openraft::storage::{RaftLogStorage, RaftStateMachine};
 use openraft::{EntryPayload, LeaderId, RaftSnapshotBuilder};
--- a/crates/consensus/src/tests.rs
+++ b/crates/consensus/src/tests.rs
@@ -2,9 +2,9 @@
 //! the build before the renaming of the packages wrote them. `tests/golden/*` never change with the code.
 
 use crate::frames::{decode_first, encode_first, First, PEER_PROTOCOL};
-use crate::keep::wire::{PeerRequest, PeerResponse, ReplicaStatus, RequestFrame, ResponseFrame};
-use crate::kept::{SessionFile, SessionMemory};
-use crate::kinds::{Batch, BatchOutcome, Entry, LogId, Vote};
+use crate::replica::messages::{PeerRequest, PeerResponse, ReplicaStatus, RequestFrame, ResponseFrame};
+use crate::session_file::{SessionFile, SessionMemory};
+use crate::types::{Batch, BatchOutcome, Entry, LogId, Vote};
 use openraft::raft::{
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
     VoteRequest, VoteResponse,
--- a/crates/emulator/src/platform/judge.rs
+++ b/crates/emulator/src/platform/judge.rs
@@ -8,6 +8,9 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
+#[cfg(test)]
+mod tests;
+
 /// Every time limit is so much longer on sockets.
 pub const SLACK: Duration = Duration::from_millis(50);
 
@@ -110,70 +113,3 @@
     }
     broken
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn seen(at: Instant, what: What) -> Seen {
-        Seen { at, what }
-    }
-
-    /// The judge finds each break, so that its silence means something.
-    #[test]
-    fn each_rule_is_found_broken() {
-        let t = Instant::now();
-        let ms = Duration::from_millis;
-        let ask = |id: &str, is_unsafe| Asked {
-            at: t,
-            id: id.into(),
-            tag: id.into(),
-            allow: ms(100),
-            is_unsafe,
-            body: b"b".to_vec(),
-            left: None,
-        };
-        let answered = |tag: &str, word: &str, after: u64, body: &[u8]| Answered {
-            at: t + ms(after),
-            tag: tag.into(),
-            word: word.into(),
-            body: body.to_vec(),
-        };
-        let run = |id: &str| What::Run { id: id.into(), class: "".into(), key: "".into(), body: vec![] };
-        let end = |id: &str, word: &str| What::Answered { id: id.into(), word: word.into() };
-        let asked = ["never", "late", "twice", "made", "again", "missed"].map(|id| ask(id, true));
-        let answers = [
-            answered("late", "500", 200, b""),
-            answered("twice", "200", 10, b"b"),
-            answered("twice", "200", 11, b"b"),
-            answered("made", "200", 10, b"x"),
-            answered("again", "503", 10, b""),
-            answered("missed", "200", 10, b"b"),
-        ];
-        let one = vec![
-            seen(t, run("again")),
-            seen(t, end("again", "ERR")),
-            seen(t, run("missed")),
-            seen(t, end("missed", "MISS")),
-            seen(t + ms(500), What::Hold { key: "k".into(), copies: 1 }),
-        ];
-        let two = vec![seen(t + ms(1), run("again")), seen(t + ms(2), run("missed"))];
-        let told = Told { drained: [(1, t + ms(100))].into(), grace: ms(250), ration: (0.0, 0.0, ms(1000)) };
-        let broken = judge(&asked, &answers, &[(1, one), (2, two)], &told);
-        let has = |text: &str| broken.iter().any(|b| b.starts_with(text));
-        for text in
-            ["1: never was never", "1: late was answered late", "1: twice was answered 2", "1: made got"]
-        {
-            assert!(has(text), "{text}: {broken:?}");
-        }
-        assert!(
-            has("2: again may have run 2") && has("2: again was refused") && has("3: Hold"),
-            "{broken:?}"
-        );
-        assert!(!broken.iter().any(|b| b.contains("missed")), "{broken:?}");
-        let flood: Vec<Seen> =
-            (0..9).map(|n| seen(t + ms(n), What::Hold { key: "k".into(), copies: 1 })).collect();
-        let told = Told { ration: (2.0, 0.1, ms(1000)), ..Told::default() };
-        assert!(judge(&[], &[], &[(1, flood)], &told).iter().any(|b| b.starts_with("5:")));
-    }
-}
--- a/crates/emulator/src/worker/versions.rs
+++ b/crates/emulator/src/worker/versions.rs
@@ -1,5 +1,8 @@
 //! Versions of a model, as the protocol names them: each has copies of its own and needs what the model needs.
 
+#[cfg(test)]
+mod tests;
+
 /// The name under which a version is held; the first is the model's own. None: no such version can be.
 pub fn held(model: &str, version: &str) -> Option<String> {
     match version.parse::<u32>() {
@@ -25,19 +28,3 @@
         _ => held,
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_version_is_held_by_a_name_of_its_own() {
-        assert_eq!(held("f", "1").as_deref(), Some("f"));
-        assert_eq!(held("f", "2").as_deref(), Some("f@2"));
-        assert_eq!((held("f", "0"), held("f", "two")), (None, None));
-        assert_eq!((model("f@2"), model("f"), model("f@x")), ("f", "f", "f@x"));
-        assert_eq!(ordered("f", b"{\"parameters\":{\"copies\":2}}").as_deref(), Some("f"));
-        assert_eq!(ordered("f", b"{\"parameters\":{\"version\":\"3\"}}").as_deref(), Some("f@3"));
-        assert_eq!(ordered("f", b"{\"parameters\":{\"version\":3}}"), None);
-    }
-}
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -6,10 +6,10 @@
 //! goes on saying "ready" for so long is right.
 #![forbid(unsafe_code)]
 
-pub mod blocking;
+pub mod blocking_query;
+mod capacity;
 mod entry;
-mod lanes;
-mod listed;
+mod list;
 
 pub use entry::{ListedWorker, NumberedEndpoint, Update};
 
--- a/crates/endpoints/tests/membership.rs
+++ b/crates/endpoints/tests/membership.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle};
-use stagehoist_endpoints::blocking::{BlockingQuery, QueryOutcome};
+use stagehoist_endpoints::blocking_query::{BlockingQuery, QueryOutcome};
 use stagehoist_endpoints::{
     EndpointSet, ListedWorker, NumberedEndpoint, Update, GONE_RETENTION, MAX_WORKERS,
 };
--- a/crates/gateway/src/amqp/front/mod.rs
+++ b/crates/gateway/src/amqp/front/mod.rs
@@ -2,17 +2,17 @@
 //! acknowledged only once its reply is confirmed or known to be impossible. What a lost connection leaves behind is kept:
 //! calls at work go on, and their messages are answered from memory when they are delivered again.
 
-mod asking;
-mod awaiting;
 mod consuming;
 mod counters;
 mod deliveries;
-mod ending;
+mod drain;
+mod inquiries;
 mod queues;
 mod replies;
+mod start;
 
-pub use asking::Question;
 pub use counters::FrontCounters;
+pub use inquiries::Question;
 
 use super::message::{reply, stamp, with_home, Reader, Unusable};
 use crate::shards::Places;
@@ -71,7 +71,7 @@
     reader: Reader,
     memory: DeliveryCache<Answer>,
     /// Where attempts are marked on disk.
-    inquiries: Option<asking::PendingInquiries>,
+    inquiries: Option<inquiries::PendingInquiries>,
     backoff: Backoff,
     client: Option<Client>,
     phase: Phase,
@@ -216,7 +216,7 @@
             |i: usize| self.ages[i].is_unsure(self.depth_requested_at + CHECK_INTERVAL, CHECK_INTERVAL);
         let look = self.phase == Phase::Ready && self.consumed().any(unsure);
         let look = look.then_some(self.depth_requested_at + CHECK_INTERVAL);
-        let asking = self.inquiries.as_ref().and_then(asking::PendingInquiries::due);
+        let asking = self.inquiries.as_ref().and_then(inquiries::PendingInquiries::due);
         [client, waiting, again, confirm, look, asking, self.endpoints_due()].into_iter().flatten().min()
     }
 
--- a/crates/gateway/src/amqp/asks.rs
+++ b/crates/gateway/src/amqp/inquiries.rs
@@ -6,7 +6,7 @@
 use crate::clock::Clock;
 use crate::fleet::PeerInquiry;
 use crate::state::Ticket;
-use stagehoist_cluster_state::marks::{MAX_KEYS, MAX_OPEN_INQUIRIES};
+use stagehoist_cluster_state::inquiry::{MAX_KEYS, MAX_OPEN_INQUIRIES};
 use stagehoist_cluster_state::{InquiryEvent, InquiryMessage, Member, MessageKey, MessageKnowledge};
 use stagehoist_intent_log::{EventSender, IntentLog, LastRun, LogEvent};
 use stagehoist_recovery::inquiry::{AttemptKnowledge, InquiryLimits};
--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -1,8 +1,8 @@
 //! The socket of a front: brokers tried in turn, with seeded pauses between attempts.
 
-use super::asks::{Inquiries, InquirySettings};
-use super::told::publish_state;
-pub use super::told::{LinkCommand, LinkState};
+use super::commands::publish_state;
+pub use super::commands::{LinkCommand, LinkState};
+use super::inquiries::{Inquiries, InquirySettings};
 use super::Front;
 use crate::clock::{Alarm, Clock};
 use crate::state::Input;
--- a/crates/gateway/src/amqp/mod.rs
+++ b/crates/gateway/src/amqp/mod.rs
@@ -4,11 +4,11 @@
 //! - [`front`]: deliveries, replies, confirms and what a lost connection leaves behind, without I/O.
 //! - [`link`]: the socket, brokers tried in turn.
 
-mod asks;
+mod commands;
 pub mod front;
+mod inquiries;
 pub mod link;
 pub mod message;
-mod told;
 
-pub use asks::InquirySettings;
 pub use front::{Front, FrontCounters};
+pub use inquiries::InquirySettings;
--- a/crates/gateway/src/list/consul.rs
+++ b/crates/gateway/src/discovery/consul.rs
@@ -12,7 +12,7 @@
 use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
 use serde::Deserialize;
 use stagehoist::Micros;
-use stagehoist_endpoints::blocking::{BlockingQuery, QueryOutcome};
+use stagehoist_endpoints::blocking_query::{BlockingQuery, QueryOutcome};
 use stagehoist_endpoints::ListedWorker;
 use stagehoist_recovery::Backoff;
 use std::collections::BTreeMap;
--- a/crates/gateway/src/fleet/desk.rs
+++ b/crates/gateway/src/fleet/egress.rs
@@ -1,7 +1,7 @@
 //! The gate where things leave. Between a choice and the moment at which its bytes go to a socket lie queues, and this
 //! process may have been stopped for long: what may not be late is looked at once more there, by the clock of that moment.
 
-use super::gate::{ClosedReason, RetirementGate};
+use super::retirement_gate::{ClosedReason, RetirementGate};
 use bytes::Bytes;
 use stagehoist::Micros;
 use std::cell::{Ref, RefCell, RefMut};
--- a/crates/gateway/src/fleet/part.rs
+++ b/crates/gateway/src/fleet/membership.rs
@@ -1,6 +1,6 @@
 //! Which view a front end has confirmed, and which workers may hold copies of what is retired. Without I/O.
 
-use super::desk::EgressCheck;
+use super::egress::EgressCheck;
 use super::names::outer_name;
 use stagehoist::{Micros, RequestId, WorkerId};
 use stagehoist_cluster_state::{TombstoneState, Version};
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -1,30 +1,30 @@
 //! A front end as part of a fleet: what it knows of retired functions, and what it tells the keepers. Off where the
 //! configuration has no fleet: nothing here exists then.
 //!
-//! - [`gate`]: what may be taken, sent and answered, without I/O; [`names`]: generations by inner names.
-//! - [`entrance`]: calls of pools wait for lanes.
-//! - [`desk`]: the gate at the sockets, and answers on their way out.
-//! - [`part`]: which view is confirmed, and which workers may have copies.
-//! - [`starting`]: the stages after a loss of everything; [`witness`]: whether the last run left in order.
-//! - [`retirements`], [`states`]: the watched file of retired functions, and the file beside it.
+//! - [`retirement_gate`]: what may be taken, sent and answered, without I/O; [`names`]: generations by inner names.
+//! - [`pool_admission`]: calls of pools wait for lanes.
+//! - [`egress`]: the gate at the sockets, and answers on their way out.
+//! - [`membership`]: which view is confirmed, and which workers may have copies.
+//! - [`recovery`]: the stages after a loss of everything; [`shutdown_marker`]: whether the last run left in order.
+//! - [`retirements`], [`retirement_states`]: the watched file of retired functions, and the file beside it.
 
-pub mod desk;
-pub mod entrance;
-mod first;
-pub mod gate;
+pub mod egress;
+pub mod membership;
 pub mod names;
-pub mod part;
+pub mod pool_admission;
+mod priority;
+pub mod recovery;
+pub mod retirement_gate;
+pub mod retirement_states;
 pub mod retirements;
-pub mod starting;
-pub mod states;
-pub mod witness;
+pub mod shutdown_marker;
 
-pub use desk::{CheckedAnswer, EgressCheck, EgressPermit};
-pub use entrance::PoolAdmission;
-pub use gate::{ClosedReason, Retired, RetirementGate};
-pub use part::FleetMembership;
-pub use starting::FleetRecovery;
-pub use witness::ShutdownMarker;
+pub use egress::{CheckedAnswer, EgressCheck, EgressPermit};
+pub use membership::FleetMembership;
+pub use pool_admission::PoolAdmission;
+pub use recovery::FleetRecovery;
+pub use retirement_gate::{ClosedReason, Retired, RetirementGate};
+pub use shutdown_marker::ShutdownMarker;
 
 use crate::clock::Clock;
 use stagehoist::Micros;
--- a/crates/gateway/src/fleet/entrance.rs
+++ b/crates/gateway/src/fleet/pool_admission.rs
@@ -3,7 +3,7 @@
 
 use super::names::outer_name;
 use stagehoist::{Micros, Request, RequestId};
-use stagehoist_admission::lanes::{Permit, PermitDecision, PermitPools, PoolRules, WaitOutcome};
+use stagehoist_admission::permits::{Permit, PermitDecision, PermitPools, PoolRules, WaitOutcome};
 use stagehoist_cluster_state::{
     guaranteed_permits, AllocationLimits, ClusterStatus, Demand, Pool, PoolSize, Reservation,
     GUARANTEED_SHARE,
--- a/crates/gateway/src/fleet/starting.rs
+++ b/crates/gateway/src/fleet/recovery.rs
@@ -5,11 +5,11 @@
 //! that is killed or replaced in a warm fleet meets old workers and holds nobody up; one whose last run ended in order has
 //! no stages at all. Until the first list is here calls go in: the module holds them without workers anyway.
 
-use super::first;
+use super::priority;
 use stagehoist::{EndpointUpdate, Lifecycle, Micros, Outcome, WorkerId};
 use stagehoist_config::{Config, Recover};
 use stagehoist_endpoints::Update;
-use stagehoist_recovery::stages::{Admission, Limits, RecoveryEvidence, RecoveryPhase};
+use stagehoist_recovery::phases::{Admission, Limits, RecoveryEvidence, RecoveryPhase};
 use stagehoist_recovery::RecoveryPhases;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -80,7 +80,7 @@
             began: now,
             new: told.new,
             warm_up: config.warm_up,
-            first: first::of(config),
+            first: priority::of(config),
             workers: None,
             served: BTreeSet::new(),
             slots: VecDeque::new(),
@@ -161,7 +161,7 @@
         if self.phase() == RecoveryPhase::Serving {
             return Admission::Enter;
         }
-        let first = first::is_first(&self.first, call.0, call.1);
+        let first = priority::is_first(&self.first, call.0, call.1);
         self.phases.admit(first, left, now)
     }
 
--- a/crates/gateway/src/fleet/retirements.rs
+++ b/crates/gateway/src/fleet/retirements.rs
@@ -8,7 +8,7 @@
 //! A last line without its end is still being written, and not taken. A line that was proposed stays proposed though it is
 //! taken out of the file: a retirement is for good.
 
-use super::states;
+use super::retirement_states;
 use stagehoist_cluster_state::{ClusterStatus, ClusterView, Retirement, RetirementMode};
 use stagehoist_config::Config;
 use std::collections::{BTreeMap, BTreeSet};
@@ -203,7 +203,7 @@
         }
         propose(&config, &mut proposer, &retire);
         let view = standing.borrow_and_update().view.clone();
-        if let Err(e) = states::keep(&path, &view, &proposer.outstanding(&view), now_ms()).await {
+        if let Err(e) = retirement_states::keep(&path, &view, &proposer.outstanding(&view), now_ms()).await {
             tracing::warn!(file = %path.display(), error = %e, "can't write the states of the retirements");
         }
     }
--- a/crates/gateway/src/marked.rs
+++ b/crates/gateway/src/intent_recorder.rs
@@ -9,7 +9,7 @@
 use stagehoist::{Effect, Micros, Outcome, RequestId, WorkerId};
 use stagehoist_config::Config;
 use stagehoist_intent_log::{EventSender, Intent, IntentLog, LogEvent};
-use stagehoist_recovery::marked::{AttemptId, GateDecision, Limits, UnsentReason};
+use stagehoist_recovery::intent_gate::{AttemptId, GateDecision, Limits, UnsentReason};
 use stagehoist_recovery::{Identity, IntentGate};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -2,11 +2,11 @@
 //! connections to workers and its own follower of the worker list; front ends share nothing.
 //!
 //! - [`state`]: calls, attempts, timers and names between sockets and the module, without I/O.
-//! - [`ways`]: AMQP, KServe workers and lists as what the driver carries its choices out with.
+//! - [`transport`]: AMQP, KServe workers and lists as what the driver carries its choices out with.
 //! - [`driver`]: the loop that gathers what sockets bring, lets the module choose once a batch, and carries out its choices.
-//! - [`amqp`], [`workers`], [`list`]: the protocols to callers, to workers and to the worker list.
+//! - [`amqp`], [`workers`], [`discovery`]: the protocols to callers, to workers and to the worker list.
 //! - [`fleet`]: what a front end knows of retired functions, where its configuration has a fleet.
-//! - [`marked`]: attempts that wait for their call's mark on disk.
+//! - [`intent_recorder`]: attempts that wait for their call's mark on disk.
 //! - [`shards`]: one front end's part of a divided fleet.
 //! - [`serve`]: front ends started, watched and drained.
 //!
@@ -15,16 +15,16 @@
 
 pub mod amqp;
 pub mod clock;
+pub mod discovery;
 pub mod driver;
 pub mod error;
 pub mod fleet;
-pub mod list;
-pub mod marked;
-pub mod metrics_page;
+pub mod intent_recorder;
+pub mod metrics;
 pub mod serve;
 pub mod shards;
 pub mod state;
-pub mod ways;
+pub mod transport;
 pub mod workers;
 
 pub use error::GatewayError;
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -7,10 +7,10 @@
 use crate::fleet::{
     EgressCheck, FleetRecovery, PoolAdmission, RetirementGate, SessionHandle, ShutdownMarker,
 };
-use crate::metrics_page;
+use crate::metrics;
 use crate::shards::{self, Shards};
 use crate::state::{module, Core, CoreSettings, PolicyFactory};
-use crate::ways::AmqpTransport;
+use crate::transport::AmqpTransport;
 use metrics_exporter_prometheus::PrometheusHandle;
 use stagehoist_config::Config;
 use stagehoist_intent_log::{IntentLog, LogLocation, Options};
@@ -112,7 +112,7 @@
             runtime.block_on(async move {
                 let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
                 tokio::select! {
-                    () = metrics_page::serve(listener, handle) => {}
+                    () = metrics::serve(listener, handle) => {}
                     _ = drained.wait_for(|d| *d) => {}
                 }
             });
--- a/crates/gateway/src/shards.rs
+++ b/crates/gateway/src/shards.rs
@@ -1,14 +1,14 @@
 //! One front end's part of a divided fleet, without I/O: the queues that it consumes, the workers that its module is told of,
 //! and what it has to do with a function. Nothing of it exists where the configuration has no `shards`.
 
+mod by_list;
 mod divided;
-mod listed;
 mod ownership;
-mod places;
+mod placement;
 
 pub use divided::settings;
 pub use ownership::{OwnedShards, Ownership};
-pub use places::{Arrives, Places};
+pub use placement::{Arrives, Places};
 
 use fnv::FnvHashSet;
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle, Micros, WorkerId};
--- a/crates/gateway/src/shards/listed.rs
+++ b/crates/gateway/src/shards/by_list.rs
@@ -1,7 +1,7 @@
 //! Own shards that follow the list of front ends: what of it the module and the queues are told.
 
 use super::{OwnedShards, Shards};
-use crate::list::front_ends::Entry;
+use crate::discovery::front_ends::Entry;
 use fnv::FnvHashSet;
 use stagehoist::{EndpointUpdate, Micros};
 use stagehoist_endpoints::Update;
--- a/crates/gateway/src/shards/ownership.rs
+++ b/crates/gateway/src/shards/ownership.rs
@@ -4,7 +4,7 @@
 //! is consumed a while longer, until whoever comes in its place knows the list too; then its calls and its workers are kept
 //! as long again, for what is under way over the cancelled queue. A list that fails changes nothing.
 
-use crate::list::front_ends::Entry;
+use crate::discovery::front_ends::Entry;
 use stagehoist::Micros;
 use stagehoist_config::Config;
 use stagehoist_sharding::{Division, Divisions, FrontEnd, FrontEnds, Key, Member, Shard, MAX_MEMBERS};
--- a/crates/gateway/src/state/core/calls.rs
+++ b/crates/gateway/src/state/core/calls.rs
@@ -2,10 +2,10 @@
 
 use super::super::{Answer, Arrival, AttemptResult, Command, FunctionProperties};
 use super::{Call, Core};
-use crate::fleet::entrance::Entry;
+use crate::fleet::pool_admission::Entry;
 use stagehoist::{AttemptEnd, Event, Micros, Outcome, Request, RequestId};
-use stagehoist_admission::lanes::NO_PERMIT;
-use stagehoist_recovery::stages::Admission;
+use stagehoist_admission::permits::NO_PERMIT;
+use stagehoist_recovery::phases::Admission;
 
 impl Core {
     pub(super) fn on_call(&mut self, now: Micros, mut arrival: Arrival, out: &mut Vec<Command>) {
--- a/crates/gateway/src/state/core/workers.rs
+++ b/crates/gateway/src/state/core/endpoints.rs
@@ -2,7 +2,7 @@
 
 use super::super::Command;
 use super::Core;
-use crate::list::front_ends::Entry as FrontEnd;
+use crate::discovery::front_ends::Entry as FrontEnd;
 use crate::shards::{OwnedShards, Shards};
 use stagehoist::{EndpointUpdate, Event, Lifecycle, Micros, WorkerId};
 use stagehoist_endpoints::{ListedWorker, Update, MAX_WORKERS};
--- a/crates/gateway/src/state/core/mod.rs
+++ b/crates/gateway/src/state/core/mod.rs
@@ -1,15 +1,15 @@
 //! Calls and attempts between sockets and the module. It keeps what the module's interface promises: one `Ended` for
 //! each `Send`, one `Loaded` for each `Load`, attempts cut at their call's deadline, timers in time. It decides nothing.
 
-mod acts;
+mod answers;
 mod calls;
 mod counters;
-mod ending;
-mod entering;
+mod endpoints;
+mod execute;
 mod fleet;
-mod held;
-mod starting;
-mod workers;
+mod pools;
+mod recovery;
+mod waiting;
 
 use super::{
     module, Arrival, AttemptResult, Command, CoreSettings, DecisionPolicy, Input, Names, PolicyFactory,
@@ -17,13 +17,13 @@
 };
 use crate::fleet::{FleetMembership, FleetRecovery, PoolAdmission};
 pub use counters::Counters;
-use held::WaitingCalls;
+use endpoints::WorkerDrains;
 use stagehoist::{Action, Event, Micros, Outcome, RequestId, WorkerId};
-use stagehoist_admission::lanes::Permit;
+use stagehoist_admission::permits::Permit;
 use stagehoist_endpoints::{EndpointSet, MAX_WORKERS};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tracing::Span;
-use workers::WorkerDrains;
+use waiting::WaitingCalls;
 
 struct Call {
     ticket: Ticket,
--- a/crates/gateway/src/state/core/entering.rs
+++ b/crates/gateway/src/state/core/pools.rs
@@ -2,10 +2,10 @@
 
 use super::super::{Answer, Command};
 use super::Core;
-use crate::fleet::entrance::PoolDecision;
+use crate::fleet::pool_admission::PoolDecision;
 use crate::fleet::PoolAdmission;
 use stagehoist::{Event, Micros, RequestId};
-use stagehoist_admission::lanes::NO_PERMIT;
+use stagehoist_admission::permits::NO_PERMIT;
 
 impl Core {
     /// Calls of pools ask for lanes from here on; before the first call.
--- a/crates/gateway/src/state/core/starting.rs
+++ b/crates/gateway/src/state/core/recovery.rs
@@ -4,7 +4,7 @@
 use super::Core;
 use crate::fleet::FleetRecovery;
 use stagehoist::{Micros, RequestId};
-use stagehoist_recovery::stages::{Admission, RecoveryPhase};
+use stagehoist_recovery::phases::{Admission, RecoveryPhase};
 
 impl Core {
     /// Goes by stages where this start shows itself as one after a loss; before its first call.
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -169,7 +169,7 @@
     EndpointList(Vec<stagehoist_endpoints::ListedWorker>),
     EndpointListFailed,
     /// A whole list of front ends, where the fleet is divided by it; None: it could not be had.
-    FrontEndList(Option<Vec<crate::list::front_ends::Entry>>),
+    FrontEndList(Option<Vec<crate::discovery::front_ends::Entry>>),
     /// Workers with numbers of their own: the whole list, or what changed.
     EndpointUpdate {
         kind: EndpointUpdate,
--- a/crates/gateway/src/ways.rs
+++ b/crates/gateway/src/transport.rs
@@ -3,16 +3,16 @@
 use crate::amqp::link::{self, LinkCommand, LinkState};
 use crate::amqp::InquirySettings;
 use crate::clock::Clock;
+use crate::discovery::{self, DiscoveryCommand};
 use crate::driver::Transport;
 use crate::fleet::{await_first_status, EgressCheck};
-use crate::list::{self, DiscoveryCommand};
-use crate::marked::IntentRecorder;
-use crate::metrics_page::Gauges;
+use crate::intent_recorder::IntentRecorder;
+use crate::metrics::Gauges;
 use crate::state::{Command, Core, Input};
 use crate::workers::Workers;
 use stagehoist_cluster_state::ClusterStatus;
 use stagehoist_config::Config;
-use stagehoist_recovery::marked::Limits;
+use stagehoist_recovery::intent_gate::Limits;
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
@@ -65,8 +65,8 @@
             link.await;
         });
         let (_to_front_ends, ends) = mpsc::unbounded_channel();
-        tasks.spawn_local(list::front_ends::follow(config.clone(), seed, clock, news.clone(), ends));
-        tasks.spawn_local(list::follow(config.clone(), seed, clock, news, asks));
+        tasks.spawn_local(discovery::front_ends::follow(config.clone(), seed, clock, news.clone(), ends));
+        tasks.spawn_local(discovery::follow(config.clone(), seed, clock, news, asks));
         let gauges = Gauges::new(number);
         AmqpTransport {
             workers,
--- a/crates/gateway/src/workers/paths.rs
+++ b/crates/gateway/src/workers/paths.rs
@@ -3,6 +3,9 @@
 use crate::fleet::names::outer_name;
 use percent_encoding::{utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
 
+#[cfg(test)]
+mod tests;
+
 /// What stays as it is in a path segment.
 const SEGMENT: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'.').remove(b'_').remove(b'~');
 
@@ -26,16 +29,3 @@
     let (name, version) = named(function, fleet);
     (format!("/v2/repository/models/{}", utf8_percent_encode(name, SEGMENT)), version)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_later_generation_is_a_version_and_only_in_a_fleet() {
-        assert_eq!(model("free times", true), "/v2/models/free%20times");
-        assert_eq!(model("free@2", true), "/v2/models/free/versions/2");
-        assert_eq!(model("free@2", false), "/v2/models/free%402");
-        assert_eq!(repository("free@3", true), ("/v2/repository/models/free".into(), Some(3)));
-    }
-}
--- a/crates/gateway/tests/crossings_lists.rs
+++ b/crates/gateway/tests/crossings_lists.rs
@@ -3,7 +3,7 @@
 
 use stagehoist_config::{parse, Config};
 use stagehoist_gateway::clock::Clock;
-use stagehoist_gateway::list;
+use stagehoist_gateway::discovery;
 use stagehoist_gateway::state::Input;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -85,7 +85,7 @@
         let (news, mut told) = mpsc::channel(8);
         let (_asks, asked) = mpsc::unbounded_channel();
         let config = config(&format!("consul {address} service s wait 1s"));
-        let following = tokio::task::spawn_local(list::follow(config, 1, Clock::new(), news, asked));
+        let following = tokio::task::spawn_local(discovery::follow(config, 1, Clock::new(), news, asked));
         assert_eq!(names(&mut told).await, Some(vec!["w1".to_string()]));
         assert_eq!(names(&mut told).await, None, "cut off");
         assert_eq!(names(&mut told).await, Some(vec!["w2".to_string()]));
@@ -116,7 +116,7 @@
         let (news, mut told) = mpsc::channel(8);
         let (_asks, asked) = mpsc::unbounded_channel();
         let config = config(&format!("file {} poll 20ms", path.display()));
-        let following = tokio::task::spawn_local(list::follow(config, 1, Clock::new(), news, asked));
+        let following = tokio::task::spawn_local(discovery::follow(config, 1, Clock::new(), news, asked));
         for _ in 0..2 {
             assert_eq!(names(&mut told).await, Some(vec!["w1".to_string()]));
             put("w1\n");
--- a/crates/gateway/tests/first_list_sockets.rs
+++ b/crates/gateway/tests/first_list_sockets.rs
@@ -8,7 +8,7 @@
 use stagehoist_emulator::broker::{self, Broker, BrokerOptions, Faults, Handle};
 use stagehoist_emulator::list::{Listed, Registry};
 use stagehoist_gateway::driver::FrontEndState;
-use stagehoist_gateway::{metrics_page, serve, Running};
+use stagehoist_gateway::{metrics, serve, Running};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -90,7 +90,7 @@
         let config = parse("first.conf", &text).unwrap();
         // The caller's queues stand before the front end does, as they would at a restart.
         let caller = Caller::new(&address);
-        let handle = metrics.then(|| metrics_page::install().unwrap());
+        let handle = metrics.then(|| metrics::install().unwrap());
         let running = serve(&config, handle).unwrap();
         World { list, broker, address, running, caller }
     }
--- a/crates/gateway/tests/front_marks.rs
+++ b/crates/gateway/tests/front_marks.rs
@@ -5,12 +5,12 @@
 
 use stagehoist::Outcome;
 use stagehoist_gateway::clock::Clock;
-use stagehoist_gateway::marked::IntentRecorder;
+use stagehoist_gateway::intent_recorder::IntentRecorder;
 use stagehoist_gateway::state::{Attempt, Input};
 use stagehoist_gateway::workers::Workers;
 use stagehoist_intent_log::{start, IntentLog, LogEvent, LogLocation, Options};
 use stagehoist_recovery::inquiry::{AttemptKnowledge, InquiryLimits};
-use stagehoist_recovery::marked::Limits;
+use stagehoist_recovery::intent_gate::Limits;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -5,7 +5,7 @@
 use common::*;
 use stagehoist::Micros;
 use stagehoist_gateway::state::{AttemptResult, Command, Input};
-use stagehoist_recovery::marked::{GateDecision, IntentGate, Limits, UnsentReason};
+use stagehoist_recovery::intent_gate::{GateDecision, IntentGate, Limits, UnsentReason};
 
 fn leaving(commands: &[Command]) -> Vec<Option<Micros>> {
     let told = |c: &Command| match c {
--- a/crates/gateway/tests/lists.rs
+++ b/crates/gateway/tests/lists.rs
@@ -3,7 +3,7 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::StatusCode;
 use stagehoist::Outcome;
-use stagehoist_gateway::list::{consul, file};
+use stagehoist_gateway::discovery::{consul, file};
 use stagehoist_gateway::workers::meaning;
 
 fn headers(pairs: &[(&'static str, &'static str)]) -> HeaderMap {
--- a/crates/gateway/tests/retirements.rs
+++ b/crates/gateway/tests/retirements.rs
@@ -4,8 +4,8 @@
     ClusterState, ClusterStatus, ClusterView, Command, Member, Retirement, RetirementMode,
 };
 use stagehoist_config::{parse as configured, Config};
+use stagehoist_gateway::fleet::retirement_states;
 use stagehoist_gateway::fleet::retirements::{follow, parse, Proposer};
-use stagehoist_gateway::fleet::states;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::Arc;
@@ -74,19 +74,21 @@
     let member = |name: &str| Member { name: name.into(), incarnation: 1 };
     let none = BTreeMap::new();
     let proposed = view(&[Command::Retire(retirement("free", 1)), Command::Retire(retirement("other", 2))]);
-    let first = states::render(&proposed, &none, &states::States::default(), 100);
+    let first = retirement_states::render(&proposed, &none, &retirement_states::States::default(), 100);
     assert_eq!(first, "free 1 proposed 100\nother 2 proposed 100\n# version 2\n");
     let but_for = [member("b/0"), member("b/1")].into();
     let in_force = Command::InForce { function: "free".into(), generation: 1, but_for };
     let later = [Command::Retire(retirement("free", 1)), Command::Retire(retirement("other", 2)), in_force];
-    let second = states::render(&view(&later), &none, &states::parse(&first).unwrap(), 200);
+    let second =
+        retirement_states::render(&view(&later), &none, &retirement_states::parse(&first).unwrap(), 200);
     assert_eq!(second, "free 1 in-force 200 but-for b/0,b/1\nother 2 proposed 100\n# version 3\n");
-    let third = states::render(&view(&later), &none, &states::parse(&second).unwrap(), 300);
+    let third =
+        retirement_states::render(&view(&later), &none, &retirement_states::parse(&second).unwrap(), 300);
     assert_eq!(third, second);
     for cut in 1..second.len() {
-        assert_eq!(states::parse(&second[..cut]), None, "{:?}", &second[..cut]);
+        assert_eq!(retirement_states::parse(&second[..cut]), None, "{:?}", &second[..cut]);
     }
-    assert_eq!(states::parse("free 1 perhaps 100\n# version 3\n"), None);
+    assert_eq!(retirement_states::parse("free 1 perhaps 100\n# version 3\n"), None);
 }
 
 /// Waits until a file is as it should be, at most so long that only a fault is longer.
@@ -157,7 +159,7 @@
     let mut taken = vec![Command::Retire(retirement("free", 1))];
     show(&taken);
     let tells = |text: &str, waiting: &[&str]| {
-        let states = states::parse(text).unwrap_or_default();
+        let states = retirement_states::parse(text).unwrap_or_default();
         let said = |w: &&String| states.lines[*w].0.ends_with(" not-in-force");
         states.lines.keys().filter(said).collect::<Vec<_>>() == waiting
     };
@@ -165,7 +167,7 @@
     assert!(std::fs::read_to_string(&state).unwrap().contains("\nother 2 not-in-force "));
     // Another process that has not read the lines yet takes nothing from it.
     let before = std::fs::read_to_string(&state).unwrap();
-    states::keep(&path, &view(&taken), &BTreeMap::new(), 9).await.unwrap();
+    retirement_states::keep(&path, &view(&taken), &BTreeMap::new(), 9).await.unwrap();
     assert_eq!(std::fs::read_to_string(&state).unwrap(), before);
     for function in ["free", "other", "third"] {
         assert_eq!(asked.recv().await.unwrap().function, function);
--- a/crates/gateway/tests/shards_follow.rs
+++ b/crates/gateway/tests/shards_follow.rs
@@ -3,7 +3,7 @@
 use stagehoist_config::{parse, Config};
 use stagehoist_emulator::list::{Listed, Registry};
 use stagehoist_gateway::clock::Clock;
-use stagehoist_gateway::list::front_ends::follow;
+use stagehoist_gateway::discovery::front_ends::follow;
 use stagehoist_gateway::state::Input;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/gateway/tests/shards_list.rs
+++ b/crates/gateway/tests/shards_list.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use stagehoist_gateway::list::front_ends::{of_body, of_text, Entry};
+use stagehoist_gateway::discovery::front_ends::{of_body, of_text, Entry};
 use stagehoist_gateway::shards::{own, OwnedShards, Ownership};
 use stagehoist_sharding::{ranked, Shard, MAX_MEMBERS};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/gateway/tests/shards_list_sockets.rs
+++ b/crates/gateway/tests/shards_list_sockets.rs
@@ -6,7 +6,7 @@
 use divided::*;
 use stagehoist_config::{parse, Config};
 use stagehoist_emulator::list::Registry;
-use stagehoist_gateway::list::front_ends::Entry;
+use stagehoist_gateway::discovery::front_ends::Entry;
 use stagehoist_gateway::{serve, shards};
 use stagehoist_sharding::{Division, HomeShards, Key, Shard};
 use std::collections::BTreeSet;
--- a/crates/gateway/tests/shards_sums.rs
+++ b/crates/gateway/tests/shards_sums.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use stagehoist_gateway::list::front_ends::Entry;
+use stagehoist_gateway::discovery::front_ends::Entry;
 use stagehoist_gateway::shards::{own, OwnedShards, Ownership};
 use stagehoist_gateway::state::CoreSettings;
 use stagehoist_sharding::{HomeShards, Key, Shard};
--- a/crates/gateway/tests/shards_turns.rs
+++ b/crates/gateway/tests/shards_turns.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use common::entries;
-use stagehoist_gateway::list::front_ends::Entry;
+use stagehoist_gateway::discovery::front_ends::Entry;
 use stagehoist_gateway::shards::{own, OwnedShards, Shards};
 use stagehoist_gateway::state::{Command, Core, CoreSettings, Input};
 use std::collections::BTreeSet;
--- a/crates/gateway/tests/starting.rs
+++ b/crates/gateway/tests/starting.rs
@@ -10,7 +10,7 @@
 use stagehoist_endpoints::ListedWorker;
 use stagehoist_gateway::fleet::{EgressCheck, FleetRecovery, RetirementGate, ShutdownMarker};
 use stagehoist_gateway::state::{Arrival, Command, Core, CoreSettings, FunctionProperties, Input};
-use stagehoist_recovery::stages::RecoveryPhase;
+use stagehoist_recovery::phases::RecoveryPhase;
 use std::rc::Rc;
 use std::sync::Arc;
 
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -3,9 +3,9 @@
 mod accept;
 mod calls;
 mod cancelled;
+mod exchange;
 mod finish;
 mod sockets;
-mod talk;
 
 use crate::bounds::Bounds;
 use crate::session::{Catalog, Session};
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,9 +1,9 @@
 //! What a front end is told at its start: the file that `GW_CONFIG` names. The settings keep the simulator's names; they are
 //! flattened into the lines that [`stagehoist::wire::parse_settings`] reads, so that one mapping serves both.
 
+use crate::endpoint_events::{EndpointEvent, KnownEndpoints};
 use crate::fields;
-pub use crate::flat::flatten;
-use crate::roster::{EndpointEvent, KnownEndpoints};
+pub use crate::flatten::flatten;
 use rustix::fs::OFlags;
 use serde::Deserialize;
 use serde_json::Value;
--- a/crates/platform/src/line/mod.rs
+++ b/crates/platform/src/connection/mod.rs
@@ -2,8 +2,8 @@
 //! known not to have run; what can't be read ends the connection, and all that was on it may have run.
 
 mod ending;
+mod header;
 mod reading;
-mod words;
 
 use bytes::BytesMut;
 use stagehoist::{FunctionId, Micros, RequestId, WorkerId};
--- a/crates/platform/src/line/reading.rs
+++ b/crates/platform/src/connection/reading.rs
@@ -1,6 +1,6 @@
 //! What came from the executor, and which of the open it answers.
 
-use super::words::{head, is_plain, stats, Head, Word};
+use super::header::{head, is_plain, stats, Head, Word};
 use super::{ConnectionState, Exchange, ProtocolViolation, Tag};
 use crate::fields;
 use bytes::{Bytes, BytesMut};
--- a/crates/platform/src/executors/orders.rs
+++ b/crates/platform/src/executors/commands.rs
@@ -1,9 +1,9 @@
 //! Choices carried out: attempts, probes, orders.
 
-use super::links::Connection;
+use super::connection::Connection;
 use super::{Executors, InFlight};
+use crate::connection::{Closure, Exchange};
 use crate::fields;
-use crate::line::{Closure, Exchange};
 use stagehoist::{FunctionId, Outcome, RequestId, WorkerId};
 use stagehoist_gateway::state::{Attempt, AttemptResult, Input};
 use std::rc::Rc;
--- a/crates/platform/src/executors/links.rs
+++ b/crates/platform/src/executors/connection.rs
@@ -1,7 +1,7 @@
 //! One connection: its handshake, what it reads and writes, and its end.
 
 use super::Executors;
-use crate::line::{Closure, ConnectionState};
+use crate::connection::{Closure, ConnectionState};
 use socket2::SockRef;
 use stagehoist::WorkerId;
 use stagehoist_gateway::state::Input;
--- a/crates/platform/src/executors/handshake.rs
+++ b/crates/platform/src/executors/handshake.rs
@@ -1,6 +1,6 @@
 //! A connection to an executor on its way up, for want of descriptors too.
 
-use super::links::{Connection, State};
+use super::connection::{Connection, State};
 use super::Executors;
 use crate::descriptors::{is_want, Refusal};
 use std::cell::Cell;
--- a/crates/platform/src/executors/mod.rs
+++ b/crates/platform/src/executors/mod.rs
@@ -1,16 +1,16 @@
 //! Executors' sockets: a few connections to each, kept by its id; handshakes beside the path of calls; what an ended
 //! connection means for each request that was on it.
 
-mod choice;
+mod commands;
+mod connection;
 mod handshake;
-mod links;
-mod orders;
+mod selection;
 mod writing;
 
 use crate::bounds::Bounds;
 use crate::clients::Shared;
-use crate::line::Closure;
-use links::{Connection, State};
+use crate::connection::Closure;
+use connection::{Connection, State};
 use stagehoist::{EndpointUpdate, Lifecycle, Micros, RequestId, WorkerId};
 use stagehoist_endpoints::NumberedEndpoint;
 use stagehoist_gateway::state::{Input, Ticket};
--- a/crates/platform/src/executors/choice.rs
+++ b/crates/platform/src/executors/selection.rs
@@ -1,9 +1,9 @@
 //! Which connection a request goes to, and when a further one is opened.
 
-use super::links::{Connection, State};
+use super::connection::{Connection, State};
 use super::Executors;
+use crate::connection::{Closure, ConnectionState};
 use crate::descriptors::DescriptorHolder;
-use crate::line::{Closure, ConnectionState};
 use socket2::SockRef;
 use stagehoist::WorkerId;
 use std::cell::{Cell, RefCell};
--- a/crates/platform/src/executors/writing.rs
+++ b/crates/platform/src/executors/writing.rs
@@ -1,9 +1,9 @@
 //! Writing to a connection: each request is looked at once more in the instant before its first byte.
 
-use super::choice::is_dead;
-use super::links::{Connection, State};
+use super::connection::{Connection, State};
+use super::selection::is_dead;
 use super::{ClientPresence, Executors};
-use crate::line::{Closure, ConnectionState};
+use crate::connection::{Closure, ConnectionState};
 use stagehoist::RequestId;
 use std::io;
 
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -4,37 +4,37 @@
 //! Without I/O, fed bytes and the time:
 //! - [`config`]: what a front end is told at its start (`GW_CONFIG`), checked and translated.
 //! - [`resp`], [`request`], [`session`]: a client's connection, from RESP to calls and back.
-//! - [`line`]: an executor's connection, many requests at once.
-//! - [`bus`], [`replay`], [`roster`]: the event bus' frames and what they say of executors.
+//! - [`connection`]: an executor's connection, many requests at once.
+//! - [`subscription`], [`replay`], [`endpoint_events`]: the event bus' frames and what they say of executors.
 //! - [`bounds`]: how descriptors and memory are shared out, so that the process lives.
 //! - [`stalls`]: for how long this process itself did not run.
 //! - [`reload`]: a configuration read again at a signal, until it can be read.
 //!
-//! With sockets, thin: [`shared`], [`descriptors`], [`clients`], [`executors`], [`follow`], [`run`].
+//! With sockets, thin: [`shared`], [`descriptors`], [`clients`], [`executors`], [`watch`], [`run`].
 //!
 //! Nothing here decides about a call: that is the module's, in the `stagehoist` package.
 #![forbid(unsafe_code)]
 
 pub mod bounds;
-pub mod bus;
 pub mod clients;
 pub mod config;
+pub mod connection;
+mod deferred;
 pub mod descriptors;
+pub mod endpoint_events;
 pub mod executors;
 pub mod fields;
-mod flat;
-pub mod follow;
-pub mod line;
-mod parked;
+mod flatten;
 pub mod reload;
 pub mod replay;
 pub mod request;
 pub mod resp;
-pub mod roster;
 pub mod run;
 pub mod session;
 pub mod shared;
 pub mod stalls;
+pub mod subscription;
+pub mod watch;
 
 pub use config::{ConfigError, PlatformSettings};
 pub use run::run;
--- a/crates/platform/src/replay.rs
+++ b/crates/platform/src/replay.rs
@@ -1,7 +1,7 @@
 //! All events of the bus told anew, from the first: put together, and applied as one when they are as far on as what was seen
 //! before. Applied one by one, a worker whose drain is known would be ready again until its drain comes by.
 
-use crate::roster::EndpointEvent;
+use crate::endpoint_events::EndpointEvent;
 use stagehoist::{EndpointUpdate, Lifecycle, WorkerId};
 use stagehoist_endpoints::NumberedEndpoint;
 use std::collections::BTreeMap;
--- a/crates/platform/src/resp.rs
+++ b/crates/platform/src/resp.rs
@@ -3,6 +3,9 @@
 
 use bytes::{Buf, BufMut, BytesMut};
 
+#[cfg(test)]
+mod tests;
+
 /// Most strings in one array.
 const WORDS: usize = 8;
 /// Longest string: a body.
@@ -144,59 +147,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn all(bytes: &[u8]) -> Result<Vec<Words>, RespError> {
-        let mut decoder = Decoder::default();
-        decoder.feed(bytes);
-        let mut got = Vec::new();
-        while let Some(words) = decoder.take()? {
-            got.push(words);
-        }
-        Ok(got)
-    }
-
-    #[test]
-    fn what_is_written_is_read() {
-        let mut out = BytesMut::new();
-        encode(&mut out, &[b"REQ", b"7", b"", b"\r\n\0$"]);
-        encode(&mut out, &[b"ABORT", b"18446744073709551615"]);
-        let got = all(&out).unwrap();
-        assert_eq!(got[0], [&b"REQ"[..], b"7", b"", b"\r\n\0$"]);
-        assert_eq!(got[1][1], b"18446744073709551615");
-    }
-
-    #[test]
-    fn unreadable_bytes_are_told_as_soon_as_they_are_here() {
-        use RespError::*;
-        for (bytes, error) in [
-            (&b"GET / HTTP/1.1\r\n"[..], Form),
-            (b"\0\xff", Form),
-            (b"*-1\r\n", Length),
-            (b"*0\r\n", Length),
-            (b"*x", Length),
-            (b"*9\r\n", TooLong),
-            (b"*1000000000000000000000000000", TooLong),
-            (b"*1\r\n$-5\r\n", Length),
-            (b"*1\r\n$16385\r\n", TooLong),
-            (b"*1\r\n$60000000\r\n", TooLong),
-            (b"*1\r\n$99999999999\r\n", Length),
-            (b"*1\r\n$3\r\nabcd", Form),
-            (b"*1\r\n$3\r\nabc\rx", Form),
-            (b"*1\rx", Form),
-            (b"*2\r\n$1\r\na\r\n:5\r\n", Form),
-        ] {
-            assert_eq!(all(bytes), Err(error), "{:?}", String::from_utf8_lossy(bytes));
-        }
-        let mut long = b"*8\r\n".to_vec();
-        for _ in 0..3 {
-            long.extend_from_slice(b"$16384\r\n");
-            long.extend_from_slice(&[b'x'; 16384]);
-            long.extend_from_slice(b"\r\n");
-        }
-        assert_eq!(all(&long), Err(TooLong));
-    }
-}
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -1,15 +1,15 @@
 //! One live front end from its start to its end: configuration, sockets, signals, and the gateway's driver loop.
 
 use crate::bounds::Bounds;
-use crate::bus::EventSubscription;
 use crate::clients::{Clients, Shared};
 use crate::config::{ConfigError, PlatformSettings};
 use crate::descriptors;
 use crate::executors::{Executors, Limits};
-use crate::follow::follow;
 use crate::reload;
 use crate::replay::Replay;
 use crate::session::Catalog;
+use crate::subscription::EventSubscription;
+use crate::watch::watch_events;
 use stagehoist::{EndpointUpdate, Micros};
 use stagehoist_gateway::clock::Clock;
 use stagehoist_gateway::driver::{self, FrontEndState, Transport};
@@ -94,7 +94,7 @@
     drop(news);
     let mut tasks = JoinSet::new();
     let (bus_address, bus_seen) = watch::channel(told.bus);
-    tasks.spawn_local(follow(
+    tasks.spawn_local(watch_events(
         shared.clone(),
         executors.clone(),
         EventSubscription::new(*last, clock.now()),
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -3,7 +3,7 @@
 mod answers;
 
 use crate::bounds::ConnectionActivity;
-use crate::parked::DeferredRequests;
+use crate::deferred::DeferredRequests;
 use crate::request::asked;
 pub use crate::request::{Catalog, ClientRequest, Unusable, ANSWER_TRANSIT};
 use crate::resp::{encode, Decoder, Words};
--- a/crates/platform/src/bus.rs
+++ b/crates/platform/src/subscription.rs
@@ -1,8 +1,8 @@
 //! The event bus' connection without I/O: frames from pieces, numbers that decide what is news, silence that calls for a new
 //! connection, and pauses between connections.
 
+use crate::endpoint_events::{self, EndpointEvent};
 use crate::replay::Replay;
-use crate::roster::{self, EndpointEvent};
 use bytes::{Buf, BytesMut};
 use stagehoist::{EndpointUpdate, Micros};
 use std::collections::BTreeSet;
@@ -24,7 +24,7 @@
     #[error("a frame of {0} bytes")]
     Length(usize),
     #[error("event {number}: {error}")]
-    Event { number: u64, error: roster::EndpointEventError },
+    Event { number: u64, error: endpoint_events::EndpointEventError },
     #[error("event {got} where {expected} was due")]
     Gap { expected: u64, got: u64 },
     #[error("the bus is at event {got}, after {last}")]
@@ -166,12 +166,12 @@
     /// An event that can't be read is asked for once more, as it may have been spoilt on its way; what can be read of it
     /// counts then, so that those after it are not held up for ever.
     fn read(&mut self, number: u64, kind: u8, payload: &[u8]) -> Result<EndpointEvent, SubscriptionError> {
-        roster::decode(number, kind, payload).or_else(|error| {
+        endpoint_events::decode(number, kind, payload).or_else(|error| {
             if self.unreadable.len() < MAX_UNREADABLE && self.unreadable.insert(number) {
                 return Err(SubscriptionError::Event { number, error });
             }
             tracing::error!(number, %error, "an event of the bus can't be read; what can be of it counts");
-            Ok(roster::readable(number, kind, payload))
+            Ok(endpoint_events::readable(number, kind, payload))
         })
     }
 
--- a/crates/platform/src/follow.rs
+++ b/crates/platform/src/watch.rs
@@ -1,10 +1,10 @@
 //! The event bus' socket: one connection at a time, from the last event taken, anew after a break, silence, or word of
 //! another address.
 
-use crate::bus::EventSubscription;
 use crate::clients::Shared;
 use crate::descriptors::{is_want, Refusal};
 use crate::executors::Executors;
+use crate::subscription::EventSubscription;
 use stagehoist_gateway::state::Input;
 use std::collections::VecDeque;
 use std::io;
@@ -17,7 +17,7 @@
 const CONNECT: Duration = Duration::from_millis(500);
 
 /// Follows until dropped. A change of `address`, even to the same, means a new connection at once.
-pub async fn follow(
+pub async fn watch_events(
     shared: Rc<Shared>,
     executors: Rc<Executors>,
     mut bus: EventSubscription,
--- a/crates/platform/tests/codecs/lines.rs
+++ b/crates/platform/tests/codecs/lines.rs
@@ -3,7 +3,7 @@
 use crate::tools::{ends, feed, line, write_all, MS};
 use stagehoist::Outcome;
 use stagehoist_gateway::state::Input;
-use stagehoist_platform::line::{Closure, Exchange, ProtocolViolation};
+use stagehoist_platform::connection::{Closure, Exchange, ProtocolViolation};
 
 #[test]
 fn answers_come_in_any_order_and_what_belongs_to_nothing_is_passed_over() {
--- a/crates/platform/tests/codecs/split.rs
+++ b/crates/platform/tests/codecs/split.rs
@@ -4,9 +4,9 @@
 use bytes::BytesMut;
 use proptest::prelude::*;
 use stagehoist::Outcome;
-use stagehoist_platform::bus::EventSubscription;
-use stagehoist_platform::line::Closure;
+use stagehoist_platform::connection::Closure;
 use stagehoist_platform::resp::{encode, Decoder, Words};
+use stagehoist_platform::subscription::EventSubscription;
 
 fn split<'a>(bytes: &'a [u8], cuts: &[usize]) -> Vec<&'a [u8]> {
     let mut cuts: Vec<usize> = cuts.iter().map(|c| c % (bytes.len() + 1)).collect();
--- a/crates/platform/tests/codecs/tools.rs
+++ b/crates/platform/tests/codecs/tools.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use stagehoist::{Micros, Outcome};
 use stagehoist_gateway::state::Input;
-use stagehoist_platform::line::{ConnectionState, Exchange, ProtocolViolation};
+use stagehoist_platform::connection::{ConnectionState, Exchange, ProtocolViolation};
 use stagehoist_platform::resp::{encode, Decoder};
 use stagehoist_platform::session::{Catalog, ClientEvent, Session};
 use stagehoist_platform::PlatformSettings;
--- a/crates/platform/tests/crossings/attempt.rs
+++ b/crates/platform/tests/crossings/attempt.rs
@@ -3,7 +3,7 @@
 use stagehoist::{Action, Endpoint, EndpointUpdate, Event, Lifecycle, Micros};
 use stagehoist_endpoints::NumberedEndpoint as Row;
 use stagehoist_gateway::state::{module, Arrival, Command, Core, DecisionPolicy, FunctionProperties, Input};
-use stagehoist_platform::line::{Closure, ConnectionState, Exchange};
+use stagehoist_platform::connection::{Closure, ConnectionState, Exchange};
 use stagehoist_platform::PlatformSettings;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
--- a/crates/platform/tests/crossings/lines.rs
+++ b/crates/platform/tests/crossings/lines.rs
@@ -2,7 +2,7 @@
 
 use stagehoist::{Micros, Outcome};
 use stagehoist_gateway::state::Input;
-use stagehoist_platform::line::{ConnectionState, Exchange, ProtocolViolation};
+use stagehoist_platform::connection::{ConnectionState, Exchange, ProtocolViolation};
 
 const MS: Micros = 1000;
 
@@ -121,7 +121,7 @@
     write(&mut line, 9, 0);
     assert!(line.stop(1, "0000000000000001", MS, 250 * MS));
     let mut news = Vec::new();
-    line.end(stagehoist_platform::line::Closure::ProtocolViolated, MS, &mut news);
+    line.end(stagehoist_platform::connection::Closure::ProtocolViolated, MS, &mut news);
     assert_eq!(outcomes(&news), [(2, Outcome::ConnectFailed)]);
     // Where another may be at work there, the rest is not written either, nor anything else: what waits is
     // withdrawn, and the connection ends with the last that began.
--- a/crates/platform/tests/descriptors/limit.rs
+++ b/crates/platform/tests/descriptors/limit.rs
@@ -2,9 +2,9 @@
 
 use crate::stage::{accept, anywhere, at_the_limit, listen, own_address, read_until, Client, Full, Stage};
 use stagehoist_gateway::state::{Answer, Input};
-use stagehoist_platform::bus::EventSubscription;
 use stagehoist_platform::descriptors::RETRY_INTERVAL;
-use stagehoist_platform::follow::follow;
+use stagehoist_platform::subscription::EventSubscription;
+use stagehoist_platform::watch::watch_events;
 use std::io::Write;
 use std::time::Instant;
 use tokio::sync::watch;
@@ -26,7 +26,12 @@
         let (bus, bus_at) = listen(own_address());
         let (_moves, seen) = watch::channel(bus_at);
         let following = EventSubscription::new(1, stage.shared.clock.now());
-        tokio::task::spawn_local(follow(stage.shared.clone(), stage.executors.clone(), following, seen));
+        tokio::task::spawn_local(watch_events(
+            stage.shared.clone(),
+            stage.executors.clone(),
+            following,
+            seen,
+        ));
         let mut line: Vec<Client> = (0..5).map(|_| Client::new()).collect();
         let mut side = None;
         stage
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -8,15 +8,15 @@
 #![forbid(unsafe_code)]
 
 mod backoff;
+mod delivery_cache;
 pub mod inquiry;
+pub mod intent_gate;
 mod key;
-pub mod marked;
-mod memory;
-pub mod stages;
+pub mod phases;
 
 pub use backoff::Backoff;
+pub use delivery_cache::{DeliveryCache, ReplyState, Verdict};
 pub use inquiry::{AttemptKnowledge, Inquiries};
+pub use intent_gate::IntentGate;
 pub use key::{Identity, Key};
-pub use marked::IntentGate;
-pub use memory::{DeliveryCache, ReplyState, Verdict};
-pub use stages::RecoveryPhases;
+pub use phases::RecoveryPhases;
--- a/crates/recovery/tests/marked.rs
+++ b/crates/recovery/tests/marked.rs
@@ -1,6 +1,6 @@
 //! Attempts that wait for their mark: sent once it is on disk, and only if what was decided still holds.
 
-use stagehoist_recovery::marked::{GateDecision, Limits, UnsentReason};
+use stagehoist_recovery::intent_gate::{GateDecision, Limits, UnsentReason};
 use stagehoist_recovery::IntentGate;
 
 const LIMITS: Limits = Limits { longest: 100, most: 4, grace: 50 };
--- a/crates/recovery/tests/restarts.rs
+++ b/crates/recovery/tests/restarts.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use stagehoist::Effect;
 use stagehoist_recovery::inquiry::{Inquiries, InquiryLimits, Outcome};
-use stagehoist_recovery::marked::{GateDecision, Limits};
+use stagehoist_recovery::intent_gate::{GateDecision, Limits};
 use stagehoist_recovery::{AttemptKnowledge, DeliveryCache, IntentGate, Key, ReplyState, Verdict};
 
 /// A guard that a variant of the play goes without.
--- a/crates/recovery/tests/stages.rs
+++ b/crates/recovery/tests/stages.rs
@@ -1,7 +1,7 @@
 //! Stages end for whatever is seen, let reservations in first, and open by evidence.
 
 use proptest::prelude::*;
-use stagehoist_recovery::stages::{Admission, Limits, RecoveryEvidence, RecoveryPhase};
+use stagehoist_recovery::phases::{Admission, Limits, RecoveryEvidence, RecoveryPhase};
 use stagehoist_recovery::RecoveryPhases;
 
 const S: i64 = 1_000_000;
--- a/crates/scale-tests/src/list/bytes.rs
+++ b/crates/scale-tests/src/list/bytes.rs
@@ -2,7 +2,7 @@
 
 use crate::front_end::hash;
 use serde_json::json;
-use stagehoist_platform::roster::RECORD;
+use stagehoist_platform::endpoint_events::RECORD;
 
 /// Length, number and kind of a frame.
 pub const FRAME_HEAD: usize = 13;
--- a/crates/scale-tests/src/list/follower.rs
+++ b/crates/scale-tests/src/list/follower.rs
@@ -5,8 +5,8 @@
 use crate::meter::spent;
 use stagehoist::{EndpointUpdate, Event, FrontEnd};
 use stagehoist_endpoints::{EndpointSet, Update};
-use stagehoist_gateway::list::consul::parse;
-use stagehoist_platform::bus::EventSubscription;
+use stagehoist_gateway::discovery::consul::parse;
+use stagehoist_platform::subscription::EventSubscription;
 use std::rc::Rc;
 
 const START_MS: u64 = 1_796_000_000_000;
--- a/crates/scale-tests/src/traces/core.rs
+++ b/crates/scale-tests/src/traces/core.rs
@@ -6,7 +6,7 @@
 use stagehoist::{CopyReport, Endpoint, EndpointUpdate, Lifecycle, Outcome};
 use stagehoist_endpoints::NumberedEndpoint;
 use stagehoist_gateway::amqp::link::LinkState;
-use stagehoist_gateway::metrics_page::Gauges;
+use stagehoist_gateway::metrics::Gauges;
 use stagehoist_gateway::state::{
     Arrival, AttemptResult, Command, Core, CoreSettings, FunctionProperties, Input,
 };
