--- a/crates/admission/src/advice.rs
+++ b/crates/admission/src/advice.rs
@@ -1,5 +1,5 @@
-//! When a caller that is turned away at the door had better return: once what is held is predicted to have drained, spread
-//! so that those turned away together do not come back together.
+//! When a caller that is rejected at the door had better return: once what is held is predicted to have drained, spread
+//! so that those rejected together do not come back together.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub struct Advice {
     max: Micros,
-    /// Calls that left in the present look, and when it began; calls a microsecond, smoothed.
+    /// Calls that left in the present interval, and when it began; calls a microsecond, smoothed.
     last_leave: (u64, Micros),
     interval: Option<f64>,
     random: ChaCha8Rng,
--- a/crates/admission/src/intake.rs
+++ b/crates/admission/src/intake.rs
@@ -57,6 +57,7 @@
 }
 
 impl Intake {
+    /// An intake that holds nothing yet.
     pub fn new(bounds: Bounds) -> Intake {
         Intake { bounds, calls: 0, bytes: 0, tenant_classes: HashMap::new() }
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,6 +1,6 @@
 //! Decisions at a front end's intake, without I/O: how many messages it asks a broker for ([`Window`]), how
 //! long a message has waited where nothing on it tells ([`Age`]), whether a call may be held ([`Intake`]),
-//! and when a caller that is turned away had better return ([`Advice`]), and whether a call may start a run
+//! and when a caller that is rejected had better return ([`Advice`]), and whether a call may start a run
 //! in a pool that front ends share ([`permits::PermitPools`]).
 //!
 //! What happens to a call once taken is the module's matter alone.
--- a/crates/admission/src/permits/class.rs
+++ b/crates/admission/src/permits/class.rs
@@ -5,17 +5,17 @@
 use stagehoist::Micros;
 use std::collections::HashMap;
 
-/// For how long calls must have waited before the pace tells that another will wait in vain: lanes may be on
+/// For how long calls must have waited before the pace tells that another will wait in vain: permits may be on
 /// their way.
 const SETTLED: Micros = 500_000;
 /// Weight of a new gap between two calls that left.
 const GAIN: f64 = 0.1;
 
-/// A pool as a front end is told of it.
+/// A pool as a front end is notified of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolRules {
     pub name: String,
-    /// Lanes that this front end may always use.
+    /// Permits that this front end may always use.
     pub guaranteed: u32,
     /// Tenants with a reservation: number at this front end, and name.
     pub reserved: Vec<(u32, String)>,
@@ -41,7 +41,7 @@
     turns: TenantQueue,
     /// Since when calls wait.
     waiting_since: Option<Micros>,
-    /// When the last call left, and the smoothed gap between two.
+    /// When the last call left, and the smoothed interval between two.
     last_leave: Option<Micros>,
     mean_interval: Option<f64>,
     advice: Option<Advice>,
@@ -56,12 +56,13 @@
     tenants: HashMap<u32, usize>,
     in_use: u32,
     permits: u32,
-    /// Runs beyond the lanes of their class.
+    /// Runs beyond the permits of their class.
     excess: u32,
     waiting: usize,
 }
 
 impl Pool {
+    /// A pool without permits, before its rules are known.
     pub fn new(name: &str) -> Pool {
         Pool {
             name: name.to_owned(),
@@ -75,19 +76,23 @@
         }
     }
 
+    /// The pool's name.
     pub fn name(&self) -> &str {
         &self.name
     }
 
+    /// Calls that wait for a permit.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
+    /// Takes the pool out of use: it has no guaranteed minimum from here on.
     pub fn close(&mut self) {
         self.guaranteed = 0;
         self.tenants.clear();
     }
 
+    /// Applies the configured guaranteed minimum and reservations; calls that wait stay.
     pub fn configure(&mut self, rules: &PoolRules, retry_most: Micros, seed: u64, now: Micros) {
         self.guaranteed = rules.guaranteed;
         for (tenant, name) in &rules.reserved {
@@ -102,7 +107,7 @@
         }
     }
 
-    /// No lanes any more, but those of the floor.
+    /// No permits any more, but those of the guaranteed minimum.
     pub fn clear(&mut self) {
         self.permits = 0;
         self.excess = self.in_use;
@@ -111,6 +116,7 @@
         }
     }
 
+    /// Takes the permits of a grant for one tenant's class.
     pub fn grant(&mut self, tenant: &str, lanes: u32) {
         if let Some(class) = self.classes.iter_mut().find(|c| c.name == tenant) {
             self.permits += lanes;
@@ -120,6 +126,7 @@
         }
     }
 
+    /// Index of the class that a tenant's calls belong to.
     pub fn class(&self, tenant: u32) -> usize {
         self.tenants.get(&tenant).copied().unwrap_or(0)
     }
@@ -129,13 +136,14 @@
         self.in_use < self.permits + floor && (of.in_use < of.permits || self.excess < floor)
     }
 
-    /// Whether a call that comes now may start, ahead of nobody who waits for the same lane.
+    /// Whether a call that comes now may start, ahead of nobody who waits for the same permit.
     pub fn may_pass(&self, class: usize, floored: bool) -> bool {
         let of = &self.classes[class];
         let first = of.turns.len() == 0 && (of.in_use < of.permits || self.waiting == 0);
         first && self.may_start(class, floored)
     }
 
+    /// A call of this class starts.
     pub fn start(&mut self, class: usize) {
         let of = &mut self.classes[class];
         self.excess += u32::from(of.in_use >= of.permits);
@@ -143,6 +151,7 @@
         self.in_use += 1;
     }
 
+    /// A call of this class ended, with all its attempts.
     pub fn leave(&mut self, class: usize, now: Micros) {
         let of = &mut self.classes[class];
         self.excess -= u32::from(of.in_use > of.permits);
@@ -157,6 +166,7 @@
         }
     }
 
+    /// A call of this class waits for a permit.
     pub fn wait(&mut self, class: usize, tenant: u32, place: u64, call: u64, now: Micros) {
         let of = &mut self.classes[class];
         of.waiting_since.get_or_insert(now);
@@ -164,6 +174,7 @@
         self.waiting += 1;
     }
 
+    /// A call of this class waits no longer.
     pub fn cancel_wait(&mut self, class: usize, tenant: u32, place: u64) {
         self.classes[class].turns.remove(tenant, place);
         self.wait_ended(class);
@@ -177,6 +188,7 @@
         settled && waits > (latest - now) as f64
     }
 
+    /// Advice on when to send a rejected call again, by the rate at which calls of the class end.
     pub fn retry_after(&mut self, class: usize) -> Micros {
         let of = &mut self.classes[class];
         let held = u64::from(of.in_use) + of.turns.len() as u64;
@@ -197,6 +209,7 @@
         Some((class, call))
     }
 
+    /// Demand of each class, for the session's report.
     pub fn wanted(&self, applied: u64) -> impl Iterator<Item = PoolDemand<'_>> {
         self.classes.iter().map(move |class| PoolDemand {
             pool: &self.name,
--- a/crates/admission/src/permits/mod.rs
+++ b/crates/admission/src/permits/mod.rs
@@ -1,9 +1,9 @@
-//! Whether a call may start a run in a pool now: by the lanes that this front end was dealt and its floor
+//! Whether a call may start a run in a pool now: by the permits that this front end was allocated and its guaranteed minimum
 //! there.
 //!
-//! A tenant with a reservation goes by the lanes dealt to it (of its own or borrowed), the others share those
-//! dealt to all without one, in turns by tenant. The floor is anybody's, owners first. All runs of a pool
-//! together stay within its floor and lanes when one is started; runs that are left over from larger leases
+//! A tenant with a reservation goes by the permits allocated to it (of its own or borrowed), the others share those
+//! allocated to all without one, in turns by tenant. The guaranteed minimum is anybody's, owners first. All runs of a pool
+//! together stay within its guaranteed minimum and permits when one is started; runs that are left over from larger leases
 //! keep counting until they end.
 
 mod class;
@@ -19,7 +19,7 @@
 /// The word for the reply of a call that is refused here.
 pub const NO_PERMIT: &str = "no-lane";
 
-/// A lane in use; to be given back by [`PermitPools::leave`] once all attempts of its call are known to have ended.
+/// A permit in use; to be given back by [`PermitPools::leave`] once all attempts of its call are known to have ended.
 #[derive(Debug, PartialEq, Eq, Hash)]
 #[must_use]
 pub struct Permit {
@@ -27,7 +27,7 @@
     class: usize,
 }
 
-/// What becomes of a call that asks for a lane.
+/// What becomes of a call that asks for a permit.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub enum PermitDecision {
@@ -63,7 +63,7 @@
     max_waiting: usize,
     max_retry_after: Micros,
     seed: u64,
-    /// Until then runs of an earlier run of this front end may go on at workers, on its floor.
+    /// Until then runs of an earlier run of this front end may go on at workers, on its guaranteed minimum.
     quiet_until: Micros,
     pools: Vec<Pool>,
     until: Micros,
@@ -92,8 +92,8 @@
         }
     }
 
-    /// The pools as they stand now, each with this front end's floor. One that is not told any more keeps its
-    /// place, without a floor, for the runs under way. Whoever is not seated in the fleet tells floors of 0.
+    /// The pools as they stand now, each with this front end's guaranteed minimum. One that is not told any more keeps its
+    /// place, without a guaranteed minimum, for the runs under way. Whoever is not seated in the fleet tells guaranteed minimums of 0.
     pub fn configure(&mut self, pools: &[PoolRules], now: Micros) {
         for pool in &mut self.pools {
             pool.close();
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Lanes dealt by grant `number`, by names of pool and tenant (empty: those without a reservation), until
-    /// that time; they take the place of all dealt before.
+    /// Permits allocated by grant `number`, by names of pool and tenant (empty: those without a reservation), until
+    /// that time; they take the place of all allocated before.
     pub fn apply_grant<'a>(
         &mut self,
         number: u64,
@@ -206,7 +206,7 @@
     }
 
     /// What to report. While runs of an earlier run may go on the grant in force is not named, so that a
-    /// leader that deals anew counts on nothing yet.
+    /// leader that allocates anew counts on nothing yet.
     pub fn demand(&self, now: Micros) -> impl Iterator<Item = PoolDemand<'_>> {
         let applied = if now < self.quiet_until { 0 } else { self.applied };
         self.pools.iter().flat_map(move |pool| pool.wanted(applied))
--- a/crates/admission/src/permits/tenant_queue.rs
+++ b/crates/admission/src/permits/tenant_queue.rs
@@ -16,10 +16,12 @@
 }
 
 impl TenantQueue {
+    /// Calls that wait.
     pub fn len(&self) -> usize {
         self.calls
     }
 
+    /// Adds a call of a tenant.
     pub fn push(&mut self, tenant: u32, place: u64, call: u64) {
         let turns = &mut self.turns;
         let (_, calls) = self.tenants.entry(tenant).or_insert_with(|| {
@@ -30,6 +32,7 @@
         self.calls += 1;
     }
 
+    /// Takes the next call, tenants in turn.
     pub fn pop(&mut self) -> Option<u64> {
         loop {
             let (stamp, tenant) = self.turns.pop_front()?;
@@ -47,6 +50,7 @@
         }
     }
 
+    /// Removes a call wherever it waits.
     pub fn remove(&mut self, tenant: u32, place: u64) {
         let Some((_, calls)) = self.tenants.get_mut(&tenant) else { return };
         self.calls -= usize::from(calls.remove(&place).is_some());
--- a/crates/admission/src/window.rs
+++ b/crates/admission/src/window.rs
@@ -17,7 +17,7 @@
 pub struct Window {
     requested: u32,
     slack: u32,
-    /// Deliveries in the present look, and when it began.
+    /// Deliveries in the present interval, and when it began.
     arrivals: (u32, Micros),
 }
 
--- a/crates/admission/tests/lanes.rs
+++ b/crates/admission/tests/lanes.rs
@@ -1,4 +1,4 @@
-//! Which calls may start by lanes and floor, in which order, and which are refused.
+//! Which calls may start by permits and guaranteed minimum, in which order, and which are refused.
 
 use stagehoist_admission::permits::{Permit, PermitDecision, PermitPools, PoolRules, WaitOutcome};
 
@@ -47,7 +47,7 @@
     let lent = woken(&mut lanes, 0);
     assert_eq!(calls(&lent), [2]);
     let third = go(&mut lanes, 2, 3, S - 1).expect("floor and two lanes");
-    // The lease ran out: the runs go on and count, and no other starts before all but the floor have ended.
+    // The lease ran out: the runs go on and count, and no other starts before all but the guaranteed minimum have ended.
     lanes.leave(third, S);
     lanes.leave(first, S);
     assert_eq!(go(&mut lanes, 2, 4, S), None);
--- a/crates/amqp/src/client/mod.rs
+++ b/crates/amqp/src/client/mod.rs
@@ -164,7 +164,7 @@
         live.then(|| (self.spoke + self.heartbeat / 2).min(self.heard + 2 * self.heartbeat))
     }
 
-    /// Heartbeats: one is sent after half an interval of silence, and the peer is given up after two (4.2.7).
+    /// Heartbeats: one is sent after half an interval of silence, and the peer is abandoned after two (4.2.7).
     pub fn tick(&mut self, now: Micros) {
         if self.heartbeat == 0 || self.state == State::Closed {
             return;
--- a/crates/checker/src/rules/charter.rs
+++ b/crates/checker/src/rules/charter.rs
@@ -43,16 +43,16 @@
     pub confirmed_from: BTreeMap<u32, Micros>,
 }
 
-/// A pool of lanes and who has lanes of it reserved.
+/// A pool of permits and who has permits of it reserved.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoolRule {
     pub name: String,
     /// Function patterns (`rare-*`).
     pub functions: Vec<String>,
     pub lanes: u32,
-    /// Tenant and its lanes.
+    /// Tenant and its permits.
     pub reservations: Vec<(String, u32)>,
-    /// Time in which a reservation's lent lanes come back, in microseconds.
+    /// Time in which a reservation's lent permits come back, in microseconds.
     pub within: Micros,
 }
 
@@ -73,7 +73,7 @@
     pub starts: Vec<WorkerStart>,
     /// Front ends that were stopped: from, to.
     pub frozen: Vec<(u32, Micros, Micros)>,
-    /// Front ends whose process started anew: when. A new process knows nothing of what the old one was told.
+    /// Front ends whose process started anew: when. A new process knows nothing of what the old one was notified.
     pub begun: Vec<(u32, Micros)>,
     pub retired: Vec<Retired>,
     pub pools: Vec<PoolRule>,
@@ -100,7 +100,7 @@
     pub(super) fn takes(&self, function: &str) -> bool {
         self.functions.iter().any(|pattern| takes(pattern, function))
     }
-    /// Lanes reserved for a tenant.
+    /// Permits reserved for a tenant.
     pub(super) fn reserved(&self, tenant: &str) -> usize {
         self.reservations.iter().filter(|r| r.0 == tenant).map(|r| r.1 as usize).sum()
     }
--- a/crates/checker/src/rules/pools.rs
+++ b/crates/checker/src/rules/pools.rs
@@ -1,8 +1,8 @@
 //! Rule 7: reservations.
 //!
-//! A lane is one call at a time on workers. A call uses one from the first byte of an attempt until the front end's sockets
+//! A permit is one call at a time on workers. A call uses one from the first byte of an attempt until the front end's sockets
 //! show that none of its attempts is out: the last byte of an answer, or the end of the connection, as a front end can't know
-//! more of a worker. Attempts of a call from one front end use one lane together, from two front ends two.
+//! more of a worker. Attempts of a call from one front end use one permit together, from two front ends two.
 
 use super::{ms, Charter, PoolRule, Rule, Tally, ON_THE_WAY, WAKE};
 use crate::capture::Micros;
@@ -13,7 +13,7 @@
 const CLOSING: Micros = 100_000;
 /// Calls of a tenant that come after a longer rest are a new surge.
 const REST: Micros = 1_000_000;
-/// The reason told with a refusal for want of lanes.
+/// The reason told with a refusal for want of permits.
 const NO_LANE: &str = "no-lane";
 
 /// What changes at a moment; ends come before beginnings.
@@ -26,7 +26,7 @@
     Began,
 }
 
-/// Lanes used by a tenant, and its calls that wait for longer than the stated time.
+/// Permits used by a tenant, and its calls that wait for longer than the stated time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Use {
     runs: usize,
@@ -69,7 +69,7 @@
     (from < left).then_some((from, left))
 }
 
-/// Checks each beginning against the pool; returns for each tenant with lanes of its own how many it used from when.
+/// Checks each beginning against the pool; returns for each tenant with permits of its own how many it used from when.
 fn lanes<'a>(
     story: &'a Story,
     charter: &Charter,
@@ -117,7 +117,7 @@
     steps
 }
 
-/// Runs of others exceed neither the pool nor the pool less the reservations in use: those of which a tenant uses lanes, or
+/// Runs of others exceed neither the pool nor the pool less the reservations in use: those of which a tenant uses permits, or
 /// has calls that waited for longer than the stated time.
 fn check(at: Micros, pool: &PoolRule, used: &BTreeMap<&str, Use>, tally: &mut Tally) {
     let runs: usize = used.values().map(|u| u.runs).sum();
@@ -136,7 +136,7 @@
     });
 }
 
-/// A tenant that uses fewer lanes than are its own is not refused for want of lanes once its surge is older than the stated time.
+/// A tenant that uses fewer permits than are its own is not refused for want of permits once its surge is older than the stated time.
 fn refusals(
     story: &Story,
     charter: &Charter,
@@ -180,7 +180,7 @@
     rest.map_or(before.first().unwrap_or(last), |i| &before[i + 1]).to_owned()
 }
 
-/// Since when a tenant has used fewer lanes than are its own (the moment itself where it does not), and how many it uses.
+/// Since when a tenant has used fewer permits than are its own (the moment itself where it does not), and how many it uses.
 fn below(steps: &[(Micros, usize)], own: usize, at: Micros) -> (Micros, usize) {
     let before = &steps[..steps.partition_point(|s| s.0 <= at)];
     let now = before.last().map_or(0, |s| s.1);
--- a/crates/checker/src/story/mod.rs
+++ b/crates/checker/src/story/mod.rs
@@ -68,7 +68,7 @@
     pub at: Micros,
 }
 
-/// What a front end was told of a worker.
+/// What a front end was notified of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Told {
     pub at: Micros,
--- a/crates/checker/src/story/read.rs
+++ b/crates/checker/src/story/read.rs
@@ -177,7 +177,7 @@
                 let started = meta("started").and_then(|s| s.parse().ok()).unwrap_or(0);
                 listed.insert(name.to_string(), Told { at, by_list: true, ready, started });
             }
-            // Whoever was told of before and is missing now is gone.
+            // Whoever was notified of before and is missing now is gone.
             for ((whom, worker), told) in &mut self.told {
                 if *whom == front_end && !listed.contains_key(worker) {
                     told.push(Told { at, by_list: true, ready: false, started: 0 });
--- a/crates/checker/src/tap.rs
+++ b/crates/checker/src/tap.rs
@@ -66,7 +66,7 @@
         self.delay.store(by.as_micros() as u64, Ordering::Relaxed);
     }
 
-    /// Ends every connection on the link, now.
+    /// Ends every connection on the connection, now.
     pub fn cut(&self) {
         self.cut.send_modify(|n| *n += 1);
     }
--- a/crates/checker/tests/doctored.rs
+++ b/crates/checker/tests/doctored.rs
@@ -1,4 +1,4 @@
-//! The judge against captures written by hand: a good one, and one for each way to break a rule.
+//! The checker against captures written by hand: a good one, and one for each way to break a rule.
 
 mod scene;
 
@@ -138,7 +138,7 @@
     }
 }
 
-/// The old process of a front end, or another front end, sent it; marks or not, it must not go out again.
+/// The old process of a front end, or another front end, sent it; intents or not, it must not go out again.
 #[test]
 fn rule_2_sees_an_unsafe_call_again_after_a_restart_and_at_another_front_end() {
     for (second, first, kept) in
--- a/crates/checker/tests/doctored_pools.rs
+++ b/crates/checker/tests/doctored_pools.rs
@@ -1,4 +1,4 @@
-//! Rule 7 against captures written by hand: a pool of four lanes, three of them reserved for `own`.
+//! Rule 7 against captures written by hand: a pool of four permits, three of them reserved for `own`.
 
 mod scene;
 
@@ -62,7 +62,7 @@
     assert_eq!(breaches(&s.judge(pool)), 0);
 }
 
-/// A call of the tenant waits while others hold more than the pool less its lanes: for the stated time, and for longer.
+/// A call of the tenant waits while others hold more than the pool less its permits: for the stated time, and for longer.
 #[test]
 fn lanes_that_are_lent_come_back_within_the_stated_time() {
     for (tenant, until, kept) in
@@ -75,7 +75,7 @@
             s.call(S + 99 * MS, &id, &format!("safe {tenant}"));
             s.answer(S + 280 * MS, &id, "refused no-worker");
         }
-        // At 205 ms three calls have waited for too long, so that the others' share is one lane.
+        // At 205 ms three calls have waited for too long, so that the others' share is one permit.
         let v = s.judge(pool);
         assert_eq!(breaches(&v) == 0, kept, "{tenant} {until}: {v:#?}");
     }
@@ -96,7 +96,7 @@
     }
 }
 
-/// Refused within the stated time of its surge, after it, with all its lanes in use, and for another reason.
+/// Refused within the stated time of its surge, after it, with all its permits in use, and for another reason.
 #[test]
 fn a_tenant_inside_its_reservation_is_refused_for_want_of_lanes_only_at_the_start_of_its_surge() {
     for (after, own, reason, kept) in [
@@ -113,7 +113,7 @@
         let v = s.judge(pool);
         assert_eq!(breaches(&v) == 0, kept, "{after} {own} {reason}: {v:#?}");
     }
-    // A new surge after a rest, and a tenant without lanes of its own.
+    // A new surge after a rest, and a tenant without permits of its own.
     for (at, tenant) in [(4 * S, "own"), (S + 200 * MS, "other")] {
         let mut s = Scene::new();
         s.call(S, "first", &format!("safe {tenant}")).answer(S + 2 * MS, "first", "refused no-lane");
@@ -122,7 +122,7 @@
     }
 }
 
-/// A connection that its front end ended is seen a little later: within the tap's own delay the lane is free for the next.
+/// A connection that its front end ended is seen a little later: within the tap's own delay the permit is free for the next.
 #[test]
 fn an_attempt_whose_connection_broke_counts_until_the_socket_ended() {
     for (next, kept) in [(S + 50 * MS, false), (S + 87 * MS, true)] {
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A process as part of a fleet: its sessions with the keepers started, tied to its front ends, and ended after them.
+//! A process as part of a fleet: its sessions with the replicas started, tied to its front ends, and ended after them.
 
 use stagehoist_cluster_state::{AllocationLimits, LeaseTerms, Pool, PoolSize, Reservation, GUARANTEED_SHARE};
 use stagehoist_config::{Config, Fleet};
@@ -13,7 +13,7 @@
 /// The least time in which a leader that is at ease hears of a majority, in microseconds.
 const QUORUM_LEAST: i64 = 250_000;
 
-/// How often it is reckoned anew at most who should have how many lanes, in microseconds.
+/// How often it is reckoned anew at most who should have how many permits, in microseconds.
 const DEAL_EVERY: i64 = 10_000;
 
 /// The name of a front end of this process among the members.
@@ -21,7 +21,7 @@
     format!("{}/{number}", fleet.member)
 }
 
-/// What the keeper's part is told.
+/// What the replica's part is notified.
 pub fn options(config: &Config, fleet: &Fleet) -> Options {
     let pool = |pool: &stagehoist_config::Pool| Pool {
         name: pool.name.clone(),
@@ -98,7 +98,7 @@
     Ok((Joined { running, tasks }, links))
 }
 
-/// What a front end tells, in the keeper's words, until the front end ended.
+/// What a front end tells, in the replica's words, until the front end ended.
 async fn pass_on(mut news: watch::Receiver<SessionReport>, session: Session) {
     while news.changed().await.is_ok() {
         let SessionReport { confirmed, ready_capacity: ready_lanes, demand } =
@@ -109,7 +109,7 @@
             demand,
         });
     }
-    // The session's ends are kept until the members leave: what was told last stands.
+    // The session's ends are kept until the members leave: what was notified last stands.
     std::future::pending::<()>().await;
 }
 
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -61,7 +61,7 @@
     /// A call served within this counts in full.
     #[arg(long, default_value = "800ms", value_parser = duration)]
     aim: i64,
-    /// Callers give up after this.
+    /// Callers time out after this.
     #[arg(long, default_value = "2500ms", value_parser = duration)]
     give_up: i64,
     /// `expiration` of each message in milliseconds; 0: none.
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -72,7 +72,7 @@
         #[command(subcommand)]
         what: load::Load,
     },
-    /// A stand-in for an outside system.
+    /// A emulator for an outside system.
     Standin {
         #[command(subcommand)]
         what: standin::Standin,
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Runs the gateway until it is told to end.
+/// Runs the gateway until it is ordered to end.
 pub fn serve(conf: &Path) -> ExitCode {
     serve_with(module, conf)
 }
@@ -98,7 +98,7 @@
     running.drain();
     let ended = match joined {
         None => running.join(),
-        // What front ends confirm while they drain is still passed on; members leave once nothing of theirs is at work.
+        // What front ends confirm while they drain is still passed on; members leave once nothing of theirs is in progress.
         Some(joined) => runtime.block_on(async {
             let ended = tokio::task::spawn_blocking(move || running.join()).await;
             joined.stop().await;
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -1,4 +1,4 @@
-//! `standin`: each stand-in by itself, on a told address, until SIGINT or SIGTERM.
+//! `standin`: each emulator by itself, on a told address, until SIGINT or SIGTERM.
 
 use clap::Subcommand;
 use stagehoist_emulator::broker::{self, Broker, BrokerOptions};
@@ -46,7 +46,7 @@
         #[arg(long, default_value_t = 64)]
         queue: usize,
     },
-    /// A list of workers from a file, served in the manner of Consul's health API.
+    /// An endpoint list from a file, served in the manner of Consul's health API.
     List {
         #[arg(long, default_value = "127.0.0.1:8500")]
         listen: String,
@@ -75,7 +75,7 @@
     },
 }
 
-/// Runs a stand-in until it is told to end.
+/// Runs a emulator until it is ordered to end.
 pub fn run(what: Standin) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A process of a fleet: its keeper, its front ends' sessions and its retirements, from start to an orderly end.
+//! A process of a fleet: its replica, its front ends' sessions and its retirements, from start to an orderly end.
 
 use std::net::TcpListener;
 use std::path::Path;
@@ -53,7 +53,7 @@
     until(&state, &mut process, |t| t.starts_with("f 1 in-force ") && !t.contains("but-for"));
     assert!(!std::fs::read_to_string(&state).unwrap().contains("\ng 1 "), "a half line");
     end(process);
-    // Started again without the lines, the record still has it, and what is added comes to it.
+    // Started again without the lines, the cluster state still has it, and what is added comes to it.
     std::fs::write(path("retired.list"), "g 1\n").unwrap();
     std::fs::remove_file(&state).unwrap();
     let mut process = serve(folder.path());
--- a/crates/cli/tests/fleet_days.rs
+++ b/crates/cli/tests/fleet_days.rs
@@ -1,4 +1,4 @@
-//! Days of a fleet: five processes of the program, three of which keep the record, with faults between them; judged from what
+//! Days of a fleet: five processes of the program, three of which keep the cluster state, with faults between them; judged from what
 //! crossed the sockets. Verdicts rest on the rules and on counts, never on times of this machine.
 
 mod alone;
--- a/crates/cli/tests/platform/calls.rs
+++ b/crates/cli/tests/platform/calls.rs
@@ -21,7 +21,7 @@
         e.seen().iter().any(|s| matches!(&s.what, What::Hold { key, .. } if key == "00000000000000bb"))
     };
     assert!(stage.executors.iter().any(held));
-    // Never answered by its executor and given up by its client: stopped, and nothing more is written for it.
+    // Never answered by its executor and abandoned by its client: stopped, and nothing more is written for it.
     stage.executors.iter().for_each(|e| e.spoil([Fault::Never]));
     client.request(100, "look", &fields.replace("aa,", "ab,"), b"x").await.unwrap();
     tokio::time::sleep(ms(100)).await;
--- a/crates/cli/tests/platform/closes.rs
+++ b/crates/cli/tests/platform/closes.rs
@@ -39,7 +39,7 @@
     assert!(answers.iter().all(|a| a.word == "200" || a.word == "503" || a.word == "500"));
 }
 
-/// A client that takes no answers and has left: its open calls are given up though nothing is read from it.
+/// A client that takes no answers and has left: its open calls are abandoned though nothing is read from it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn leaving_is_seen_while_answers_wait_and_nothing_is_read() {
     let stage = Stage::start_with(1, 256, |told| config_classes(told, "hard_limit", 9000)).await;
--- a/crates/cli/tests/platform/descriptors.rs
+++ b/crates/cli/tests/platform/descriptors.rs
@@ -7,7 +7,7 @@
 use stagehoist_emulator::platform::{Client, EventBus};
 use std::time::{Duration, Instant};
 
-/// Descriptors that the process may have, though it was told of more: so the system refuses, and not its own bounds.
+/// Descriptors that the process may have, though it was notified of more: so the system refuses, and not its own bounds.
 const MOST: u64 = 48;
 const HEALTH: &[&[u8]] = &[b"HEALTH", b"8", b""];
 
@@ -38,7 +38,7 @@
         idle
     }
 
-    /// A newcomer that is told `serving`.
+    /// A newcomer that is notified `serving`.
     async fn newcomer(&self) -> Client {
         let mut client = self.client().await;
         client.raw(&array(HEALTH)).await.unwrap();
--- a/crates/cli/tests/platform/ending.rs
+++ b/crates/cli/tests/platform/ending.rs
@@ -169,7 +169,7 @@
     }
 }
 
-/// What comes after the time of taking is refused and never sent on.
+/// What comes after the time of taking is refused and never forwarded.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn nothing_is_sent_on_after_the_end_of_taking() {
     let mut stage = Stage::start(2, 256).await;
--- a/crates/cli/tests/platform/leaving.rs
+++ b/crates/cli/tests/platform/leaving.rs
@@ -1,4 +1,4 @@
-//! A client leaves while its request waits for a connection to an executor, or for a further attempt.
+//! A client leaves while its request waits for a connection to an executor, or for a retry.
 
 use crate::stage::{ms, Stage, KEYS};
 use rustix::process::Signal;
@@ -79,7 +79,7 @@
     }
 }
 
-/// The process is stopped with calls at work. Errors, each of which asks for a further attempt, and the word
+/// The process is stopped with calls in progress. Errors, each of which asks for a retry, and the word
 /// of their client lie in its sockets when it goes on.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn no_attempt_begins_for_a_client_that_left_while_the_process_did_not_run() {
--- a/crates/cli/tests/platform/lists.rs
+++ b/crates/cli/tests/platform/lists.rs
@@ -36,7 +36,7 @@
         if step == 2 {
             stage.bus.mood(Mood::Well);
         }
-        // What the bus would have told counts later where it breaks, is silent or moves.
+        // What the event subscription would have told counts later where it breaks, is silent or moves.
         let allowed = [0, 2000, 4000, 4000][step];
         let id = stage.executors[step].id;
         *stage.told.drained.get_mut(&id).unwrap() += ms(allowed);
--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! The live front end on its whole path: the command as the platform starts it, between stand-in clients, executors and an event
+//! The live front end on its whole path: the command as the platform starts it, between emulator clients, executors and an event
 //! bus, judged by what crossed their sockets.
 
 mod bad_clients;
--- a/crates/cli/tests/platform/restart.rs
+++ b/crates/cli/tests/platform/restart.rs
@@ -127,7 +127,7 @@
     }
 
     /// What all of them may have done by the time they serve: the configuration read once, and with it what the program
-    /// itself is loaded from; a connection each to the bus at most, none to executors.
+    /// itself is loaded from; a connection each to the event subscription at most, none to executors.
     fn has_done_little(&self, since: Instant, executors: &[Executor], bus: &EventBus) {
         // The bus says something each second, and clients ask again where one did not listen yet.
         let seconds = since.elapsed().as_secs() + 1;
@@ -160,7 +160,7 @@
 }
 
 /// Killed together and started together on a machine whose cores are all busy. Between a start and `serving` lie the reading
-/// of the configuration and one turn: nothing is asked of the bus or an executor and waited for.
+/// of the configuration and one turn: nothing is asked of the event subscription or an executor and waited for.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn thirty_restarted_together_serve_in_time_and_wait_for_no_one() {
     let executors = executors().await;
@@ -175,7 +175,7 @@
     let mut fleet = Fleet::new(&executors, again.address, 5100);
     verdict("restart, all cores busy", &fleet.start().await);
     fleet.has_done_little(since, &executors, &again);
-    // Each follows the bus by one connection, the first.
+    // Each follows the event subscription by one connection, the first.
     let by = Instant::now() + READY;
     while again.connections() < MANY {
         assert!(Instant::now() < by, "{} follow the bus", again.connections());
--- a/crates/cli/tests/platform/stage.rs
+++ b/crates/cli/tests/platform/stage.rs
@@ -1,4 +1,4 @@
-//! The command between its stand-ins, and what a test asks of it.
+//! The command between its emulated systems, and what a test asks of it.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::json;
--- a/crates/cli/tests/platform/together.rs
+++ b/crates/cli/tests/platform/together.rs
@@ -26,7 +26,7 @@
 }
 const HOW: [Leaves; 3] = [Leaves::Abort, Leaves::Close, Leaves::Reset];
 
-/// A process beside that of the stage; ended with it.
+/// A process beside that of the harness; ended with it.
 struct Beside(Child);
 
 impl Drop for Beside {
@@ -105,7 +105,7 @@
     let mut asked: [Vec<Asked>; 3] = Default::default();
     let mut left_meanwhile = 0;
     for round in 0..ROUNDS {
-        // Errors ask for further attempts, silence for second copies.
+        // Errors ask for retries, silence for hedged requests.
         for executor in &stage.executors {
             executor.spoil([
                 Fault::Error,
@@ -151,7 +151,7 @@
     for (n, list) in asked.iter().enumerate() {
         println!("front end {n}: {}", after_leaving(list, &seen));
     }
-    // Further attempts and second copies are among them.
+    // Further attempts and hedged requests are among them.
     let runs = |a: &Asked| {
         let each = seen.iter().flat_map(|(_, seen)| seen);
         each.filter(|s| matches!(&s.what, What::Run { id, .. } if *id == a.id)).count()
--- a/crates/cli/tests/platform/versions.rs
+++ b/crates/cli/tests/platform/versions.rs
@@ -8,7 +8,7 @@
 
 const OLD: &str = KEYS[0];
 const NEW: &str = "00000000000000aa";
-/// Attempts for a call at most, as the stage's settings tell.
+/// Attempts for a call at most, as the harness's settings tell.
 const MOST_TRIES: usize = 3;
 
 /// The executor has the new version in place of the old from now on.
--- a/crates/cluster-state/src/allocation/account.rs
+++ b/crates/cluster-state/src/allocation/account.rs
@@ -1,4 +1,4 @@
-//! What the dealer knows of one run of a front end.
+//! What the allocator knows of one run of a front end.
 
 use super::Guards;
 use crate::{Micros, Report, Version};
@@ -24,8 +24,8 @@
     known: bool,
     ready_capacity: u32,
     in_use: BTreeMap<String, u32>,
-    /// Lanes wanted by pool and tenant: the newest word where it is more, else a quarter of the way down to
-    /// it, so that a short dip moves no lanes.
+    /// Permits wanted by pool and tenant: the newest word where it is more, else a quarter of the way down to
+    /// it, so that a short dip moves no permits.
     wanted: BTreeMap<String, BTreeMap<String, u32>>,
     given: Vec<OutstandingGrant>,
     counted: BTreeMap<String, u32>,
@@ -83,7 +83,7 @@
         self.given.retain(|g| g.given_at > before);
     }
 
-    /// Counts the lanes of a pool that it may have in use beyond its floor, now or later, with what it was
+    /// Counts the permits of a pool that it may have in use beyond its guaranteed minimum, now or later, with what it was
     /// given so far: as counted before, and now. What is counted only falls by itself, with time.
     pub fn count(
         &mut self,
@@ -102,10 +102,12 @@
         (std::mem::replace(counted, out), out)
     }
 
+    /// Permits of a pool that were counted as outstanding when it was last counted.
     pub fn counted(&self, pool: &str) -> u32 {
         self.counted.get(pool).copied().unwrap_or(0)
     }
 
+    /// Permits wanted in a pool, by tenant.
     pub fn wanted(&self, pool: &str) -> Option<&BTreeMap<String, u32>> {
         self.wanted.get(pool)
     }
@@ -115,14 +117,17 @@
         self.known
     }
 
+    /// When its last report came.
     pub fn heard_at(&self) -> Micros {
         self.heard_at
     }
 
+    /// The newest view that it confirmed.
     pub fn confirmed(&self) -> Version {
         self.confirmed
     }
 
+    /// Capacity of the ready workers that it knows.
     pub fn ready_capacity(&self) -> u32 {
         self.ready_capacity
     }
--- a/crates/cluster-state/src/allocation/mod.rs
+++ b/crates/cluster-state/src/allocation/mod.rs
@@ -1,11 +1,11 @@
-//! Lanes dealt by lease beside the floors, at the keeper that leads.
+//! Permits allocated by lease beside the guaranteed minimums, at the leader.
 //!
-//! A front end starts a run in a pool only while its runs there are fewer than its floor and the lanes it
+//! A front end starts a run in a pool only while its runs there are fewer than its guaranteed minimum and the permits it
 //! holds together. Runs go on after the lease that they began under. So from any account of itself on
 //! (`in_use`, and `applied`: the grant that it went by then) it never has more runs than the greater of
-//! `in_use` and its floor with the largest grant numbered `applied` or later. That is what the dealer counts
+//! `in_use` and its guaranteed minimum with the largest grant numbered `applied` or later. That is what the allocator counts
 //! as out, until a later account tells less, or until the lease and the longest run have passed. A member is
-//! given only what is left of the pool after all floors and what the others have out.
+//! given only what is left of the pool after all guaranteed minimums and what the others have out.
 
 mod account;
 mod limits;
@@ -26,7 +26,7 @@
     pub takeover_wait: bool,
     /// Runs count after the lease that they began under.
     pub runs: bool,
-    /// Floors are never dealt.
+    /// Guaranteed minimums are never allocated.
     pub guarantees: bool,
     /// A grant stands until the member says that it goes by a later one.
     pub applied: bool,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Deals the lanes of every pool; forgotten with the leadership.
+/// Allocates the permits of every pool; forgotten with the leadership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PermitAllocator {
     terms: LeaseTerms,
@@ -49,7 +49,7 @@
     earlier_members: BTreeSet<Member>,
     accounts: BTreeMap<Member, Account>,
     pools: Vec<Pool>,
-    /// Floors by pool of earlier editions, and the change that ended each, until every member has applied
+    /// Guaranteed minimums by pool of earlier editions, and the change that ended each, until every member has applied
     /// that.
     earlier_guarantees: Vec<(Version, BTreeMap<String, u32>)>,
     has_observed: bool,
@@ -85,23 +85,24 @@
         }
     }
 
+    /// For tests: an allocator without some of its guards.
     #[doc(hidden)]
     pub fn with(self, guards: Guards) -> PermitAllocator {
         PermitAllocator { guards, ..self }
     }
 
-    /// Whether a front end of this name may join. One beyond the told number would have no floor, and could
-    /// not know it while it is cut off; so it is turned away at its hello.
+    /// Whether a front end of this name may join. One beyond the told number would have no guaranteed minimum, and could
+    /// not know it while it is cut off; so it is rejected at its hello.
     pub fn admits(&self, record: &ClusterState, name: &str) -> bool {
         self.admits_with(record, name, 0)
     }
 
-    /// The same where so many others, not yet in the record, were let in before.
+    /// The same where so many others, not yet in the cluster state, were admitted before.
     pub fn admits_with(&self, record: &ClusterState, name: &str, others: usize) -> bool {
         record.present().filter(|m| m.name != name).count() + others < self.limits.front_ends as usize
     }
 
-    /// A present member reported, and promises may be given: the lanes of the grant that answers, by pool and
+    /// A present member reported, and promises may be given: the permits of the grant that answers, by pool and
     /// tenant. A report that is late or came twice changes nothing and gets none.
     pub fn report(
         &mut self,
@@ -126,7 +127,7 @@
         lanes
     }
 
-    /// Whether no lanes that this leader does not know of can be in use: promises of earlier ones have run
+    /// Whether no permits that this leader does not know of can be in use: promises of earlier ones have run
     /// out, and every member of before was heard since, or the runs that they began have ended.
     pub fn may_allocate(&self, now: Micros) -> bool {
         let quiet = self.began + self.terms.takeover_wait();
@@ -135,8 +136,8 @@
             || now >= quiet && (now >= quiet + self.longest() || self.earlier_members.iter().all(known))
     }
 
-    /// Lanes of a pool that are counted as out beyond the floors, as last reckoned; and those that may be
-    /// dealt.
+    /// Permits of a pool that are counted as out beyond the guaranteed minimums, as last reckoned; and those that may be
+    /// allocated.
     pub fn outstanding(&self, pool: &str) -> (u32, u32) {
         let round = self.round.as_ref().and_then(|(_, pools)| pools.get(pool));
         round.map_or((0, 0), |r| (r.outstanding, r.permits))
@@ -144,7 +145,7 @@
 
     /// Follows members and pools.
     fn observe(&mut self, record: &ClusterState, now: Micros) {
-        // The first look may come late: who is there then may have been given lanes by an earlier leader, and
+        // The first look may come late: who is there then may have been given permits by an earlier leader, and
         // so may a run in whose place another joined.
         if !self.has_observed || now < self.began + self.terms.takeover_wait() {
             self.has_observed = true;
@@ -170,7 +171,7 @@
             // Runs of one that is gone may go on at workers.
             record.is_present(m) || now < a.heard_at() + span
         });
-        // Floors of earlier editions end once all have applied a later one.
+        // Guaranteed minimums of earlier editions end once all have applied a later one.
         let accounts = &self.accounts;
         let applied =
             |v: Version| record.present().all(|m| accounts.get(&m).is_some_and(|a| a.confirmed() >= v));
@@ -237,9 +238,9 @@
         self.accounts.iter().filter(move |(_, a)| a.heard_at() > late)
     }
 
-    /// A pool's size. Where it goes by workers, for dealing the lower median of what members told of late:
+    /// A pool's size. Where it goes by workers, for allocation the lower median of what members told of late:
     /// one front end that sees no workers does not empty the pool, and one that still counts workers that are
-    /// gone does not widen it. For floors the greatest, as each member reckons its own by its own count.
+    /// gone does not widen it. For guaranteed minimums the greatest, as each member reckons its own by its own count.
     fn size(&self, pool: &Pool, now: Micros, for_floors: bool) -> u32 {
         if let PoolSize::Permits(lanes) = pool.size {
             return lanes;
@@ -250,7 +251,7 @@
         ready.get(place).copied().unwrap_or(0)
     }
 
-    /// The greatest floor in a pool that any member may go by.
+    /// The greatest guaranteed minimum in a pool that any member may go by.
     fn guaranteed(&self, pool: &str, now: Micros) -> u32 {
         let of = self.pools.iter().find(|p| p.name == pool);
         let new = of.map_or(0, |p| guaranteed_permits(self.size(p, now, true), &self.limits));
--- a/crates/cluster-state/src/allocation/targets.rs
+++ b/crates/cluster-state/src/allocation/targets.rs
@@ -1,4 +1,4 @@
-//! Who should have how many lanes: reservations first, the rest max-min by demand, what nobody asks for ahead
+//! Who should have how many permits: reservations first, the rest max-min by demand, what nobody asks for ahead
 //! of demand.
 
 use crate::{Member, Reservation};
@@ -9,14 +9,15 @@
 
 type Wants<'a> = [(&'a Member, Option<&'a BTreeMap<String, u32>>)];
 
-/// Lanes each member should have in a pool; together no more than may be dealt.
+/// Permits each member should have in a pool; together no more than may be allocated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Targets {
-    /// By member: lanes inside reservations, then the rest, by tenant.
+    /// By member: permits inside reservations, then the rest, by tenant.
     members: BTreeMap<Member, [BTreeMap<String, u32>; 2]>,
 }
 
 impl Targets {
+    /// Computes the targets of all members in a pool of so many permits.
     pub fn reckon(lanes: u32, reservations: &[Reservation], members: &Wants) -> Targets {
         let mut targets = Targets::default();
         let Some(most) = u32::try_from(members.len()).ok().filter(|n| *n > 0) else { return targets };
@@ -79,7 +80,7 @@
     wants.and_then(|w| w.get(tenant)).copied().unwrap_or(0)
 }
 
-/// Reservations as they stand where fewer lanes are left than were reserved: in proportion, rounded down.
+/// Reservations as they stand where fewer permits are left than were reserved: in proportion, rounded down.
 fn scaled(lanes: u32, reservations: &[Reservation]) -> Vec<u32> {
     let all: u64 = reservations.iter().map(|r| u64::from(r.permits)).sum();
     let part = |r: &Reservation| match all {
@@ -90,7 +91,7 @@
 }
 
 /// Max-min shares: nobody gets more than it wants, and whoever gets less gets no less than any other, but for
-/// one lane.
+/// one permit.
 fn max_min(lanes: u32, wants: &[u32]) -> Vec<u32> {
     let mut order: Vec<usize> = (0..wants.len()).collect();
     order.sort_by_key(|i| wants[*i]);
@@ -98,7 +99,7 @@
     let mut left = lanes;
     for (done, i) in order.into_iter().enumerate() {
         let others = u32::try_from(wants.len() - done).unwrap_or(u32::MAX);
-        // Rounded up, as the odd lanes go to the first of those that want as much; the sum stays within what
+        // Rounded up, as the odd permits go to the first of those that want as much; the sum stays within what
         // is left.
         parts[i] = wants[i].min(left.div_ceil(others));
         left -= parts[i];
--- a/crates/cluster-state/src/apply.rs
+++ b/crates/cluster-state/src/apply.rs
@@ -1,4 +1,4 @@
-//! What a command changes in the record.
+//! What a command changes in the cluster state.
 
 use crate::bounds::{MAX_MEMBERS, MAX_REPLACED};
 use crate::{ClusterState, Command, CommandOutcome, Member, MemberRun, Tombstone, TombstoneState, Version};
--- a/crates/cluster-state/src/bounds.rs
+++ b/crates/cluster-state/src/bounds.rs
@@ -1,11 +1,11 @@
-//! How much the record holds at most; a command beyond it is refused with the reason, alike at every keeper.
+//! How much the cluster state holds at most; a command beyond it is refused with the reason, alike at every replica.
 
 use crate::{ClusterState, Command, Member, MemberRun, Pool, PoolSize, Retirement, Tombstone};
 use std::collections::BTreeSet;
 
 /// Names of members, present and left; beyond it the longest-left are forgotten.
 pub const MAX_MEMBERS: usize = 4096;
-/// Runs that another took the place of and that may still be at work.
+/// Runs that another took the place of and that may still be in progress.
 pub const MAX_REPLACED: usize = 1024;
 pub const MAX_TOMBSTONES: usize = 4096;
 pub const MAX_POOLS: usize = 256;
--- a/crates/cluster-state/src/inquiry.rs
+++ b/crates/cluster-state/src/inquiry.rs
@@ -1,4 +1,4 @@
-//! What front ends ask each other about messages that are delivered again, by way of the keeper that leads.
+//! What front ends ask each other about messages that are delivered again, by way of the leader.
 
 use crate::{Member, Micros, SessionRequest};
 use serde::{Deserialize, Serialize};
@@ -12,7 +12,7 @@
 /// A leader's word of who is to be asked counts if it comes so soon after the question. With the time that a leader trusts
 /// its majority ([`crate::LeaseTerms::quorum`], 250 ms at least) it ends before another leader can be elected (400 ms).
 const MEMBERS_VALID_FOR: Micros = 100_000;
-/// Whoever asks has given up by then.
+/// Whoever asks has abandoned by then.
 const INQUIRY_TIMEOUT: Micros = 5_000_000;
 
 /// What a message is known by, as its caller wrote it.
@@ -51,7 +51,7 @@
 /// From a session to its front end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InquiryEvent {
-    /// The number of this run, and of the last run under its name where the record knew one before.
+    /// The number of this run, and of the last run under its name where the cluster state knew one before.
     Joined { run: u64, before: Option<u64> },
     /// Another front end asks.
     Inquired { from: Member, number: u64, keys: Vec<MessageKey> },
@@ -70,8 +70,8 @@
     known: Vec<MessageKnowledge>,
 }
 
-/// A front end's open questions. Nobody is left out: each name that the record holds has to say, so that one which is not
-/// connected leaves the question open until whoever asked gives up.
+/// A front end's open questions. Nobody is left out: each name that the cluster state holds has to say, so that one which is not
+/// connected leaves the question open until whoever asked times out.
 #[derive(Default)]
 pub struct InquiryRounds {
     open: BTreeMap<u64, OpenInquiry>,
--- a/crates/cluster-state/src/leader.rs
+++ b/crates/cluster-state/src/leader.rs
@@ -1,4 +1,4 @@
-//! What the leading keeper knows beside the record: who confirmed what, which promises stand. It is forgotten
+//! What the leader knows beside the cluster state: who confirmed what, which promises stand. It is forgotten
 //! with the leadership; a new leader counts every promise that it does not know of as standing for
 //! [`LeaseTerms::silence`].
 
@@ -35,7 +35,7 @@
     progress: BTreeMap<Version, RetirementProgress>,
     /// When runs in whose place another joined were last let leave.
     next_leave_check: Option<Micros>,
-    /// The change up to which the record was judged, and when time alone may bring something.
+    /// The change up to which the cluster state was judged, and when time alone may bring something.
     evaluated: Option<Version>,
     wake: Option<Micros>,
     /// A tombstone waits for the end of promises.
@@ -44,7 +44,7 @@
 }
 
 impl Leader {
-    /// A leadership begins. To be called once this keeper's record has come as far as the first entry of its
+    /// A leadership begins. To be called once this replica's record has come as far as the first entry of its
     /// own term: before, a promise could vouch for a view that was overtaken under an earlier leader.
     pub fn new(terms: LeaseTerms, now: Micros) -> Leader {
         let (sessions, courses) = (BTreeMap::new(), BTreeMap::new());
@@ -62,18 +62,18 @@
         }
     }
 
-    /// Deals lanes of the record's pools too; without it none are dealt.
+    /// Allocates permits of the cluster state's pools too; without it none are allocated.
     pub fn with_allocation(mut self, limits: AllocationLimits) -> Leader {
         self.allocator = Some(PermitAllocator::new(self.terms, limits, self.began));
         self
     }
 
-    /// Who deals the lanes.
+    /// Who allocates the permits.
     pub fn allocator(&self) -> Option<&PermitAllocator> {
         self.allocator.as_ref()
     }
 
-    /// A member reported. `acked` is when a majority is known to have followed this leader, by this keeper's
+    /// A member reported. `acked` is when a majority is known to have followed this leader, by this replica's
     /// clock: the time at which the oldest of the newest answers of a majority was asked for. No promise
     /// where that is too long ago, or where the member is not a present one.
     pub fn report(
--- a/crates/cluster-state/src/leader/commands.rs
+++ b/crates/cluster-state/src/leader/commands.rs
@@ -4,7 +4,7 @@
 use crate::{ClusterState, Command, Member, Micros, RetirementMode, Tombstone, TombstoneState, Version};
 use std::collections::BTreeSet;
 
-/// A run that may be at work, and has not confirmed all that is retired.
+/// A run that may be in progress, and has not confirmed all that is retired.
 struct LaggingRun {
     confirmed: Version,
     joined: Version,
@@ -23,7 +23,7 @@
 
 impl Leader {
     /// When [`Leader::due`] may next have something: `now` where something changed since it was last asked,
-    /// else by time alone. None: only a report or a change of the record can bring something.
+    /// else by time alone. None: only a report or a change of the cluster state can bring something.
     pub fn next_due(&self, record: &ClusterState, now: Micros) -> Option<Micros> {
         if self.evaluated == Some(record.version) {
             self.wake.map(|wake| wake.max(now))
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Changes of the record that are due. Nothing is looked at before [`Leader::next`]; then every run and
+    /// Changes of the cluster state that are due. Nothing is looked at before [`Leader::next`]; then every run and
     /// tombstone once.
     pub fn due_commands(&mut self, record: &ClusterState, now: Micros) -> Vec<Command> {
         if self.next_due(record, now).is_none_or(|next| next > now) {
@@ -93,8 +93,8 @@
                 return None;
             }
             (TombstoneState::Proposed, RetirementMode::Strict) => BTreeSet::new(),
-            // An available one goes on until it confirmed. Whoever can be reached is told within a lease,
-            // several reports long; who has not confirmed by then is named, so that one long call at work
+            // An available one goes on until it confirmed. Whoever can be reached is notified within a lease,
+            // several reports long; who has not confirmed by then is named, so that one long call in progress
             // holds up nobody's state.
             (TombstoneState::Proposed, RetirementMode::Available)
                 if found.has_relying_run && now < course.first_seen + self.terms.grantor_span() =>
@@ -168,7 +168,7 @@
         gone.into_iter().cloned().map(Command::Leave).collect()
     }
 
-    /// Runs that may be at work and have not confirmed all, those that confirmed least first.
+    /// Runs that may be in progress and have not confirmed all, those that confirmed least first.
     fn lagging_runs(&self, record: &ClusterState, now: Micros) -> Vec<LaggingRun> {
         let newest = record.view.tombstones.values().map(|t| t.proposed).max().unwrap_or(0);
         let present = record.members.iter().filter(|(_, run)| run.left.is_none());
--- a/crates/cluster-state/src/lease.rs
+++ b/crates/cluster-state/src/lease.rs
@@ -1,4 +1,4 @@
-//! A front end's side of its session: what it was told, and until when it may rely on it by its own clock.
+//! A front end's side of its session: what it was notified, and until when it may rely on it by its own clock.
 
 use crate::{ClusterView, Grant, LeaseTerms, Micros, Version};
 use std::collections::{BTreeMap, VecDeque};
@@ -14,7 +14,7 @@
     pub view: Arc<ClusterView>,
     /// Until then the view is known to be the newest in force; [`Micros::MIN`] before the first word.
     pub fresh_until: Micros,
-    /// Lanes beside the floors, by pool and tenant, and until when.
+    /// Permits beside the guaranteed minimums, by pool and tenant, and until when.
     pub permits: Arc<BTreeMap<(String, String), u32>>,
     pub permits_until: Micros,
     /// Number of the grant that they came with; 0: none came.
@@ -38,6 +38,7 @@
 }
 
 impl LeaseHolder {
+    /// A holder that has no lease yet.
     pub fn new(terms: LeaseTerms) -> LeaseHolder {
         let standing = ClusterStatus {
             fresh_until: Micros::MIN,
@@ -47,7 +48,7 @@
         LeaseHolder { terms, sent: VecDeque::new(), next: 1, status: standing }
     }
 
-    /// A connection was lost: answers to what was sent on it will not come. What was promised stands until it
+    /// A connection was lost: answers to what was sent on it will not come. A lease stands until it
     /// runs out.
     pub fn on_connection_lost(&mut self) {
         self.sent.clear();
@@ -92,10 +93,12 @@
         true
     }
 
+    /// Version of the newest view that came.
     pub fn version(&self) -> Version {
         self.status.view.version
     }
 
+    /// What the front end may rely on.
     pub fn status(&self) -> &ClusterStatus {
         &self.status
     }
--- a/crates/cluster-state/src/lib.rs
+++ b/crates/cluster-state/src/lib.rs
@@ -1,13 +1,13 @@
-//! The record that the processes of one fleet share, and the decisions around it, without I/O.
+//! The cluster state that the processes of one fleet share, and the decisions around it, without I/O.
 //!
-//! - [`state`]: what keepers agree on ([`Command`]) and what it comes to ([`ClusterState`]): members with
+//! - [`state`]: what replicas agree on ([`Command`]) and what it comes to ([`ClusterState`]): members with
 //!   incarnations, tombstones of retired functions, pools with reservations.
 //! - [`bounds`]: how much of each.
-//! - [`leader`]: what only the keeper that leads knows and decides: sessions, leases, when a retirement is in
+//! - [`leader`]: what only the leader knows and decides: sessions, leases, when a retirement is in
 //!   force.
 //! - [`inquiry`]: what front ends ask each other about messages that are delivered again.
-//! - [`wire`]: what a front end and the leading keeper say to each other.
-//! - [`allocation`]: lanes dealt from reported demand, beside the floors.
+//! - [`wire`]: what a front end and the leader say to each other.
+//! - [`allocation`]: permits allocated from reported demand, beside the guaranteed minimums.
 //! - [`lease`]: a front end's side of its session: what it holds, and until when by its own clock.
 //!
 //! Times are microseconds of the monotonic clock of whoever is called. Two processes' clocks never agree: a
@@ -37,13 +37,13 @@
 /// Microseconds of somebody's monotonic clock, or of a span.
 pub type Micros = i64;
 
-/// A position in the record: the number of the change that was last applied.
+/// A position in the cluster state: the number of the change that was last applied.
 pub type Version = u64;
 
 /// What all processes of a fleet are told alike about promises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct LeaseTerms {
-    /// How long a view and the lanes dealt with it may be relied on without word from the leader.
+    /// How long a view and the permits allocated with it may be relied on without word from the leader.
     pub lease: Micros,
     /// Most that two clocks differ in rate, in parts of a million.
     pub drift_ppm: u32,
--- a/crates/cluster-state/src/state.rs
+++ b/crates/cluster-state/src/state.rs
@@ -1,4 +1,4 @@
-//! What keepers agree on. Applying the same commands in the same order gives the same record everywhere: no
+//! What replicas agree on. Applying the same commands in the same order gives the same record everywhere: no
 //! clock, no chance.
 
 use crate::Version;
@@ -46,6 +46,7 @@
     },
 }
 
+/// A retired function, kept until no message for it can be delivered any more.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Tombstone {
     pub retirement: Retirement,
@@ -55,7 +56,7 @@
     pub in_force: Option<Version>,
 }
 
-/// Lanes that some functions share.
+/// Permits that some functions share.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Pool {
     pub name: String,
@@ -65,6 +66,7 @@
     pub reservations: Vec<Reservation>,
 }
 
+/// How many permits a pool has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PoolSize {
     Permits(u32),
@@ -72,13 +74,14 @@
     ByWorkers,
 }
 
+/// Permits of a pool that are reserved for a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Reservation {
     pub tenant: String,
     pub permits: u32,
 }
 
-/// What a front end is told of the record.
+/// What a front end is notified of the cluster state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClusterView {
     pub version: Version,
@@ -89,7 +92,7 @@
     pub pools: Vec<Pool>,
 }
 
-/// A change of the record.
+/// A change of the cluster state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
     /// A run of a front end begins; `at_least` is the incarnation that it remembers.
@@ -139,7 +142,7 @@
     pub left: Option<Version>,
 }
 
-/// The record.
+/// The cluster state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClusterState {
     /// The last command that changed anything.
@@ -147,7 +150,7 @@
     /// The present or last run under each name.
     pub members: BTreeMap<String, MemberRun>,
     /// Runs in whose place another joined, and when they had joined. A stopped process may wake: such a run
-    /// counts as at work until every promise to it has run out, when the leader lets it leave.
+    /// counts as in progress until every promise to it has run out, when the leader lets it leave.
     pub replaced: BTreeMap<Member, Version>,
     /// The highest incarnation of all names that were forgotten.
     pub forgotten: u64,
--- a/crates/cluster-state/src/wire.rs
+++ b/crates/cluster-state/src/wire.rs
@@ -1,11 +1,11 @@
-//! What a front end and the leading keeper say to each other, one message a frame.
+//! What a front end and the leader say to each other, one message a frame.
 
 use crate::{
     ClusterView, LeaseTerms, Member, MessageKey, MessageKnowledge, Micros, Pool, Retirement, Version,
 };
 use serde::{Deserialize, Serialize};
 
-/// Of the messages below; a process that speaks another is turned away.
+/// Of the messages below; a process that speaks another is rejected.
 pub const PROTOCOL: u16 = 2;
 
 /// From a front end.
@@ -44,39 +44,39 @@
     /// Counts up on a connection; the answer names it.
     pub number: u64,
     /// The view that this front end has applied: it serves nothing that the view's tombstones name, nor is
-    /// such a call at work here.
+    /// such a call in progress here.
     pub confirmed: Version,
-    /// Ready lanes of workers that it knows, for pools sized by workers.
+    /// Ready permits of workers that it knows, for pools sized by workers.
     pub ready_capacity: u32,
     pub demand: Vec<Demand>,
 }
 
-/// Lanes asked for.
+/// Permits asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Demand {
     pub pool: String,
     /// Empty: all who have no reservation there.
     pub tenant: String,
-    /// Lanes in use now, of whatever lease.
+    /// Permits in use now, of whatever lease.
     pub in_use: u32,
-    /// Calls that wait for a lane.
+    /// Calls that wait for a permit.
     pub waiting: u32,
     /// The grant that the front end went by when it counted these ([`crate::ClusterStatus::lanes_of`]); 0: none
     /// yet, or runs of an earlier run under its name may go on.
     pub applied: u64,
 }
 
-/// From the leading keeper, or from one that does not lead.
+/// From the leader, or from one that does not lead.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum SessionResponse {
-    /// The number of the keeper that leads, where it is known.
+    /// The number of the leader, where it is known.
     Elsewhere {
         leader: Option<u64>,
     },
     Welcome {
         member: Member,
         terms: LeaseTerms,
-        /// The last run under the name as the record knew it before this one joined.
+        /// The last run under the name as the cluster state knew it before this one joined.
         before: Option<u64>,
     },
     /// The whole view, whenever it changed.
@@ -111,7 +111,7 @@
     },
 }
 
-/// Answers a report: the view's lease, and lanes for as long.
+/// Answers a report: the view's lease, and permits for as long.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
     /// Of the report that it answers; the lease counts from when that was sent.
@@ -119,6 +119,6 @@
     /// The newest view; the lease vouches for no older one.
     pub version: Version,
     pub lease: Micros,
-    /// By pool and tenant (empty: those without a reservation), beside the floor.
+    /// By pool and tenant (empty: those without a reservation), beside the guaranteed minimum.
     pub permits: Vec<(String, String, u32)>,
 }
--- a/crates/cluster-state/tests/deal.rs
+++ b/crates/cluster-state/tests/deal.rs
@@ -1,4 +1,4 @@
-//! Dealing in a simulated fleet: never more runs than the pool has lanes, owners get their lanes back in the
+//! Dealing in a simulated fleet: never more runs than the pool has permits, owners get their permits back in the
 //! stated time, and what nobody reserved or uses is lent.
 
 mod deal_world;
@@ -10,7 +10,7 @@
 const LANES: u32 = 100;
 const RESERVED: u32 = 40;
 /// Four rounds of report and answer (the owner asks, borrowers are told less, their runs end and they tell
-/// so, the owner is told more), and the longest run.
+/// so, the owner is notified more), and the longest run.
 const BACK: i64 = 4 * (50 + 12 + 10) * MS + LIMITS.longest_run;
 
 fn trouble() -> impl Strategy<Value = Trouble> {
@@ -42,7 +42,7 @@
             most = most.max(world.runs());
             prop_assert!(world.runs() <= lanes as usize, "{} runs in step {step}", world.runs());
         }
-        // More than the floors came into use at some time, unless leaders followed each other too fast for
+        // More than the guaranteed minimums came into use at some time, unless leaders followed each other too fast for
         // it.
         prop_assert!(most > 0 || lanes < 25, "{most} of {lanes}");
     }
@@ -90,7 +90,7 @@
             world.load(n, 400, 0);
         }
         settled(&mut world, 3000 * MS);
-        // Floors of front ends without calls are theirs; of the rest 95% is in use.
+        // Guaranteed minimums of front ends without calls are theirs; of the rest 95% is in use.
         let floors = 4 * (5 - busy);
         let (mut used, mut steps) = (0, 0);
         for _ in 0..400 {
--- a/crates/cluster-state/tests/deal_model.rs
+++ b/crates/cluster-state/tests/deal_model.rs
@@ -1,4 +1,4 @@
-//! Lanes by lease, checked over every order of what may happen, on small numbers, with the dealer and holder
+//! Permits by lease, checked over every order of what may happen, on small numbers, with the allocator and holder
 //! as they are. Each guard is shown to matter: without it some order breaks the pool.
 
 mod deal_model {
--- a/crates/cluster-state/tests/deal_model/world.rs
+++ b/crates/cluster-state/tests/deal_model/world.rs
@@ -88,7 +88,7 @@
     /// Before the clocks go on each front end has as many runs as it may, each begun as late as it can be;
     /// what may not be begun anew goes on. So no other choice of runs has more of them later.
     Tick,
-    /// Asks for all lanes with all runs at work, or ends them and asks for nothing. A report that was under
+    /// Asks for all permits with all runs in progress, or ends them and asks for nothing. A report that was under
     /// way still is lost, as is an answer when the next one is given.
     Report(usize, u8, bool),
     ReportArrives(usize, bool),
--- a/crates/cluster-state/tests/fleet/mod.rs
+++ b/crates/cluster-state/tests/fleet/mod.rs
@@ -81,7 +81,7 @@
     pub runs: Vec<Process>,
     /// The last one leads; one before it does not know that.
     pub keepers: Vec<Keeper>,
-    /// The record after each agreed change.
+    /// The cluster state after each agreed change.
     pub history: Vec<Arc<ClusterState>>,
     pub network: BTreeSet<Message>,
     /// Handed out by a leader and not agreed on yet.
--- a/crates/cluster-state/tests/fleet/step.rs
+++ b/crates/cluster-state/tests/fleet/step.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Another keeper leads from now on; the old one does not know.
+    /// Another replica leads from now on; the old one does not know.
     fn elect(&self, world: &mut World, lag: usize) {
         let rate = world.next_rate;
         let now = rate * world.time;
--- a/crates/cluster-state/tests/lead.rs
+++ b/crates/cluster-state/tests/lead.rs
@@ -1,4 +1,4 @@
-//! What a leader decides, and what the record takes.
+//! What a leader decides, and what the cluster state takes.
 
 use stagehoist_cluster_state::bounds::{MAX_MEMBERS, MAX_NAME_LENGTH, MAX_REPLACED, MAX_TOMBSTONES};
 use stagehoist_cluster_state::{
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What a process is told of the fleet that it is part of: the keepers of the record, promises, retirements, pools.
+//! What a process is notified of the fleet that it is part of: the replicas of the cluster state, promises, retirements, pools.
 
 use crate::build::{MS, S};
 use crate::model::{Config, Tenant};
@@ -11,9 +11,9 @@
 pub struct Fleet {
     /// Of this process; its front ends are members `NAME/0`, `NAME/1`, ...
     pub member: String,
-    /// Addresses of the keepers by their numbers.
+    /// Addresses of the replicas by their numbers.
     pub keepers: BTreeMap<u64, String>,
-    /// Where this process is a keeper itself.
+    /// Where this process is a replica itself.
     pub keep: Option<Keep>,
     /// In which the members' last incarnations are kept.
     pub folder: Option<String>,
@@ -22,7 +22,7 @@
     pub drift: f64,
     /// How long a tombstone is kept once every member confirmed it.
     pub remember: i64,
-    /// How long a start waits for the first word of the keepers.
+    /// How long a start waits for the first word of the replicas.
     pub asking_most: i64,
     /// A watched file with one retired function a line.
     pub retirements: Option<String>,
@@ -38,12 +38,13 @@
     pub waking: i64,
     pub asking: i64,
     pub reserved: i64,
-    /// Part of the calls outside reservations that is let in at least.
+    /// Part of the calls outside reservations that is admitted at least.
     pub share: f64,
     /// A worker that started less than this before the front end did, or later, is new.
     pub new: i64,
 }
 
+/// The replica that this process runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Keep {
     pub number: u64,
@@ -51,7 +52,7 @@
     pub store: String,
 }
 
-/// Lanes that some functions share.
+/// Permits that some functions share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
     pub name: String,
@@ -59,11 +60,11 @@
     pub functions: Vec<String>,
     /// None: as many as the ready workers have.
     pub permits: Option<u32>,
-    /// Lanes kept for tenants, by name.
+    /// Permits kept for tenants, by name.
     pub reservations: Vec<(String, u32)>,
 }
 
-/// Directives that mean nothing without keepers.
+/// Directives that mean nothing without replicas.
 const OF_FLEET: &[&str] = &[
     "keep",
     "fleet-folder",
@@ -80,7 +81,7 @@
 
 type Stray = Vec<(Position, String, String)>;
 
-/// What the directives say of the fleet; None where there is no keeper. What is wrong goes to `stray`.
+/// What the directives say of the fleet; None where there is no replica. What is wrong goes to `stray`.
 pub fn fleet(s: &Source<'_>, tenants: &[Tenant], stray: &mut Stray) -> Option<Fleet> {
     let keepers: BTreeMap<u64, String> =
         s.all("keeper").filter_map(|l| Some((l.count("number")?, l.text("address")?))).collect();
--- a/crates/config/src/grammar.rs
+++ b/crates/config/src/grammar.rs
@@ -34,14 +34,17 @@
     pub often: Often,
 }
 
+/// An argument that is required.
 pub const fn must(key: &'static str, kind: Kind) -> Argument {
     Argument { key, kind, required: true }
 }
 
+/// An argument that may be left out.
 pub const fn may(key: &'static str, kind: Kind) -> Argument {
     Argument { key, kind, required: false }
 }
 
+/// A directive that stands once at most and takes its arguments by place.
 pub const fn one(name: &'static str, places: &'static [Argument]) -> Directive {
     Directive { name, places, keys: &[], often: Often::Once }
 }
--- a/crates/config/src/marks.rs
+++ b/crates/config/src/marks.rs
@@ -1,21 +1,21 @@
-//! Marks of attempts on disk.
+//! Intents of attempts on disk.
 
 use crate::build::S;
 use crate::model::Class;
 use crate::source::Source;
 use crate::Position;
 
-/// Where attempts of calls that may not simply be repeated are marked before they leave.
+/// Where attempts of calls that is not idempotent are recorded before they leave.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Marks {
     pub folder: String,
-    /// How long a mark is kept, in microseconds: longer than any message may be delivered again.
+    /// How long an intent is kept, in microseconds: longer than any message may be delivered again.
     pub keep: i64,
-    /// Marks of one front end.
+    /// Intents of one front end.
     pub most: u64,
 }
 
-/// What is wrong goes to `stray`. Without keepers nobody knows which others may have held a message.
+/// What is wrong goes to `stray`. Without replicas nobody knows which others may have held a message.
 pub fn marks(
     s: &Source<'_>,
     classes: &[Class],
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -54,6 +54,7 @@
     }
 }
 
+/// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     pub name: String,
@@ -61,6 +62,7 @@
     pub quota: f64,
 }
 
+/// A kind of worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Kind {
     pub name: String,
@@ -79,6 +81,7 @@
     pub vhost: String,
 }
 
+/// A queue to consume.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Consume {
     pub queue: String,
@@ -88,6 +91,7 @@
     pub declare: Option<bool>,
 }
 
+/// Where a list is read from.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListSource {
     /// Consul's health API at an address (`127.0.0.1:8500`), by blocking queries of at most `wait` microseconds.
@@ -96,11 +100,13 @@
     File { path: String, poll: i64 },
 }
 
+/// What an address is listened on for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenWhat {
     Metrics,
 }
 
+/// An address that the process listens on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listen {
     pub what: ListenWhat,
@@ -175,7 +181,7 @@
     pub price_fetch: f64,
     pub report_via: ReportChannel,
     pub report_fields: Vec<String>,
-    /// None: attempts are not marked on disk.
+    /// None: attempts are not recorded on disk.
     pub marks: Option<Marks>,
     /// None: the fleet isn't divided.
     pub sharding: Option<Sharding>,
--- a/crates/config/src/parts.rs
+++ b/crates/config/src/parts.rs
@@ -5,6 +5,7 @@
 use crate::Fault;
 use stagehoist::{DeduplicationScope, Effect};
 
+/// The effect of a class's calls.
 pub fn effect(line: &Line, faults: &mut Vec<Fault>) -> Effect {
     let word = line.text("effect").unwrap_or_else(|| "safe".into());
     let (group, window) = (line.text("group"), line.duration("window"));
--- a/crates/config/src/sharding.rs
+++ b/crates/config/src/sharding.rs
@@ -9,7 +9,7 @@
 use stagehoist_sharding::{MAX_SHARDS, MAX_SHARD_WEIGHT};
 use std::collections::BTreeMap;
 
-/// Most shards that one front end may have to serve by what is told.
+/// Most shards that one front end may have to serve by what is notified.
 const SHARDS_EACH: u32 = 16;
 const STAGES: &[&str] = &["announced", "both", "closing"];
 const SHARDS: Kind = Kind::Count(1, MAX_SHARDS as u64);
@@ -43,11 +43,11 @@
     },
 ];
 
-/// What is told of the division.
+/// What is notified of the division.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sharding {
     pub divisions: Divisions,
-    /// Calls a second expected over the whole fleet; 0: as many as are told of functions.
+    /// Calls a second expected over the whole fleet; 0: as many as are notified of functions.
     pub calls: f64,
     /// Workers told for the check alone.
     pub workers: Option<u32>,
--- a/crates/config/src/words.rs
+++ b/crates/config/src/words.rs
@@ -5,6 +5,7 @@
 /// Largest file read, in bytes.
 pub const FILE_MOST: u64 = 16 << 20;
 
+/// A word of a line, with its position.
 pub struct Word {
     pub text: String,
     pub column: usize,
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -2,6 +2,7 @@
 
 use std::path::PathBuf;
 
+/// Why a replica or the sessions of a process could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum ConsensusError {
     #[error("keeper {number} is not among the keepers")]
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,11 +1,11 @@
-//! Agreement on the record between processes, and a front end's session with the keeper that leads.
+//! Agreement on the cluster state between processes, and a front end's session with the leader.
 //!
-//! Three or five processes keep the record: openraft over a log and snapshots in redb. Tasks own their
+//! Three or five processes keep the cluster state: openraft over a log and snapshots in redb. Tasks own their
 //! sockets and state and
 //! talk by messages, on a thread of their own ([`start`]); a front end's driver reads [`Session::standing`]
 //! and never waits.
 //!
-//! What a keeper acknowledged is on its disk. One that lost its store, or finds it older than a file beside
+//! What a replica acknowledged is on its disk. One that lost its store, or finds it older than a file beside
 //! it tells, is
 //! brought back without a second vote in any term (`replica::participation`); how a store is judged stands in
 //! `store::open`.
@@ -39,27 +39,28 @@
 /// The process's monotonic clock, the one its front ends go by.
 pub type Now = Arc<dyn Fn() -> Micros + Send + Sync>;
 
-/// What a process is told of the fleet.
+/// What a process is notified of the fleet.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Every keeper by its number, as this process reaches it.
+    /// Every replica by its number, as this process reaches it.
     pub replicas: BTreeMap<u64, String>,
-    /// Where this process is a keeper itself: its number, the address it listens on, the folder of its store.
+    /// Where this process is a replica itself: its number, the address it listens on, the folder of its store.
     pub replica: Option<ReplicaOptions>,
     pub terms: LeaseTerms,
     pub edition: u64,
     pub pools: Vec<Pool>,
-    /// How lanes of pools are dealt while this process's keeper leads; none: they are not.
+    /// How permits of pools are allocated while this process's replica leads; none: they are not.
     pub allocation: Option<AllocationLimits>,
     /// Front ends of this process by name, each a member with a session of its own.
     pub members: Vec<String>,
     /// Folder in which the last incarnation and view of each member are kept; none: it is asked of the
-    /// keepers alone.
+    /// replicas alone.
     pub session_folder: Option<PathBuf>,
     pub seed: u64,
     pub timing: Timing,
 }
 
+/// The replica that this process runs.
 #[derive(Clone, Debug)]
 pub struct ReplicaOptions {
     pub number: u64,
@@ -67,14 +68,14 @@
     pub store: PathBuf,
 }
 
-/// How quickly keepers notice that the leader is gone, in milliseconds, and how long their logs grow; alike at all
-/// keepers.
+/// How quickly replicas notice that the leader is gone, in milliseconds, and how long their logs grow; alike at all
+/// replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     pub heartbeat_ms: u64,
     /// An election begins after a time drawn between these without word from the leader.
     pub election_ms: (u64, u64),
-    /// Entries between two snapshots, and those kept behind the last for a keeper that is a little late.
+    /// Entries between two snapshots, and those kept behind the last for a replica that is a little late.
     pub log: (u64, u64),
 }
 
--- a/crates/consensus/src/replica/connection.rs
+++ b/crates/consensus/src/replica/connection.rs
@@ -1,4 +1,4 @@
-//! A front end's connection at a keeper: frames in to the desk, frames out from it.
+//! A front end's connection at a replica: frames in to the desk, frames out from it.
 
 use super::service::{Notes, ServiceMessage};
 use crate::frames::{apart, decode, Frames, WRITE_TIMEOUT};
--- a/crates/consensus/src/replica/formation.rs
+++ b/crates/consensus/src/replica/formation.rs
@@ -1,4 +1,4 @@
-//! How a keeper that has nothing, or lost what it had, finds its place.
+//! How a replica that has nothing, or lost what it had, finds its place.
 
 use super::messages::{PeerRequest, PeerResponse, ReplicaStatus};
 use super::network::Peers;
@@ -18,10 +18,10 @@
 const RAISE_INTERVAL: Duration = Duration::from_secs(1);
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a keeper without a store is to do by what the others say of themselves.
+/// What a replica without a store is to do by what the others say of themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Choice {
-    /// No keeper has anything: the first membership is formed.
+    /// No replica has anything: the first membership is formed.
     Form,
     /// The others have a membership without it: it waits to be taken in, and has nothing to lose.
     Join,
@@ -51,7 +51,7 @@
     Choice::Wait
 }
 
-/// Brings a keeper to where it takes part fully; ends then.
+/// Brings a replica to where it takes part fully; ends then.
 pub async fn join_or_form(
     start: Start,
     numbers: BTreeSet<u64>,
--- a/crates/consensus/src/replica/leading.rs
+++ b/crates/consensus/src/replica/leading.rs
@@ -1,4 +1,4 @@
-//! From when a keeper that Raft counts as the leader may lead its sessions.
+//! From when a replica that Raft counts as the leader may lead its sessions.
 //!
 //! One that was killed and comes back before another was elected is the leader again at once, in its old term and without an
 //! election. Its log has entries that were agreed on, shown to members and perhaps acted on, while its record stands where it
@@ -11,7 +11,7 @@
 /// Term and place of an entry.
 pub type At = (u64, u64);
 
-/// How far the record must come, while Raft counts this keeper as the leader of a term.
+/// How far the cluster state must come, while Raft counts this replica as the leader of a term.
 #[derive(Debug, Default)]
 pub struct Leading {
     from: Option<At>,
--- a/crates/consensus/src/replica/listener.rs
+++ b/crates/consensus/src/replica/listener.rs
@@ -1,4 +1,4 @@
-//! The one address of a keeper: peers and front ends come here; their first frame tells which they are.
+//! The one address of a replica: peers and front ends come here; their first frame tells which they are.
 
 use super::connection::serve_session;
 use super::messages::{RequestFrame, ResponseFrame};
@@ -59,7 +59,7 @@
             peer(frames, from, &host).await;
         }
         Some(First::Peer { protocol, from, to }) => {
-            tracing::error!(target: "stagehoist_consensus", protocol, from, to, own, "a keeper was turned away");
+            tracing::error!(target: "stagehoist_consensus", protocol, from, to, own, "a replica was rejected");
         }
         None => tracing::warn!(target: "stagehoist_consensus", conn, "a first frame that says nothing"),
     }
--- a/crates/consensus/src/replica/membership.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -1,4 +1,4 @@
-//! What a leader does for the membership of the keepers.
+//! What a leader does for the membership of the replicas.
 
 use super::messages::{PeerRequest, PeerResponse};
 use super::network::Peers;
@@ -17,7 +17,7 @@
 /// How long a leader is silent for another to be elected, at most.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Brings Raft's membership in line with the keepers that this process is told of, while it leads.
+/// Brings Raft's membership in line with the replicas that this process is notified of, while it leads.
 pub async fn maintain_membership(raft: Raft, told: BTreeSet<u64>, peers: Peers) {
     let mut differed = 0;
     loop {
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-/// A leader falls silent for a moment, so that another is elected with a later term: a keeper that lost its
+/// A leader falls silent for a moment, so that another is elected with a later term: a replica that lost its
 /// log waits for one.
 pub async fn yield_term(raft: Raft, mut raised: mpsc::Receiver<u64>) {
     let mut metrics = raft.metrics();
--- a/crates/consensus/src/replica/messages.rs
+++ b/crates/consensus/src/replica/messages.rs
@@ -1,4 +1,4 @@
-//! What keepers say to each other.
+//! What replicas say to each other.
 
 use crate::types::TypeConfig;
 use openraft::error::InstallSnapshotError;
@@ -8,6 +8,7 @@
 };
 use serde::{Deserialize, Serialize};
 
+/// A request to another replica.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RequestFrame {
     /// The answer names it.
@@ -15,12 +16,14 @@
     pub body: PeerRequest,
 }
 
+/// The response to a request.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ResponseFrame {
     pub number: u64,
     pub body: PeerResponse,
 }
 
+/// What replicas request of each other. The order of variants is part of the wire.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum PeerRequest {
     Append(AppendEntriesRequest<TypeConfig>),
@@ -28,12 +31,13 @@
     Snapshot(InstallSnapshotRequest<TypeConfig>),
     /// How the other stands.
     Status,
-    /// A keeper that lost what it knew up to this term waits for a later one.
+    /// A replica that lost what it knew up to this term waits for a later one.
     RaiseTerm {
         above: u64,
     },
 }
 
+/// What replicas respond to each other. The order of variants is part of the wire.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum PeerResponse {
     Append(AppendEntriesResponse<u64>),
@@ -45,7 +49,7 @@
     NotParticipating,
 }
 
-/// How a keeper stands.
+/// How a replica stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
     /// It began with nothing and has nothing from a leader yet.
--- a/crates/consensus/src/replica/mod.rs
+++ b/crates/consensus/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! A keeper: Raft over the store, its peers, and the sessions of front ends while it leads.
+//! A replica: Raft over the store, its peers, and the sessions of front ends while it leads.
 
 mod connection;
 mod formation;
--- a/crates/consensus/src/replica/network.rs
+++ b/crates/consensus/src/replica/network.rs
@@ -1,4 +1,4 @@
-//! A keeper's connections to the others: one to each, kept, made anew when it breaks.
+//! A replica's connections to the others: one to each, kept, made anew when it breaks.
 
 use super::messages::{PeerRequest, PeerResponse, RequestFrame, ResponseFrame};
 use crate::frames::{
@@ -21,7 +21,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{timeout, Instant};
 
-/// Calls to one keeper that wait to be sent, and that wait for their answers.
+/// Calls to one replica that wait to be sent, and that wait for their answers.
 const MAX_WAITING: usize = 64;
 const MAX_IN_FLIGHT: usize = 256;
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
@@ -29,7 +29,7 @@
 type Waiting = (PeerRequest, oneshot::Sender<PeerResponse>);
 type Refusal<E> = RPCError<u64, EmptyNode, RaftError<u64, E>>;
 
-/// Ways to the other keepers.
+/// Ways to the other replicas.
 #[derive(Clone)]
 pub struct Peers {
     links: BTreeMap<u64, mpsc::Sender<Waiting>>,
@@ -37,7 +37,7 @@
 }
 
 impl Peers {
-    /// Starts a task for each other keeper. `pause` is the time between tries of one that can't be reached.
+    /// Starts a task for each other replica. `pause` is the time between tries of one that can't be reached.
     pub fn start(
         own: u64,
         keepers: &BTreeMap<u64, String>,
@@ -53,6 +53,7 @@
         Peers { links, pause }
     }
 
+    /// Numbers of the other replicas.
     pub fn numbers(&self) -> Vec<u64> {
         self.links.keys().copied().collect()
     }
@@ -65,7 +66,7 @@
     }
 }
 
-/// Owns the connection to one keeper; ends when nobody can call any more.
+/// Owns the connection to one replica; ends when nobody can call any more.
 async fn link(own: u64, to: u64, address: String, mut waiting: mpsc::Receiver<Waiting>) {
     let mut backoff = BACKOFF.0;
     let mut next_try = Instant::now();
@@ -139,7 +140,7 @@
     }
 }
 
-/// Raft's way to one keeper.
+/// Raft's way to one replica.
 pub struct Peer {
     peers: Peers,
     to: u64,
--- a/crates/consensus/src/replica/peer_handler.rs
+++ b/crates/consensus/src/replica/peer_handler.rs
@@ -1,4 +1,4 @@
-//! A keeper's answers to the others.
+//! A replica's answers to the others.
 
 use super::messages::{PeerRequest, PeerResponse, ReplicaStatus};
 use super::participation::{Participation, State};
@@ -6,7 +6,7 @@
 use openraft::error::RaftError;
 use tokio::sync::mpsc;
 
-/// What a keeper does with the calls of another.
+/// What a replica does with the calls of another.
 pub struct PeerHandler {
     pub raft: Raft,
     pub participation: Participation,
@@ -18,6 +18,7 @@
 const MAX_SNAPSHOT: u64 = 64 << 20;
 
 impl PeerHandler {
+    /// Answers a request of another replica.
     pub async fn answer(&self, from: u64, ask: PeerRequest) -> PeerResponse {
         match ask {
             PeerRequest::Append(rpc) if self.participation.may_follow(rpc.vote.leader_id.term) => self
--- a/crates/consensus/src/replica/run.rs
+++ b/crates/consensus/src/replica/run.rs
@@ -1,4 +1,4 @@
-//! Puts a keeper together.
+//! Puts a replica together.
 
 use super::formation::join_or_form;
 use super::listener::accept_connections;
@@ -19,7 +19,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// What was opened before the keeper's thread began.
+/// What was opened before the replica's thread began.
 pub struct Parts {
     pub number: u64,
     pub store: Store,
@@ -27,7 +27,7 @@
     pub listener: std::net::TcpListener,
 }
 
-/// Starts a keeper's tasks.
+/// Starts a replica's tasks.
 pub async fn run(
     options: &Options,
     parts: Parts,
--- a/crates/consensus/src/replica/service.rs
+++ b/crates/consensus/src/replica/service.rs
@@ -20,6 +20,7 @@
 
 pub type Notes = mpsc::Sender<ServiceMessage>;
 
+/// What connections of front ends bring to the session service.
 pub enum ServiceMessage {
     Connected { conn: u64, hello: SessionRequest, out: mpsc::Sender<Bytes> },
     Received { conn: u64, request: SessionRequest },
--- a/crates/consensus/src/replica/service_state.rs
+++ b/crates/consensus/src/replica/service_state.rs
@@ -43,6 +43,7 @@
 type Agreed = Option<BatchOutcome>;
 type ProposalInFlight = Pin<Box<dyn Future<Output = Agreed> + Send>>;
 
+/// The sessions of front ends with this replica, and what it decides while it leads.
 pub struct SessionService {
     pub context: ServiceContext,
     pub now: Micros,
@@ -65,6 +66,7 @@
 }
 
 impl SessionService {
+    /// A service without connections that does not lead.
     pub fn new(tools: ServiceContext) -> SessionService {
         SessionService {
             context: tools,
@@ -94,7 +96,7 @@
         }
     }
 
-    /// How this keeper stands by Raft's account. It leads once its record has come far enough ([`Leading`]).
+    /// How this replica stands by Raft's account. It leads once its record has come far enough ([`Leading`]).
     pub fn on_metrics(&mut self, metrics: &Metrics) {
         let term = metrics.current_term;
         let elected = metrics.state == ServerState::Leader
@@ -154,7 +156,7 @@
             return self.reject(conn, SessionResponse::Elsewhere { leader });
         }
         if !self.admits(&name) {
-            let why = "there are as many front ends as the fleet is told to have".into();
+            let why = "there are as many front ends as the fleet is configured to have".into();
             return self.reject(conn, SessionResponse::Rejected { reason: why });
         }
         if edition > self.record.record.view.edition {
@@ -184,6 +186,7 @@
         self.send_view(conn);
     }
 
+    /// A front end sent a request.
     pub fn on_request(&mut self, conn: u64, said: SessionRequest) {
         self.statistics.messages_received += 1;
         let Some(at) = self.connections.get(&conn) else { return };
--- a/crates/consensus/src/replica/service_state/inquiries.rs
+++ b/crates/consensus/src/replica/service_state/inquiries.rs
@@ -20,7 +20,7 @@
 }
 
 impl SessionService {
-    /// Passes a question on, and tells who has to answer it: every name in the record but the asker's own. Silent where that
+    /// Passes a question on, and tells who has to answer it: every name in the cluster state but the asker's own. Silent where that
     /// can't be told: another may lead by now, or names were forgotten.
     pub(super) fn on_inquiry(
         &mut self,
--- a/crates/consensus/src/replica/service_state/inquiries/tests.rs
+++ b/crates/consensus/src/replica/service_state/inquiries/tests.rs
@@ -38,7 +38,7 @@
 #[test]
 fn who_is_asked_is_found_in_few_comparisons() {
     let of: Vec<Counted> = (0..4096).map(Counted).collect();
-    // All but every third, last first, and one that the record does not hold.
+    // All but every third, last first, and one that the cluster state does not hold.
     let to: Vec<Counted> = (0..4097).rev().filter(|n| n % 3 != 0).map(Counted).collect();
     COMPARED.set(0);
     let asked: Vec<usize> = asked_of(&of, &to).into_iter().map(|c| c.0).collect();
--- a/crates/consensus/src/replica/service_state/output.rs
+++ b/crates/consensus/src/replica/service_state/output.rs
@@ -53,7 +53,7 @@
 
     pub(super) fn reject(&mut self, conn: u64, message: SessionResponse) {
         self.send(conn, &message);
-        self.close(conn, "turned away");
+        self.close(conn, "rejected");
     }
 
     /// Ends a connection: what was handed over still goes out.
--- a/crates/consensus/src/replica/service_state/proposals.rs
+++ b/crates/consensus/src/replica/service_state/proposals.rs
@@ -15,7 +15,7 @@
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl SessionService {
-    /// Whether a front end of this name has a place where lanes are dealt; those whose joining is under way count.
+    /// Whether a front end of this name has a place where permits are allocated; those whose joining is under way count.
     pub(super) fn admits(&self, name: &str) -> bool {
         let Some(dealer) = self.leadership.as_ref().and_then(Leader::allocator) else { return true };
         let record = &self.record.record;
--- a/crates/consensus/src/replica/service_state/retirements.rs
+++ b/crates/consensus/src/replica/service_state/retirements.rs
@@ -17,7 +17,7 @@
         self.propose(Proposer::Retire(conn), Command::Retire(asked));
     }
 
-    /// The record refused it: for good where the retirement itself is at fault.
+    /// The cluster state refused it: for good where the retirement itself is at fault.
     pub(super) fn reject_retirement(&mut self, conn: u64, asked: Retirement, why: &str) {
         match asked.fault() {
             Some(why) => self.send_retirement_rejected(conn, asked, why),
--- a/crates/consensus/src/session.rs
+++ b/crates/consensus/src/session.rs
@@ -1,4 +1,4 @@
-//! A front end's session: finds the keeper that leads, reports, and tells the front end how things stand.
+//! A front end's session: finds the leader, reports, and tells the front end how things stand.
 
 mod exchange;
 mod permits;
@@ -70,7 +70,7 @@
     welcomed: bool,
     /// What the last report told.
     reported: SessionReport,
-    /// The newest grant with fewer lanes than the one before, until a report names it.
+    /// The newest grant with fewer permits than the one before, until a report names it.
     released_grant: Option<u64>,
 }
 
@@ -202,7 +202,7 @@
                 Some(last) => self.before.filter(|_| before == Some(last.incarnation)),
             };
             let heard = InquiryEvent::Joined { run: member.incarnation, before: self.before };
-            // A front end without marks does not listen.
+            // A front end without intents does not listen.
             let _ = self.client.inquiry_events.try_send(heard);
         }
         self.client.member.send_replace(Some(member.clone()));
--- a/crates/consensus/src/session/exchange.rs
+++ b/crates/consensus/src/session/exchange.rs
@@ -30,7 +30,7 @@
                     if let Ok(leave) = encode(&SessionRequest::Leave) {
                         let left = async {
                             sink.send(leave).await?;
-                            // The keeper ends the connection once it is agreed on.
+                            // The replica ends the connection once it is agreed on.
                             while let Some(Ok(_)) = stream.next().await {}
                             Ok::<(), std::io::Error>(())
                         };
@@ -134,7 +134,7 @@
         Duration::from_micros(due.max(0) as u64)
     }
 
-    /// A front end that does not listen misses it: whoever asked gives up in time.
+    /// A front end that does not listen misses it: whoever asked times out in time.
     fn pass_event(&self, heard: Option<InquiryEvent>) {
         if let Some(heard) = heard {
             let _ = self.client.inquiry_events.try_send(heard);
--- a/crates/consensus/src/session/permits.rs
+++ b/crates/consensus/src/session/permits.rs
@@ -1,4 +1,4 @@
-//! When a session reports for the sake of lanes.
+//! When a session reports for the sake of permits.
 
 #[cfg(test)]
 mod tests;
@@ -10,7 +10,7 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-/// Longest time between two reports where there are pools: lanes that are wanted elsewhere are given back no later.
+/// Longest time between two reports where there are pools: permits that are wanted elsewhere are given back no later.
 const PERMIT_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 /// Least time between a report and one for calls that began to wait: under load they begin to all the time.
 const WAITING_GAP: Duration = Duration::from_millis(20);
@@ -35,10 +35,10 @@
         self.publish();
     }
 
-    /// How soon after the last report this news goes out; None: with the next one.
+    /// How soon after the last report this inputs goes out; None: with the next one.
     pub(super) fn report_delay(&mut self, told: &SessionReport) -> Option<Duration> {
         let last = &self.reported;
-        // The leader deals what was given back once it is told that the smaller grant is gone by.
+        // The leader allocates what was given back once it is notified that the smaller grant is gone by.
         let gone_by = |n: u64| told.demand.iter().any(|d| d.applied >= n);
         let gave_back = self.released_grant.take_if(|n| gone_by(*n)).is_some();
         if gave_back || (last.confirmed, last.ready_capacity) != (told.confirmed, told.ready_capacity) {
@@ -48,14 +48,14 @@
     }
 }
 
-/// Whose demand it is, lanes in use and calls that wait.
+/// Whose demand it is, permits in use and calls that wait.
 type DemandKey<K> = (K, u32, u32);
 
 fn stood(d: &Demand) -> DemandKey<(&str, &str)> {
     ((&d.pool, &d.tenant), d.in_use, d.waiting)
 }
 
-/// How soon news of demand goes out: of one that began, or of one whose calls began to wait. Each is looked up once.
+/// How soon inputs of demand goes out: of one that began, or of one whose calls began to wait. Each is looked up once.
 fn began<K: Hash + Eq>(
     last: impl Iterator<Item = DemandKey<K>>,
     now: impl Iterator<Item = DemandKey<K>>,
--- a/crates/consensus/src/session/retirements.rs
+++ b/crates/consensus/src/session/retirements.rs
@@ -1,4 +1,4 @@
-//! Retirements that the record does not show yet: proposed again until it does, or refuses them for good.
+//! Retirements that the cluster state does not show yet: proposed again until it does, or refuses them for good.
 
 #[cfg(test)]
 mod tests;
@@ -11,7 +11,7 @@
 
 /// Retirements asked for that the view does not show yet.
 const MAX_RETIREMENTS: usize = 1024;
-/// Time between two proposals made again: doubled with each that brings nothing, as where the record is full, so
+/// Time between two proposals made again: doubled with each that brings nothing, as where the cluster state is full, so
 /// that a fleet that waits for room costs the leader little.
 const RETRY_PAUSES: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(5));
 
@@ -25,7 +25,7 @@
     tombstones: usize,
     /// Some were proposed again.
     is_waiting: bool,
-    /// Whether it was told that these wait.
+    /// Whether it was notified that these wait.
     is_reported: bool,
 }
 
@@ -80,7 +80,7 @@
         Some(retirement)
     }
 
-    /// The record refused it for good.
+    /// The cluster state refused it for good.
     pub(super) fn on_rejected(&mut self, function: &str, generation: u32) {
         self.open.retain(|r| r.function != function || r.generation != generation);
     }
--- a/crates/consensus/src/session_file.rs
+++ b/crates/consensus/src/session_file.rs
@@ -1,6 +1,6 @@
 //! What a front end keeps of its session on disk: its incarnation and the last view it was shown.
 //!
-//! Both are there, flushed, before anyone is told of them: a tombstone that was confirmed is known again
+//! Both are there, flushed, before anyone is notified of them: a tombstone that was confirmed is known again
 //! after any kill.
 
 use crate::store::sum;
@@ -14,6 +14,7 @@
 #[cfg(test)]
 mod tests;
 
+/// What a front end remembers of its session over a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionMemory {
     pub incarnation: u64,
@@ -28,7 +29,7 @@
 }
 
 impl SessionFile {
-    /// Reads what is kept; a damaged file is set aside by name and counts as none.
+    /// Reads what is kept; a damaged file is quarantined by name and counts as none.
     pub fn open(folder: Option<&Path>, member: &str) -> Result<SessionFile> {
         let Some(folder) = folder else {
             return Ok(SessionFile { path: None, memory: SessionMemory::default() });
@@ -41,7 +42,7 @@
                 None => {
                     let aside = set_aside(&path)?;
                     tracing::error!(target: "stagehoist_consensus", event = "store", path = %path.display(),
-                        aside = %aside.display(), "memory of a session is damaged and set aside");
+                        aside = %aside.display(), "the session file is damaged and quarantined");
                     SessionMemory::default()
                 }
             },
@@ -90,7 +91,7 @@
     Ok(aside)
 }
 
-/// A name that is a file's wherever: what is no letter, digit or dash is told by its bytes.
+/// A name that is a file's wherever: what is no letter, digit or dash is notified by its bytes.
 fn file_name(member: &str) -> String {
     let mut name = String::new();
     for byte in member.bytes() {
--- a/crates/consensus/src/start.rs
+++ b/crates/consensus/src/start.rs
@@ -16,7 +16,7 @@
 
 /// Retirements that a session has not taken yet.
 const MAX_RETIREMENTS: usize = 64;
-/// Words about marks that wait on either side; what finds no room is asked again or not known.
+/// Words about intents that wait on either side; what finds no room is asked again or not known.
 const MAX_MESSAGES: usize = 256;
 /// How long sessions may take to leave, and Raft to end.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -32,7 +32,7 @@
 }
 
 impl Running {
-    /// Figures of this process's keeper; all zero where it has none.
+    /// Figures of this process's replica; all zero where it has none.
     pub fn figures(&self) -> watch::Receiver<Statistics> {
         self.figures.clone()
     }
@@ -46,7 +46,7 @@
         self.stop.send_replace(true);
         if let Some(thread) = self.thread.take() {
             if thread.join().is_err() {
-                tracing::error!(target: "stagehoist_consensus", "the keeper's thread failed");
+                tracing::error!(target: "stagehoist_consensus", "the replica's thread failed");
             }
         }
     }
@@ -58,7 +58,7 @@
     }
 }
 
-/// Starts the sessions of a process, and its keeper where it is one.
+/// Starts the sessions of a process, and its replica where it is one.
 ///
 /// # Errors
 /// What can be told at once: a number that is not told, an address or a store that can't be had.
@@ -102,7 +102,7 @@
     match readied.recv() {
         Ok(Ok(())) => Ok(running),
         Ok(Err(e)) => Err(e),
-        Err(_) => Err(ConsensusError::Agreement("the keeper's thread failed".into())),
+        Err(_) => Err(ConsensusError::Agreement("the replica's thread failed".into())),
     }
 }
 
--- a/crates/consensus/src/store/fingerprint.rs
+++ b/crates/consensus/src/store/fingerprint.rs
@@ -1,6 +1,6 @@
-//! A few bytes beside the store, by which a store that was lost or set back is told.
+//! A few bytes beside the store, by which a store that was lost or set back is notified.
 //!
-//! A keeper that forgot its vote or the end of its log could vote twice in a term, or let a leader be
+//! A replica that forgot its vote or the end of its log could vote twice in a term, or let a leader be
 //! elected that lacks what
 //! was agreed on. So the highest term it knew and the end of its log are written here too, in a file of
 //! their own.
@@ -19,7 +19,7 @@
 const SLOT: usize = 48;
 const MAGIC: u64 = 0x5354_4b50_4755_4152;
 
-/// What a keeper had at least.
+/// What a replica had at least.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fingerprint {
     /// The highest term that it took part in.
@@ -28,6 +28,7 @@
     pub last: (u64, u64),
 }
 
+/// The file of fingerprints.
 #[derive(Debug)]
 pub struct StoreFingerprint {
     file: File,
@@ -52,11 +53,12 @@
         })
     }
 
+    /// The newest fingerprint in the file.
     pub fn fingerprint(&self) -> Option<Fingerprint> {
         self.fingerprint
     }
 
-    /// Writes a mark; on disk once this returns. The term never falls.
+    /// Writes an intent; on disk once this returns. The term never falls.
     pub fn set(&mut self, mut mark: Fingerprint) -> Result<()> {
         mark.term = mark.term.max(self.fingerprint.map_or(0, |m| m.term));
         if self.fingerprint == Some(mark) {
--- a/crates/consensus/src/store/mod.rs
+++ b/crates/consensus/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! A keeper's store: log, vote and applied record in one redb database, a guard beside it.
+//! A replica's store: log, vote and applied record in one redb database, a guard beside it.
 //!
 //! What Raft acknowledges is in a commit that was flushed to disk. The applied record is written without a
 //! flush of its own:
@@ -34,10 +34,11 @@
     pub const COMMITTED: &str = "committed";
     pub const STATE: &str = "state";
     pub const SNAPSHOT: &str = "snapshot";
-    /// The term up to which this keeper neither votes nor follows; it lost what it knew of it.
+    /// The term up to which this replica neither votes nor follows; it lost what it knew of it.
     pub const BOUND: &str = "bound";
 }
 
+/// A replica's store on disk.
 #[derive(Clone, Debug)]
 pub struct Store {
     db: Arc<Database>,
@@ -45,6 +46,7 @@
     guard: Arc<Mutex<StoreFingerprint>>,
 }
 
+/// Why a store could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     #[error("{0}")]
@@ -88,7 +90,7 @@
     }
 
     /// Does what may wait for the disk on a thread for such work: heartbeats and sessions go on meanwhile, on the
-    /// keeper's own. Whoever asks waits for the end before the next, so the order is theirs; redb takes one commit
+    /// replica's own. Whoever asks waits for the end before the next, so the order is theirs; redb takes one commit
     /// at a time.
     async fn run_blocking<T: Send + 'static>(
         &self,
@@ -124,7 +126,7 @@
         Ok(guard.set(Fingerprint { term, last })?)
     }
 
-    /// Where this keeper lost what it knew: the term up to which it takes no part.
+    /// Where this replica lost what it knew: the term up to which it takes no part.
     pub fn bound(&self) -> Outcome<Option<u64>> {
         self.get(key::BOUND)
     }
@@ -137,6 +139,7 @@
         })
     }
 
+    /// Writes the term up to which this replica takes no part, or that there is none.
     pub async fn save_bound(&self, bound: Option<u64>) -> Result<(), RaftStorageError> {
         self.run_blocking(move |store| store.set_bound(bound)).await
     }
--- a/crates/consensus/src/store/open.rs
+++ b/crates/consensus/src/store/open.rs
@@ -1,10 +1,10 @@
-//! Opening a store, and what this keeper may do with what it finds.
+//! Opening a store, and what this replica may do with what it finds.
 //!
 //! | found | then |
 //! | --- | --- |
 //! | nothing, no guard | new, or its disk was lost: the others are asked ([`crate::replica::formation`]) |
 //! | a whole store, as far as the guard tells | it goes on |
-//! | a store behind its guard, damaged, or gone | set aside by name; it begins empty and takes no part up to the guard's term |
+//! | a store behind its guard, damaged, or gone | quarantined by name; it begins empty and takes no part up to the guard's term |
 //! | a damaged store and no guard | the same, with the highest term of all others as the bound |
 //!
 //! What is not told: a store and its guard set back together to an older copy. No file of this machine can
@@ -21,7 +21,7 @@
 const FILE: &str = "record.redb";
 const GUARD: &str = "guard";
 
-/// What a keeper may take for known of itself.
+/// What a replica may take for known of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
     /// Nothing is there.
@@ -67,7 +67,7 @@
     };
     let aside = set_aside(&path).map_err(|e| told(e.to_string()))?;
     tracing::error!(target: "stagehoist_consensus", event = "store", path = %path.display(),
-        aside = %aside.display(), why = %wrong, "store set aside");
+        aside = %aside.display(), why = %wrong, "store quarantined");
     let db = match try_open(&path)? {
         Found::Intact(db) => Arc::new(db),
         Found::Damaged(why) => return Err(told(why)),
--- a/crates/consensus/src/store/state_machine.rs
+++ b/crates/consensus/src/store/state_machine.rs
@@ -1,4 +1,4 @@
-//! The record as Raft applies it, and its snapshots.
+//! The cluster state as Raft applies it, and its snapshots.
 
 use super::{fault, key, Outcome, Store, StoreError};
 use crate::types::{Applied, BatchOutcome, Entry, LogId, Members, RaftStorageError, TypeConfig, MAX_CHANGES};
@@ -21,6 +21,7 @@
     pub(super) record: ClusterState,
 }
 
+/// The replicated state machine, as Raft drives it.
 pub struct StateMachine {
     store: Store,
     state: State,
@@ -28,7 +29,7 @@
 }
 
 impl StateMachine {
-    /// The record as far as the store holds it.
+    /// The cluster state as far as the store holds it.
     pub fn new(store: Store) -> Outcome<(StateMachine, watch::Receiver<Applied>)> {
         let state: State = store.get(key::STATE)?.unwrap_or_default();
         let (told, applied) = watch::channel(state.applied());
--- a/crates/consensus/src/store/tests/mod.rs
+++ b/crates/consensus/src/store/tests/mod.rs
@@ -136,7 +136,7 @@
     if let Some(gone) = gone {
         return Some(format!("entry {gone}, applied up to {from}"));
     }
-    // Applied again from there on, the record is what it would be from the first entry on.
+    // Applied again from there on, the cluster state is what it would be from the first entry on.
     let mut whole = State::default();
     for entry in model.entries.values().filter(|e| e.log_id.index <= from.max(model.end())) {
         whole.apply(entry.clone());
--- a/crates/consensus/src/types.rs
+++ b/crates/consensus/src/types.rs
@@ -4,7 +4,7 @@
 use stagehoist_cluster_state::{ClusterState, Command, CommandOutcome};
 use std::sync::Arc;
 
-/// Numbers of changes that each entry takes up, so that each change has its own: the record compares them.
+/// Numbers of changes that each entry takes up, so that each change has its own: the cluster state compares them.
 pub const MAX_CHANGES: u64 = 1024;
 
 /// Changes that are agreed on as one entry: what came while the entry before was under way.
@@ -20,7 +20,7 @@
         D = Batch,
         R = BatchOutcome,
         NodeId = u64,
-        // Addresses are each process's own: it may reach a keeper at another one than others do.
+        // Addresses are each process's own: it may reach a replica at another one than others do.
         Node = openraft::EmptyNode,
         SnapshotData = std::io::Cursor<Vec<u8>>,
 );
@@ -33,7 +33,7 @@
 pub type RaftStorageError = openraft::StorageError<u64>;
 pub type Metrics = openraft::RaftMetrics<u64, openraft::EmptyNode>;
 
-/// The record as this keeper has applied it.
+/// The cluster state as this replica has applied it.
 #[derive(Clone, Debug, Default)]
 pub struct Applied {
     pub last: Option<LogId>,
--- a/crates/consensus/tests/agree.rs
+++ b/crates/consensus/tests/agree.rs
@@ -1,4 +1,4 @@
-//! Three keepers: leaders, majorities, restarts.
+//! Three replicas: leaders, majorities, restarts.
 
 mod common;
 
@@ -79,7 +79,7 @@
     let again: Vec<u64> =
         fleet.sessions().iter().map(|s| s.member.borrow().clone().unwrap().incarnation).collect();
     assert!(runs.iter().zip(&again).all(|(before, after)| after > before), "{runs:?} {again:?}");
-    // From the keepers' own stores, not from a member's memory.
+    // From the replicas' own stores, not from a member's memory.
     let options = Options { session_folder: None, ..fleet.options(&["new".into()]) };
     let new = start(options, clock()).unwrap();
     wait("shown to a new one", || in_force(&new.sessions["new"], "f"));
--- a/crates/consensus/tests/away.rs
+++ b/crates/consensus/tests/away.rs
@@ -1,4 +1,4 @@
-//! A keeper that was away for longer than the others keep their logs.
+//! A replica that was away for longer than the others keep their logs.
 
 mod common;
 
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Several keepers in one test process, with a relay before each.
+//! Several replicas in one test process, with a relay before each.
 #![allow(dead_code)]
 
 pub mod relay;
@@ -62,7 +62,7 @@
     }
 }
 
-/// Keepers 1 to n, each behind a relay; every process reaches every keeper by its relay.
+/// Replicas 1 to n, each behind a relay; every process reaches every replica by its relay.
 pub struct Fleet {
     pub folder: tempfile::TempDir,
     pub keepers: BTreeMap<u64, String>,
@@ -70,7 +70,7 @@
     pub relays: BTreeMap<u64, Relay>,
     pub running: BTreeMap<u64, Running>,
     pub pace: Timing,
-    /// The thread of each keeper.
+    /// The thread of each replica.
     pub threads: BTreeMap<u64, String>,
 }
 
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Keepers started, each with a member `mN`.
+    /// Replicas started, each with a member `mN`.
     pub fn started(keepers: u64) -> Fleet {
         let mut fleet = Fleet::new(keepers);
         fleet.start_all();
@@ -153,7 +153,7 @@
         self.running.iter().find(|(_, r)| leads(r)).map(|(n, _)| *n)
     }
 
-    /// Whether a keeper takes part fully: with one other of three it is a majority.
+    /// Whether a replica takes part fully: with one other of three it is a majority.
     pub fn votes(&self, number: u64) -> bool {
         self.running[&number].figures().borrow().is_voter
     }
--- a/crates/consensus/tests/cut.rs
+++ b/crates/consensus/tests/cut.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A member that reaches the keepers by relays of its own.
+/// A member that reaches the replicas by relays of its own.
 fn apart(fleet: &Fleet) -> (Options, Vec<Relay>) {
     let mut options = fleet.options(&["apart".into()]);
     let relays: Vec<_> = fleet.keepers.values().map(|to| Relay::new(to)).collect();
@@ -74,7 +74,7 @@
     apart.stop();
 }
 
-/// Keeper 1 leads and is cut off from the others, not from one of its members. Whether that member took its view for
+/// Replica 1 leads and is cut off from the others, not from one of its members. Whether that member took its view for
 /// the newest when the others had the retirement in force.
 fn is_promised_beyond_it(quorum: i64) -> bool {
     let mut fleet = Fleet::new(3);
--- a/crates/consensus/tests/full.rs
+++ b/crates/consensus/tests/full.rs
@@ -8,7 +8,7 @@
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
-/// The record is full where its view is longer, in bytes.
+/// The cluster state is full where its view is longer, in bytes.
 const FULL: usize = 2 << 20;
 /// How long a retirement is remembered, in microseconds.
 const REMEMBER: i64 = 4_000_000;
--- a/crates/consensus/tests/hostile.rs
+++ b/crates/consensus/tests/hostile.rs
@@ -64,7 +64,7 @@
     assert!(send(b"").is_empty(), "one that says nothing is closed in time");
     let refused = send(&first(&hello(PROTOCOL + 1, "x")));
     assert!(refused.windows(8).any(|w| w == b"protocol"), "{refused:?}");
-    // A peer of another protocol (number 9), then one that claims this keeper's own number.
+    // A peer of another protocol (number 9), then one that claims this replica's own number.
     assert!(send(&frame(b"stk1\x00\x09\x01\x02")).is_empty());
     assert!(send(&frame(&[b"stk1\x00\x01".as_slice(), &[leader as u8, leader as u8]].concat())).is_empty());
     // In a session: a report of garbage.
--- a/crates/consensus/tests/lost.rs
+++ b/crates/consensus/tests/lost.rs
@@ -1,4 +1,4 @@
-//! Keepers whose stores are damaged, set back or gone.
+//! Replicas whose stores are damaged, set back or gone.
 
 mod common;
 
@@ -31,7 +31,7 @@
     matches!(state, Some(TombstoneState::InForce { but_for }) if but_for.iter().all(|m| m.name == "m1" || m.name == "m3"))
 }
 
-/// Keepers 1 and 2 go on, 3 is stopped, its store treated, and started again; then 1 stops, so that 3 is
+/// Replicas 1 and 2 go on, 3 is stopped, its store treated, and started again; then 1 stops, so that 3 is
 /// needed.
 fn comes_back(treat: impl Fn(&Path), is_set_aside: bool) {
     let mut fleet = Fleet::started(3);
@@ -41,7 +41,7 @@
     fleet.start(3);
     assert_eq!(set_aside(&fleet, 3) > 0, is_set_aside);
     retire(&fleet, 3, "b");
-    // It votes and holds the record once what it lost came back: with one other it is a majority.
+    // It votes and holds the cluster state once what it lost came back: with one other it is a majority.
     fleet.until("it is back", |f| f.votes(3));
     fleet.stop(1);
     retire(&fleet, 3, "c");
@@ -92,7 +92,7 @@
     copy(&fleet.store(3), &old);
     fleet.start(3);
     retire(&fleet, 3, "b");
-    // The others suffice for "b"; the copy is older only once this keeper has it as well (1,024 changes to an entry).
+    // The others suffice for "b"; the copy is older only once this replica has it as well (1,024 changes to an entry).
     let entry = common::shown(fleet.session(3), "b").unwrap().proposed / 1024;
     fleet.until("its log has it", |f| f.running[&3].figures().borrow().last_entry >= entry);
     fleet.stop(3);
--- a/crates/consensus/tests/many.rs
+++ b/crates/consensus/tests/many.rs
@@ -1,4 +1,4 @@
-//! Many sessions at three keepers; the front ends are in a process of their own, so that each side's cost is known.
+//! Many sessions at three replicas; the front ends are in a process of their own, so that each side's cost is known.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 const SESSIONS: usize = 350;
-/// Where the process of the front ends finds the keepers.
+/// Where the process of the front ends finds the replicas.
 const KEEPERS: &str = "STAGEHOIST_TEST_KEEPERS";
 /// What a test's harness writes before a line may stand in front of ours.
 const SAYS: &str = "says ";
@@ -72,7 +72,7 @@
     }
 }
 
-/// Does something while the keepers' own front ends confirm what they are shown.
+/// Does something while the replicas' own front ends confirm what they are shown.
 fn confirming<T>(fleet: &Fleet, work: impl FnOnce() -> T) -> T {
     let is_over = AtomicBool::new(false);
     std::thread::scope(|s| {
--- a/crates/core/benches/held.rs
+++ b/crates/core/benches/held.rs
@@ -1,4 +1,4 @@
-//! Cost of a batch while many calls are held: 100 workers, 100 front ends, every lane taken. Each batch is one call that
+//! Cost of a batch while many calls are held: 100 workers, 100 front ends, every permit taken. Each batch is one call that
 //! comes and one attempt that ends, as in a front end that runs at its capacity with a standing backlog.
 //!
 //! `cargo bench -p stagehoist --bench held`; `-- --save-baseline NAME` on one version and `-- --baseline NAME` on
@@ -98,7 +98,7 @@
                 break;
             }
         }
-        // All lanes turn over a few times, so that profiles and beliefs stand.
+        // All permits turn over a few times, so that profiles and beliefs stand.
         (0..500).for_each(|_| crowded.exchange());
         crowded
     }
@@ -142,7 +142,7 @@
         }))
     }
 
-    /// Calls that were never sent and not given up.
+    /// Calls that were never sent and not abandoned.
     fn held(&self) -> u32 {
         self.next - self.answered - self.given_up - self.sent.len() as u32
     }
--- a/crates/core/src/interface/request.rs
+++ b/crates/core/src/interface/request.rs
@@ -13,7 +13,7 @@
     pub tenant: u32,
     /// The function that it calls.
     pub function: FunctionId,
-    /// Time until its client gives up, from its arrival.
+    /// Time until its client times out, from its arrival.
     pub budget: Micros,
     /// Work on a standard core, where it is declared.
     pub work: Option<Micros>,
--- a/crates/core/src/policy/call.rs
+++ b/crates/core/src/policy/call.rs
@@ -78,6 +78,7 @@
         }
     }
 
+    /// Whether an attempt has not ended.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.execution == Execution::InFlight)
     }
--- a/crates/core/src/policy/homes.rs
+++ b/crates/core/src/policy/homes.rs
@@ -22,6 +22,7 @@
 }
 
 impl HomeRank {
+    /// Chance of a copy at the worker that this front end does not know of.
     pub fn copy_chance(self) -> f64 {
         match self {
             HomeRank::NotHome => 0.0,
@@ -31,7 +32,7 @@
 }
 
 impl FrontEnd {
-    /// The fleet's demand for a function, in calls at work at once; the call in hand does not count. Covers many front
+    /// The fleet's demand for a function, in calls in progress at once; the call in hand does not count. Covers many front
     /// ends with little traffic each; could harm while popularity changes.
     pub(super) fn fleet_demand(&self, function: &Function, now: Micros) -> f64 {
         let time_constant = 2 * self.settings.idle_retention.max(1);
--- a/crates/core/src/policy/learning.rs
+++ b/crates/core/src/policy/learning.rs
@@ -90,7 +90,7 @@
         self.on_report(index, &end.report, now);
     }
 
-    /// No answer came before the attempt was given up.
+    /// No answer came before the attempt was abandoned.
     fn learn_from_silence(&mut self, index: usize, attempt: &Attempt, end: &AttemptEnd, now: Micros) {
         if !attempt.predicted.copy_expected && !attempt.predicted.at_home {
             // It was waiting for a load: that is the store's slowness, not the worker's.
--- a/crates/core/src/policy/served_work.rs
+++ b/crates/core/src/policy/served_work.rs
@@ -19,6 +19,7 @@
 }
 
 impl ServedWork {
+    /// Nothing served yet; the first window starts now.
     pub fn new(now: Micros) -> ServedWork {
         ServedWork { window_start: now, ..ServedWork::default() }
     }
--- a/crates/core/src/wire/decode.rs
+++ b/crates/core/src/wire/decode.rs
@@ -113,7 +113,7 @@
 /// The bytes of one record.
 struct RawRecord<'a> {
     bytes: &'a [u8],
-    /// Of the record in its frame.
+    /// Of the cluster state in its frame.
     position: usize,
     tail: &'a [u8],
 }
--- a/crates/core/src/wire/encode.rs
+++ b/crates/core/src/wire/encode.rs
@@ -129,7 +129,7 @@
         self.put(position, &millis(span).to_be_bytes())
     }
 
-    /// Appends bytes to the tail, and puts their offset and length into the record.
+    /// Appends bytes to the tail, and puts their offset and length into the cluster state.
     fn tail(&mut self, position: usize, bytes: &[u8], tail: &mut Vec<u8>) -> &mut Record {
         let offset = tail.len() as u32;
         let length = bytes.len() as u32;
--- a/crates/core/src/wire/error.rs
+++ b/crates/core/src/wire/error.rs
@@ -100,7 +100,7 @@
     UnknownEvent {
         /// The code.
         code: u8,
-        /// Position of the record.
+        /// Position of the cluster state.
         position: usize,
     },
     /// A setting can't be read.
--- a/crates/core/tests/cold_ramp/main.rs
+++ b/crates/core/tests/cold_ramp/main.rs
@@ -112,7 +112,7 @@
     keeps("in turns", &Scenario { traffic: Traffic::Turns(500 * MS), unequal: true, ..s });
 }
 
-/// The judge does find it where front ends are told three times the multiple.
+/// The checker does find it where front ends are told three times the multiple.
 #[test]
 fn a_budget_three_times_too_large_breaks_the_rule() {
     let s = Scenario { doctored: 3.0, ..Scenario::plain() };
@@ -122,7 +122,7 @@
     keeps("the true multiple", &Scenario { doctored: 1.0, ..s });
 }
 
-/// And where the list does not tell that the worker started, though it counts as told.
+/// And where the list does not tell that the worker started, though it counts as configured.
 #[test]
 fn an_untold_start_breaks_the_rule() {
     for fronts in [8, 60, 350] {
--- a/crates/core/tests/cold_ramp/scenario.rs
+++ b/crates/core/tests/cold_ramp/scenario.rs
@@ -64,12 +64,12 @@
     pub late: Late,
     /// Seven front ends in ten start anew with the workers.
     pub restarted: bool,
-    /// Front ends are told of the start so late at most.
+    /// Front ends are notified of the start so late at most.
     pub lag: Micros,
-    /// A worker turns away what would wait longer.
+    /// A worker rejects what would wait longer.
     pub waits: Micros,
     pub until: Micros,
-    /// Times the multiple is what front ends are told of it; other than 1 the judge must find it.
+    /// Times the multiple is what front ends are notified of it; other than 1 the checker must find it.
     pub doctored: f64,
     /// False: the list does not tell that a worker has started.
     pub tells_start: bool,
--- a/crates/core/tests/cold_ramp/world.rs
+++ b/crates/core/tests/cold_ramp/world.rs
@@ -29,7 +29,7 @@
     free: Vec<Micros>,
 }
 
-/// A send: its front end and incarnation, call, attempt, worker, and whether it was told of the start.
+/// A send: its front end and incarnation, call, attempt, worker, and whether it was notified of the start.
 type Flight = (usize, u32, RequestId, u16, WorkerId, bool);
 
 pub struct World<'a> {
@@ -213,7 +213,7 @@
         *number += 1;
     }
 
-    /// What has arrived at workers by now is served, or turned away where too much waits.
+    /// What has arrived at workers by now is served, or rejected where too much waits.
     fn land(&mut self) {
         while let Some((&key, _)) = self.flying.first_key_value().filter(|(key, _)| key.0 <= self.now) {
             let (k, life, id, attempt, worker, told) = self.flying.remove(&key).unwrap();
--- a/crates/core/tests/only_attempt.rs
+++ b/crates/core/tests/only_attempt.rs
@@ -203,7 +203,7 @@
     }
 }
 
-/// Rule 5: an order that was given up as lost may arrive yet; no second of its kind goes out uncounted.
+/// Rule 5: an order that was abandoned as lost may arrive yet; no second of its kind goes out uncounted.
 #[test]
 fn an_order_that_may_yet_arrive_is_not_given_again() {
     let told = settings("specifics.load_wait=1000\n");
--- a/crates/core/tests/ration.rs
+++ b/crates/core/tests/ration.rs
@@ -39,7 +39,7 @@
     after_drain: usize,
 }
 
-/// Plays a day; `doctor` changes what the module is told, `vouched` tells it that every caller counts: what the judge must
+/// Plays a day; `doctor` changes what the module is notified, `vouched` tells it that every caller counts: what the checker must
 /// find.
 fn play(seed: u64, vouched: bool, doctor: impl Fn(&mut Settings)) -> Seen {
     let mut r = Draw(seed);
@@ -115,7 +115,7 @@
                 endpoints: Rc::from(vec![row(w, lifecycle)]),
             });
         }
-        // The judge: an order counts once it has arrived, against the orders and the calls of the window.
+        // The checker: an order counts once it has arrived, against the orders and the calls of the window.
         for o in orders.iter_mut().filter(|o| !o.judged && o.arrives.is_some_and(|at| at <= now)) {
             o.judged = true;
             let at = o.arrives.unwrap();
@@ -216,7 +216,7 @@
     assert!(given > 600 && near > 10, "{given} given, {near} near");
 }
 
-/// The judge does find it where orders count when they are given.
+/// The checker does find it where orders count when they are given.
 #[test]
 fn orders_counted_when_given_break_the_ration() {
     let broken = (0..60).filter(|&seed| play(seed, false, |s| s.load_delay = 0).most > 1.0).count();
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -304,7 +304,7 @@
     let mut calls: Vec<Micros> = Vec::new();
     for id in 0..400u32 {
         calls.push(b.now + 15 * MS);
-        // A function nobody has loaded: its call is turned away at the home, then an order follows.
+        // A function nobody has loaded: its call is rejected at the home, then an order follows.
         let mut out = b.step(15 * MS, vec![request(id, 0, id as u64)]);
         let missed = sends(&out).iter().map(|x| ended(x.0, 0, x.1, Outcome::Miss)).collect();
         out.extend(b.step(0, missed));
@@ -723,7 +723,7 @@
     let (mut sent, mut late) = (0, 0);
     Bench::with(with, &[1]).flow(
         4000,
-        // About three times what two lanes can do.
+        // About three times what two permits can do.
         |step| if step.is_multiple_of(3) { vec![request(step, 0, 5)] } else { Vec::new() },
         // Runs differ by a third either way.
         |id| 70 * MS + (id as Micros * 7919) % 61 * MS,
@@ -854,7 +854,7 @@
     }
 }
 
-/// Found on an overloaded day: second copies of calls that were overdue for want of room took more of it.
+/// Found on an overloaded day: hedged requests of calls that were overdue for want of room took more of it.
 #[test]
 fn overdue_calls_are_tried_again_only_while_nothing_is_held() {
     for held in [false, true] {
@@ -863,7 +863,7 @@
         b.step(100 * MS, vec![ended(9, 0, 1, Outcome::Ok)]);
         (1..4).for_each(|id| drop(b.step(0, vec![request(id, 0, 9)])));
         if held {
-            // More than the worker's lanes and allowance take: these wait.
+            // More than the worker's permits and allowance take: these wait.
             (20..40).for_each(|id| drop(b.step(0, vec![request(id, 1, 9)])));
         }
         let waits = b.step(0, vec![]);
@@ -885,7 +885,7 @@
 #[test]
 fn calls_about_to_be_late_make_way_for_others_of_their_kind() {
     let mut b = Bench::new("classes.0.late_worth=0.1\n", &[1]);
-    // Runs of 300 ms on one worker of two lanes.
+    // Runs of 300 ms on one worker of two permits.
     for id in 1..8 {
         b.step(MS, vec![request(id, 0, 9)]);
         let mut done = ended(id, 0, 1, Outcome::Ok);
--- a/crates/emulator/src/platform/bus.rs
+++ b/crates/emulator/src/platform/bus.rs
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// How the bus behaves.
+/// How the event subscription behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mood {
     #[default]
@@ -35,7 +35,7 @@
     task: tokio::task::JoinHandle<()>,
 }
 
-/// A record of an executor as the bus writes it; state 0 ready, 1 draining, 2 gone.
+/// A record of an executor as the event subscription writes it; state 0 ready, 1 draining, 2 gone.
 pub fn record(id: u32, address: SocketAddr, state: u8, started_ms: u64) -> Vec<u8> {
     let SocketAddr::V4(v4) = address else { return Vec::new() };
     let mut b = id.to_be_bytes().to_vec();
--- a/crates/emulator/src/platform/judge.rs
+++ b/crates/emulator/src/platform/judge.rs
@@ -32,7 +32,7 @@
 /// What the rules go by.
 #[derive(Clone, Debug, Default)]
 pub struct Told {
-    /// When each executor was told to drain or be gone.
+    /// When each executor was ordered to drain or be gone.
     pub drained: BTreeMap<u32, Instant>,
     pub grace: Duration,
     /// Orders to load: free ones, the share of requests, the window.
--- a/crates/emulator/src/platform/judge/leaving/tests.rs
+++ b/crates/emulator/src/platform/judge/leaving/tests.rs
@@ -41,7 +41,7 @@
     assert_eq!(breaks(&asked, &executors), Vec::<String>::new());
 }
 
-/// The negative control: a capture that breaks nothing is doctored, one attempt after the other.
+/// The negative control: a capture that breaks nothing is altered, one attempt after the other.
 #[test]
 fn a_doctored_capture_is_a_break_from_the_third_case_on() {
     let t = Instant::now();
--- a/crates/emulator/src/platform/judge/tests.rs
+++ b/crates/emulator/src/platform/judge/tests.rs
@@ -6,7 +6,7 @@
     Seen { at, what }
 }
 
-/// The judge finds each break, so that its silence means something.
+/// The checker finds each break, so that its silence means something.
 #[test]
 fn each_rule_is_found_broken() {
     let t = Instant::now();
--- a/crates/emulator/src/store.rs
+++ b/crates/emulator/src/store.rs
@@ -1,5 +1,5 @@
 //! The program store that all workers share: `GET /programs/NAME` gives a program. Many fetches at once slow it, more than it
-//! takes are turned away with 503, and it can be slowed on command.
+//! takes are rejected with 503, and it can be slowed on command.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Full};
@@ -24,7 +24,7 @@
     pub fetch: Duration,
     /// Fetches at a time that don't slow each other.
     pub at_ease: u32,
-    /// Fetches at a time beyond which more are turned away.
+    /// Fetches at a time beyond which more are rejected.
     pub most: u32,
     /// Bytes of a program.
     pub size: usize,
@@ -55,7 +55,7 @@
         self.fetches.load(Ordering::Relaxed)
     }
 
-    /// Fetches turned away so far.
+    /// Fetches rejected so far.
     pub fn turned_away(&self) -> u64 {
         self.turned_away.load(Ordering::Relaxed)
     }
--- a/crates/emulator/src/worker/model.rs
+++ b/crates/emulator/src/worker/model.rs
@@ -1,4 +1,4 @@
-//! What a worker holds and does: copies with lanes, memory with the least recently used idle copy unloaded first, loads a few
+//! What a worker holds and does: copies with permits, memory with the least recently used idle copy unloaded first, loads a few
 //! at a time, a bounded queue, drain, and a capacity that rises after a start. Time and events go in, steps come out.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -24,7 +24,7 @@
     pub start_share: f64,
     /// Load a function when a call finds it missing; else the call is answered "not loaded".
     pub load_on_miss: bool,
-    /// Start another copy when all lanes of a function are taken.
+    /// Start another copy when all permits of a function are taken.
     pub grow: bool,
     /// A cold worker sent more than this many times its present capacity for `fall_window` falls over. 0: never.
     pub fall_multiple: f64,
@@ -110,7 +110,7 @@
 
 #[derive(Debug, Default)]
 struct Held {
-    /// Lanes taken, by copy.
+    /// Permits taken, by copy.
     copies: Vec<usize>,
     loading: usize,
     waiting: VecDeque<(CallId, Found)>,
@@ -180,7 +180,7 @@
         self.held.values().map(|h| h.waiting.len()).sum()
     }
 
-    /// Part of the cores that is at work.
+    /// Part of the cores that is in progress.
     pub fn busy(&self, now: Micros) -> f64 {
         (self.running.len() as f64 / (self.spec.cores * self.share(now))).min(1.0)
     }
--- a/crates/emulator/tests/broker.rs
+++ b/crates/emulator/tests/broker.rs
@@ -1,4 +1,4 @@
-//! The stand-in broker as an ordinary client of another make sees it, and as misuse sees it byte by byte.
+//! The emulator broker as an ordinary client of another make sees it, and as misuse sees it byte by byte.
 
 use futures_lite::StreamExt;
 use lapin::options::*;
@@ -264,7 +264,7 @@
     assert_eq!(raw(port, b"HTTP/1.1"), b"AMQP\x00\x00\x09\x01");
     assert_eq!(raw(port, b"AMQP\x01\x01\x00\x09"), b"AMQP\x00\x00\x09\x01");
     let after = |bytes: &[u8]| close_code(&raw(port, &[b"AMQP\x00\x00\x09\x01", bytes].concat()));
-    // A frame type that doesn't exist, one over the size, a wrong end mark.
+    // A frame type that doesn't exist, one over the size, a wrong end intent.
     assert_eq!(after(b"\x07\x00\x00\x00\x00\x00\x00\xce"), Some(501));
     assert_eq!(after(b"\x01\x00\x00\x7f\xff\xff\xff"), Some(501));
     assert_eq!(after(b"\x08\x00\x00\x00\x00\x00\x00\xcd"), Some(501));
--- a/crates/emulator/tests/worker.rs
+++ b/crates/emulator/tests/worker.rs
@@ -1,4 +1,4 @@
-//! What a stand-in worker holds and does, by time alone.
+//! What a emulator worker holds and does, by time alone.
 
 use stagehoist_emulator::worker::model::{Found, Model, Refusal, Step};
 use stagehoist_emulator::worker::{Program, Spec};
@@ -78,7 +78,7 @@
     s.call(10, "c", &p, 4 * S);
     assert_eq!(s.standing(), [("b", 1)]);
     s.loaded("c", true, 4 * S + MS);
-    // Both at work: no room for another.
+    // Both in progress: no room for another.
     assert_eq!(refusals(&s.call(11, "d", &p, 5 * S)), [(11, Refusal::NoMemory)]);
     s.model.finished(9, 5 * S, &mut s.steps);
     s.model.finished(10, 5 * S, &mut s.steps);
--- a/crates/endpoints/src/capacity.rs
+++ b/crates/endpoints/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Lanes of the workers.
+//! Permits of the workers.
 
 use super::EndpointSet;
 use stagehoist::Lifecycle;
--- a/crates/endpoints/src/entry.rs
+++ b/crates/endpoints/src/entry.rs
@@ -1,4 +1,4 @@
-//! What sources say of workers, and what the module is told of it.
+//! What sources say of workers, and what the module is notified of it.
 
 use stagehoist::{Endpoint, EndpointUpdate, Micros};
 
@@ -12,11 +12,11 @@
     pub draining: bool,
     pub kind: String,
     pub zone: String,
-    /// Number of the group that shares its memory of keys; 0 where none is told.
+    /// Number of the group that shares its memory of keys; 0 where none is notified.
     pub cell: u16,
-    /// Size for comparison with other workers; 1 where none is told.
+    /// Size for comparison with other workers; 1 where none is notified.
     pub capacity: f64,
-    /// Last start, microseconds since 1970; 0 where none is told.
+    /// Last start, microseconds since 1970; 0 where none is notified.
     pub started: Micros,
 }
 
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,5 +1,5 @@
 //! Which workers there are: what lists say and what workers announce of themselves, put together to the rows that the
-//! decision module is told. Pure: entries and the time go in, rows come out.
+//! decision module is notified. Pure: entries and the time go in, rows come out.
 //!
 //! Lists are late, so a worker's own word that it drains counts until the list has caught up: until it shows the worker
 //! draining, gone or started anew, until the worker says otherwise, or until a stated time has passed, as a list that
@@ -16,10 +16,10 @@
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle, Micros, WorkerId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Most workers kept where nothing else is told ([`EndpointSet::at_most`]); entries beyond are left out, the last by name first.
+/// Most workers kept where nothing else is notified ([`EndpointSet::at_most`]); entries beyond are left out, the last by name first.
 pub const MAX_WORKERS: usize = 10_000;
 
-/// How long a worker that was told gone is kept, in microseconds: until its last attempts have ended.
+/// How long a worker that was notified gone is kept, in microseconds: until its last attempts have ended.
 pub const GONE_RETENTION: Micros = 30_000_000;
 
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     listed: Lifecycle,
     /// When the worker itself said that it drains, and which start said so.
     announced: Option<(Micros, Micros)>,
-    /// When it was told gone, where it is.
+    /// When it was notified gone, where it is.
     departed_at: Option<Micros>,
 }
 
@@ -42,7 +42,7 @@
     announcement_retention: Micros,
     /// Most workers kept.
     max_workers: usize,
-    /// Entries of the last whole list that were left out as over that, and whether it was told.
+    /// Entries of the last whole list that were left out as over that, and whether it was notified.
     omitted: usize,
     omission_reported: bool,
     workers: BTreeMap<WorkerId, Known>,
@@ -95,7 +95,7 @@
         self.workers.values().filter(|k| k.endpoint.lifecycle == Lifecycle::Ready).count()
     }
 
-    /// Workers told by their own numbers: the whole list, or what changed. The gone are forgotten after [`GONE_RETENTION`].
+    /// Workers known by their own numbers: the whole list, or what changed. The gone are forgotten after [`GONE_RETENTION`].
     pub fn apply(&mut self, form: EndpointUpdate, told: Vec<NumberedEndpoint>, now: Micros) -> Update {
         if form != EndpointUpdate::Delta {
             let listed: BTreeSet<WorkerId> = told.iter().map(|t| t.endpoint.worker).collect();
@@ -139,7 +139,7 @@
         Update { kind: form, endpoints: rows }
     }
 
-    /// A worker said in an answer whether it drains. Gives what the module must be told, if that is news.
+    /// A worker said in an answer whether it drains. Gives what the module must be told, if that is inputs.
     pub fn on_announcement(&mut self, worker: WorkerId, draining: bool, now: Micros) -> Option<Update> {
         let known = self.workers.get_mut(&worker)?;
         if known.listed != Lifecycle::Ready || known.announced.is_some() == draining {
--- a/crates/gateway/src/amqp/commands.rs
+++ b/crates/gateway/src/amqp/commands.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub enum LinkCommand {
     Answer(Ticket, Answer),
-    /// The first list of workers came.
+    /// The first endpoint list came.
     EndpointsReady,
     /// Own shards changed.
     ServeShards(Rc<[OwnedShards]>),
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LinkState {
     pub ready: bool,
-    /// All stands, but nothing is consumed before the first list of workers.
+    /// All stands, but nothing is consumed before the first endpoint list.
     pub awaits_endpoints: bool,
     pub drained: bool,
     pub at_work: usize,
--- a/crates/gateway/src/amqp/front/consuming.rs
+++ b/crates/gateway/src/amqp/front/consuming.rs
@@ -61,7 +61,7 @@
         self.expire_inquiries(now);
         if self.confirm_due().is_some_and(|at| now >= at) {
             // What is known of each reply stays until the connection is lost: those held back never left.
-            tracing::warn!("the broker confirms no replies; connection given up");
+            tracing::warn!("the broker confirms no replies; connection abandoned");
             if let Some(client) = self.client.as_mut() {
                 client.close(200, "no confirms in time");
             }
--- a/crates/gateway/src/amqp/front/counters.rs
+++ b/crates/gateway/src/amqp/front/counters.rs
@@ -20,7 +20,7 @@
     pub joined: u64,
     pub withheld: u64,
     pub failed_unknown: u64,
-    /// Delivered again, not known here, and asked about; and those of them that ran by the word of all marks.
+    /// Delivered again, not known here, and asked about; and those of them that ran by the word of all intents.
     pub inquired: u64,
     pub run_by_intents: u64,
     /// Taken for a function that is leaving own shards, and refused for one of others.
--- a/crates/gateway/src/amqp/front/drain.rs
+++ b/crates/gateway/src/amqp/front/drain.rs
@@ -19,7 +19,7 @@
     /// [`Front::drain`].
     ///
     /// What is still under way when the connection ends comes to others as delivered before, and fails there if it
-    /// may not simply be repeated.
+    /// is not idempotent.
     pub fn is_drained(&self) -> bool {
         self.draining && self.stopping.is_empty() && self.unsettled() == 0
     }
--- a/crates/gateway/src/amqp/front/inquiries.rs
+++ b/crates/gateway/src/amqp/front/inquiries.rs
@@ -7,14 +7,14 @@
 /// A question to one who may have held a message: the number of the answer, the message, who is asked.
 pub type Question = (Ticket, Identity, Rc<str>);
 
-/// What a front with marks keeps.
+/// What a front with intents keeps.
 pub(super) struct PendingInquiries {
-    /// Who may have held a message that comes again: this member, by its marks, and others.
+    /// Who may have held a message that comes again: this member, by its intents, and others.
     members: Vec<Rc<str>>,
     inquiries: Inquiries<Rc<str>>,
     waiting: HashMap<Ticket, (Micros, Arrival)>,
     questions: Vec<Question>,
-    /// This run is known to those who may be asked about it. Until then nothing is taken that may not simply be repeated:
+    /// This run is known to those who may be asked about it. Until then nothing is taken that is not idempotent:
     /// nobody could ask here what became of it.
     known: bool,
 }
@@ -26,8 +26,8 @@
 }
 
 impl Front {
-    /// From now on attempts are marked on disk, and messages delivered again of which nothing is known wait for the word of
-    /// these members, this one's marks among them. Questions are to be asked from [`Front::take_questions`].
+    /// From now on attempts are recorded on disk, and messages delivered again of which nothing is known wait for the word of
+    /// these members, this one's intents among them. Questions are to be asked from [`Front::take_questions`].
     pub fn set_inquiry(&mut self, members: Vec<Rc<str>>, patience: InquiryLimits) {
         self.memory.inquires(true);
         let inquiries = Inquiries::new(patience);
--- a/crates/gateway/src/amqp/front/mod.rs
+++ b/crates/gateway/src/amqp/front/mod.rs
@@ -1,6 +1,6 @@
 //! One front end's side of its broker, without I/O: deliveries become calls, answers become replies, and a delivery is
 //! acknowledged only once its reply is confirmed or known to be impossible. What a lost connection leaves behind is kept:
-//! calls at work go on, and their messages are answered from memory when they are delivered again.
+//! calls in progress go on, and their messages are answered from memory when they are delivered again.
 
 mod consuming;
 mod counters;
@@ -59,7 +59,7 @@
     Opening,
     /// The channel is to be opened (again) at this time.
     Waiting(Micros),
-    /// The channel stands; consumes once the first list of workers came.
+    /// The channel stands; consumes once the first endpoint list came.
     Awaiting,
     Setup,
     Ready,
@@ -70,7 +70,7 @@
     config: Rc<Config>,
     reader: Reader,
     memory: DeliveryCache<Answer>,
-    /// Where attempts are marked on disk.
+    /// Where attempts are recorded on disk.
     inquiries: Option<inquiries::PendingInquiries>,
     backoff: Backoff,
     client: Option<Client>,
@@ -92,9 +92,9 @@
     next_ticket: Ticket,
     arrivals: Vec<Arrival>,
     draining: bool,
-    /// Until when the first list of workers is awaited; None: no more, or not at all.
+    /// Until when the first endpoint list is awaited; None: no more, or not at all.
     list_by: Option<Micros>,
-    /// Queues whose consumer was told to stop and has not said so, as often as it was told: deliveries of it may be on
+    /// Queues whose consumer was ordered to stop and has not said so, as often as it was notified: deliveries of it may be on
     /// their way.
     stopping: Vec<usize>,
     /// Deliveries of the present channel; their acknowledgements go out together, with the next replies.
@@ -198,7 +198,7 @@
         self.deliveries.values().filter(|d| d.generation == self.generation).count()
     }
 
-    /// Calls at work, of lost connections too.
+    /// Calls in progress, of lost connections too.
     pub fn at_work(&self) -> usize {
         self.deliveries.values().filter(|d| d.answer.is_none()).count()
     }
--- a/crates/gateway/src/amqp/front/replies.rs
+++ b/crates/gateway/src/amqp/front/replies.rs
@@ -10,7 +10,7 @@
         reply.map(|r| r.1).or(self.committing.front().map(|c| c.0))
     }
 
-    /// When the broker has had its time to confirm; once, as a connection that is given up is closed.
+    /// When the broker has had its time to confirm; once, as a connection that is abandoned is closed.
     pub(super) fn confirm_due(&self) -> Option<Micros> {
         let open = self.client.as_ref().is_some_and(Client::is_open);
         let oldest = self.oldest_unconfirmed().filter(|_| open);
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The channel is gone: what was on it comes again. Calls at work go on.
+    /// The channel is gone: what was on it comes again. Calls in progress go on.
     pub(super) fn leave_channel(&mut self) {
         let channel = self.channel;
         for ticket in std::mem::take(&mut self.replies).into_values() {
--- a/crates/gateway/src/amqp/front/start.rs
+++ b/crates/gateway/src/amqp/front/start.rs
@@ -1,4 +1,4 @@
-//! Before the first list of workers nothing is consumed: a call that nobody can run waits better in its
+//! Before the first endpoint list nothing is consumed: a call that nobody can run waits better in its
 //! queue, where other front ends take it, than in a refusal.
 
 use super::*;
@@ -15,7 +15,7 @@
         self.phase == Phase::Awaiting
     }
 
-    /// The first list of workers came.
+    /// The first endpoint list came.
     pub fn on_endpoints_ready(&mut self, now: Micros) {
         if self.list_by.take().is_some() && self.phase == Phase::Awaiting {
             self.begin(now);
--- a/crates/gateway/src/amqp/inquiries.rs
+++ b/crates/gateway/src/amqp/inquiries.rs
@@ -1,4 +1,4 @@
-//! A link's end of marks: questions of its front go to this member's store and to others, answers come back; and others'
+//! A link's end of intents: questions of its front go to this member's store and to others, answers come back; and others'
 //! questions are answered from store and front.
 
 use super::front::Question;
@@ -21,7 +21,7 @@
 /// Numbers of questions to the store that others asked; the front's own are below.
 const FOREIGN: u64 = 1 << 63;
 
-/// A front end's marks, and its way to the others' where there are others.
+/// A front end's intents, and its way to the others' where there are others.
 pub struct InquirySettings {
     pub intent_log: IntentLog,
     pub peers: Option<PeerInquiry>,
@@ -40,7 +40,7 @@
     Inquiry(InquiryEvent),
 }
 
-/// The marks of this member, where there are any.
+/// The intents of this member, where there are any.
 pub(super) struct Inquiries {
     log: Option<(IntentLog, EventSender)>,
     answers: mpsc::UnboundedReceiver<LogEvent>,
@@ -53,7 +53,7 @@
 }
 
 impl Inquiries {
-    /// Turns the front's questions on, where there are marks.
+    /// Turns the front's questions on, where there are intents.
     pub(super) fn new(marking: Option<InquirySettings>, front: &mut Front) -> Inquiries {
         let (reply, answers) = mpsc::unbounded_channel();
         let (marks, others) = marking.map_or((None, None), |m| (Some((m.intent_log, reply)), m.peers));
@@ -112,7 +112,7 @@
             }
         };
         tokio::select! {
-            // Only where there are no marks nothing can come.
+            // Only where there are no intents nothing can come.
             Some(done) = self.answers.recv() => InquiryInput::Log(done),
             Some(heard) = heard => InquiryInput::Inquiry(heard),
             else => std::future::pending().await,
@@ -143,7 +143,7 @@
                 if marks.begin(run, witness) {
                     front.set_known(true);
                 } else {
-                    tracing::error!(run, "marks can't begin this run");
+                    tracing::error!(run, "the intent log can't begin this run");
                 }
             }
             InquiryEvent::Inquired { from, number, keys } => {
@@ -156,7 +156,7 @@
                 let known = vec![None; keys.len()];
                 for (at, key) in keys.iter().enumerate() {
                     if !marks.query(joined(id, at), key.identity(), reply) {
-                        // What can't be asked is left out, and whoever asked gives up.
+                        // What can't be asked is left out, and whoever asked times out.
                         return;
                     }
                 }
--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -25,7 +25,7 @@
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Runs until the driver lets go of its sender, or until all is answered after [`LinkCommand::Drain`]. `marking` is there
-/// where attempts are marked.
+/// where attempts are recorded.
 pub async fn run(
     config: Rc<Config>,
     (seed, clock): (u64, Clock),
--- a/crates/gateway/src/amqp/message.rs
+++ b/crates/gateway/src/amqp/message.rs
@@ -19,7 +19,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Header that RabbitMQ's message interceptors (and the stand-in broker) stamp on what they take.
+/// Header that RabbitMQ's message interceptors (and the emulator broker) stamp on what they take.
 pub const STAMP: &str = "timestamp_in_ms";
 
 /// What a message asks for.
@@ -88,6 +88,7 @@
 }
 
 impl Reader {
+    /// A reader for the tenants of a configuration.
     pub fn new(config: Rc<Config>) -> Reader {
         let tenants = config.tenants.iter().enumerate().map(|(i, t)| (t.name.clone(), i as u32)).collect();
         Reader { config, tenants }
--- a/crates/gateway/src/discovery/consul.rs
+++ b/crates/gateway/src/discovery/consul.rs
@@ -109,6 +109,7 @@
 }
 
 impl Follower {
+    /// A follower of a service's health list at Consul's API.
     pub fn new(address: &str, service: &str, wait: Micros, seed: u64, watching: bool) -> Follower {
         Follower {
             address: address.into(),
@@ -142,6 +143,7 @@
         Follower { filter: format!("&filter={encoded}"), ..self }
     }
 
+    /// Follows the list until the sender of commands is dropped.
     pub async fn run(
         mut self,
         clock: Clock,
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The list of workers, followed by Consul's health API or read from a file. Late, failing and flapping lists are told to
+//! The endpoint list, followed by Consul's health API or read from a file. Late, failing and flapping lists are told to
 //! the module as they come.
 
 pub mod consul;
@@ -21,7 +21,7 @@
 /// Largest list read, in bytes.
 const LIST_MOST: usize = 64 << 20;
 
-/// Which list is followed: its name in the log, how a body or a file of it is read, and what is told of one that fails.
+/// Which list is followed: its name in the log, how a body or a file of it is read, and what is notified of one that fails.
 #[derive(Clone, Copy)]
 struct Kind {
     what: &'static str,
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -1,5 +1,5 @@
 //! The loop of one front end: it gathers what came since the last turn into one batch, lets the module choose once, and
-//! carries out the choices. It holds the only reference to the module; sockets talk to it by channels. What the sockets
+//! executes the choices. It holds the only reference to the module; sockets talk to it by channels. What the sockets
 //! speak is behind [`Transport`].
 
 use crate::clock::{Alarm, Clock};
@@ -18,15 +18,15 @@
 /// A timer that rings later than this means that this process did not run: what lies in the sockets is read first.
 const MAX_OVERSLEEP: Micros = 20_000;
 
-/// The protocols around a front end: its callers, its workers and the source of its list of workers.
+/// The protocols around a front end: its callers, its workers and the source of its endpoint list.
 pub trait Transport {
-    /// Carries out one choice.
+    /// Executes one command.
     fn execute(&mut self, command: Command);
 
-    /// All choices of a turn were carried out.
+    /// All choices of a turn were executed.
     fn flush(&mut self) {}
 
-    /// The first list of workers came, and the turn that took it is done.
+    /// The first endpoint list came, and the turn that took it is done.
     fn on_endpoints_ready(&mut self) {}
 
     /// Called four times a second.
@@ -42,7 +42,7 @@
     /// Whether callers are being served.
     fn is_serving(&mut self) -> bool;
 
-    /// Whether no calls are taken as the first list of workers is awaited.
+    /// Whether no calls are taken as the first endpoint list is awaited.
     fn awaits_endpoints(&mut self) -> bool {
         false
     }
@@ -59,7 +59,7 @@
         false
     }
 
-    /// The driver takes no more news: the sockets are closed in order, within a time of their own.
+    /// The driver takes no more inputs: the sockets are closed in order, within a time of their own.
     fn finish(&mut self) -> impl Future<Output = ()> {
         std::future::ready(())
     }
@@ -72,14 +72,14 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FrontEndState {
     pub consuming: bool,
-    /// All stands, but nothing is consumed before the first list of workers.
+    /// All stands, but nothing is consumed before the first endpoint list.
     pub awaits_endpoints: bool,
     pub ready_workers: usize,
     pub unanswered: usize,
     pub drained: bool,
 }
 
-/// Runs one front end on the current thread until it is told to drain and has, or `drain_most` ran out. Must be called
+/// Runs one front end on the current thread until it is ordered to drain and has, or `drain_most` ran out. Must be called
 /// inside a `LocalSet`.
 pub async fn run<W: Transport>(
     mut core: Core,
@@ -98,7 +98,7 @@
     let (mut told, mut keepers) = (None, link);
     let mut listed = false;
     if let Some(link) = keepers.as_mut() {
-        // What is known already is news to the front end.
+        // What is known already is inputs to the front end.
         link.status.mark_changed();
         told = Some(link.report.clone());
     }
@@ -119,7 +119,7 @@
             standing = next_standing(&mut keepers), if keepers.is_some() => {
                 // Before calls that came with it: what is retired is not taken any more.
                 if standing.is_none() {
-                    tracing::warn!("the session with the keepers ended");
+                    tracing::warn!("the session with the replicas ended");
                     keepers = None;
                 }
                 batch.extend(standing.map(Input::ClusterStatus));
--- a/crates/gateway/src/fleet/egress.rs
+++ b/crates/gateway/src/fleet/egress.rs
@@ -30,10 +30,12 @@
         }))
     }
 
+    /// The gate behind the check.
     pub fn gate(&self) -> Ref<'_, RetirementGate> {
         self.0.gate.borrow()
     }
 
+    /// The gate behind the check, to be changed.
     pub fn gate_mut(&self) -> RefMut<'_, RetirementGate> {
         self.0.gate.borrow_mut()
     }
--- a/crates/gateway/src/fleet/membership.rs
+++ b/crates/gateway/src/fleet/membership.rs
@@ -12,7 +12,7 @@
 /// How often it is looked whether answers on their way have left, while a view waits to be confirmed.
 const POLL_INTERVAL: Micros = 2_000;
 
-/// What waits before a view can be confirmed: only what was here when it came, as nothing new is let in under it.
+/// What waits before a view can be confirmed: only what was here when it came, as nothing new is admitted under it.
 struct Pending {
     version: Version,
     calls: Vec<RequestId>,
@@ -34,6 +34,7 @@
 }
 
 impl FleetMembership {
+    /// A membership that has confirmed no view yet.
     pub fn new(desk: EgressCheck) -> FleetMembership {
         let (copies, seen) = (BTreeMap::new(), BTreeMap::new());
         FleetMembership {
@@ -58,7 +59,7 @@
         self.check_at
     }
 
-    /// A view is applied; `at_work` are the calls at work under its tombstones, with their inner names. Of several views the
+    /// A view is applied; `at_work` are the calls in progress under its tombstones, with their inner names. Of several views the
     /// first is confirmed first, so that a stream of them can't put off the confirming for ever.
     pub fn applied(&mut self, at_work: Vec<(RequestId, Rc<str>)>) {
         let version = self.egress.gate().view().version;
@@ -72,7 +73,7 @@
         self.pending = Some(Pending { version, calls, functions });
     }
 
-    /// Whether the view that waited is now confirmed; `is_open` tells which calls are still at work.
+    /// Whether the view that waited is now confirmed; `is_open` tells which calls are still in progress.
     pub fn confirm(&mut self, now: Micros, is_open: impl Fn(RequestId) -> bool) -> bool {
         let Some(pending) = self.pending.as_mut() else { return false };
         pending.calls.retain(|call| is_open(*call));
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! A front end as part of a fleet: what it knows of retired functions, and what it tells the keepers. Off where the
+//! A front end as part of a fleet: what it knows of retired functions, and what it tells the replicas. Off where the
 //! configuration has no fleet: nothing here exists then.
 //!
 //! - [`retirement_gate`]: what may be taken, sent and answered, without I/O; [`names`]: generations by inner names.
-//! - [`pool_admission`]: calls of pools wait for lanes.
+//! - [`pool_admission`]: calls of pools wait for permits.
 //! - [`egress`]: the gate at the sockets, and answers on their way out.
 //! - [`membership`]: which view is confirmed, and which workers may have copies.
 //! - [`recovery`]: the stages after a loss of everything; [`shutdown_marker`]: whether the last run left in order.
@@ -32,20 +32,20 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// What a front end tells its session with the keepers; the newest counts.
+/// What a front end tells its session with the replicas; the newest counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionReport {
-    /// The newest view that holds here: nothing under its tombstones is at work or on its way out.
+    /// The newest view that holds here: nothing under its tombstones is in progress or on its way out.
     pub confirmed: Version,
     pub ready_capacity: u32,
     pub demand: Vec<Demand>,
 }
 
-/// A driver's ends of its session with the keepers; it never waits for it.
+/// A driver's ends of its session with the replicas; it never waits for it.
 pub struct SessionHandle {
     pub status: watch::Receiver<ClusterStatus>,
     pub report: watch::Sender<SessionReport>,
-    /// Where attempts are marked.
+    /// Where attempts are recorded.
     pub inquiry: Option<PeerInquiry>,
 }
 
@@ -56,14 +56,14 @@
 }
 
 impl SessionHandle {
-    /// The next word of the keepers; None once the session ended.
+    /// The next word of the replicas; None once the session ended.
     pub async fn next(&mut self) -> Option<ClusterStatus> {
         self.status.changed().await.ok()?;
         Some(self.status.borrow_and_update().clone())
     }
 }
 
-/// Waits until the keepers' word is here, at most so long: nothing is consumed before. After that functions that are not
+/// Waits until the cluster status is here, at most so long: nothing is consumed before. After that functions that are not
 /// strict are served by what is known.
 pub async fn await_first_status(
     standing: Option<watch::Receiver<ClusterStatus>>,
@@ -78,10 +78,10 @@
         }
     };
     match tokio::time::timeout(limit, word).await {
-        Ok(true) => tracing::info!("the keepers' word is here"),
+        Ok(true) => tracing::info!("cluster status received"),
         _ => tracing::warn!(
             ms = most / 1000,
-            "no word of the keepers; functions that are not strict are served"
+            "no cluster status yet; functions that are not strict are served"
         ),
     }
 }
--- a/crates/gateway/src/fleet/pool_admission.rs
+++ b/crates/gateway/src/fleet/pool_admission.rs
@@ -1,5 +1,5 @@
-//! Lanes of pools at a front end: which calls need one before they enter the module, those that wait for one, and what the
-//! keepers are told of it. Without I/O.
+//! Permits of pools at a front end: which calls need one before they enter the module, those that wait for one, and what the
+//! replicas are notified of it. Without I/O.
 
 use super::names::outer_name;
 use stagehoist::{Micros, Request, RequestId};
@@ -40,7 +40,7 @@
     limits: AllocationLimits,
     ready_capacity: u32,
     waiting: HashMap<RequestId, (Request, Micros)>,
-    /// Lanes of calls that are over, not yet given back.
+    /// Permits of calls that are over, not yet given back.
     freed: Vec<Permit>,
     outcomes: Vec<WaitOutcome>,
     applied: u64,
@@ -48,7 +48,7 @@
 }
 
 impl PoolAdmission {
-    /// None where the configuration has no pool. Floors count from the first moment.
+    /// None where the configuration has no pool. Guaranteed minimums count from the first moment.
     pub fn new(config: &Rc<Config>, seed: u64, now: Micros) -> Option<PoolAdmission> {
         let fleet = config.fleet.as_ref().filter(|f| !f.pools.is_empty())?;
         // Where closing a connection ends the run at its worker, nothing of an earlier run goes on.
@@ -77,7 +77,7 @@
         Some(entrance)
     }
 
-    /// The keepers' word: pools of a newer edition, and lanes.
+    /// The cluster status: pools of a newer edition, and permits.
     pub fn on_cluster_status(&mut self, standing: &ClusterStatus, now: Micros) {
         let view = &standing.view;
         if view.edition >= self.edition && view.pools != self.pools {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Lanes of the ready workers, by which some pools' floors go.
+    /// Permits of the ready workers, by which some pools' guaranteed minimums go.
     pub fn on_capacity(&mut self, ready_lanes: u32, now: Micros) {
         if std::mem::replace(&mut self.ready_capacity, ready_lanes) != ready_lanes
             && self.pools.iter().any(|p| p.size == PoolSize::ByWorkers)
@@ -202,7 +202,7 @@
         }
     }
 
-    /// What the keepers are to be told.
+    /// What the replicas are to be told.
     pub fn demand(&self) -> Vec<Demand> {
         let demand = self.permits.demand(self.checked_at).map(|wanted| Demand {
             pool: wanted.pool.to_owned(),
@@ -215,7 +215,7 @@
     }
 }
 
-/// A pool in the record's words.
+/// A pool in the cluster state's words.
 fn pool(told: &stagehoist_config::Pool) -> Pool {
     let reservation =
         |(tenant, lanes): &(String, u32)| Reservation { tenant: tenant.clone(), permits: *lanes };
--- a/crates/gateway/src/fleet/recovery.rs
+++ b/crates/gateway/src/fleet/recovery.rs
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Start {
-    /// No list of workers came yet.
+    /// No endpoint list came yet.
     Unheard,
     Lost,
     Warm,
@@ -87,15 +87,17 @@
         }
     }
 
+    /// The present phase.
     pub fn phase(&self) -> RecoveryPhase {
         self.phases.phase()
     }
 
+    /// When the phase may change though nothing happens.
     pub fn due(&self) -> Option<Micros> {
         self.phases.due()
     }
 
-    /// What the list of workers says.
+    /// What the endpoint list says.
     pub fn roster(&mut self, update: &Update) {
         if self.is_over() || update.kind == EndpointUpdate::Failed {
             return;
@@ -112,7 +114,7 @@
         }
     }
 
-    /// A call that was let in is answered.
+    /// A call that was admitted is answered.
     pub fn ended(&mut self, in_time: bool, now: Micros) {
         if let Some(slot) = self.slot(now) {
             slot.ended += 1;
@@ -147,8 +149,8 @@
                 RecoveryPhase::OpeningStorage | RecoveryPhase::ResolvingInDoubt => {
                     "nothing of its own store is waited for"
                 }
-                RecoveryPhase::Ramping if record => "the keepers' word is here",
-                RecoveryPhase::Ramping => "the limit passed without the keepers' word",
+                RecoveryPhase::Ramping if record => "cluster status received",
+                RecoveryPhase::Ramping => "the limit passed without the cluster status",
                 RecoveryPhase::Serving => "the fleet is warm, or time opened it",
             };
             tracing::info!(stage = self.phase().word(), why, ?seen, "recovery");
--- a/crates/gateway/src/fleet/retirement_gate.rs
+++ b/crates/gateway/src/fleet/retirement_gate.rs
@@ -9,7 +9,7 @@
 /// A front end looks at the clock four times a second, and a turn is short: after a longer gap it did not run.
 const STALL_THRESHOLD: Micros = 350_000;
 
-/// What a caller is told of a retired function.
+/// What a caller is notified of a retired function.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Retired {
     /// The highest generation that is retired.
@@ -55,7 +55,7 @@
 }
 
 impl RetirementGate {
-    /// Before any word of the keepers.
+    /// Before any word of the replicas.
     pub fn new(config: Rc<Config>) -> RetirementGate {
         let standing = ClusterStatus {
             fresh_until: Micros::MIN,
@@ -88,7 +88,7 @@
         !self.is_fresh(now) && (now < self.must_confirm_until || self.was_stalled(now))
     }
 
-    /// The keepers' newest word; whether its view is another. A view older than the one that is known counts for nothing.
+    /// The replicas' newest word; whether its view is another. A view older than the one that is known counts for nothing.
     pub fn update(&mut self, standing: ClusterStatus) -> bool {
         let (old, new) = (self.status.view.version, standing.view.version);
         if new < old {
@@ -98,10 +98,12 @@
         new > old
     }
 
+    /// The newest view that came.
     pub fn view(&self) -> &ClusterView {
         &self.status.view
     }
 
+    /// Whether the view is known to be the newest in force.
     pub fn is_fresh(&self, now: Micros) -> bool {
         !self.status.is_stale(now)
     }
--- a/crates/gateway/src/fleet/retirement_states.rs
+++ b/crates/gateway/src/fleet/retirement_states.rs
@@ -8,7 +8,7 @@
 //! # version 17
 //! ```
 //!
-//! `not-in-force` is one that the record has not taken, as where it is full: it is proposed again until it is.
+//! `not-in-force` is one that the cluster state has not taken, as where it is full: it is proposed again until it is.
 //! The time is when a process that wrote the file first saw that state, in milliseconds since 1970. Several processes may
 //! keep one file: what is there is replaced only by a later view, or where it is lost or damaged.
 
@@ -60,7 +60,7 @@
     Some(states)
 }
 
-/// The state of what the record has not taken.
+/// The state of what the cluster state has not taken.
 fn unmet(generation: u32) -> (String, String) {
     (format!("{generation} not-in-force"), String::new())
 }
@@ -131,7 +131,7 @@
 }
 
 async fn write(temp: &Path, path: &Path, bytes: &[u8]) -> io::Result<()> {
-    // Not flushed to the disk: that took over a second where others wrote much, and the record is what is kept. What a power
+    // Not flushed to the disk: that took over a second where others wrote much, and the cluster state is what is kept. What a power
     // loss leaves is whole and older, or shows that it is damaged; either is replaced.
     tokio::fs::write(temp, bytes).await?;
     tokio::fs::rename(temp, path).await
--- a/crates/gateway/src/intent_recorder.rs
+++ b/crates/gateway/src/intent_recorder.rs
@@ -1,7 +1,7 @@
-//! Attempts of calls that may not simply be repeated, between the module's choice and the socket: each waits until its call's
-//! mark is on disk. One local task holds those that wait; nobody waits for it, and calls of other classes do not pass it.
+//! Attempts of calls that is not idempotent, between the module's choice and the socket: each waits until its call's
+//! intent is on disk. One local task holds those that wait; nobody waits for it, and calls of other classes do not pass it.
 //!
-//! An attempt that is not sent ends as [`Outcome::Moot`]: known not to have run, and no word against its worker.
+//! An attempt that is not sent ends as [`Outcome::Superseded`]: known not to have run, and no word against its worker.
 
 use crate::clock::{Alarm, Clock};
 use crate::state::{Attempt, AttemptResult, Input, Ticket};
@@ -27,7 +27,7 @@
 pub struct IntentRecorder {
     config: Rc<Config>,
     messages: mpsc::UnboundedSender<RecorderMessage>,
-    /// Calls that went the way of marks and are not answered; all others cost nothing here.
+    /// Calls that went the way of intents and are not answered; all others cost nothing here.
     recorded: HashSet<Ticket>,
 }
 
@@ -53,7 +53,7 @@
         (IntentRecorder { config, messages: words, recorded: HashSet::new() }, task)
     }
 
-    /// An attempt was decided. Some: it needs no mark, or has no identity to mark, and is to be sent now.
+    /// An attempt was decided. Some: it needs no intent, or has no identity to intent, and is to be sent now.
     ///
     /// A call without an identity is never asked about: delivered again it fails.
     pub fn attempt(&mut self, attempt: Attempt) -> Option<Attempt> {
@@ -89,7 +89,7 @@
 /// Waits that are told in one line of the log.
 const TELL: usize = 32;
 
-/// How long marks took to be on disk.
+/// How long intents took to be on disk.
 #[derive(Default)]
 struct IntentLatency {
     since: HashMap<Ticket, Micros>,
@@ -117,7 +117,7 @@
         let at = |part: usize| self.samples[(self.samples.len() - 1) * part / 100];
         let (half_us, p99_us, marked) = (at(50), at(99), self.samples.len());
         let commits = marks.commits().map(|c| c.commits);
-        tracing::info!(marked, half_us, p99_us, longest_us, commits, "marks on disk");
+        tracing::info!(marked, half_us, p99_us, longest_us, commits, "intents on disk");
         self.samples.clear();
     }
 }
@@ -178,7 +178,7 @@
         let due = holder.gate.next_deadline();
         alarm.set(due.unwrap_or_else(|| clock.now() + 60_000_000));
         tokio::select! {
-            // What the driver took back is heard before marks that came: nothing leaves against its word.
+            // What the driver took back is heard before intents that came: nothing leaves against its word.
             biased;
             word = words.recv() => match word {
                 None => return holder.latency.tell(&holder.log),
@@ -207,7 +207,7 @@
         for ((request, attempt), what, why) in unsent {
             tracing::warn!(correlation = &*what.correlation, attempt, ?why, "attempt not sent");
             let result = AttemptResult::without_answer(Outcome::Superseded);
-            // A driver that is gone needs no news.
+            // A driver that is gone needs no inputs.
             let _ = news.send(Input::AttemptEnded { request, attempt, result }).await;
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,10 +3,10 @@
 //!
 //! - [`state`]: calls, attempts, timers and names between sockets and the module, without I/O.
 //! - [`transport`]: AMQP, KServe workers and lists as what the driver carries its choices out with.
-//! - [`driver`]: the loop that gathers what sockets bring, lets the module choose once a batch, and carries out its choices.
+//! - [`driver`]: the loop that gathers what sockets bring, lets the module choose once a batch, and executes its choices.
 //! - [`amqp`], [`workers`], [`discovery`]: the protocols to callers, to workers and to the worker list.
 //! - [`fleet`]: what a front end knows of retired functions, where its configuration has a fleet.
-//! - [`intent_recorder`]: attempts that wait for their call's mark on disk.
+//! - [`intent_recorder`]: attempts that wait for their call's intent on disk.
 //! - [`shards`]: one front end's part of a divided fleet.
 //! - [`serve`]: front ends started, watched and drained.
 //!
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -68,6 +68,7 @@
 }
 
 impl Gauges {
+    /// The instruments of a front end.
     pub fn new(front_end: u32) -> Gauges {
         let label = front_end.to_string();
         let answered = |outcome: &'static str| histogram!("stagehoist_answer_seconds", "front_end" => label.clone(), "outcome" => outcome);
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -24,7 +24,7 @@
 pub struct Running {
     drain: watch::Sender<bool>,
     threads: Vec<JoinHandle<()>>,
-    /// Of the front ends' marks; each ends after its front end.
+    /// Of the front ends' intents; each ends after its front end.
     stores: Vec<JoinHandle<()>>,
     states: Vec<watch::Receiver<FrontEndState>>,
     /// Where the metrics page stands.
@@ -36,8 +36,8 @@
     serve_with(module, config, metrics, Clock::new(), Vec::new())
 }
 
-/// The same with another policy than the module, to measure against, and with each front end's link to the keepers, whose
-/// times are on `clock`; without a link, one that is part of a fleet knows nothing of the record.
+/// The same with another policy than the module, to measure against, and with each front end's link to the replicas, whose
+/// times are on `clock`; without a link, one that is part of a fleet knows nothing of the cluster state.
 pub fn serve_with(
     decider: PolicyFactory,
     config: &Config,
@@ -122,7 +122,7 @@
     Ok(running)
 }
 
-/// Opens a front end's marks, where attempts are to be marked. With keepers the run is told by its session.
+/// Opens a front end's intents, where attempts are to be recorded. With replicas the run is notified by its session.
 fn marks(config: &Config, number: u32) -> Result<Option<(IntentLog, JoinHandle<()>)>, GatewayError> {
     let Some(told) = &config.marks else { return Ok(None) };
     let fleet = config.fleet.as_ref();
--- a/crates/gateway/src/shards.rs
+++ b/crates/gateway/src/shards.rs
@@ -1,4 +1,4 @@
-//! One front end's part of a divided fleet, without I/O: the queues that it consumes, the workers that its module is told of,
+//! One front end's part of a divided fleet, without I/O: the queues that it consumes, the workers that its module is notified of,
 //! and what it has to do with a function. Nothing of it exists where the configuration has no `shards`.
 
 mod by_list;
@@ -19,7 +19,7 @@
 };
 use std::collections::BTreeMap;
 
-/// Added to the longest time that an attempt or a load may take, before a worker that left the subset is told gone.
+/// Added to the longest time that an attempt or a load may take, before a worker that left the subset is notified gone.
 const MARGIN: Micros = 1_000_000;
 
 /// The queue of a shard of one division. With the generation in its name, as the front ends that own a number in one division
@@ -69,7 +69,7 @@
     Member::keyed(key, u16::from(row.zone), row.capacity)
 }
 
-/// The workers of own shards, as the module is told of them.
+/// The workers of own shards, as the module is notified of them.
 pub struct Shards {
     /// Own shards of each division served, and all workers that are ready in them.
     served: Vec<(Vec<Shard>, Assignment)>,
@@ -85,6 +85,7 @@
 }
 
 impl Shards {
+    /// The shards of a front end; `None` where the fleet isn't divided.
     pub fn new(config: &Config) -> Option<Shards> {
         let sharding = config.sharding.as_ref()?;
         let longest = config.classes.iter().map(|c| c.give_up).max().unwrap_or(0).max(config.load_timeout);
@@ -106,7 +107,7 @@
         }
     }
 
-    /// What the module is told in place of what was heard of all workers.
+    /// What the module is notified in place of what was heard of all workers.
     pub fn apply<N: AsRef<str>>(
         &mut self,
         update: Update,
@@ -156,6 +157,7 @@
         self.transition.expire(now).map(|told| Update { kind: told.kind, endpoints: told.endpoints })
     }
 
+    /// When an expiry is due.
     pub fn due(&self) -> Option<Micros> {
         let handover = self.ownership.as_ref().and_then(Ownership::due);
         self.transition.due().into_iter().chain(handover).min()
@@ -166,7 +168,7 @@
         self.transition.counts()
     }
 
-    /// Each of a worker's shards is told its part of the worker.
+    /// Each of a worker's shards is notified its part of the worker.
     fn shared(&self, row: Endpoint) -> Endpoint {
         let among = self.subset.get(&row.worker).copied().unwrap_or(1).max(1);
         Endpoint { capacity: row.capacity / among as f64, ..row }
--- a/crates/gateway/src/shards/divided.rs
+++ b/crates/gateway/src/shards/divided.rs
@@ -1,4 +1,4 @@
-//! What is divided by the front ends of a shard, as the module is told it.
+//! What is divided by the front ends of a shard, as the module is notified it.
 
 use super::{homes, owned};
 use stagehoist::Settings;
@@ -9,7 +9,7 @@
 /// handed over: two for each front end that comes as another goes meanwhile, and as many again.
 const MOVING: u32 = 4;
 
-/// What the module is told of how many share its workers and its tenants' quotas, in a divided fleet.
+/// What the module is notified of how many share its workers and its tenants' quotas, in a divided fleet.
 pub fn settings(config: &Config, settings: &mut Settings) {
     let Some(sharding) = &config.sharding else { return };
     let divisions = &sharding.divisions;
@@ -28,7 +28,7 @@
             |(d, homes): &(&Division, HomeShards)| TenantParts::new(d, homes, &sizes(sharding, names));
         let parts: Vec<TenantParts> = each.iter().map(parts).collect();
         let parts: Vec<&TenantParts> = parts.iter().collect();
-        // The module divides what it is told by the front ends that it is told.
+        // The module divides what it is notified by the front ends that it is notified.
         let share = match is_listed {
             true => 1.0 / f64::from(moving(having(&serving, divisions, &parts))),
             false => serving.share_of(&parts, &own),
@@ -37,7 +37,7 @@
     }
 }
 
-/// Most front ends that have calls of a tenant at a time. What the module divides by is told once, and own shards change with
+/// Most front ends that have calls of a tenant at a time. What the module divides by is notified once, and own shards change with
 /// the list: so all are told the same part, and those count that have its calls.
 fn having(serving: &Serving<'_>, divisions: &Divisions, parts: &[&TenantParts]) -> u32 {
     let of = |(d, parts): (&Division, &&TenantParts)| -> Vec<Shard> {
--- a/crates/gateway/src/shards/placement.rs
+++ b/crates/gateway/src/shards/placement.rs
@@ -11,6 +11,7 @@
 pub struct Places(Vec<(HomeShards, Vec<Shard>)>, Vec<Arrives>, Vec<u32>);
 
 impl Places {
+    /// The placement of functions; `None` where the fleet isn't divided.
     pub fn new(config: &Config) -> Option<Places> {
         let sharding = config.sharding.as_ref()?;
         let of = |d: &Division| Some((homes(sharding, d)?, owned(config, sharding, d)));
@@ -45,6 +46,7 @@
         Some((*self.2.get(at)?, self.0.get(at)?.0.for_call(Key::of(function), call)))
     }
 
+    /// Where a function belongs, over all queues.
     pub fn of(&self, function: &str) -> FunctionPlacement {
         place(self.0.iter().map(|(homes, own)| (homes, &own[..])), Key::of(function), 0)
     }
--- a/crates/gateway/src/state/answer.rs
+++ b/crates/gateway/src/state/answer.rs
@@ -36,6 +36,7 @@
         }
     }
 
+    /// The outcome's name, as callers and logs have it.
     pub fn outcome(&self) -> &'static str {
         match self {
             Answer::Served { .. } | Answer::Gated(_) => "served",
--- a/crates/gateway/src/state/core/answers.rs
+++ b/crates/gateway/src/state/core/answers.rs
@@ -1,10 +1,10 @@
-//! Calls that are turned away or failed, and the end of a front end whose callers will hear from no one else.
+//! Calls that are rejected or failed, and the end of a front end whose callers will hear from no one else.
 
 use super::super::{Answer, Command};
 use super::Core;
 use stagehoist::{Micros, Outcome, RequestId};
 
-/// The reason that is told.
+/// The reason that is notified.
 const FRONT_END_ENDS: &str = "front-end-ends";
 
 impl Core {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Why a call is turned away or failed, as far as it shows from outside the module; for people, not for choices.
+    /// Why a call is rejected or failed, as far as it shows from outside the module; for people, not for choices.
     pub(super) fn reason(&self, request: RequestId, now: Micros) -> &'static str {
         let Some(call) = self.calls.get(&request) else { return "over" };
         if call.attempts.iter().any(Option::is_some) {
--- a/crates/gateway/src/state/core/calls.rs
+++ b/crates/gateway/src/state/core/calls.rs
@@ -30,7 +30,7 @@
                 correlation = &*arrival.correlation,
                 function = &*arrival.function,
                 reason,
-                "turned away"
+                "rejected"
             );
             return out.push(Command::Answer { ticket, answer, elapsed: 0 });
         }
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A call goes to the module, or waits for a lane; `f` is known under its name.
+    /// A call goes to the module, or waits for a permit; `f` is known under its name.
     pub(super) fn enter(
         &mut self,
         now: Micros,
@@ -81,7 +81,7 @@
             self.counters.rejected_at_intake += 1;
             let retry_after = retry_after.min(self.settings.max_retry_after);
             let answer = Answer::Refused { reason: NO_PERMIT, retry_after };
-            tracing::debug!(correlation = &*arrival.correlation, reason = NO_PERMIT, "turned away");
+            tracing::debug!(correlation = &*arrival.correlation, reason = NO_PERMIT, "rejected");
             return out.push(Command::Answer { ticket, answer, elapsed: 0 });
         }
         // Numbers of calls still open are passed over when the count begins anew after 2^32 calls.
@@ -99,7 +99,7 @@
             budget_ms = budget / 1000,
             work_ms = f.work.map(|w| w / 1000)
         );
-        span.in_scope(|| tracing::debug!(repeat = arrival.is_repeat, "taken"));
+        span.in_scope(|| tracing::debug!(repeat = arrival.is_repeat, "accepted"));
         self.counters.taken += 1;
         if !matches!(entry, Entry::Wait) {
             self.new_calls.push(id);
@@ -124,7 +124,7 @@
         self.calls.insert(id, call);
     }
 
-    /// Marks a call as answered; it stays while attempts are out, as each owes the module its end.
+    /// Intents a call as answered; it stays while attempts are out, as each owes the module its end.
     pub(super) fn close_call(&mut self, request: RequestId) {
         let Some(call) = self.calls.get_mut(&request) else { return };
         call.answered = true;
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Stops one attempt, if it is out; its end is told as cancelled.
+    /// Stops one attempt, if it is out; its end is notified as cancelled.
     pub(super) fn cancel_attempt(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/state/core/endpoints.rs
+++ b/crates/gateway/src/state/core/endpoints.rs
@@ -1,4 +1,4 @@
-//! What is heard of workers: told to the module, and where attempts wait for marks, to those who hold them.
+//! What is heard of workers: told to the module, and where attempts wait for intents, to those who hold them.
 
 use super::super::Command;
 use super::Core;
@@ -19,7 +19,7 @@
     Gone,
 }
 
-/// Which workers drain or are gone, as far as was told, and what of it is news.
+/// Which workers drain or are gone, as far as was notified, and what of it is inputs.
 #[derive(Debug, Default)]
 pub(super) struct WorkerDrains {
     states: BTreeMap<WorkerId, State>,
@@ -49,7 +49,7 @@
 
     fn set(&mut self, worker: WorkerId, state: State) {
         let before = self.states.insert(worker, state);
-        // One that is met as it serves is no news.
+        // One that is met as it serves is no inputs.
         if before != Some(state) && !(before.is_none() && state == State::Serving) {
             self.changes.push((worker, state));
         }
@@ -78,7 +78,7 @@
 }
 
 impl Core {
-    /// Attempts may wait for marks: who holds them is told which workers leave. Before the first list.
+    /// Attempts may wait for intents: who holds them is notified which workers leave. Before the first list.
     pub fn report_drains(&mut self) {
         self.drains = Some(WorkerDrains::default());
     }
@@ -104,7 +104,7 @@
         self.apply_endpoint_change(update, now);
     }
 
-    /// The fleet is divided: the module is told of the workers of own shards alone. Before the first list.
+    /// The fleet is divided: the module is notified of the workers of own shards alone. Before the first list.
     pub fn set_shards(&mut self, shards: Option<Shards>) {
         self.shards = shards.map(Box::new);
     }
--- a/crates/gateway/src/state/core/execute.rs
+++ b/crates/gateway/src/state/core/execute.rs
@@ -1,4 +1,4 @@
-//! The module's choices carried out.
+//! The module's choices executed.
 
 use super::super::{Answer, Attempt, Command};
 use super::{AttemptInFlight, Call, Core};
@@ -102,7 +102,7 @@
         let late = now >= call.deadline || u32::from(attempt) >= self.settings.settings.max_attempts;
         let over = call.answered || late || closed;
         if over || address.is_empty() {
-            // The interface's `Moot`: not sent, and said so in the next batch.
+            // The interface's `Superseded`: not sent, and said so in the next batch.
             call.attempts.push(None);
             let mut concluded = call.answered;
             if closed && !concluded && call.is_idle() {
--- a/crates/gateway/src/state/core/fleet.rs
+++ b/crates/gateway/src/state/core/fleet.rs
@@ -21,7 +21,7 @@
         }
     }
 
-    /// What the keepers are to be told; None where there is no fleet.
+    /// What the replicas are to be told; None where there is no fleet.
     pub fn session_report(&self) -> Option<SessionReport> {
         let part = self.fleet.as_ref()?;
         let demand = self.pool_admission.as_ref().map_or_else(Vec::new, |e| e.demand());
@@ -67,7 +67,7 @@
         found
     }
 
-    /// What is at work under the newest view is what its confirming waits for.
+    /// What is in progress under the newest view is what its confirming waits for.
     fn apply_view(&mut self) {
         let named = |id: RequestId| Some((id, self.calls.get(&id)?.arrival.function.clone()));
         let at_work = self.retired_calls(|_| true).into_iter().filter_map(named).collect();
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Confirms the view as soon as nothing under it is at work or on its way out, and then goes on to the newest.
+    /// Confirms the view as soon as nothing under it is in progress or on its way out, and then goes on to the newest.
     pub(super) fn confirm(&mut self, now: Micros) {
         loop {
             let calls = &self.calls;
@@ -118,7 +118,7 @@
         let answer = self.closed_answer(closed);
         self.counters.rejected_at_intake += 1;
         let (correlation, function) = (&*arrival.correlation, &*arrival.function);
-        tracing::info!(correlation, function, reason = answer.reason(), "turned away");
+        tracing::info!(correlation, function, reason = answer.reason(), "rejected");
         out.push(Command::Answer { ticket: arrival.ticket, answer, elapsed: 0 });
         false
     }
@@ -153,8 +153,8 @@
         function.is_some_and(|f| self.closed(f, now).is_some())
     }
 
-    /// Whether a call ends with an attempt's end, as its function is closed: a call at work is served where that is still
-    /// known to be right, and gets no further attempt.
+    /// Whether a call ends with an attempt's end, as its function is closed: a call in progress is served where that is still
+    /// known to be right, and gets no retry.
     pub(super) fn ends_as_closed(&self, request: RequestId, outcome: Outcome, now: Micros) -> bool {
         let (Some(part), Some(call)) = (self.fleet.as_ref(), self.calls.get(&request)) else { return false };
         match outcome {
--- a/crates/gateway/src/state/core/mod.rs
+++ b/crates/gateway/src/state/core/mod.rs
@@ -73,7 +73,7 @@
     actions: Vec<Action>,
     /// Calls taken in this turn, to tell which of them the module holds.
     new_calls: Vec<RequestId>,
-    /// Where attempts wait for marks: which workers leave.
+    /// Where attempts wait for intents: which workers leave.
     drains: Option<WorkerDrains>,
     /// None: it shares nothing with other front ends.
     fleet: Option<Box<FleetMembership>>,
@@ -145,7 +145,7 @@
     /// When [`Core::turn`] is due though nothing came.
     pub fn due(&self) -> Option<Micros> {
         if !self.events.is_empty() {
-            // Something ended while the last batch's choices were carried out.
+            // Something ended while the last batch's choices were executed.
             return Some(Micros::MIN);
         }
         let timer = self.timers.first().map(|t| t.0);
@@ -157,7 +157,7 @@
         [timer, cut, order, part, stage, self.waiting.due(), lane, subset].into_iter().flatten().min()
     }
 
-    /// One batch: all news since the last, the module's choices, and what they mean for sockets.
+    /// One batch: all inputs since the last, the module's choices, and what they mean for sockets.
     pub fn process(&mut self, now: Micros, news: &mut Vec<Input>, out: &mut Vec<Command>) {
         for item in news.drain(..) {
             self.on_input(now, item, out);
@@ -204,7 +204,7 @@
                 continue;
             };
             let ready = self.endpoints.ready_count();
-            call.span.in_scope(|| tracing::debug!(ready_workers = ready, "held"));
+            call.span.in_scope(|| tracing::debug!(ready_workers = ready, "queued"));
         }
     }
 
--- a/crates/gateway/src/state/core/pools.rs
+++ b/crates/gateway/src/state/core/pools.rs
@@ -1,4 +1,4 @@
-//! Calls of pools wait for a lane before they enter the module, and keep it until all their attempts are known to have ended.
+//! Calls of pools wait for a permit before they enter the module, and keep it until all their attempts are known to have ended.
 
 use super::super::{Answer, Command};
 use super::Core;
@@ -8,7 +8,7 @@
 use stagehoist_admission::permits::NO_PERMIT;
 
 impl Core {
-    /// Calls of pools ask for lanes from here on; before the first call.
+    /// Calls of pools ask for permits from here on; before the first call.
     pub fn set_pool_admission(&mut self, entrance: PoolAdmission) {
         self.pool_admission = Some(Box::new(entrance));
     }
@@ -18,7 +18,7 @@
         self.pool_admission.as_ref().is_some_and(|e| e.is_waiting(request))
     }
 
-    /// Lets calls into the module that have a lane now, and refuses those that get none in their time.
+    /// Lets calls into the module that have a permit now, and refuses those that get none in their time.
     pub(super) fn admit_from_pools(&mut self, now: Micros, out: &mut Vec<Command>) {
         let Some(entrance) = self.pool_admission.as_mut() else { return };
         for let_in in entrance.take_decisions(now) {
@@ -27,7 +27,7 @@
                     let Some(call) = self.calls.get_mut(&request.id) else { continue };
                     call.permit = Some(lane);
                     let waited = now - call.taken;
-                    call.span.in_scope(|| tracing::debug!(waited_us = waited, "has a lane"));
+                    call.span.in_scope(|| tracing::debug!(waited_us = waited, "has a permit"));
                     self.new_calls.push(request.id);
                     self.events.push(Event::Request(request));
                 }
