--- a/crates/gateway/src/state/core/recovery.rs
+++ b/crates/gateway/src/state/core/recovery.rs
@@ -1,4 +1,4 @@
-//! A front end after a loss of everything: calls that come are let in, wait or are turned away as the stages say.
+//! A front end after a loss of everything: calls that come are admitted, wait or are rejected as the stages say.
 
 use super::super::{Answer, Arrival, Command};
 use super::Core;
@@ -40,12 +40,12 @@
     fn reject_waiting(&mut self, now: Micros, arrival: Arrival, answer: Answer, out: &mut Vec<Command>) {
         self.counters.rejected_at_intake += 1;
         let (correlation, function) = (&*arrival.correlation, &*arrival.function);
-        tracing::debug!(correlation, function, reason = answer.reason(), "turned away");
+        tracing::debug!(correlation, function, reason = answer.reason(), "rejected");
         let took = (now - arrival.read_at).max(0);
         out.push(Command::Answer { ticket: arrival.ticket, answer, elapsed: took });
     }
 
-    /// Shows the stages what is known, and asks again for calls that wait: all where the stage changed, else those due.
+    /// Shows the stages what is known, and asks again for calls that wait: all where the harness changed, else those due.
     pub(super) fn advance_recovery(&mut self, now: Micros, out: &mut Vec<Command>) {
         let record = self.fleet.as_ref().is_none_or(|p| p.egress.gate().is_fresh(now));
         let Some(starting) = self.recovery.as_mut() else { return };
@@ -89,7 +89,7 @@
         }
     }
 
-    /// A call that was let in is answered: evidence for the stages.
+    /// A call that was admitted is answered: evidence for the stages.
     pub(super) fn record_call_end(&mut self, request: RequestId, now: Micros, served: bool) {
         let (Some(starting), Some(call)) = (self.recovery.as_mut(), self.calls.get(&request)) else { return };
         let aim =
--- a/crates/gateway/src/state/core/waiting.rs
+++ b/crates/gateway/src/state/core/waiting.rs
@@ -1,4 +1,4 @@
-//! Calls that wait outside the module until their turn to be let in. Each is looked at again at its time at the latest;
+//! Calls that wait outside the module until their turn to be admitted. Each is looked at again at its time at the latest;
 //! whoever lets them wait chooses that time within the caller's.
 
 use super::super::{Arrival, FunctionProperties, Ticket};
@@ -25,6 +25,7 @@
 }
 
 impl WaitingCalls {
+    /// Calls that wait.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
--- a/crates/gateway/src/state/functions.rs
+++ b/crates/gateway/src/state/functions.rs
@@ -1,4 +1,4 @@
-//! Functions by number: what is told of a function with each call, and the names behind the numbers that the module knows
+//! Functions by number: what is notified of a function with each call, and the names behind the numbers that the module knows
 //! functions by.
 
 use super::Micros;
@@ -12,7 +12,7 @@
 #[cfg(test)]
 mod tests;
 
-/// What is told of a call's function, by the configuration or by the call itself.
+/// What is notified of a call's function, by the configuration or by the call itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FunctionProperties {
     /// The same at every front end.
@@ -36,7 +36,7 @@
 }
 
 impl FunctionProperties {
-    /// What the configuration tells of a function, with its class's time until callers give up; None where the
+    /// What the configuration tells of a function, with its class's time until callers time out; None where the
     /// configuration does not take the name.
     pub fn configured(config: &Config, name: &str) -> Option<(FunctionProperties, Micros)> {
         let function = config.function(name)?;
@@ -106,10 +106,12 @@
         self.names.get(&id).map(|(name, _)| name.clone())
     }
 
+    /// Names that are kept.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
+    /// Whether no name is kept.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! A front end's state between sockets and the decision module, without I/O: news and the time go in, commands come out.
+//! A front end's state between sockets and the decision module, without I/O: inputs and the time go in, commands come out.
 //! Tests and models drive it as the driver does.
 
 mod answer;
@@ -40,7 +40,7 @@
     Box::new(FrontEnd::new(settings, seed, now))
 }
 
-/// What a front end's state is told at its start, beside what is in the module's settings.
+/// What a front end's state is notified at its start, beside what is in the module's settings.
 #[derive(Clone, Debug, Default)]
 pub struct CoreSettings {
     pub settings: Settings,
@@ -90,14 +90,14 @@
 pub struct Arrival {
     pub ticket: Ticket,
     pub function: Rc<str>,
-    /// What is told of the function; None where it is not known.
+    /// What is notified of the function; None where it is not known.
     pub properties: Option<FunctionProperties>,
     pub tenant: u32,
-    /// Time until the caller gives up, in microseconds, from when the call was read.
+    /// Time until the caller times out, in microseconds, from when the call was read.
     pub budget: Micros,
     /// When the call was read from its socket; 0: just now.
     pub read_at: Micros,
-    /// The caller marked it as a repeat, or the broker delivers it again.
+    /// The caller recorded it as a repeat, or the broker delivers it again.
     pub is_repeat: bool,
     /// Something speaks for its caller: see [`stagehoist::Request::known`].
     pub client_verified: bool,
@@ -107,7 +107,7 @@
     pub correlation: Rc<str>,
     /// The use of the function's name that the call is for; None: the configured one.
     pub generation: Option<u32>,
-    /// The message's, where attempts are marked on disk.
+    /// The message's, where attempts are recorded on disk.
     pub identity: Option<Identity>,
 }
 
@@ -175,7 +175,7 @@
         kind: EndpointUpdate,
         endpoints: Vec<NumberedEndpoint>,
     },
-    /// Word of the keepers.
+    /// Word of the replicas.
     ClusterStatus(ClusterStatus),
 }
 
@@ -213,7 +213,7 @@
     CloseIdle {
         worker: WorkerId,
     },
-    /// Only where attempts wait for marks: a worker drains since then, is gone (`Micros::MIN`), or serves.
+    /// Only where attempts wait for intents: a worker drains since then, is gone (`Micros::MIN`), or serves.
     WorkerDraining {
         worker: WorkerId,
         since: Option<Micros>,
@@ -244,6 +244,6 @@
     pub ticket: Ticket,
     /// No byte of it is written from then on: where repeats are dropped by their key, the workers may forget it.
     pub start_by: Micros,
-    /// What its call's mark is written under, where attempts are marked on disk.
+    /// What its call's intent is written under, where attempts are recorded on disk.
     pub intent: Option<(Identity, Ticket)>,
 }
--- a/crates/gateway/src/transport.rs
+++ b/crates/gateway/src/transport.rs
@@ -20,7 +20,7 @@
 /// The sockets of one front end and the tasks that own them.
 pub struct AmqpTransport {
     workers: Rc<Workers>,
-    /// Where attempts are marked on disk; its task ends with it.
+    /// Where attempts are recorded on disk; its task ends with it.
     recorder: Option<IntentRecorder>,
     to_link: mpsc::UnboundedSender<LinkCommand>,
     to_list: mpsc::UnboundedSender<DiscoveryCommand>,
@@ -48,7 +48,7 @@
         let desk = fleet.as_ref().map(|(desk, _)| desk.clone());
         let workers = Rc::new(Workers::new(config.clone(), clock, news.clone(), desk));
         let mut tasks = JoinSet::new();
-        // Attempts wait for marks where messages are asked about, and only there: one without the other proves nothing.
+        // Attempts wait for intents where messages are asked about, and only there: one without the other proves nothing.
         let marker = marking.as_ref().map(|marking| {
             let (marks, workers, news) = (marking.intent_log.clone(), workers.clone(), news.clone());
             let limits = Limits::default();
--- a/crates/gateway/src/workers/mod.rs
+++ b/crates/gateway/src/workers/mod.rs
@@ -1,5 +1,5 @@
 //! Workers over KServe v2 (Open Inference Protocol) on HTTP/1.1: `infer` for calls, the model repository extension's `load`
-//! and `unload` for orders, `health/ready` for probes, load reports as ORCA in `endpoint-load-metrics`.
+//! and `unload` for orders, `health/ready` for health checks, load reports as ORCA in `endpoint-load-metrics`.
 //!
 //! Beyond the protocol a worker may say, in headers of its answers:
 //! - `stagehoist-not-run: queue-full | no-memory | draining | not-loaded`: this call was not begun and will not be;
--- a/crates/gateway/src/workers/pool.rs
+++ b/crates/gateway/src/workers/pool.rs
@@ -90,7 +90,7 @@
                 }
             };
             running.borrow_mut().remove(&key);
-            // A driver that is gone needs no news.
+            // A driver that is gone needs no inputs.
             let _ = news.send(Input::AttemptEnded { request: key.0, attempt: key.1, result }).await;
             if let Some(connection) = back {
                 put_back(&config, &pools, &attempt.address, connection).await;
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A front end of a fleet without sockets: its keepers' word, its calls and its workers' answers are told by the test.
+//! A front end of a fleet without sockets: its replicas' word, its calls and its workers' answers are told by the test.
 
 // Each test target takes its part of it.
 #![allow(dead_code)]
@@ -69,7 +69,7 @@
         stage
     }
 
-    /// Lanes of the pool `p` are dealt: to all others and to the clinic, for so long.
+    /// Permits of the pool `p` are allocated: to all others and to the clinic, for so long.
     pub fn granted(&mut self, number: u64, others: u32, clinic: u32, span: Micros) -> Vec<Command> {
         let of = |tenant: &str, lanes| (("p".to_string(), tenant.to_string()), lanes);
         self.standing.permits = Arc::new([of("", others), of("clinic", clinic)].into());
@@ -145,7 +145,7 @@
         }
     }
 
-    /// The keepers tell the view that these commands come to.
+    /// The replicas tell the view that these commands come to.
     pub fn view(&mut self, commands: &[registry::Command]) -> Vec<Command> {
         let mut record = ClusterState::default();
         for (i, command) in commands.iter().enumerate() {
--- a/crates/gateway/tests/crossings_amqp.rs
+++ b/crates/gateway/tests/crossings_amqp.rs
@@ -149,7 +149,7 @@
     }
 }
 
-/// The time for confirms runs out while the broker takes no replies: the connection is given up, and none is
+/// The time for confirms runs out while the broker takes no replies: the connection is abandoned, and none is
 /// in doubt.
 #[test]
 fn replies_held_back_until_their_confirms_are_overdue_are_sent_again() {
@@ -178,7 +178,7 @@
 }
 
 /// A process that was stopped for six heartbeats reads what waits for it before it counts the silence, as its
-/// link does: the connection stands, and what was at work is answered on it.
+/// link does: the connection stands, and what was in progress is answered on it.
 #[test]
 fn what_came_while_this_process_was_stopped_is_heard_before_silence_is_counted() {
     let mut w = World::new("heartbeat 10s\n");
--- a/crates/gateway/tests/crossings_drain.rs
+++ b/crates/gateway/tests/crossings_drain.rs
@@ -118,7 +118,7 @@
     }
 }
 
-/// Deliveries lie in the broker's output, or half of their bytes in the socket, when the gateway is told to
+/// Deliveries lie in the broker's output, or half of their bytes in the socket, when the gateway is ordered to
 /// end: it has asked its consumer to stop, and takes and answers what comes before the word that it did.
 #[test]
 fn deliveries_under_way_when_the_end_is_told_are_answered_before_it() {
--- a/crates/gateway/tests/crossings_redelivered.rs
+++ b/crates/gateway/tests/crossings_redelivered.rs
@@ -28,7 +28,7 @@
     w.broker.receive(w.caller.number, &out, w.now);
     assert_eq!(w.broker.stats.delivered, 1, "it lies in the socket");
     w.front.drain();
-    // As the link does in each turn.
+    // As the connection does in each turn.
     if w.front.is_drained() {
         w.front.close(w.now);
     }
--- a/crates/gateway/tests/first_list.rs
+++ b/crates/gateway/tests/first_list.rs
@@ -1,4 +1,4 @@
-//! Before the first list of workers nothing is consumed, for a told time at most: the front without sockets, each
+//! Before the first endpoint list nothing is consumed, for a told time at most: the front without sockets, each
 //! crossing forced.
 
 mod common;
--- a/crates/gateway/tests/first_list_sockets.rs
+++ b/crates/gateway/tests/first_list_sockets.rs
@@ -1,4 +1,4 @@
-//! Before the first list of workers nothing is consumed, over sockets: a stand-in broker, a list that fails
+//! Before the first endpoint list nothing is consumed, over sockets: a emulator broker, a list that fails
 //! as the front end starts, and a worker that answers all it is asked.
 
 mod caller;
@@ -45,7 +45,7 @@
                 let (mut got, mut byte) = (Vec::new(), [0u8]);
                 while matches!(stream.read(&mut byte), Ok(1)) {
                     got.push(byte[0]);
-                    // Calls have a body of two bytes, probes none.
+                    // Calls have a body of two bytes, health checks none.
                     let call = got.starts_with(b"POST") && !String::from_utf8_lossy(&got).contains("/load");
                     let end = got.windows(4).position(|w| w == b"\r\n\r\n").map(|at| at + 4);
                     if end.is_some_and(|end| got.len() >= end + if call { 2 } else { 0 }) {
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -169,8 +169,8 @@
     assert_eq!(answers(&s.turn(0, vec![ended(&sent[0], Outcome::Ok)])), [(1, "served", "")]);
 }
 
-/// A front end at work with a call of a function that is not strict, whose view runs out; whether it ran all the time, or
-/// was stopped. What becomes of the call at work, of one held and of one that comes.
+/// A front end in progress with a call of a function that is not strict, whose view runs out; whether it ran all the time, or
+/// was stopped. What becomes of the call in progress, of one held and of one that comes.
 fn after_the_lease(stopped: bool) -> (Stage, Vec<(u64, &'static str, &'static str)>) {
     let mut s = Stage::new();
     s.fresh(200 * MS);
@@ -193,7 +193,7 @@
 fn a_front_end_that_was_stopped_asks_before_it_takes_calls_and_one_cut_off_goes_on() {
     assert_eq!(after_the_lease(false).1, [(1, "served", "")]);
     let (mut s, got) = after_the_lease(true);
-    // The call that was at work is finished.
+    // The call that was in progress is finished.
     assert_eq!(got, [(1, "served", ""), (2, "refused", "view-not-current")]);
     s.fresh(1000 * MS);
     assert_eq!(attempts(&s.call(3, "free-times")).len(), 1, "word came");
@@ -233,7 +233,7 @@
     s.turn(MS, vec![ended(&first[0], Outcome::Ok)]);
     s.turn(10 * MS, vec![]);
     assert_eq!(s.confirmed(), 1, "the first though the second still waits");
-    // A caller that left is owed nothing, but its attempt is still at work.
+    // A caller that left is owed nothing, but its attempt is still in progress.
     s.turn(MS, vec![Input::ClientGone(2)]);
     assert_eq!(s.confirmed(), 1);
     s.turn(MS, vec![ended(&second[0], Outcome::Ok)]);
--- a/crates/gateway/tests/front.rs
+++ b/crates/gateway/tests/front.rs
@@ -1,4 +1,4 @@
-//! The AMQP front against the stand-in broker, both without sockets: bytes are carried by the test, which cuts them where it
+//! The AMQP front against the emulator broker, both without sockets: bytes are carried by the test, which cuts them where it
 //! likes.
 
 mod world;
--- a/crates/gateway/tests/front_marks.rs
+++ b/crates/gateway/tests/front_marks.rs
@@ -1,5 +1,5 @@
 //! Messages delivered again after a restart: they wait for the word of whoever may have held them, and run, or fail as
-//! without marks. And attempts, which leave only once their mark is on disk.
+//! without intents. And attempts, which leave only once their intent is on disk.
 
 mod world;
 
--- a/crates/gateway/tests/front_window.rs
+++ b/crates/gateway/tests/front_window.rs
@@ -1,4 +1,4 @@
-//! The front's window, its bounds and the ages of messages, against the stand-in broker.
+//! The front's window, its bounds and the ages of messages, against the emulator broker.
 
 mod world;
 
--- a/crates/gateway/tests/lanes.rs
+++ b/crates/gateway/tests/lanes.rs
@@ -1,4 +1,4 @@
-//! Calls of pools at a front end without sockets: they enter the module with a lane only, keep it until all their attempts are
+//! Calls of pools at a front end without sockets: they enter the module with a permit only, keep it until all their attempts are
 //! known to have ended, wait in their time, and without pools nothing changes.
 
 mod common;
@@ -8,7 +8,7 @@
 use stagehoist_gateway::state::{module, Command, DecisionPolicy, Input};
 use std::cell::RefCell;
 
-/// Ten lanes, of which each of two front ends always has one.
+/// Ten permits, of which each of two front ends always has one.
 const POOL: &str = "pool p functions free-times lanes 10\nreserve clinic pool p lanes 4\n";
 
 fn stage() -> Stage {
@@ -42,7 +42,7 @@
     let mut s = stage();
     let first = attempts(&s.call_by(1, 0, 2500 * MS));
     s.call_by(2, 0, 2500 * MS);
-    // Its caller leaves; its attempt goes on at the worker, and with it the lane.
+    // Its caller leaves; its attempt goes on at the worker, and with it the permit.
     assert!(attempts(&s.turn(MS, vec![Input::ClientGone(1)])).is_empty());
     assert_eq!(demand(&s)[0], (1, 1, 0));
     assert!(attempts(&s.turn(50 * MS, vec![])).is_empty());
@@ -146,7 +146,7 @@
     let first = attempts(&s.call_by(1, 0, 2500 * MS));
     s.call_by(2, 0, 1000 * MS);
     let came = s.now;
-    // It never knew of this one, so it is told nothing of its end.
+    // It never knew of this one, so it is notified nothing of its end.
     s.call_by(3, 0, 1000 * MS);
     s.turn(MS, vec![Input::ClientGone(3)]);
     s.turn(299 * MS, vec![ended(&first[0], Outcome::Ok)]);
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Which workers leave, as whoever holds attempts for their marks is told of it.
+//! Which workers leave, as whoever holds attempts for their intents is notified of it.
 
 mod common;
 
@@ -28,7 +28,7 @@
         let id = (attempt.request, attempt.attempt);
         let step = held.attempt((1, id), attempt.worker, attempt.deadline, (), stage.now);
         assert_eq!(step, GateDecision::Wait { record: true });
-        // The worker's own word, in the answer to a probe.
+        // The worker's own word, in the answer to a health check.
         let probed = |draining| Input::HealthChecked {
             worker: attempt.worker,
             sent: 0,
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -1,4 +1,4 @@
-//! The order of news within one batch: the event of a drain, the client's leaving and the ends of attempts in every order.
+//! The order of inputs within one batch: the event of a drain, the client's leaving and the ends of attempts in every order.
 
 use bytes::Bytes;
 use stagehoist::{Action, Endpoint, EndpointUpdate, Event, Lifecycle, Micros, Outcome, Settings, WorkerId};
@@ -29,11 +29,11 @@
 }
 
 thread_local! {
-    /// Attempts that the module chose, and those whose end it was told.
+    /// Attempts that the module chose, and those whose end it was notified.
     static CHOSEN: RefCell<[Vec<u32>; 2]> = RefCell::default();
 }
 
-/// The module, with notes of what it is told and what it chooses.
+/// The module, with notes of what it is notified and what it chooses.
 struct Noted(Box<dyn DecisionPolicy>);
 
 impl DecisionPolicy for Noted {
@@ -120,7 +120,7 @@
         attempt
     }
 
-    /// One batch, checked: all that is told in it counts before anything is chosen.
+    /// One batch, checked: all that is notified in it counts before anything is chosen.
     fn turn(&mut self, after: Micros, mut news: Vec<Input>) {
         self.now += after;
         let mut over = Vec::new();
@@ -218,7 +218,7 @@
     shorter.iter().flat_map(|order| (0..=last).map(move |at| with(order, at))).collect()
 }
 
-/// Every order of these news, cut into one batch or two at every place.
+/// Every order of these inputs, cut into one batch or two at every place.
 fn every_order(
     effect: &str,
     stop: bool,
--- a/crates/gateway/tests/retirements.rs
+++ b/crates/gateway/tests/retirements.rs
@@ -155,7 +155,7 @@
         let view = Arc::new(view(commands));
         standing.send_replace(ClusterStatus { view, ..ClusterStatus::default() });
     };
-    // One is taken by the record, one is refused for now, and one is not handed over yet.
+    // One is taken by the cluster state, one is refused for now, and one is not handed over yet.
     let mut taken = vec![Command::Retire(retirement("free", 1))];
     show(&taken);
     let tells = |text: &str, waiting: &[&str]| {
--- a/crates/gateway/tests/shards_queues.rs
+++ b/crates/gateway/tests/shards_queues.rs
@@ -120,7 +120,7 @@
         (consumers(&w), w.front.counters.channels_lost, w.front.is_ready()),
         (vec![0, 0, 0, 1], 0, true)
     );
-    // Nobody was told to stop who had not begun: a drain has one answer to wait for.
+    // Nobody was ordered to stop who had not begun: a drain has one answer to wait for.
     w.front.drain();
     w.settle();
     assert!(w.front.is_drained());
@@ -175,18 +175,18 @@
     }
 }
 
-/// A drain in the moment of a change waits for each consumer that was told to stop.
+/// A drain in the moment of a change waits for each consumer that was ordered to stop.
 #[test]
 fn a_drain_beside_a_change_waits_for_all_that_is_on_its_way() {
     let mut w = world();
     w.front.serve_shards(&owned(&[0, 1], &[], &[]), w.now);
     w.settle();
-    // The one that is told to stop twice is the last to be told: its first answer isn't that to the drain.
+    // The one that is ordered to stop twice is the last to be told: its first answer isn't that to the drain.
     w.front.serve_shards(&owned(&[0], &[], &[1]), w.now);
     w.front.serve_shards(&owned(&[0, 1], &[], &[]), w.now);
     w.front.drain();
     w.push_front();
-    // The broker's answers come one by one: as often as a consumer was told to stop, it has to say so.
+    // The broker's answers come one by one: as often as a consumer was ordered to stop, it has to say so.
     let number = w.front_at.unwrap();
     let answers = w.broker.take_output(number).unwrap();
     let mut drained_at = None;
--- a/crates/gateway/tests/starting.rs
+++ b/crates/gateway/tests/starting.rs
@@ -40,7 +40,7 @@
 }
 
 impl Front {
-    /// Without word of the keepers; `unordered`: the last run fell; None: no stages are told.
+    /// Without word of the replicas; `unordered`: the last run fell; None: no stages are told.
     fn new(unordered: Option<bool>) -> Front {
         let config = Rc::new(config("recover share 0.01"));
         let mut core = Core::new(CoreSettings::from(&*config), 3, START);
@@ -52,7 +52,7 @@
         Front { core, config, now: START, next: 0 }
     }
 
-    /// After a loss, with workers just started and the keepers' word here.
+    /// After a loss, with workers just started and the replicas' word here.
     fn lost() -> Front {
         let mut front = Front::new(Some(true));
         front.fresh(ClusterState::default());
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A front, the stand-in broker and a caller without sockets: bytes are carried by the test, which cuts them where it likes.
+//! A front, the emulator broker and a caller without sockets: bytes are carried by the test, which cuts them where it likes.
 #![allow(dead_code, unused_imports)]
 
 pub use bytes::Bytes;
--- a/crates/harness/src/day/check.rs
+++ b/crates/harness/src/day/check.rs
@@ -3,7 +3,7 @@
 use super::{Day, DayFault, Pick, StoreFault, Trouble};
 use stagehoist_config::Position;
 
-/// Front ends of a day with keepers, at most.
+/// Front ends of a day with replicas, at most.
 const FRONT_ENDS_MOST: u32 = 9;
 
 impl Day {
--- a/crates/harness/src/day/fleet.rs
+++ b/crates/harness/src/day/fleet.rs
@@ -1,4 +1,4 @@
-//! What the processes of a day share: keepers, pools, marks. The wording is the configuration's own where it has one.
+//! What the processes of a day share: replicas, pools, intents. The wording is the configuration's own where it has one.
 
 use super::words::{Step, Words};
 use std::time::Duration;
@@ -6,7 +6,7 @@
 /// What the processes of a day share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// The first so many front ends' processes keep the record; none: nothing is shared.
+    /// The first so many front ends' processes keep the cluster state; none: nothing is shared.
     pub keepers: u32,
     pub view_lease: Duration,
     pub remember: Duration,
@@ -16,11 +16,11 @@
     pub reserves: Vec<Reserve>,
     /// Tenants with a quota, as written.
     pub tenants: Vec<(String, String)>,
-    /// Attempts that may not be repeated are marked on disk before they go out.
+    /// Attempts that may not be repeated are recorded on disk before they go out.
     pub marks: bool,
     /// The way back by stages, as the configuration's directive has it; empty: all its defaults.
     pub recover: Option<String>,
-    /// Callers are as the pools have them, but front ends are told of no pool.
+    /// Callers are as the pools have them, but front ends are notified of no pool.
     pub without_pools: bool,
 }
 
@@ -34,7 +34,7 @@
     pub only: Option<u32>,
 }
 
-/// Lanes that some functions share.
+/// Permits that some functions share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pool {
     pub name: String,
@@ -42,7 +42,7 @@
     pub permits: u32,
 }
 
-/// Lanes of a pool kept for a tenant.
+/// Permits of a pool kept for a tenant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reserve {
     pub tenant: String,
--- a/crates/harness/src/day/grammar.rs
+++ b/crates/harness/src/day/grammar.rs
@@ -116,7 +116,7 @@
     }
 }
 
-/// The program store's slowness, or a keeper's own store.
+/// The program store's slowness, or a replica's own store.
 fn store(w: &mut Words<'_>) -> Step<Trouble> {
     let expected = "slow and a share such as 600%, or a front end's number or any";
     let front_end = match w.word(expected)? {
--- a/crates/harness/src/day/trouble.rs
+++ b/crates/harness/src/day/trouble.rs
@@ -109,7 +109,7 @@
         front_end: Pick,
         span: Duration,
     },
-    /// A front end's process is told to end in order, and a new one starts.
+    /// A front end's process is ordered to end in order, and a new one starts.
     Terminate {
         front_end: Pick,
     },
@@ -131,13 +131,13 @@
     Shards {
         to: u32,
     },
-    /// The links between a front end and the keepers; where it is a keeper itself, also those of all others to it.
+    /// The links between a front end and the replicas; where it is a replica itself, also those of all others to it.
     Link {
         front_end: Pick,
         fault: Fault,
         span: Duration,
     },
-    /// The process of the keeper that leads is killed, or stopped and goes on.
+    /// The process of the leader is killed, or stopped and goes on.
     LeaderKill {
         span: Option<Duration>,
     },
--- a/crates/harness/src/division.rs
+++ b/crates/harness/src/division.rs
@@ -1,4 +1,4 @@
-//! The division of a day's front ends into shards, as front ends are told of it and as callers compute their queues from it.
+//! The division of a day's front ends into shards, as front ends are notified of it and as callers compute their queues from it.
 
 use crate::day::Day;
 use crate::layout::QUEUE;
--- a/crates/harness/src/fleet.rs
+++ b/crates/harness/src/fleet.rs
@@ -14,7 +14,7 @@
     member.strip_prefix("fe-")?.split('/').next()?.parse().ok()
 }
 
-/// The number of the keeper in a front end's process, where it has one.
+/// The number of the replica in a front end's process, where it has one.
 pub fn keeper(fleet: &Fleet, front_end: u32) -> Option<u64> {
     (front_end < fleet.keepers).then(|| u64::from(front_end) + 1)
 }
@@ -22,7 +22,7 @@
 /// Where the files of a front end's process are.
 #[derive(Clone, Debug)]
 pub struct Files {
-    /// The keeper's store.
+    /// The replica's store.
     pub store: PathBuf,
     /// What the member remembers of itself.
     pub fleet: PathBuf,
@@ -46,7 +46,7 @@
     }
 }
 
-/// The lines of one front end: `keepers` are the addresses at which it reaches each, `listen` where its own keeper listens.
+/// The lines of one front end: `keepers` are the addresses at which it reaches each, `listen` where its own replica listens.
 pub fn lines(fleet: &Fleet, front_end: u32, keepers: &[String], listen: &str, files: &Files) -> String {
     let mut text = String::new();
     if fleet.keepers == 0 {
@@ -90,7 +90,7 @@
     text
 }
 
-/// Which front end's keeper leads, by the processes' logs: of those whose last word is that they lead, the latest. Each log
+/// Which front end's replica leads, by the processes' logs: of those whose last word is that they lead, the latest. Each log
 /// is given with its front end.
 pub fn leader<'a>(logs: impl Iterator<Item = (u32, &'a str)>) -> Option<u32> {
     let mut latest: Option<(String, u32)> = None;
--- a/crates/harness/src/fleet/tests.rs
+++ b/crates/harness/src/fleet/tests.rs
@@ -74,7 +74,7 @@
     assert_eq!(find(&[&one, &two, &three]), Some(1));
     assert_eq!(find(&[&one, "", &three]), Some(2));
     assert_eq!(find(&[&one]), None);
-    // Words of others, and of another keeper, count for nothing.
+    // Words of others, and of another replica, count for nothing.
     let strange = word(9, "leading", 1, "elsewhere") + &word(9, "leading", 2, ours);
     assert_eq!(find(&[&strange]), None);
 }
--- a/crates/harness/src/lateness.rs
+++ b/crates/harness/src/lateness.rs
@@ -1,4 +1,4 @@
-//! How late the machine ran a thread of the stage's own: what a judge may hold against the machine, and no more.
+//! How late the machine ran a thread of the harness's own: what a judge may hold against the machine, and no more.
 
 use stagehoist_checker::capture::Recorder;
 use stagehoist_checker::Micros;
--- a/crates/harness/src/layout.rs
+++ b/crates/harness/src/layout.rs
@@ -1,4 +1,4 @@
-//! What stands on the stage: functions, classes, workers, and the configuration and charter that follow from them.
+//! What stands on the harness: functions, classes, workers, and the configuration and charter that follow from them.
 
 use crate::day::Day;
 use crate::division::Division;
@@ -19,7 +19,7 @@
     format!("{QUEUE}-{front_end}")
 }
 
-/// What the front ends' processes log; the leader of keepers is found in it.
+/// What the front ends' processes log; the leader of replicas is found in it.
 const LOG: &str = "info";
 
 /// Workers and functions of a stage.
--- a/crates/harness/src/lib.rs
+++ b/crates/harness/src/lib.rs
@@ -1,6 +1,6 @@
-//! The whole stack on loopback: stand-in broker, workers, store and list, a recording proxy on every link, callers, and
+//! The whole stack on loopback: emulator broker, workers, store and list, a recording proxy on every link, callers, and
 //! gateway processes started from the project's own binary. A [`Day`] scripts what goes wrong; [`play`] plays it and has
-//! the judge decide the rules from what crossed the sockets.
+//! the checker decide the rules from what crossed the sockets.
 #![forbid(unsafe_code)]
 
 mod callers;
--- a/crates/harness/src/measure.rs
+++ b/crates/harness/src/measure.rs
@@ -1,5 +1,5 @@
 //! What the gateway costs, beside calling a worker directly and beside a plain pass-through proxy, all in one run on one
-//! machine. Times are taken at the sockets by the same recording proxies that the judge reads.
+//! machine. Times are taken at the sockets by the same recording proxies that the checker reads.
 
 use crate::callers::Pace;
 use crate::day::Day;
--- a/crates/harness/src/play/end.rs
+++ b/crates/harness/src/play/end.rs
@@ -84,7 +84,7 @@
         self.charter.starts.push(WorkerStart { worker: name.to_string(), at, capacity });
     }
 
-    /// A front end that was told to end must do so with exit code 0 within the longest give-up time and a little.
+    /// A front end that was ordered to end must do so with exit code 0 within the longest give-up time and a little.
     fn reap(&mut self, front_end: u32, by: Instant) -> Result<(), StageError> {
         let process = &mut self.stack.front_ends[front_end as usize].process;
         let code = match process.try_wait() {
--- a/crates/harness/src/play/fleet.rs
+++ b/crates/harness/src/play/fleet.rs
@@ -92,7 +92,7 @@
         }
         for front_end in front_ends {
             self.stack.wait_end(*front_end, PATIENCE);
-            // One that was told to end needs to do so in order no more.
+            // One that was ordered to end needs to do so in order no more.
             self.undo.retain(|u| !matches!(u.1, Undo::Reap(f, _) if f == *front_end));
             // What it held is the broker's again; from here on the new process is judged.
             let now = self.stack.recorder.now();
@@ -131,7 +131,7 @@
         self.later(span, Undo::Workers(workers));
     }
 
-    /// Befalls the keeper that leads now; where none does, once one does.
+    /// Befalls the leader now; where none does, once one does.
     pub(super) fn leader(&mut self, trouble: &Trouble, by: Instant) -> Result<(), StageError> {
         match (self.stack.leader(), trouble) {
             (Some(front_end), Trouble::LeaderStop { span }) => self.stop(front_end, *span),
@@ -183,7 +183,7 @@
         if self.stack.day.fleet.keepers == 0 {
             return;
         }
-        // Until the first is told of there is no file.
+        // Until the first is notified of there is no file.
         if let Ok(text) = std::fs::read_to_string(self.stack.files(0).state()) {
             self.retirements.read(&text, self.stack.recorder.now());
         }
--- a/crates/harness/src/play/ledger.rs
+++ b/crates/harness/src/play/ledger.rs
@@ -1,4 +1,4 @@
-//! What the ledger has beside the verdict, and the pools that the judge is told.
+//! What the ledger has beside the verdict, and the pools that the checker is notified.
 
 use crate::day::{Fleet, Pool};
 use crate::layout::GIVE_UP;
@@ -6,16 +6,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Rounds of dealing in which lent lanes come back, where no process fails.
+/// Rounds of allocation in which lent permits come back, where no process fails.
 const ROUNDS: Duration = Duration::from_millis(250);
 
-/// The pools of a day as the judge is told of them.
+/// The pools of a day as the checker is notified of them.
 pub(super) fn pools(fleet: &Fleet) -> Vec<PoolRule> {
     let reserved = |pool: &str| {
         let own = fleet.reserves.iter().filter(|r| r.pool == pool);
         own.map(|r| (r.tenant.clone(), r.lanes)).collect()
     };
-    // A tenant has the lanes reserved for it at the latest when what was lent to a process that fails has come back: its lease
+    // A tenant has the permits reserved for it at the latest when what was lent to a process that fails has come back: its lease
     // has run out then, and the longest run that it may have begun, with the drift.
     let lent = (fleet.view_lease + Duration::from_micros(GIVE_UP as u64)).mul_f64(1.01) + ROUNDS;
     let rule = |pool: &Pool| PoolRule {
--- a/crates/harness/src/play/loss.rs
+++ b/crates/harness/src/play/loss.rs
@@ -22,7 +22,7 @@
     pub first_served_ms: Option<f64>,
     /// Of a tenant with reservations; where the day has none, as for all.
     pub first_reserved_ms: Option<f64>,
-    /// From when on, over a second, as large a part of the calls published is served before their callers give up as 90% of
+    /// From when on, over a second, as large a part of the calls published is served before their callers time out as 90% of
     /// that of before the loss.
     pub goodput_back_ms: Option<f64>,
     /// Calls published from the loss until ten seconds after it, and those of them served in time.
--- a/crates/harness/src/play/mod.rs
+++ b/crates/harness/src/play/mod.rs
@@ -133,7 +133,7 @@
     record_on(stack, show).map(|played| played.0)
 }
 
-/// The same, and gives what was judged and by what: a checker is shown to see a fault by a capture that was doctored.
+/// The same, and gives what was judged and by what: a checker is shown to see a fault by a capture that was altered.
 pub fn record_on(
     stack: &mut Stack,
     show: &mut dyn FnMut(Progress<'_>),
--- a/crates/harness/src/play/tenants.rs
+++ b/crates/harness/src/play/tenants.rs
@@ -18,7 +18,7 @@
     pub failed: u64,
     /// Milliseconds from publish to answer, of served calls.
     pub latency_ms: BTreeMap<String, f64>,
-    /// Milliseconds from the first delivery until as many of its calls ran at a time as lanes are reserved for it.
+    /// Milliseconds from the first delivery until as many of its calls ran at a time as permits are reserved for it.
     pub lanes_after_ms: Option<f64>,
 }
 
--- a/crates/harness/src/relay.rs
+++ b/crates/harness/src/relay.rs
@@ -1,7 +1,7 @@
 //! A relay on a link between two processes: bytes cross it as they come, until a command says otherwise.
 //!
 //! Nothing that the ends sent is lost while bytes are held back, as with a network that drops packets for a while: it crosses
-//! once the link is healed, or the ends have given up by then. What is held back is bounded; the sender's socket fills up.
+//! once the connection is healed, or the ends have given it up by then. What is held back is bounded; the sender's socket fills up.
 
 use std::io;
 use std::net::SocketAddr;
@@ -83,7 +83,7 @@
 pub async fn serve(port: Port, far: String, mut fault: watch::Receiver<Fault>) -> io::Result<()> {
     let mut connections = JoinSet::new();
     loop {
-        // Closed by its sender: nobody commands it, the stage is over.
+        // Closed by its sender: nobody commands it, the harness is over.
         if fault.wait_for(|f| *f != Fault::Cut).await.is_err() {
             return Ok(());
         }
@@ -145,7 +145,7 @@
     Ok(far)
 }
 
-/// One way of a connection: read ahead into a bounded line, written when due and when the link lets it.
+/// One way of a connection: read ahead into a bounded line, written when due and when the connection lets it.
 async fn carry(
     from: &mut tcp::ReadHalf<'_>,
     to: &mut tcp::WriteHalf<'_>,
--- a/crates/harness/src/stack/fleet.rs
+++ b/crates/harness/src/stack/fleet.rs
@@ -1,4 +1,4 @@
-//! The links between front ends and keepers, and the files of each process's part of the fleet.
+//! The links between front ends and replicas, and the files of each process's part of the fleet.
 
 use super::{Stack, StageError};
 use crate::day::{Day, StoreFault};
@@ -18,19 +18,19 @@
 /// What stands between the processes.
 #[derive(Default)]
 pub struct Between {
-    /// By front end and keeper's number.
+    /// By front end and replica's number.
     links: BTreeMap<(u32, u64), watch::Sender<Fault>>,
     /// Faults on links by their ticket; of several on one link the newest counts.
     faults: BTreeMap<u64, (u32, Fault)>,
     next: u64,
-    /// Keepers' ports, kept for them while they are down.
+    /// Replicas' ports, kept for them while they are down.
     _listens: Vec<Port>,
     /// Lines of each front end's configuration.
     pub(super) lines: Vec<String>,
 }
 
 impl Between {
-    /// Reserves the ports of all keepers and relays; the relays are yet to be served.
+    /// Reserves the ports of all replicas and relays; the relays are yet to be served.
     pub(super) fn new(day: &Day, folder: &Path) -> Result<(Between, Vec<Waiting>), StageError> {
         let mut between = Between::default();
         let mut waiting = Vec::new();
@@ -87,7 +87,7 @@
 }
 
 impl Stack {
-    /// The front end whose keeper leads, as the logs of the processes that run tell it.
+    /// The front end whose replica leads, as the logs of the processes that run tell it.
     pub fn leader(&mut self) -> Option<u32> {
         let mut logs = Vec::new();
         for number in 0..self.day.fleet.keepers {
--- a/crates/harness/src/stack/front_ends.rs
+++ b/crates/harness/src/stack/front_ends.rs
@@ -114,7 +114,7 @@
         self.whole_log(front_end).matches("own shards by the list of front ends").count()
     }
 
-    /// Tells the callers where to send by the division that front ends are told of.
+    /// Tells the callers where to send by the division that front ends are notified of.
     pub fn address(&mut self) -> Result<(), StageError> {
         self.addresses.send_replace(Addresses::of(&self.day).map_err(StageError::Division)?);
         Ok(())
--- a/crates/harness/src/stack/host.rs
+++ b/crates/harness/src/stack/host.rs
@@ -1,4 +1,4 @@
-//! Threads and loopback sockets of the stand-ins.
+//! Threads and loopback sockets of the emulated systems.
 
 use super::StageError;
 use stagehoist_emulator::worker;
--- a/crates/harness/src/stack/mod.rs
+++ b/crates/harness/src/stack/mod.rs
@@ -1,4 +1,4 @@
-//! Everything that stands: threads for the stand-ins and taps, processes for the front ends.
+//! Everything that stands: threads for the emulated systems and taps, processes for the front ends.
 
 mod fleet;
 mod front_ends;
@@ -36,7 +36,7 @@
     Division(#[source] stagehoist_sharding::DivisionError),
     #[error("can't start {binary}: {source}")]
     Process { binary: PathBuf, source: io::Error },
-    #[error("front end {0} ended before it was told to ({1})")]
+    #[error("front end {0} ended before it was ordered to ({1})")]
     Ended(u32, String),
     #[error("the front ends do not consume after {0:?}")]
     NotReady(Duration),
@@ -79,7 +79,7 @@
     /// By front end and worker.
     pub worker_taps: BTreeMap<(u32, String), Arc<tap::Controls>>,
     pub front_ends: Vec<FrontEnd>,
-    /// Broken by hand: did every front end that was told to end do so in order.
+    /// Broken by hand: did every front end that was ordered to end do so in order.
     pub disorderly: Vec<String>,
     workers: BTreeMap<String, WorkerStand>,
     start_worker: mpsc::UnboundedSender<StartWorker>,
--- a/crates/intent-log/src/commit.rs
+++ b/crates/intent-log/src/commit.rs
@@ -1,4 +1,4 @@
-//! One commit: marks that come, and marks that go.
+//! One commit: intents that come, and intents that go.
 
 use crate::store::{write, Batch, Intent, IntentStore, Micros, BLIND, MARKS, RUNS, STATE};
 use crate::IntentLogError;
@@ -6,7 +6,7 @@
 use stagehoist_recovery::Identity;
 use std::collections::VecDeque;
 
-/// Marks dropped in one commit at most, so that no commit takes long.
+/// Intents dropped in one commit at most, so that no commit takes long.
 const DROPPED_MOST: usize = 4096;
 
 impl IntentStore {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Marks of runs before the present one.
+/// Intents of runs before the present one.
 #[derive(Clone, Copy)]
 pub(crate) struct Former {
     /// When they are no longer needed.
@@ -85,7 +85,7 @@
         Plan { expired: 0, ended_expired: 0, former: store.former, unproven_until: store.unproven_until }
     }
 
-    /// Drops up to `most` marks of former runs; how many went.
+    /// Drops up to `most` intents of former runs; how many went.
     fn drop_former(
         &mut self,
         marks: &mut redb::Table<(Identity, u64, u64), ()>,
--- a/crates/intent-log/src/error.rs
+++ b/crates/intent-log/src/error.rs
@@ -1,8 +1,8 @@
-//! What can go wrong with a store of marks.
+//! What can go wrong with a store of intents.
 
 use std::io;
 
-/// Marks that were to be written are then not on disk, as far as is known; marks acknowledged before still are.
+/// Intents that were to be written are then not on disk, as far as is known; intents acknowledged before still are.
 #[derive(Debug, thiserror::Error)]
 pub enum IntentLogError {
     #[error("no run of this store has begun")]
--- a/crates/intent-log/src/file.rs
+++ b/crates/intent-log/src/file.rs
@@ -1,4 +1,4 @@
-//! The files of one member's marks: the store, those set aside, and the number of the last run beside it.
+//! The files of one member's intents: the store, those quarantined, and the number of the last run beside it.
 
 use crate::store::Opener;
 use crate::{IntentLogError, LastRun};
@@ -30,7 +30,7 @@
     Ok(aside(free))
 }
 
-/// What a member without keepers knows of its last run: the number in a small file beside its store. It stands for a store
+/// What a member without replicas knows of its last run: the number in a small file beside its store. It stands for a store
 /// that was set back alone, not for a folder set back whole.
 ///
 /// # Errors
--- a/crates/intent-log/src/store.rs
+++ b/crates/intent-log/src/store.rs
@@ -1,4 +1,4 @@
-//! One member's marks: written, asked for, and dropped once they are no longer needed.
+//! One member's intents: written, asked for, and dropped once they are no longer needed.
 
 use crate::commit::Former;
 use crate::file::checked;
@@ -9,16 +9,16 @@
 
 pub(crate) type Micros = i64;
 
-/// By identity, run and number: a message whose id is used twice has two marks.
+/// By identity, run and number: a message whose id is used twice has two intents.
 pub(crate) const MARKS: TableDefinition<(Identity, u64, u64), ()> = TableDefinition::new("marks");
 /// Runs that began, with the commits of each.
 pub(crate) const RUNS: TableDefinition<u64, u64> = TableDefinition::new("runs");
-/// [`BLIND`]: marks are missing that may be asked for, until `keep` has passed in one run.
+/// [`BLIND`]: intents are missing that may be asked for, until `keep` has passed in one run.
 pub(crate) const STATE: TableDefinition<&str, u64> = TableDefinition::new("state");
 pub(crate) const BLIND: &str = "blind";
 /// Runs that are remembered.
 const RUNS_MOST: u64 = 1024;
-/// A mark: the message, and the number of its call, unique within the run.
+/// An intent: the message, and the number of its call, unique within the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Intent {
     pub identity: Identity,
@@ -33,14 +33,15 @@
     pub commits: u64,
 }
 
+/// Limits of a store.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// How long a mark is kept, in microseconds; to exceed the age of any message that may still be delivered again.
+    /// How long an intent is kept, in microseconds; to exceed the age of any message that may still be delivered again.
     pub replica: Micros,
-    /// How long a mark is kept that is told to have ended.
+    /// How long an intent is kept that is ordered to have ended.
     pub ended_retention: Micros,
-    /// Marks held; the oldest go before their time where there are more, and nothing is proven for `keep` after that. A
-    /// mark takes some 70 bytes on disk.
+    /// Intents held; the oldest go before their time where there are more, and nothing is proven for `keep` after that. A
+    /// intent takes some 70 bytes on disk.
     pub most: u64,
 }
 
@@ -54,20 +55,20 @@
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     pub intents: Vec<Intent>,
-    /// Marks of this run whose message can't come again.
+    /// Intents of this run whose message can't come again.
     pub ended: Vec<Intent>,
 }
 
 /// Opens the database; called anew after an error that it does not recover from.
 pub type Opener = Box<dyn FnMut() -> Result<Database, IntentLogError> + Send>;
 
-/// A store of marks.
+/// A store of intents.
 pub struct IntentStore {
     opener: Opener,
     pub(crate) database: Option<Database>,
     pub(crate) options: Options,
     pub(crate) run: Option<u64>,
-    /// The number that this run last began under; its marks go by the first one.
+    /// The number that this run last began under; its intents go by the first one.
     pub(crate) current_number: u64,
     pub(crate) commits: u64,
     /// The last run before this one in the file, and its commits.
@@ -77,13 +78,13 @@
     /// None: they are gone.
     pub(crate) former: Option<Former>,
     pub(crate) unproven_until: Option<Micros>,
-    /// Marks of this run by when they go. What ended goes by a shorter line and is then missing in the longer one.
+    /// Intents of this run by when they go. What ended goes by a shorter line and is then missing in the longer one.
     pub(crate) expiring: VecDeque<(Micros, Intent)>,
     pub(crate) ended_expiring: VecDeque<(Micros, Intent)>,
 }
 
 impl IntentStore {
-    /// Opens a store. No mark is taken before [`IntentStore::begin`].
+    /// Opens a store. No intent is taken before [`IntentStore::begin`].
     pub fn open(mut opener: Opener, options: Options, now: Micros) -> Result<IntentStore, IntentLogError> {
         let database = checked(&mut opener)?;
         let mut store = IntentStore {
@@ -179,7 +180,7 @@
             || self.unproven_until.is_some_and(|at| at <= now)
     }
 
-    /// Writes marks; all of them are on disk when this returns.
+    /// Writes intents; all of them are on disk when this returns.
     ///
     /// # Errors
     /// None of them counts as written, though some may be. The database is opened anew with the next call.
@@ -230,7 +231,7 @@
         }
     }
 
-    /// Whether a missing mark means that no attempt left, in this run or the one before or any earlier one.
+    /// Whether a missing intent means that no attempt left, in this run or the one before or any earlier one.
     pub fn is_proof(&self, now: Micros) -> bool {
         self.run.is_some() && self.is_complete && self.unproven_until.is_none_or(|at| at <= now)
     }
--- a/crates/intent-log/src/thread.rs
+++ b/crates/intent-log/src/thread.rs
@@ -1,5 +1,5 @@
-//! A store on a thread of its own. Nobody waits for it: what is told goes into a bounded line, what it answers comes back by
-//! the asker's channel. A line that is full, and a store that can't write, count as "not marked".
+//! A store on a thread of its own. Nobody waits for it: what is notified goes into a bounded line, what it answers comes back by
+//! the asker's channel. A line that is full, and a store that can't write, count as "not recorded".
 
 use crate::{file, Batch, Intent, IntentLogError, IntentStore, LastRun, Options};
 use stagehoist_recovery::{AttemptKnowledge, Identity};
@@ -16,21 +16,21 @@
 /// How often a store without work sees to what is no longer needed, and to a database that failed.
 const IDLE: Duration = Duration::from_secs(1);
 
-/// Where a member's marks are kept.
+/// Where a member's intents are kept.
 #[derive(Clone, Debug)]
 pub struct LogLocation {
     pub folder: PathBuf,
     /// The member's; letters, digits, `-` and `_`, others become `_`.
     pub name: String,
     /// Counts its runs by itself, with the small file beside the store as the witness of the last: for a member without
-    /// keepers. Else [`IntentLog::begin`] tells the run, and until then nothing is marked or proven.
+    /// replicas. Else [`IntentLog::begin`] tells the run, and until then nothing is recorded or proven.
     pub standalone: bool,
 }
 
 /// An answer of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// The mark is on disk, or (false) not as far as is known.
+    /// The intent is on disk, or (false) not as far as is known.
     Recorded(Intent, bool),
     /// To [`IntentLog::ask`] under this number.
     Answered(u64, AttemptKnowledge),
@@ -54,27 +54,27 @@
 }
 
 impl IntentLog {
-    /// Asks for a mark. False: the line is full or the store gone, and nothing will be answered.
+    /// Asks for an intent. False: the line is full or the store gone, and nothing will be answered.
     pub fn record(&self, mark: Intent, reply: &EventSender) -> bool {
         self.requests.try_send(LogRequest::Record(mark, reply.clone())).is_ok()
     }
 
-    /// The message of a mark can't come again. Where it is lost, the mark goes by its age.
+    /// The message of an intent can't come again. Where it is lost, the intent goes by its age.
     pub fn ended(&self, mark: Intent) {
         let _ = self.requests.try_send(LogRequest::Ended(mark));
     }
 
-    /// Asks what is known of a message; all marks asked for before are looked at. False as with [`IntentLog::mark`].
+    /// Asks what is known of a message; all intents asked for before are looked at. False as with [`IntentLog::mark`].
     pub fn query(&self, number: u64, identity: Identity, reply: &EventSender) -> bool {
         self.requests.try_send(LogRequest::Query(number, identity, reply.clone())).is_ok()
     }
 
-    /// This run's number was told, with what is known of the run before.
+    /// This run's number was notified, with what is known of the run before.
     pub fn begin(&self, run: u64, witness: Option<LastRun>) -> bool {
         self.requests.try_send(LogRequest::Begin(run, witness)).is_ok()
     }
 
-    /// The run that is at work and its commits so far; for the record's keepers, as the next run's witness.
+    /// The run that is in progress and its commits so far; for the cluster state's replicas, as the next run's witness.
     pub fn commits(&self) -> Option<LastRun> {
         *self.state.borrow()
     }
@@ -94,7 +94,7 @@
     let mut store = match open() {
         Err(IntentLogError::Damaged(why)) => {
             let aside = file::set_aside(&path)?;
-            tracing::error!(file = %aside.display(), why, "marks are damaged and set aside; what they told is not known now");
+            tracing::error!(file = %aside.display(), why, "the intent log is damaged and quarantined; what it held is unknown now");
             open()?
         }
         other => other?,
@@ -103,10 +103,10 @@
         let witness = file::witness(&place.folder, &name)?;
         let last = store.last_run()?.max(witness.map(|w| w.run));
         let run = last.unwrap_or(0) + 1;
-        // The number beside the store first: a store that has begun and is then set back is told by it.
+        // The number beside the store first: a store that has begun and is then set back is notified by it.
         file::note_run(&place.folder, &name, run)?;
         store.begin(run, witness, 0)?;
-        tracing::info!(run, proves = store.is_proof(0), "marks of attempts open");
+        tracing::info!(run, proves = store.is_proof(0), "intent log open");
     }
     let (line, words) = sync_channel(LINE);
     let (state, seen) = watch::channel(store.commits());
@@ -149,7 +149,7 @@
             match store.begin(run, witness, now()) {
                 Ok(()) => begins = None,
                 Err(fault) => {
-                    tracing::error!(run, %fault, "marks can't begin this run");
+                    tracing::error!(run, %fault, "the intent log can't begin this run");
                     // A disk may come back; a number that is too low stays so.
                     begins = begins.filter(|_| !matches!(fault, IntentLogError::RunSuperseded { .. }));
                 }
@@ -159,11 +159,11 @@
         if !batch.intents.is_empty() || !batch.ended.is_empty() || (begun && store.is_due(now())) {
             let written = store.commit(&batch, now());
             if let Err(fault) = &written {
-                tracing::error!(%fault, marks = marks.len(), "marks not written; their attempts are not sent");
+                tracing::error!(%fault, marks = marks.len(), "intents not written; their attempts are not sent");
                 if let IntentLogError::Damaged(why) = fault {
                     match file::set_aside(path) {
-                        Ok(aside) => tracing::error!(file = %aside.display(), why, "marks set aside"),
-                        Err(error) => tracing::error!(%error, "marks can't be set aside"),
+                        Ok(aside) => tracing::error!(file = %aside.display(), why, "intent log quarantined"),
+                        Err(error) => tracing::error!(%error, "the intent log can't be quarantined"),
                     }
                 }
             }
--- a/crates/intent-log/tests/golden.rs
+++ b/crates/intent-log/tests/golden.rs
@@ -1,4 +1,4 @@
-//! A store of marks and the number of its last run, as the build before the renaming of the packages wrote them: opened,
+//! A store of intents and the number of its last run, as the build before the renaming of the packages wrote them: opened,
 //! asked and continued. `golden/` never changes with the code.
 
 use stagehoist_intent_log::{start, witness, Intent, LastRun, LogEvent, LogLocation, Options};
@@ -16,7 +16,7 @@
     LogLocation { folder: folder.into(), name: "a/0".into(), standalone: true }
 }
 
-/// Opens the store, writes one mark and asks for another message; the answers.
+/// Opens the store, writes one intent and asks for another message; the answers.
 fn run(folder: &Path, mark: Intent, asked: u128) -> (LogEvent, LogEvent) {
     let (marks, thread) = start(&place(folder), Options::default()).unwrap();
     let (reply, mut replies) = unbounded_channel();
--- a/crates/intent-log/tests/store.rs
+++ b/crates/intent-log/tests/store.rs
@@ -33,7 +33,7 @@
     Batch { intents: numbers.into_iter().map(mark).collect(), ended: Vec::new() }
 }
 
-/// A store whose first run has seen its time of knowing nothing pass, and which is then at work in its second.
+/// A store whose first run has seen its time of knowing nothing pass, and which is then in progress in its second.
 fn grown(disk: &Disk) -> IntentStore {
     let mut first = open(disk, 0).unwrap();
     first.begin(1, None, 0).unwrap();
@@ -66,7 +66,7 @@
     acknowledged
 }
 
-/// Marks lost, and kept, over drawn moments of death.
+/// Intents lost, and kept, over drawn moments of death.
 fn lost(lies: bool, seeds: u64) -> (u64, u64) {
     let whole = Disk::default();
     work(&whole, &mut Draw(0));
@@ -124,7 +124,7 @@
     };
     assert_eq!(told(last), AttemptKnowledge::None);
     assert_eq!(told(None), AttemptKnowledge::NotKnown);
-    // The record knows a later run, or later commits, than the file does: it was set back.
+    // The cluster state knows a later run, or later commits, than the file does: it was set back.
     assert_eq!(told(Some(LastRun { run: 3, commits: 0 })), AttemptKnowledge::NotKnown);
     assert_eq!(told(last.map(|w| LastRun { commits: w.commits + 1, ..w })), AttemptKnowledge::NotKnown);
 }
@@ -232,7 +232,7 @@
     assert!(matches!(open(&disk, 0), Err(IntentLogError::Damaged(_))));
 }
 
-/// Starts, marks, and ends a run; what it could tell of another message.
+/// Starts, intents, and ends a run; what it could tell of another message.
 fn run(place: &LogLocation, n: u64) -> AttemptKnowledge {
     let (marks, thread) = start(place, Options { replica: 0, ..OPTIONS }).unwrap();
     let (reply, mut done) = tokio::sync::mpsc::unbounded_channel();
--- a/crates/load-generator/src/amqp.rs
+++ b/crates/load-generator/src/amqp.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// Sends a plan and waits for its answers; `show` is told messages sent and served in aim, now and then.
+/// Sends a plan and waits for its answers; `show` is notified messages sent and served in aim, now and then.
 pub async fn run(
     target: &Target,
     plan: Plan,
@@ -227,7 +227,7 @@
         }
         let output = sender.client.output().split();
         if !output.is_empty() {
-            // A broker that reads nothing is given up, as nothing would end otherwise.
+            // A broker that reads nothing is abandoned, as nothing would end otherwise.
             let written = tokio::time::timeout(Duration::from_secs(30), stream.write_all(&output)).await;
             written.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into())).map_err(broke)?;
             sender.client.wrote(output.len(), clock());
--- a/crates/load-generator/src/stand.rs
+++ b/crates/load-generator/src/stand.rs
@@ -1,4 +1,4 @@
-//! A whole stack of processes on loopback: stand-ins for broker, program store and workers, and the gateway as it is served.
+//! A whole stack of processes on loopback: emulated systems for broker, program store and workers, and the gateway as it is served.
 
 use crate::LoadError;
 use stagehoist::Micros;
--- a/crates/platform/src/bounds.rs
+++ b/crates/platform/src/bounds.rs
@@ -7,7 +7,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Descriptors for the listener, the bus, standard streams, signals and the runtime.
+/// Descriptors for the listener, the event subscription, standard streams, signals and the runtime.
 const RESERVE: u64 = 24;
 /// Connections to one executor at most.
 const EACH: u64 = 24;
@@ -61,8 +61,8 @@
     pub active_at: Micros,
 }
 
-/// Which connection makes way for a new one: the longest silent of those that had time to ask and never did, else the
-/// longest idle. None where all are at work. One that was just accepted is no better a choice than one that has asked: its
+/// Which connection is evicted for a new one: the longest silent of those that had time to ask and never did, else the
+/// longest idle. None where all are in progress. One that was just accepted is no better a choice than one that has asked: its
 /// request is on its way.
 pub fn victim<K: Copy>(seen: impl Iterator<Item = (K, ConnectionActivity)>, now: Micros) -> Option<K> {
     let spared = |s: &ConnectionActivity| s.has_requested || now - s.active_at < CANCELLATION_TRANSIT;
--- a/crates/platform/src/clients/accept.rs
+++ b/crates/platform/src/clients/accept.rs
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Connections looked at for one that makes way.
+/// Connections looked at for one that is evicted.
 const MAX_VICTIMS: usize = 8;
 
 impl Clients {
@@ -35,7 +35,7 @@
                 Err(error) => {
                     self.count(|c| c.not_accepted += 1);
                     // The system takes a descriptor before it looks whether anyone is in line: after the last newcomer one
-                    // more connection makes way, and its descriptor is in hand for the next.
+                    // more connection is evicted, and its descriptor is in hand for the next.
                     if is_want(&error) {
                         descriptors.refused(Refusal::Client);
                         descriptors.release_one();
@@ -68,7 +68,7 @@
         full
     }
 
-    /// The connection that makes way, no longer listed; none in whose socket something lies, as that may be a request.
+    /// The connection that is evicted, no longer listed; none in whose socket something lies, as that may be a request.
     fn victim(&self) -> Option<Rc<ClientConnection>> {
         let (mut passed, now) = (Vec::new(), self.shared.clock.now());
         for _ in 0..MAX_VICTIMS {
--- a/crates/platform/src/clients/exchange.rs
+++ b/crates/platform/src/clients/exchange.rs
@@ -80,7 +80,7 @@
     async fn pass_on(&self, conn: &ClientConnection) {
         loop {
             let Some(item) = conn.inputs.borrow_mut().pop_front() else { return };
-            // A driver that ended needs no news.
+            // A driver that ended needs no inputs.
             let _ = self.shared.inputs.send(item).await;
         }
     }
--- a/crates/platform/src/clients/finish.rs
+++ b/crates/platform/src/clients/finish.rs
@@ -58,7 +58,7 @@
     fn answer_unread(self: &Rc<Self>) {
         let conns: Vec<Rc<ClientConnection>> = self.conns.borrow().values().cloned().collect();
         for conn in conns.iter().filter(|c| !c.over.get()) {
-            // The driver is over: what is left to say is refused here, and it needs no news.
+            // The driver is over: what is left to say is refused here, and it needs no inputs.
             if self.read_all(conn, &mut Vec::new()) == Socket::Over || !self.write_all(conn) {
                 conn.over.set(true);
             }
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -77,6 +77,7 @@
 }
 
 impl Clients {
+    /// Clients without a connection yet.
     pub fn new(shared: Rc<Shared>, catalog: Catalog, bounds: Bounds) -> Clients {
         Clients {
             shared,
@@ -105,11 +106,12 @@
         self.counters.set(counters);
     }
 
-    /// HEALTH is told so from now on.
+    /// HEALTH is notified so from now on.
     pub fn serve(&self, serving: bool) {
         self.serving.set(serving);
     }
 
+    /// Whether new requests are accepted.
     pub fn is_serving(&self) -> bool {
         self.serving.get()
     }
@@ -133,6 +135,7 @@
         )
     }
 
+    /// Open connections.
     pub fn connections(&self) -> usize {
         self.conns.borrow().len()
     }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! What a front end is told at its start: the file that `GW_CONFIG` names. The settings keep the simulator's names; they are
+//! What a front end is notified at its start: the file that `GW_CONFIG` names. The settings keep the simulator's names; they are
 //! flattened into the lines that [`stagehoist::wire::parse_settings`] reads, so that one mapping serves both.
 
 use crate::endpoint_events::{EndpointEvent, KnownEndpoints};
@@ -125,7 +125,7 @@
         PlatformSettings::parse(&read().map_err(|error| ConfigError::Read { path: path.into(), error })?)
     }
 
-    /// Names what differs in `new`, but for the address of the bus and what is new each time: the seed and the events so far.
+    /// Names what differs in `new`, but for the address of the event subscription and what is new each time: the seed and the events so far.
     pub fn differs(&self, new: &PlatformSettings) -> Vec<String> {
         let mut fields = Vec::new();
         let plain = [
@@ -203,7 +203,7 @@
         })
     }
 
-    /// What the front end's state is told.
+    /// What the front end's state is notified.
     pub fn core_settings(&self) -> CoreSettings {
         CoreSettings {
             settings: self.settings.clone(),
--- a/crates/platform/src/connection/ending.rs
+++ b/crates/platform/src/connection/ending.rs
@@ -1,4 +1,4 @@
-//! What is given up, withdrawn or lost, and what the end of the connection means for each that was open.
+//! What is abandoned, withdrawn or lost, and what the end of the connection means for each that was open.
 
 use super::{Closure, ConnectionState, Exchange, PendingExchange, ProtocolViolation, Tag, STOPPED};
 use bytes::BytesMut;
@@ -6,7 +6,7 @@
 use stagehoist_gateway::state::{AttemptResult, Input};
 
 impl ConnectionState {
-    /// Gives up a request. Nothing is written where none of it was; the line counts as silent where nothing
+    /// Abandons a request. Nothing is written where none of it was; the line counts as silent where nothing
     /// came since it was written `patience` ago or longer. Where a part of it was written the rest never is,
     /// as that would have it begin: the line takes nothing more ([`ConnectionState::is_cut`]), and what waits on it is
     /// to be withdrawn. True where the connection is to be ended, as nothing that began is left on such a
@@ -35,7 +35,7 @@
         self.is_spent()
     }
 
-    /// Takes back a request that is not written whole and must not begin now. Where nothing of it was written that is told as
+    /// Takes back a request that is not written whole and must not begin now. Where nothing of it was written that is notified as
     /// `Full`; else as an error, and the line takes nothing more, as after [`ConnectionState::stop`]. True where the connection is to be
     /// ended.
     pub fn take_back(&mut self, id: u64, now: Micros, news: &mut Vec<Input>) -> bool {
@@ -119,7 +119,7 @@
         for (tag, begun) in tags {
             let order = self.pending.get(&tag).is_some_and(|o| matches!(o.exchange, Exchange::Load { .. }));
             let outcome = match how {
-                // That an order never arrived is told by `ConnectFailed` alone, and costs its worker nothing.
+                // That an order never arrived is notified by `ConnectFailed` alone, and costs its worker nothing.
                 Closure::NoDescriptors if !order => Outcome::Full,
                 _ if !begun => Outcome::ConnectFailed,
                 Closure::NotConnected | Closure::NoDescriptors => Outcome::ConnectFailed,
@@ -132,7 +132,7 @@
         self.buffer = BytesMut::new();
     }
 
-    /// Ends probes and orders that were never answered, and tells whether an answer stopped short on the way.
+    /// Ends health checks and orders that were never answered, and tells whether an answer stopped short on the way.
     pub fn expire(
         &mut self,
         now: Micros,
--- a/crates/platform/src/connection/mod.rs
+++ b/crates/platform/src/connection/mod.rs
@@ -13,7 +13,7 @@
 pub const MAX_ANSWER: usize = 64 << 10;
 /// Bytes gathered for one write.
 const MAX_WRITE: usize = 64 << 10;
-/// Ids kept that were given up: as many as may be on their way at once, twice over.
+/// Ids kept that were abandoned: as many as may be on their way at once, twice over.
 const STOPPED: usize = 64;
 
 /// Why an executor's bytes can't be read.
@@ -92,7 +92,7 @@
     queue: VecDeque<Outgoing>,
     pending: HashMap<Tag, PendingExchange>,
     attempts: usize,
-    /// Given up after they were begun and not answered since, the newest last.
+    /// Abandoned after they were begun and not answered since, the newest last.
     stopped: VecDeque<u64>,
     /// When something was last read.
     read: Micros,
@@ -104,6 +104,7 @@
 }
 
 impl ConnectionState {
+    /// The state of a connection that was just established.
     pub fn new(now: Micros) -> ConnectionState {
         ConnectionState { read: now, active: now, ..ConnectionState::default() }
     }
@@ -123,12 +124,12 @@
         self.active
     }
 
-    /// One request was given up on it with nothing read since: it takes no new ones.
+    /// One request was abandoned on it with nothing read since: it takes no new ones.
     pub fn is_silent(&self) -> bool {
         self.silent
     }
 
-    /// Whether something under this id is open here, still partly written, or given up and perhaps answered yet: that
+    /// Whether something under this id is open here, still partly written, or abandoned and perhaps answered yet: that
     /// answer would be taken for another request's under the same id.
     pub fn has(&self, id: u64) -> bool {
         let tag = Tag::Call(id);
@@ -158,7 +159,7 @@
         true
     }
 
-    /// Queues a probe, with the load report asked for or not.
+    /// Queues a health check, with the load report asked for or not.
     pub fn send_health_check(&mut self, report: bool, what: Exchange, now: Micros) {
         let (word, tag) = (if report { "INFO" } else { "NOOP" }, self.next_own_tag());
         self.push(Some((Tag::Internal(tag), what)), format!("{word} {tag}\r\n").into_bytes(), now);
--- a/crates/platform/src/deferred.rs
+++ b/crates/platform/src/deferred.rs
@@ -21,6 +21,7 @@
 }
 
 impl DeferredRequests {
+    /// Whether nothing is deferred.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
@@ -42,6 +43,7 @@
         self.bytes = self.waiting.iter().map(|(_, words)| size(words)).sum();
     }
 
+    /// Takes the oldest request.
     pub fn pop(&mut self) -> Option<Words> {
         let (_, words) = self.waiting.pop_front()?;
         self.bytes -= size(&words);
--- a/crates/platform/src/descriptors.rs
+++ b/crates/platform/src/descriptors.rs
@@ -1,4 +1,4 @@
-//! Descriptors that the system refuses. Whoever holds more, clients or executors, makes way with an idle connection; what is
+//! Descriptors that the system refuses. Whoever holds more, clients or executors, is evicted with an idle connection; what is
 //! let go of goes to executors' connections before a client is accepted. The event bus keeps a socket of its own
 //! ([`crate::follow`]) and never waits for one.
 
@@ -33,7 +33,7 @@
 pub trait DescriptorHolder {
     /// So many now.
     fn open_connections(&self) -> usize;
-    /// Lets go of an idle connection soon; false where all are at work.
+    /// Lets go of an idle connection soon; false where all are in progress.
     fn release_one(&self) -> bool;
 }
 
@@ -53,7 +53,7 @@
     holders: RefCell<Vec<Weak<dyn DescriptorHolder>>>,
     /// Connections to executors that wait for one.
     waiting: Cell<usize>,
-    /// Connections that make way and are not closed yet.
+    /// Connections that are evicted and are not closed yet.
     coming: Cell<usize>,
     /// One was let go of.
     freed: Notify,
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Sees to it that one is let go of beyond those that others wait for: an idle connection makes way, of whoever holds
-    /// more. False where all are at work.
+    /// Sees to it that one is let go of beyond those that others wait for: an idle connection is evicted, of whoever holds
+    /// more. False where all are in progress.
     pub fn release_one(&self) -> bool {
         if self.coming.get() > self.waiting.get() {
             return true;
--- a/crates/platform/src/endpoint_events.rs
+++ b/crates/platform/src/endpoint_events.rs
@@ -106,12 +106,14 @@
     pub batch: Vec<InitialEvent>,
 }
 
+/// An event of the configuration's initial list. Field names are those of the settings document.
 #[derive(Clone, Debug, Deserialize)]
 pub struct InitialEvent {
     pub offset: u64,
     pub topology: Topology,
 }
 
+/// A list of endpoints. Field names are those of the settings document.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Topology {
     #[serde(default)]
--- a/crates/platform/src/executors/commands.rs
+++ b/crates/platform/src/executors/commands.rs
@@ -1,4 +1,4 @@
-//! Choices carried out: attempts, probes, orders.
+//! Choices executed: attempts, health checks, orders.
 
 use super::connection::Connection;
 use super::{Executors, InFlight};
@@ -57,7 +57,7 @@
         Ok(())
     }
 
-    /// Gives up an attempt; nothing more is heard of it.
+    /// Abandons an attempt; nothing more is heard of it.
     pub fn abort(&self, request: RequestId, attempt: u16) {
         let Some(flying) = self.in_flight_attempts.borrow_mut().remove(&(request, attempt)) else { return };
         let ends = self.stop(&mut flying.link.line.borrow_mut(), (flying.id.0, &flying.id.1));
@@ -143,7 +143,7 @@
         self.pass_on_late();
     }
 
-    /// Passes on what arose while choices were carried out.
+    /// Passes on what arose while choices were executed.
     pub(super) fn pass_on_late(&self) {
         let mut late = self.late_inputs.borrow_mut();
         while let Some(item) = late.pop_front() {
--- a/crates/platform/src/executors/connection.rs
+++ b/crates/platform/src/executors/connection.rs
@@ -35,6 +35,7 @@
 }
 
 impl Connection {
+    /// Ends the connection, once its task sees it.
     pub fn end(&self, how: Closure) {
         if !matches!(self.state.get(), State::Over(_)) {
             self.state.set(State::Over(how));
@@ -128,7 +129,7 @@
     async fn pass_on(&self, news: &mut Vec<Input>) {
         self.on_ended(news);
         for item in news.drain(..) {
-            // A driver that ended needs no news.
+            // A driver that ended needs no inputs.
             let _ = self.shared.inputs.send(item).await;
         }
     }
@@ -153,7 +154,7 @@
             link.end(Closure::ProtocolViolated);
         }
         if let Err(why) = read {
-            tracing::debug!(worker = format!("s-{:08x}", link.worker), %why, "connection given up");
+            tracing::debug!(worker = format!("s-{:08x}", link.worker), %why, "connection abandoned");
             link.end(Closure::ProtocolViolated);
         }
         read.is_ok()
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Ends what waited in vain: probes, orders, answers that stopped short; closes idle connections.
+    /// Ends what waited in vain: health checks, orders, answers that stopped short; closes idle connections.
     pub fn on_tick(&self) {
         let (now, late) = self.shared.read_time();
         let limits = &self.limits;
--- a/crates/platform/src/executors/handshake.rs
+++ b/crates/platform/src/executors/handshake.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Waits for a descriptor where the system has none and another connection makes way; `wants` tells that it had none.
+    /// Waits for a descriptor where the system has none and another connection is evicted; `wants` tells that it had none.
     async fn connect(&self, link: &Connection, address: &str, wants: &Cell<bool>) -> io::Result<TcpStream> {
         loop {
             wants.set(false);
--- a/crates/platform/src/executors/mod.rs
+++ b/crates/platform/src/executors/mod.rs
@@ -50,7 +50,7 @@
     pub too_late: u64,
 }
 
-/// Those whose requests are sent on.
+/// Those whose requests are forwarded.
 pub trait ClientLookup {
     /// Whether the client of this call still waits for it, by all that has reached this process.
     fn presence(&self, ticket: Ticket) -> ClientPresence;
@@ -84,12 +84,13 @@
     in_flight_attempts: RefCell<HashMap<(RequestId, u16), InFlight>>,
     links: Cell<usize>,
     dirty: RefCell<Vec<Rc<Connection>>>,
-    /// News that arose while choices were carried out.
+    /// News that arose while choices were executed.
     late_inputs: RefCell<VecDeque<Input>>,
     pub counters: Cell<ExecutorCounters>,
 }
 
 impl Executors {
+    /// Executors before the first endpoint list.
     pub fn new(
         shared: Rc<Shared>,
         callers: Rc<dyn ClientLookup>,
@@ -125,6 +126,7 @@
         all
     }
 
+    /// Open connections.
     pub fn connections(&self) -> usize {
         self.links.get()
     }
--- a/crates/platform/src/executors/writing.rs
+++ b/crates/platform/src/executors/writing.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Gives up what the next write would carry of requests that were cancelled, or may have been; the driver
+    /// Abandons what the next write would carry of requests that were cancelled, or may have been; the driver
     /// hears of it in its next turn. True where the connection is to be ended.
     fn give_up_unwanted(&self, line: &mut ConnectionState) -> bool {
         line.next_calls().into_iter().any(|id| {
@@ -82,7 +82,7 @@
         ends
     }
 
-    /// Gives up a request; what waits behind one that is not completed is withdrawn. True where the
+    /// Abandons a request; what waits behind one that is not completed is withdrawn. True where the
     /// connection is to be ended.
     pub(super) fn stop(&self, line: &mut ConnectionState, (id, text): (u64, &str)) -> bool {
         let now = self.shared.clock.now();
--- a/crates/platform/src/reload.rs
+++ b/crates/platform/src/reload.rs
@@ -1,4 +1,4 @@
-//! The configuration read again at SIGHUP: where the bus is counts at once, all else stands until the next start. A file that
+//! The configuration read again at SIGHUP: where the event subscription is counts at once, all else stands until the next start. A file that
 //! can't be read, because it is just being replaced, is looked at again until it can or a newer signal comes.
 
 use crate::config::{ConfigError, PlatformSettings};
@@ -59,7 +59,7 @@
     }
 }
 
-/// Reads at each signal until dropped, and tells `bus` where the bus is: also the same address, as that asks for a new
+/// Reads at each signal until dropped, and tells `bus` where the event subscription is: also the same address, as that asks for a new
 /// connection.
 pub async fn at_signals(told: PlatformSettings, mut hup: Signal, bus: watch::Sender<SocketAddr>) {
     let mut reload = ReloadState::new(told);
--- a/crates/platform/src/reload/tests.rs
+++ b/crates/platform/src/reload/tests.rs
@@ -50,7 +50,7 @@
         ("\"sockets\":256", "\"sockets\":512", &["limits"]),
         ("\"cancel\":true,", "", &["settings.limits.cancel"]),
         ("\"name\":\"n0\"", "\"name\":\"n1\"", &["name"]),
-        // Of the events so far the bus tells, and a seed is new each time.
+        // Of the events so far the event subscription tells, and a seed is new each time.
         ("8c1f30d27a5be964", "8c1f30d27a5be965", &[]),
         ("\"health\":\"gone\"", "\"health\":\"gone\",\"share\":7", &[]),
     ] {
--- a/crates/platform/src/replay.rs
+++ b/crates/platform/src/replay.rs
@@ -1,4 +1,4 @@
-//! All events of the bus told anew, from the first: put together, and applied as one when they are as far on as what was seen
+//! All events of the event subscription told anew, from the first: put together, and applied as one when they are as far on as what was seen
 //! before. Applied one by one, a worker whose drain is known would be ready again until its drain comes by.
 
 use crate::endpoint_events::EndpointEvent;
@@ -39,15 +39,17 @@
         self.at
     }
 
+    /// Whether the replay has reached its end.
     pub fn is_done(&self) -> bool {
         self.at >= self.until
     }
 
-    /// It was asked for because the bus seemed to be behind event `last`, not for a gap after it.
+    /// It was asked for because the event subscription seemed to be behind event `last`, not for a gap after it.
     pub fn until_known(&self, last: u64) -> bool {
         self.until == last
     }
 
+    /// Adds an event to what the replay comes to.
     pub fn take(&mut self, event: EndpointEvent) {
         if event.number > self.at {
             self.put(event);
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -40,7 +40,7 @@
     pub function: Rc<str>,
     pub figures: FunctionProperties,
     pub tenant: u32,
-    /// Time until the client gives up, the answer's way taken off.
+    /// Time until the client times out, the answer's way taken off.
     pub budget: Micros,
     pub body: Bytes,
 }
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -28,7 +28,7 @@
 /// From SIGTERM to the last answer, beyond the longest deadline; SIGKILL comes 0.7 s beyond it. What lies between is kept for
 /// closing the sockets in order, and for the process to end.
 const DRAIN_BEYOND: Micros = 570_000;
-/// Calls that come during the drain are given up so long before its end, so that they end as any call does.
+/// Calls that come during the drain are abandoned so long before its end, so that they end as any call does.
 const DRAIN_SPARE: Micros = 20_000;
 /// How often a line on the state goes to the log, in times of tending.
 const LOG_STATE_TICKS: u32 = 20;
@@ -163,7 +163,7 @@
             Command::CloseIdle { worker } => self.executors.close_idle(worker),
             // The bus is always followed.
             Command::SubscribeEndpoints(_) | Command::FetchEndpoints | Command::ServeShards(_) => {}
-            // No attempt waits for a mark here.
+            // No attempt waits for an intent here.
             Command::WorkerDraining { .. } => {}
         }
     }
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -47,6 +47,7 @@
 }
 
 impl Session {
+    /// The session of a connection that was just accepted.
     pub fn new(now: Micros) -> Session {
         Session {
             decoder: Decoder::default(),
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Takes what the socket gave. `serving` is what HEALTH is told.
+    /// Takes what the socket gave. `serving` is what HEALTH is notified.
     pub fn receive(
         &mut self,
         bytes: &[u8],
@@ -194,6 +195,7 @@
         !self.closing && !self.deferred.is_empty() && self.output.len() < MAX_OUTPUT
     }
 
+    /// Whether the session reads no more requests.
     pub fn is_closing(&self) -> bool {
         self.closing
     }
@@ -203,7 +205,7 @@
         self.is_verified
     }
 
-    /// For the choice of a connection that makes way.
+    /// For the choice of a connection that is evicted.
     pub fn activity(&self) -> ConnectionActivity {
         ConnectionActivity {
             has_requested: self.has_requested,
--- a/crates/platform/src/subscription.rs
+++ b/crates/platform/src/subscription.rs
@@ -1,4 +1,4 @@
-//! The event bus' connection without I/O: frames from pieces, numbers that decide what is news, silence that calls for a new
+//! The event bus' connection without I/O: frames from pieces, numbers that decide what is inputs, silence that calls for a new
 //! connection, and pauses between connections.
 
 use crate::endpoint_events::{self, EndpointEvent};
@@ -11,14 +11,14 @@
 const MAX_FRAME: usize = 1 << 20;
 /// Number and kind, which every frame has.
 const HEAD: usize = 9;
-/// A frame is told each second; after so much longer silence the connection is given up.
+/// A frame is notified each second; after so much longer silence the connection is abandoned.
 pub const SILENCE: Micros = 1_600_000;
 /// Pauses between connections: at once, then doubling up to the longest.
 const PAUSE: (Micros, Micros) = (50_000, 400_000);
 /// Events that could not be read and are asked for a second time; beyond them none is.
 const MAX_UNREADABLE: usize = 256;
 
-/// What makes the bus' bytes unreadable; the connection is of no further use.
+/// What makes the event subscription' bytes unreadable; the connection is of no further use.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubscriptionError {
     #[error("a frame of {0} bytes")]
@@ -31,7 +31,7 @@
     Regressed { last: u64, got: u64 },
 }
 
-/// Whether an empty frame carries the number of the bus' last event, which the protocol's page does not say.
+/// Whether an empty frame carries the number of the event subscription' last event, which the protocol's page does not say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HeartbeatNumbering {
     Unknown,
@@ -48,9 +48,9 @@
     buffer: BytesMut,
     heard_at: Micros,
     failures: u32,
-    /// When the connection came up, until it has brought news.
+    /// When the connection came up, until it has brought inputs.
     opened: Option<Micros>,
-    /// Connections in a row that came up, brought no news and soon ended.
+    /// Connections in a row that came up, brought no inputs and soon ended.
     short_sessions: u32,
     /// Events after `last` that could not be read at first.
     unreadable: BTreeSet<u64>,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Takes what the socket gave; news are pushed in their order. After an error the connection is to be given up.
+    /// Takes what the socket gave; inputs are pushed in their order. After an error the connection is to be abandoned.
     pub fn feed(
         &mut self,
         bytes: &[u8],
@@ -175,7 +175,7 @@
         })
     }
 
-    /// An empty frame came. A number that falls back means that the bus lost its events and counts anew.
+    /// An empty frame came. A number that falls back means that the event subscription lost its events and counts anew.
     fn on_heartbeat(&mut self, number: u64) -> Result<(), SubscriptionError> {
         if number == 0 || self.heartbeats == HeartbeatNumbering::Other {
             return Ok(());
@@ -213,7 +213,7 @@
         }
         if replay.is_done() || ended {
             let event = replay.event();
-            tracing::info!(number = event.number, form = ?event.kind, "the list was told anew");
+            tracing::info!(number = event.number, form = ?event.kind, "the endpoint list was sent again");
             self.on_event(event, news);
         } else {
             self.replay = Some(replay);
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -27,7 +27,7 @@
     let mut waiting = VecDeque::new();
     loop {
         // Made in the instant in which the one before it was let go of, with nothing awaited between: whatever else may want
-        // its descriptor, the bus has it.
+        // its descriptor, the event subscription has it.
         let to = *address.borrow_and_update();
         let socket = unconnected(to);
         if let Err(error) = &socket {
@@ -118,7 +118,7 @@
                 Err(e) => return e.to_string(),
             }
         };
-        // Without a pause between the bus' number and this: what counts as known is withdrawn from and on its way.
+        // Without a pause between the event subscription' number and this: what counts as known is withdrawn from and on its way.
         for event in events.drain(..) {
             let withdrawn = executors.apply(event.kind, &event.endpoints);
             waiting.push_back(Input::EndpointUpdate { kind: event.kind, endpoints: event.endpoints });
--- a/crates/platform/tests/codecs/lines.rs
+++ b/crates/platform/tests/codecs/lines.rs
@@ -1,4 +1,4 @@
-//! Executors' answers, spoilt ones, and what is given up on a line.
+//! Executors' answers, spoilt ones, and what is abandoned on a line.
 
 use crate::tools::{ends, feed, line, write_all, MS};
 use stagehoist::Outcome;
--- a/crates/platform/tests/crossings/cancelled.rs
+++ b/crates/platform/tests/crossings/cancelled.rs
@@ -17,7 +17,7 @@
     Bytes::from_static(b"x")
 }
 
-/// The first attempt, one after a miss, one beside another that is at work.
+/// The first attempt, one after a miss, one beside another that is in progress.
 #[test]
 fn nothing_begins_for_a_client_that_left_before_the_turn_that_sends() {
     for how in EACH {
@@ -115,7 +115,7 @@
     }
 }
 
-/// A part of it was written when its client left, and another is at work on that connection: the rest is
+/// A part of it was written when its client left, and another is in progress on that connection: the rest is
 /// never written, the other's answer counts, what waited is known not to have run.
 #[test]
 fn what_was_written_in_part_is_not_completed_for_a_client_that_left() {
--- a/crates/platform/tests/crossings/clients.rs
+++ b/crates/platform/tests/crossings/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' connections, with the test as client and as a driver that takes no news: a newcomer for whom one makes way, and
+//! Clients' connections, with the test as client and as a driver that takes no inputs: a newcomer for whom one makes way, and
 //! the end of a process whose line is full.
 
 use crate::stage::{on_one_thread, WAIT};
@@ -25,7 +25,7 @@
 }
 
 impl Front {
-    /// With so many clients at once, and room for so much news.
+    /// With so many clients at once, and room for so much inputs.
     async fn new(clients: usize, line: usize) -> Front {
         let told = PlatformSettings::parse(include_str!("../config.json")).unwrap();
         let (sender, news) = mpsc::channel(line);
--- a/crates/platform/tests/crossings/lines.rs
+++ b/crates/platform/tests/crossings/lines.rs
@@ -123,7 +123,7 @@
     let mut news = Vec::new();
     line.end(stagehoist_platform::connection::Closure::ProtocolViolated, MS, &mut news);
     assert_eq!(outcomes(&news), [(2, Outcome::ConnectFailed)]);
-    // Where another may be at work there, the rest is not written either, nor anything else: what waits is
+    // Where another may be in progress there, the rest is not written either, nor anything else: what waits is
     // withdrawn, and the connection ends with the last that began.
     let (mut line, mut news) = (ConnectionState::new(0), Vec::new());
     (1..=4).for_each(|id| assert!(run(&mut line, id)));
--- a/crates/platform/tests/crossings/queues.rs
+++ b/crates/platform/tests/crossings/queues.rs
@@ -48,7 +48,7 @@
     queues(remote, local).unwrap().1 + queues(local, remote).unwrap().2
 }
 
-/// A connection on which small request 100 is at work and large ones lie until the socket did not take one
+/// A connection on which small request 100 is in progress and large ones lie until the socket did not take one
 /// whole: the number of that one, and all their bytes. Far fewer are unwritten than the socket takes once it
 /// is read dry.
 pub async fn full(stage: &Stage, listener: &TcpListener) -> (Side, u32, usize) {
--- a/crates/platform/tests/crossings/stage.rs
+++ b/crates/platform/tests/crossings/stage.rs
@@ -42,7 +42,7 @@
 }
 
 impl Stage {
-    /// With so many connections at most, and room for so much news.
+    /// With so many connections at most, and room for so much inputs.
     pub fn new(links: usize, line: usize) -> Stage {
         Stage::with(links, line, 8_000_000)
     }
--- a/crates/platform/tests/descriptors/ends.rs
+++ b/crates/platform/tests/descriptors/ends.rs
@@ -5,7 +5,7 @@
 use stagehoist_gateway::state::Input;
 use stagehoist_platform::PlatformSettings;
 
-/// How an attempt, a probe and an order to load at this executor end.
+/// How an attempt, a health check and an order to load at this executor end.
 async fn ends(stage: &mut Stage, worker: u32) -> [Outcome; 3] {
     stage.send(worker, 9);
     stage.executors.probe(worker);
@@ -24,7 +24,7 @@
     ends
 }
 
-/// An order that never left is told as such, for its ration alone: it costs the executor nothing.
+/// An order that never left is notified as such, for its ration alone: it costs the executor nothing.
 const OWN_WANT: [Outcome; 3] = [Outcome::Full, Outcome::Full, Outcome::ConnectFailed];
 
 #[test]
@@ -58,7 +58,7 @@
     });
 }
 
-/// The module's part: which end of a probe ejects.
+/// The module's part: which end of a health check ejects.
 #[test]
 fn a_probe_that_ended_for_want_of_our_own_ejects_no_one() {
     let ejected = |outcome: Outcome| {
--- a/crates/platform/tests/descriptors/limit.rs
+++ b/crates/platform/tests/descriptors/limit.rs
@@ -97,7 +97,7 @@
     });
 }
 
-/// All clients are at work or in line, and none can make way: the system is asked with pauses, and the line is served once
+/// All clients are in progress or in line, and none can make way: the system is asked with pauses, and the line is served once
 /// there is room.
 #[test]
 fn a_line_that_no_one_makes_way_for_is_looked_at_with_pauses() {
--- a/crates/platform/tests/descriptors/stage.rs
+++ b/crates/platform/tests/descriptors/stage.rs
@@ -212,7 +212,7 @@
     (listener, address)
 }
 
-/// One that the system gives to no one and connects from for no one: where the bus may be away for a while.
+/// One that the system gives to no one and connects from for no one: where the event subscription may be away for a while.
 pub fn own_address() -> SocketAddr {
     let [_, b, c, d] = std::process::id().to_be_bytes();
     SocketAddr::from(([127, 64 + b % 64, c, d.clamp(1, 254)], 5400))
--- a/crates/recovery/src/delivery_cache.rs
+++ b/crates/recovery/src/delivery_cache.rs
@@ -1,4 +1,4 @@
-//! The memory of messages: which are at work, which are answered, and what is known of their replies. It answers a message
+//! The memory of messages: which are in progress, which are answered, and what is known of their replies. It answers a message
 //! that is delivered again without running it again.
 
 use crate::{AttemptKnowledge, Key};
@@ -21,14 +21,14 @@
 pub enum Verdict<A> {
     /// Take it as a call.
     Run,
-    /// It is at work under this number; its answer goes to this delivery.
+    /// It is in progress under this number; its answer goes to this delivery.
     Join(u64),
     /// Its answer is known and did not arrive: send it, run nothing.
     Resend(A),
     /// Its answer arrived, or may have: acknowledge it, send nothing, run nothing.
     Settle { doubtful: bool },
     /// It was delivered before and nothing is known of it here: whoever may have held it is asked, and until then it waits
-    /// as if it were at work under its number. Given only after [`DeliveryCache::asks`].
+    /// as if it were in progress under its number. Given only after [`DeliveryCache::asks`].
     Inquire,
     /// It was delivered before and nothing is known of it: answer `failed`, run nothing.
     Fail,
@@ -40,7 +40,7 @@
     Answered(A, ReplyState),
     /// Nothing is known but that it is being answered `failed` under this number.
     Failing(u64),
-    /// Another member was told that no attempt leaves from here.
+    /// Another member was notified that no attempt leaves from here.
     Ceded,
 }
 
@@ -57,10 +57,10 @@
     retention: Micros,
     resend_doubtful: bool,
     entries: HashMap<Key, Entry<A>>,
-    /// Birth order; an entry that was replaced leaves a stale line, told by its time.
+    /// Birth order; an entry that was replaced leaves a stale line, known by its time.
     order: VecDeque<(Micros, Key)>,
     inquires: bool,
-    /// A message at work was forgotten: what is not known may be at work here, until then.
+    /// A message in progress was forgotten: what is not known may be in progress here, until then.
     unproven_until: Micros,
 }
 
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Messages of which nothing is known are asked about from now on: attempts of calls that may not simply be repeated
-    /// are marked on disk, and somebody can tell.
+    /// Messages of which nothing is known are asked about from now on: attempts of calls that is not idempotent
+    /// are recorded on disk, and somebody can tell.
     pub fn inquires(&mut self, asks: bool) {
         self.inquires = asks;
     }
@@ -97,9 +97,9 @@
 
     /// A delivery came. `ticket` is the number it will run under if the verdict is [`Verdict::Run`].
     ///
-    /// A delivery that is not marked as redelivered is a message of its own, even where a caller uses an id twice. One
+    /// A delivery that is not recorded as redelivered is a message of its own, even where a caller uses an id twice. One
     /// that is and of which nothing is known was with another front end, or with this one before a restart: it may have
-    /// run there, so that only what is safe to repeat runs.
+    /// run there, so that only what is idempotent runs.
     pub fn on_delivery(
         &mut self,
         key: Option<&Key>,
@@ -138,7 +138,7 @@
                 Verdict::Fail
             }
         } else if ceded {
-            // It lay in the socket while another member was told that nothing leaves from here.
+            // It lay in the socket while another member was notified that nothing leaves from here.
             Verdict::Fail
         } else {
             Verdict::Run
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Another member asks about a message that was delivered to it. `marks` is what this one's marks tell, asked before.
+    /// Another member asks about a message that was delivered to it. `marks` is what this one's intents tell, asked before.
     ///
     /// After [`AttemptKnowledge::None`] no first delivery of the message is taken up here while this is remembered.
     pub fn combine(&mut self, key: &Key, marks: AttemptKnowledge, now: Micros) -> AttemptKnowledge {
@@ -194,13 +194,13 @@
         if self.entries.get(key).is_some_and(|e| e.born == born) {
             let gone = self.entries.remove(key);
             if gone.is_some_and(|e| matches!(e.known, Known::Running(_))) {
-                // It may still have its first attempt before it, and no mark yet.
+                // It may still have its first attempt before it, and no intent yet.
                 self.unproven_until = now + self.retention;
             }
         }
     }
 
-    /// A message's call has its answer; what becomes of the reply is told by [`DeliveryCache::sent`].
+    /// A message's call has its answer; what becomes of the reply is notified by [`DeliveryCache::sent`].
     pub fn on_answer(&mut self, key: &Key, ticket: u64, answer: A, sent: ReplyState) {
         if let Some(entry) = self.entries.get_mut(key) {
             if matches!(entry.known, Known::Running(t) | Known::Failing(t) if t == ticket) {
--- a/crates/recovery/src/inquiry.rs
+++ b/crates/recovery/src/inquiry.rs
@@ -69,6 +69,7 @@
 }
 
 impl<M: Ord + Clone> Inquiries<M> {
+    /// No inquiries yet.
     pub fn new(patience: InquiryLimits) -> Inquiries<M> {
         Inquiries { limits: patience, open: HashMap::new(), deadlines: BTreeSet::new() }
     }
@@ -78,6 +79,7 @@
         self.open.len()
     }
 
+    /// Whether none is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
--- a/crates/recovery/src/intent_gate.rs
+++ b/crates/recovery/src/intent_gate.rs
@@ -1,4 +1,4 @@
-//! Attempts that wait for their call's mark on disk. No other call waits for them, and what was decided is looked at again
+//! Attempts that wait for their call's intent on disk. No other call waits for them, and what was decided is looked at again
 //! before one leaves: its time, its worker, whether it was taken back meanwhile.
 
 use stagehoist::{Micros, RequestId, WorkerId};
@@ -7,7 +7,7 @@
 /// Bounds of the wait.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest wait for a mark; an attempt that waited so long is not sent.
+    /// Longest wait for an intent; an attempt that waited so long is not sent.
     pub longest: Micros,
     /// Attempts that wait at once.
     pub most: usize,
@@ -24,9 +24,9 @@
 /// What becomes of an attempt.
 #[derive(Debug, PartialEq)]
 pub enum GateDecision<A> {
-    /// It leaves now: the mark of its call is on disk, or it needs none.
+    /// It leaves now: the intent of its call is on disk, or it needs none.
     Send(A),
-    /// It waits; the mark is to be asked for where told.
+    /// It waits; the intent is to be asked for where told.
     Wait { record: bool },
     /// It never left, which is known: nothing ran. `why` is for people.
     Unsent(A, UnsentReason),
@@ -35,9 +35,9 @@
 /// Why an attempt was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnsentReason {
-    /// No mark in time, or it could not be written.
+    /// No intent in time, or it could not be written.
     NoIntent,
-    /// Its time was over when the mark came.
+    /// Its time was over when the intent came.
     TooLate,
     /// Its worker is gone, or drains for longer than its grace.
     WorkerDraining,
@@ -50,7 +50,7 @@
 /// Which attempt: of this request, the so-and-so-many-th.
 pub type AttemptId = (RequestId, u16);
 
-/// A call whose mark was asked for: whether it is on disk, and its attempts that wait for that.
+/// A call whose intent was asked for: whether it is on disk, and its attempts that wait for that.
 #[derive(Default)]
 struct Call {
     on_disk: bool,
@@ -65,7 +65,7 @@
     by: Micros,
 }
 
-/// The attempts of one front end that wait, and the calls whose marks are on disk. A call's number is never used twice in a
+/// The attempts of one front end that wait, and the calls whose intents are on disk. A call's number is never used twice in a
 /// run, as its request's may be.
 pub struct IntentGate<A> {
     limits: Limits,
@@ -79,6 +79,7 @@
 }
 
 impl<A> IntentGate<A> {
+    /// A gate that holds nothing.
     pub fn new(limits: Limits) -> IntentGate<A> {
         IntentGate {
             limits,
@@ -95,7 +96,7 @@
         self.waiting.len()
     }
 
-    /// An attempt of the call with this number, which needs a mark, was decided; `due` is when it is cut.
+    /// An attempt of the call with this number, which needs an intent, was decided; `due` is when it is cut.
     pub fn attempt(
         &mut self,
         (number, id): (u64, AttemptId),
@@ -123,7 +124,7 @@
         GateDecision::Wait { record: ask }
     }
 
-    /// Makes room for one more call. One that is forgotten has its mark asked for anew before its next attempt.
+    /// Makes room for one more call. One that is forgotten has its intent asked for anew before its next attempt.
     fn forget(&mut self) {
         while self.order.len() >= 2 * self.limits.most {
             let Some(oldest) = self.order.pop_front() else { return };
@@ -133,14 +134,14 @@
         }
     }
 
-    /// A mark is on disk, or (false) is not as far as is known. What becomes of the attempts that waited for it.
+    /// An intent is on disk, or (false) is not as far as is known. What becomes of the attempts that waited for it.
     pub fn on_recorded(
         &mut self,
         number: u64,
         on_disk: bool,
         now: Micros,
     ) -> Vec<(AttemptId, GateDecision<A>)> {
-        // A call that is over has its mark go by its age.
+        // A call that is over has its intent go by its age.
         let Some(call) = self.calls.get_mut(&number) else { return Vec::new() };
         call.on_disk = on_disk;
         let ids = std::mem::take(&mut call.waiting);
@@ -174,7 +175,7 @@
         self.take(id).is_some()
     }
 
-    /// A call is answered: its attempts that wait never leave, and its mark serves no more.
+    /// A call is answered: its attempts that wait never leave, and its intent serves no more.
     pub fn call_ended(&mut self, number: u64) -> Vec<(AttemptId, A)> {
         let ids = self.calls.remove(&number).unwrap_or_default().waiting;
         ids.into_iter().filter_map(|id| Some((id, self.take(id)?.what))).collect()
@@ -193,7 +194,7 @@
         self.deadlines.first().map(|(at, _)| *at)
     }
 
-    /// Attempts that waited too long. A mark that comes later serves the call's next attempt.
+    /// Attempts that waited too long. An intent that comes later serves the call's next attempt.
     pub fn take_late(&mut self, now: Micros) -> Vec<(AttemptId, A, UnsentReason)> {
         let ids: Vec<AttemptId> =
             self.deadlines.range(..=(now, (RequestId::MAX, u16::MAX))).map(|b| b.1).collect();
--- a/crates/recovery/src/key.rs
+++ b/crates/recovery/src/key.rs
@@ -1,4 +1,4 @@
-//! What identifies a message over deliveries, and its short form in marks and questions.
+//! What identifies a message over deliveries, and its short form in intents and questions.
 
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::hash::Hasher;
--- a/crates/recovery/src/phases.rs
+++ b/crates/recovery/src/phases.rs
@@ -2,23 +2,23 @@
 //!
 //! | after a start | trusted | why |
 //! | --- | --- | --- |
-//! | incarnation | as the record tells; its own file until then, as "at least" | every run has a number of its own |
-//! | the record | as far as keepers agreed, through a session of this run | a view kept on disk may be old |
-//! | marks of attempts | where the store shows that it is whole | see the `marks` package |
-//! | leases on views and lanes | never | they count from a clock that is gone |
+//! | incarnation | as the cluster state tells; its own file until then, as "at least" | every run has a number of its own |
+//! | the cluster state | as far as replicas agreed, through a session of this run | a view kept on disk may be old |
+//! | intents of attempts | where the store shows that it is whole | see the `marks` package |
+//! | leases on views and permits | never | they count from a clock that is gone |
 //! | beliefs about copies, loads, lateness of workers | never | the workers may have started anew too |
 //! | clock readings of before | never | a monotonic clock begins anew |
 //!
 //! | stage | waits for | when its limit passes |
 //! | --- | --- | --- |
-//! | waking | own store opened, or set aside | goes on without marks: messages delivered again fail, calls that need a mark are held back by the mark's own limit |
-//! | asking | a session with the record, and answers of former members | goes on without: strict functions and borrowed lanes stay shut by their own rules; messages asked about fail |
-//! | reserved | evidence that the fleet is warm | opens by steps, as much each as the evidence allows, at least the floor of it |
+//! | waking | own store opened, or quarantined | goes on without intents: messages delivered again fail, calls that need an intent are held back by the intent's own limit |
+//! | asking | a session with the cluster state, and answers of former members | goes on without: strict functions and borrowed permits stay shut by their own rules; messages asked about fail |
+//! | reserved | evidence that the fleet is warm | opens by steps, as much each as the evidence allows, at least the guaranteed minimum of it |
 //! | open | - | - |
 //!
 //! In waking and asking calls wait, as far as their time allows, and are refused with a time to come back where it does not.
-//! A lone survivor, whose keepers and former members are all out of reach, goes by the limits: it serves with its floors,
-//! calls inside reservations (counted by its floors) first.
+//! A lone survivor, whose replicas and former members are all out of reach, goes by the limits: it serves with its guaranteed minimums,
+//! calls inside reservations (counted by its guaranteed minimums) first.
 
 use crate::Backoff;
 use stagehoist::Micros;
@@ -49,13 +49,13 @@
 pub struct Limits {
     pub opening_storage: Micros,
     pub resolving_in_doubt: Micros,
-    /// After this long in `reserved` the part let in grows by time too, over as long again.
+    /// After this long in `reserved` the part admitted grows by time too, over as long again.
     pub ramping: Micros,
     /// Time that a call needs beside its wait, to be let wait at all.
     pub room: Micros,
     /// Share of calls served in time at which the fleet counts as warm.
     pub served: f64,
-    /// Part of the others' calls that is let in at least, so that there is evidence to see.
+    /// Part of the others' calls that is admitted at least, so that there is evidence to see.
     pub least: f64,
     /// Fewest calls that make evidence.
     pub calls: u32,
@@ -78,13 +78,13 @@
 /// What is seen, whenever it changes. Counts are of the last second or so.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RecoveryEvidence {
-    /// Own store: opened, or set aside and begun anew. Where no marks are told, true.
+    /// Own store: opened, or quarantined and begun anew. Where no intents are told, true.
     pub store: bool,
-    /// A session with the record stands and its view came. Where no keepers are told, true.
+    /// A session with the cluster state stands and its view came. Where no replicas are told, true.
     pub record: bool,
     /// Former members that are still to say what they know of messages delivered again.
     pub open_inquiries: u32,
-    /// Calls let in that ended, and those of them served in time.
+    /// Calls admitted that ended, and those of them served in time.
     pub ended: u32,
     pub in_time: u32,
     /// Workers that are ready, and those of them with a warm copy of something.
@@ -130,17 +130,17 @@
     limits: Limits,
     phase: RecoveryPhase,
     since: Micros,
-    /// Part of the calls outside reservations that is let in.
+    /// Part of the calls outside reservations that is admitted.
     admitted_share: f64,
     reported_at: Micros,
     random: Backoff,
 }
 
-/// Time in which the part let in may double.
+/// Time in which the part admitted may double.
 const STEP: Micros = 500_000;
 
 impl RecoveryPhases {
-    /// A front end starts. One that is told no fleet at all is open from the start.
+    /// A front end starts. One that is notified no fleet at all is open from the start.
     pub fn new(limits: Limits, seed: u64, now: Micros) -> RecoveryPhases {
         let random = Backoff::new(1, 1, seed);
         RecoveryPhases {
@@ -153,16 +153,17 @@
         }
     }
 
-    /// Without stages: everyone is let in.
+    /// Without stages: everyone is admitted.
     pub fn open(now: Micros) -> RecoveryPhases {
         RecoveryPhases { phase: RecoveryPhase::Serving, ..RecoveryPhases::new(Limits::default(), 0, now) }
     }
 
+    /// The present phase.
     pub fn phase(&self) -> RecoveryPhase {
         self.phase
     }
 
-    /// Part of the calls outside reservations that is let in now.
+    /// Part of the calls outside reservations that is admitted now.
     pub fn admitted_share(&self) -> f64 {
         match self.phase {
             RecoveryPhase::OpeningStorage | RecoveryPhase::ResolvingInDoubt => 0.0,
@@ -181,7 +182,7 @@
         }
     }
 
-    /// What is seen now. True where the stage changed: calls that wait are asked for again.
+    /// What is seen now. True where the harness changed: calls that wait are asked for again.
     pub fn observe(&mut self, seen: &RecoveryEvidence, now: Micros) -> bool {
         let before = self.phase;
         let passed = |limit: Micros| now - self.since >= limit;
@@ -208,7 +209,7 @@
         (self.phase, self.since, self.reported_at) = (stage, now, now);
     }
 
-    /// The part let in doubles at most in each step, up to what the evidence allows; it falls at once where that falls.
+    /// The part admitted doubles at most in each step, up to what the evidence allows; it falls at once where that falls.
     fn grow(&mut self, seen: &RecoveryEvidence, now: Micros) {
         let limits = self.limits;
         let late = (now - self.since - limits.ramping) as f64 / limits.ramping.max(1) as f64;
@@ -222,7 +223,7 @@
         }
     }
 
-    /// A call comes. `reserved`: its tenant has a lane by its reservation. `budget` is what is left of the caller's time.
+    /// A call comes. `reserved`: its tenant has a permit by its reservation. `budget` is what is left of the caller's time.
     pub fn admit(&mut self, reserved: bool, budget: Micros, now: Micros) -> Admission {
         let (ends, reason) = match self.phase {
             RecoveryPhase::Serving => return Admission::Enter,
@@ -242,7 +243,7 @@
         }
         let spread = (wait as f64 * (1.0 + self.random.next_fraction())) as Micros;
         let retry_after = match self.phase {
-            // As many as are let in a step come back within a step.
+            // As many as are admitted a step come back within a step.
             RecoveryPhase::Ramping => {
                 (spread as f64 / self.admitted_share.max(0.05)).min(30.0 * STEP as f64) as Micros
             }
--- a/crates/recovery/tests/marked.rs
+++ b/crates/recovery/tests/marked.rs
@@ -1,4 +1,4 @@
-//! Attempts that wait for their mark: sent once it is on disk, and only if what was decided still holds.
+//! Attempts that wait for their intent: sent once it is on disk, and only if what was decided still holds.
 
 use stagehoist_recovery::intent_gate::{GateDecision, Limits, UnsentReason};
 use stagehoist_recovery::IntentGate;
@@ -66,7 +66,7 @@
     assert_eq!(m.take_late(120), [((1, 1), "b", UnsentReason::NoIntent)]);
     assert_eq!(m.on_recorded(CALL, true, 200), []);
     assert_eq!(m.attempt((CALL, (1, 2)), 9, 1000, "c", 200), GateDecision::Send("c"));
-    // Cut before its mark came, though the alarm did not ring.
+    // Cut before its intent came, though the alarm did not ring.
     let mut m = IntentGate::new(LIMITS);
     m.attempt((CALL, (1, 0)), 9, 60, "a", 0);
     assert_eq!(m.on_recorded(CALL, true, 60), [((1, 0), GateDecision::Unsent("a", UnsentReason::TooLate))]);
@@ -83,7 +83,7 @@
         m.attempt((n, (n as u32, 0)), 9, 1000, "a", 0);
         m.on_recorded(n, true, 1);
     }
-    // The first was forgotten: its mark is asked for again, which does no harm.
+    // The first was forgotten: its intent is asked for again, which does no harm.
     assert_eq!(m.attempt((0, (0, 1)), 9, 1000, "a", 2), GateDecision::Wait { record: true });
     assert_eq!(m.attempt((99, (99, 1)), 9, 1000, "a", 2), GateDecision::Send("a"));
 }
--- a/crates/recovery/tests/restarts.rs
+++ b/crates/recovery/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! One message that may run once, two processes with marks, and a broker that delivers again: over any drawn interleaving of
+//! One message that may run once, two processes with intents, and a broker that delivers again: over any drawn interleaving of
 //! deaths, lost connections, late deliveries and answers it never runs twice, and where nothing left it runs.
 
 use proptest::prelude::*;
@@ -11,9 +11,9 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Without {
     Nothing,
-    /// Attempts leave before their mark is on disk.
+    /// Attempts leave before their intent is on disk.
     Mark,
-    /// Only the own marks are asked.
+    /// Only the own intents are asked.
     Others,
     /// Whoever says that nothing left may still take the message up.
     Promise,
@@ -223,7 +223,7 @@
         let mut play = Play::new(Without::Nothing);
         for (at, depth) in deaths.into_iter().chain([(0, 9)]) {
             let path = [(0, at), (2, at), (6, 1 - at), (7, at), (7, at), (4, at)];
-            // The last round goes its whole way; the others die before their mark is asked for or written.
+            // The last round goes its whole way; the others die before their intent is asked for or written.
             for (what, who) in path.into_iter().take(1 + depth) {
                 play.step(what, who);
             }
--- a/crates/scale-tests/src/fleet/moves.rs
+++ b/crates/scale-tests/src/fleet/moves.rs
@@ -42,7 +42,7 @@
     (0..many).map(|n| Member::new(&format!("{what}-{n}"), zone(n), 1.0)).collect()
 }
 
-/// Homes of a list; the control: each is dealt out by its place in the list.
+/// Homes of a list; the control: each is allocated out by its place in the list.
 fn homes(plan: &Plan, shards: u32, list: &[Member]) -> HashMap<Key, Shard> {
     if plan.control {
         let mut keys: Vec<Key> = list.iter().map(|m| m.key).collect();
--- a/crates/scale-tests/src/front_end/hall.rs
+++ b/crates/scale-tests/src/front_end/hall.rs
@@ -4,7 +4,7 @@
 use stagehoist::{FunctionId, Micros, WorkerId};
 use std::collections::HashMap;
 
-/// Loads that a worker has under way at once: the stand-in worker's number.
+/// Loads that a worker has under way at once: the emulator worker's number.
 const LOADS: usize = 3;
 
 struct Copy {
@@ -21,7 +21,7 @@
     pub run: Micros,
 }
 
-/// All workers. Lanes are as many as are asked for: at the letter's traffic they are few; loads beyond three at
+/// All workers. Permits are as many as are asked for: at the letter's traffic they are few; loads beyond three at
 /// one worker wait.
 #[derive(Default)]
 pub struct Hall {
--- a/crates/scale-tests/src/front_end/list_state.rs
+++ b/crates/scale-tests/src/front_end/list_state.rs
@@ -1,4 +1,4 @@
-//! The list of workers of a scene, and what each change of it tells.
+//! The endpoint list of a scene, and what each change of it tells.
 
 use super::scene::{Change, Scene, SECOND};
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle, Micros, WorkerId};
@@ -17,7 +17,7 @@
     places: Vec<Place>,
 }
 
-/// What is told: the form and the rows; and the workers whose process ends at the change, with the time at which it is back.
+/// What is notified: the form and the rows; and the workers whose process ends at the change, with the time at which it is back.
 pub struct News {
     pub form: EndpointUpdate,
     pub rows: Vec<Endpoint>,
--- a/crates/scale-tests/src/front_end/player.rs
+++ b/crates/scale-tests/src/front_end/player.rs
@@ -43,7 +43,7 @@
 }
 
 impl Player {
-    /// Where `divided` is told it takes its own workers from the whole list.
+    /// Where `divided` is notified it takes its own workers from the whole list.
     pub fn new(scene: &Scene, divided: Option<&Divided>, number: u32, now: Micros) -> Player {
         let members = EndpointSet::new(vec!["large".into()], Vec::new(), 0);
         let mut settings = scene.settings();
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The list, as far as this front end is told of it.
+    /// The list, as far as this front end is notified of it.
     pub fn told(&mut self, play: &mut Play, news: &News, now: Micros) {
         let scene = play.scene;
         let name = |row: &Endpoint| NumberedEndpoint {
--- a/crates/scale-tests/src/front_end/rows.rs
+++ b/crates/scale-tests/src/front_end/rows.rs
@@ -26,7 +26,7 @@
 
 /// Processor time that a call may take, so that 122 a second stay within the share told.
 const ROOM: f64 = COLD_START - super::LOAD as f64 / 1e6;
-/// Numbers of workers; the last is the letter's where all sizes are run. A divided front end is told of few of them.
+/// Numbers of workers; the last is the letter's where all sizes are run. A divided front end is notified of few of them.
 fn workers(plan: &Plan) -> &'static [u32] {
     match divided(plan) {
         Some(_) => &[1000, 3000, 10_000, 30_000],
@@ -169,7 +169,7 @@
     Scene { changes: places.map(change).collect(), ..plain }
 }
 
-/// Workers whose replacement by one with a new name is told to the module: any, or for a divided front end
+/// Workers whose replacement by one with a new name is ordered to the module: any, or for a divided front end
 /// those that come to be of its own.
 fn landing(scene: &Scene, many: usize) -> Vec<u32> {
     let Some(shards) = &scene.shards else { return (0..scene.workers).take(many).collect() };
--- a/crates/scale-tests/src/front_end/scene.rs
+++ b/crates/scale-tests/src/front_end/scene.rs
@@ -7,14 +7,14 @@
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
-/// How long an unused copy stands: the product's `idle-keep` where none is told.
+/// How long an unused copy stands: the product's `idle-keep` where none is notified.
 pub const KEEP: Micros = 10 * SECOND;
 /// A load, alone on its worker: assumed, so that the letter's 0.56 s leaves 0.06 s for all else.
 pub const LOAD: Micros = 500 * MS;
 /// A connection to a worker is closed after so long without a call.
 pub const IDLE_CLOSE: Micros = 10 * SECOND;
 
-/// What happens to the list of workers.
+/// What happens to the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// So many restart, one after the other, and keep their names.
@@ -59,7 +59,7 @@
     pub counts_from: f64,
     /// Front ends that run, with real code; all share the workers.
     pub front_ends: u32,
-    /// Front ends that they are told of.
+    /// Front ends that they are notified of.
     pub told: u32,
     pub shards: Option<Shards>,
     /// Exponent of Zipf's law over functions.
--- a/crates/scale-tests/src/lanes.rs
+++ b/crates/scale-tests/src/lanes.rs
@@ -1,5 +1,5 @@
-//! Rows side by side: each lane in a process of its own, as bytes allocated are counted for a whole process
-//! and processor time for a thread. A lane sends each of its rows as a line.
+//! Rows side by side: each permit in a process of its own, as bytes allocated are counted for a whole process
+//! and processor time for a thread. A permit sends each of its rows as a line.
 
 use crate::error::ScaleError;
 use crate::fit::Point;
@@ -9,7 +9,7 @@
 use std::io::Read;
 use std::process::{Child, Command, Stdio};
 
-/// A row on its way from a lane: figures by their bits, so that none changes by a digit.
+/// A row on its way from a permit: figures by their bits, so that none changes by a digit.
 #[derive(Serialize, Deserialize)]
 struct Sent {
     /// Name, unit, axis, source, formula, mechanism.
@@ -43,7 +43,7 @@
     serde_json::to_string(&sent).map_err(|e| wrong(s.name, &e.to_string()))
 }
 
-/// The row of a line; curve and mark come from the points again.
+/// The row of a line; curve and intent come from the points again.
 ///
 /// # Errors
 /// The line is none of [`line`]'s.
@@ -96,7 +96,7 @@
 /// All rows, measured side by side, in the order of the page.
 ///
 /// # Errors
-/// A lane can't be started, or one of its rows can't be measured.
+/// A permit can't be started, or one of its rows can't be measured.
 pub fn run(plan: &Plan) -> Result<Vec<Row>, ScaleError> {
     let begun: Vec<Result<Child, ScaleError>> = (0..lanes().len()).map(|lane| begin(plan, lane)).collect();
     let mut rows = Vec::new();
@@ -117,7 +117,7 @@
     }
 }
 
-/// Reads a lane's rows to its end.
+/// Reads a permit's rows to its end.
 fn end(mut child: Child) -> Result<Vec<Row>, ScaleError> {
     let mut text = String::new();
     let read = child.stdout.take().map(|mut out| out.read_to_string(&mut text));
--- a/crates/scale-tests/src/lib.rs
+++ b/crates/scale-tests/src/lib.rs
@@ -8,10 +8,10 @@
 //! - [`report`]: the table, the ranking, the verdict.
 //! - [`front_end`]: one real front end over workers and functions, whole or divided.
 //! - [`proof`]: the same divided, beside the whole list; [`fleet`]: the divided fleet.
-//! - [`list`]: the list of workers as real bytes.
+//! - [`list`]: the endpoint list as real bytes.
 //! - [`events`]: what an event of the whole fleet does to a front end.
-//! - [`traces`]: marks on disk, metrics, logs.
-//! - [`record`]: sessions with the record and changes to force.
+//! - [`traces`]: intents on disk, metrics, logs.
+//! - [`record`]: sessions with the cluster state and changes to force.
 #![forbid(unsafe_code)]
 
 pub mod error;
--- a/crates/scale-tests/src/list/bytes.rs
+++ b/crates/scale-tests/src/list/bytes.rs
@@ -7,7 +7,7 @@
 /// Length, number and kind of a frame.
 pub const FRAME_HEAD: usize = 13;
 
-/// A frame of the bus: the whole list or changes of these places, in this state (0 ready, 1 draining, 2 gone).
+/// A frame of the event subscription: the whole list or changes of these places, in this state (0 ready, 1 draining, 2 gone).
 pub fn frame(number: u64, whole: bool, places: impl Iterator<Item = (u32, u8)>, started_ms: u64) -> Vec<u8> {
     let mut frame = vec![0; FRAME_HEAD];
     frame[4..12].copy_from_slice(&number.to_be_bytes());
@@ -28,7 +28,7 @@
     frame
 }
 
-/// An empty frame: the bus lives.
+/// An empty frame: the event subscription lives.
 pub fn heartbeat(number: u64) -> Vec<u8> {
     let mut frame = vec![0; FRAME_HEAD];
     frame[3] = 9;
--- a/crates/scale-tests/src/list/follower.rs
+++ b/crates/scale-tests/src/list/follower.rs
@@ -66,7 +66,7 @@
         Ok(rows)
     }
 
-    /// The list whole over the bus: its bytes, rows told to the module, processor time from bytes to known.
+    /// The list whole over the event subscription: its bytes, rows told to the module, processor time from bytes to known.
     pub fn whole(&mut self, lines: u32) -> Read {
         self.number += 1;
         self.now += 1_000_000;
@@ -75,7 +75,7 @@
         Read { bytes: bytes.len(), rows, time }
     }
 
-    /// One worker's restart by changes, each in a frame of its own as the bus tells them: drains, is gone, is back.
+    /// One worker's restart by changes, each in a frame of its own as the event subscription tells them: drains, is gone, is back.
     pub fn restart(&mut self, place: u32) -> Read {
         let mut all = Read { bytes: 0, rows: Ok(0), time: 0.0 };
         for state in [1, 2, 0] {
@@ -89,7 +89,7 @@
         all
     }
 
-    /// A change of Consul's list, which is told whole: bytes, rows told to the module, processor time.
+    /// A change of Consul's list, which is notified whole: bytes, rows told to the module, processor time.
     pub fn consul(&mut self, lines: u32) -> Read {
         self.now += 1_000_000;
         let body = consul(lines);
--- a/crates/scale-tests/src/list/mod.rs
+++ b/crates/scale-tests/src/list/mod.rs
@@ -1,4 +1,4 @@
-//! The list of workers: its bytes with their real codecs, what a front end does with it, what its source sends.
+//! The endpoint list: its bytes with their real codecs, what a front end does with it, what its source sends.
 
 pub mod bytes;
 mod follower;
--- a/crates/scale-tests/src/main.rs
+++ b/crates/scale-tests/src/main.rs
@@ -26,7 +26,7 @@
     /// Divided front ends: each serves one of so many shards.
     #[arg(long, global = true)]
     shards: Option<u32>,
-    /// One lane's rows, or those of them that `--row` names, each as a line: a part of a run, started by it.
+    /// One permit's rows, or those of them that `--row` names, each as a line: a part of a run, started by it.
     #[arg(long, global = true, hide = true)]
     lane: Option<usize>,
 }
--- a/crates/scale-tests/src/plan.rs
+++ b/crates/scale-tests/src/plan.rs
@@ -20,7 +20,7 @@
     pub seed: u64,
     /// The negative control: the row's mechanism off, or a fault put in. It must make the row short.
     pub control: bool,
-    /// The front end is divided: it serves one of so many shards, and is told of nothing else.
+    /// The front end is divided: it serves one of so many shards, and is notified of nothing else.
     pub shards: Option<u32>,
 }
 
@@ -57,7 +57,7 @@
     parts.concat()
 }
 
-/// Rows that are measured side by side, those that share what they play in one lane: three, as the record's
+/// Rows that are measured side by side, those that share what they play in one permit: three, as the cluster state's
 /// has processes of its own, so that a run takes half of eight cores.
 pub fn lanes() -> Vec<Vec<Measure>> {
     let one = [crate::front_end::MEASURES, crate::front_end::rare::MEASURES, crate::proof::MEASURES];
--- a/crates/scale-tests/src/proof/module.rs
+++ b/crates/scale-tests/src/proof/module.rs
@@ -11,7 +11,7 @@
 /// Changes of the list that a scene plays one by one, to have the time of one.
 const CHANGES: u32 = 30;
 
-/// The letter's workers are played whole in each size, as a divided front end is told of few.
+/// The letter's workers are played whole in each size, as a divided front end is notified of few.
 fn sizes(plan: &Plan) -> &'static [u32] {
     match plan.control {
         // Many times as many as are short of the limit: an idle machine takes half the time of a busy one.
--- a/crates/scale-tests/src/record/apart.rs
+++ b/crates/scale-tests/src/record/apart.rs
@@ -1,4 +1,4 @@
-//! An hour in which the regions don't hear each other, in simulated time around the record's real state: who may still
+//! An hour in which the regions don't hear each other, in simulated time around the cluster state's real state: who may still
 //! change what, what is refused meanwhile, and what is joined afterwards.
 
 mod world;
@@ -15,7 +15,7 @@
 const STEP: Micros = 500_000;
 /// A view beyond this takes no retirement more: half of the longest frame (`VIEW_MOST` of the sessions).
 pub const FULL: usize = (4 << 20) / 2;
-/// Time before the cut, and after the hour until it is told what is left.
+/// Time before the cut, and after the hour until it is notified what is left.
 const BEFORE: Micros = 20_000_000;
 const AFTER: Micros = 120_000_000;
 
@@ -37,7 +37,7 @@
 /// What came of it. Times in milliseconds of simulated time, to a step.
 #[derive(Clone, Debug, Default)]
 pub struct Course {
-    /// Changes proposed in the leader's region during the cut; those that the record took, refused as full, and that
+    /// Changes proposed in the leader's region during the cut; those that the cluster state took, refused as full, and that
     /// came in force before its end.
     pub proposed: usize,
     pub taken: usize,
--- a/crates/scale-tests/src/record/apart/world.rs
+++ b/crates/scale-tests/src/record/apart/world.rs
@@ -1,4 +1,4 @@
-//! The record, its leader and the members of two regions, step by step.
+//! The cluster state, its leader and the members of two regions, step by step.
 
 use super::{Course, Plan, BEFORE, FULL, STEP};
 use crate::record::fault::Outcome;
--- a/crates/scale-tests/src/record/board.rs
+++ b/crates/scale-tests/src/record/board.rs
@@ -16,7 +16,7 @@
     /// What they are shown they confirm at once.
     #[default]
     Sound,
-    /// They confirm nothing, as one with a call at work that never ends.
+    /// They confirm nothing, as one with a call in progress that never ends.
     Silent,
     /// What they report changes all the time: a fault.
     Flapping,
--- a/crates/scale-tests/src/record/fault.rs
+++ b/crates/scale-tests/src/record/fault.rs
@@ -1,4 +1,4 @@
-//! What can go wrong while the record is measured.
+//! What can go wrong while the cluster state is measured.
 
 use std::path::PathBuf;
 
--- a/crates/scale-tests/src/record/lines.rs
+++ b/crates/scale-tests/src/record/lines.rs
@@ -64,7 +64,7 @@
 }
 
 impl Peer {
-    /// Starts it with its part and what it is told.
+    /// Starts it with its part and what it is notified.
     ///
     /// # Errors
     /// It can't be started.
--- a/crates/scale-tests/src/record/marks.rs
+++ b/crates/scale-tests/src/record/marks.rs
@@ -1,4 +1,4 @@
-//! Marks of attempts on disk: what one call that may not simply be repeated costs.
+//! Intents of attempts on disk: what one call that is not idempotent costs.
 
 use super::fault::{Fault, Outcome};
 use super::usage::{load, Usage};
@@ -12,25 +12,25 @@
     Intent { identity: u128::from(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)) << 64 | u128::from(n), number: n }
 }
 
-/// Marks asked for at a rate, for some seconds.
+/// Intents asked for at a rate, for some seconds.
 #[derive(Clone, Debug, Default)]
 pub struct Paced {
     /// A second.
     pub rate: f64,
     pub asked: usize,
     pub marked: usize,
-    /// Commits, each with a flush, and bytes written, for each mark.
+    /// Commits, each with a flush, and bytes written, for each intent.
     pub commits: f64,
     pub bytes: f64,
     pub commits_a_second: f64,
-    /// Until a mark is on disk, in milliseconds, sorted.
+    /// Until an intent is on disk, in milliseconds, sorted.
     pub ms: Vec<f64>,
-    /// Processor time of a mark, in seconds: this process's, all of it.
+    /// Processor time of an intent, in seconds: this process's, all of it.
     pub spent: f64,
     pub load: f64,
 }
 
-/// Asks for marks at an even rate. A store that is never told of a run marks nothing: the fault of a negative control.
+/// Asks for intents at an even rate. A store that is never told of a run intents nothing: the fault of a negative control.
 ///
 /// # Errors
 /// The folder can't be used.
@@ -57,7 +57,7 @@
     }
     paced.ms.sort_by(f64::total_cmp);
     let (is, took) = (Usage::now()?, began.elapsed().as_secs_f64());
-    // A word behind all others: the count of commits is told after the answers.
+    // A word behind all others: the count of commits is notified after the answers.
     marks.query(0, mark(0).identity, &reply);
     let _ = done.blocking_recv();
     let made = marks.commits().map_or(0, |w| w.commits) - commits;
@@ -70,7 +70,7 @@
     Ok(paced)
 }
 
-/// A store that holds so many marks.
+/// A store that holds so many intents.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Held {
     pub marks: usize,
@@ -81,7 +81,7 @@
     pub memory: f64,
 }
 
-/// Writes so many marks and asks for a part of them.
+/// Writes so many intents and asks for a part of them.
 ///
 /// # Errors
 /// The file can't be used.
--- a/crates/scale-tests/src/record/mod.rs
+++ b/crates/scale-tests/src/record/mod.rs
@@ -1,4 +1,4 @@
-//! The record: sessions of front ends with real replicas over loopback, changes until they are in force, losses, and the
+//! The cluster state: sessions of front ends with real replicas over loopback, changes until they are in force, losses, and the
 //! state itself. Replicas and members are processes of their own; one line asks them, one line answers.
 
 pub mod apart;
@@ -26,10 +26,10 @@
 pub use rows::MEASURES;
 pub use settings::{clock, Settings};
 
-/// A process of a measurement: which part, and what it is told.
+/// A process of a measurement: which part, and what it is notified.
 ///
 /// # Errors
-/// It is told something else, or can't do its part.
+/// It is notified something else, or can't do its part.
 pub fn part(name: &str, told: &str) -> Outcome<()> {
     match name {
         "replica" => replica::run(serde_json::from_str(told)?),
--- a/crates/scale-tests/src/record/rows.rs
+++ b/crates/scale-tests/src/record/rows.rs
@@ -1,4 +1,4 @@
-//! The record's rows.
+//! The cluster state's rows.
 
 mod apart;
 mod bounds;
--- a/crates/scale-tests/src/record/rows/apart.rs
+++ b/crates/scale-tests/src/record/rows/apart.rs
@@ -43,7 +43,7 @@
     Ok(Row::new(subject, points))
 }
 
-/// An hour as the leader's bounds have it, with as many members as the record takes, for whoever writes it down.
+/// An hour as the leader's bounds have it, with as many members as the cluster state takes, for whoever writes it down.
 fn tell_hour(plan: &Plan) -> Result<(), crate::record::Fault> {
     for strict in [0.0, 0.5, 1.0] {
         let c = play(Cut { bounded: true, strict, ..cut(plan, 4000, APART) })?;
--- a/crates/scale-tests/src/record/rows/bounds.rs
+++ b/crates/scale-tests/src/record/rows/bounds.rs
@@ -1,4 +1,4 @@
-//! What the record holds, and how much of it there may be: counted. The faults of the negative controls: each
+//! What the cluster state holds, and how much of it there may be: counted. The faults of the negative controls: each
 //! front end joins under a new name at each start, so that names are ten times as many; no member ever confirms.
 
 use super::{subject, wrong, STANDING};
@@ -13,7 +13,7 @@
 
 type Outcome = Result<Row, ScaleError>;
 
-/// Connections that a replica takes (`CONNECTIONS_MOST` of its listener), and the bounds of the record.
+/// Connections that a replica takes (`CONNECTIONS_MOST` of its listener), and the bounds of the cluster state.
 const CONNECTIONS_MOST: f64 = 2048.0;
 const MEMBERS_MOST: f64 = stagehoist_cluster_state::bounds::MAX_MEMBERS as f64;
 const REPLACED_MOST: f64 = stagehoist_cluster_state::bounds::MAX_REPLACED as f64;
--- a/crates/scale-tests/src/record/rows/marks.rs
+++ b/crates/scale-tests/src/record/rows/marks.rs
@@ -1,4 +1,4 @@
-//! Marks on disk, at the letter's calls of one front end if every one of them needed one. The fault of the negative control:
+//! Intents on disk, at the letter's calls of one front end if every one of them needed one. The fault of the negative control:
 //! a store that may hold a tenth.
 
 use super::{subject, wrong};
@@ -11,9 +11,9 @@
 
 type Outcome = Result<Row, ScaleError>;
 
-/// Seconds that a mark is kept, by default.
+/// Seconds that an intent is kept, by default.
 const KEEP: f64 = 3600.0;
-/// Written for a mark that was never on disk, in seconds.
+/// Written for an intent that was never on disk, in seconds.
 const NEVER: f64 = 3600.0;
 
 pub fn held(plan: &Plan) -> Outcome {
@@ -36,7 +36,7 @@
     for count in sizes {
         let most = if plan.control { *count / 10 } else { 10 * *count } as u64;
         let held = marks::held(folder.path(), *count, most).map_err(wrong(subject.name))?;
-        // A mark that went too early may let a call run twice: as good as no room for any.
+        // An intent that went too early may let a call run twice: as good as no room for any.
         let lost = held.marks - held.known;
         points.push(Point { size: *count as f64, value: held.memory + lost as f64 * CONTROL_MEMORY });
     }
--- a/crates/scale-tests/src/record/state.rs
+++ b/crates/scale-tests/src/record/state.rs
@@ -1,4 +1,4 @@
-//! The record's state in bytes, and how much of it there may be: counted on the record itself, without sockets.
+//! The cluster state's state in bytes, and how much of it there may be: counted on the cluster state itself, without sockets.
 
 use super::fault::Outcome;
 use super::names::{function_name, member_name};
@@ -70,7 +70,7 @@
     }
 }
 
-/// How many members, retirements and runs replaced at once the record takes of so many offered.
+/// How many members, retirements and runs replaced at once the cluster state takes of so many offered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Taken {
     pub members: usize,
--- a/crates/scale-tests/src/report.rs
+++ b/crates/scale-tests/src/report.rs
@@ -5,7 +5,7 @@
 use crate::row::Row;
 use std::fmt::Write;
 
-/// One row as a line of a Markdown table: name, figure, limit, mark, fit, points.
+/// One row as a line of a Markdown table: name, figure, limit, intent, fit, points.
 pub fn line(row: &Row) -> String {
     let s = &row.subject;
     let points: Vec<String> =
--- a/crates/scale-tests/src/row.rs
+++ b/crates/scale-tests/src/row.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Role {
     FrontEnd,
-    /// A replica of the record, leading or following.
+    /// A replica of the cluster state, leading or following.
     Replica,
     ListSource,
     Worker,
--- a/crates/scale-tests/src/traces/marks.rs
+++ b/crates/scale-tests/src/traces/marks.rs
@@ -1,13 +1,13 @@
-//! Marks of attempts in the real store.
+//! Intents of attempts in the real store.
 
 use crate::error::ScaleError;
 use crate::front_end::hash;
 use stagehoist_intent_log::{Batch, Intent, IntentStore, Opener, Options};
 
-/// Marks in one commit: what 122 calls a second bring while one runs is less; fewer commits make the same file.
+/// Intents in one commit: what 122 calls a second bring while one runs is less; fewer commits make the same file.
 const BATCH: u64 = 4096;
 
-/// Bytes of the file once so many marks are kept.
+/// Bytes of the file once so many intents are kept.
 pub fn on_disk(kept: u64) -> Result<f64, ScaleError> {
     let failed = |what: String| ScaleError::Measure { row: "marks-disk", what };
     let folder = tempfile::tempdir()?;
--- a/crates/scale-tests/src/traces/mod.rs
+++ b/crates/scale-tests/src/traces/mod.rs
@@ -1,4 +1,4 @@
-//! What a front end leaves behind: marks on disk, series of metrics, lines of the log.
+//! What a front end leaves behind: intents on disk, series of metrics, lines of the log.
 
 mod core;
 mod marks;
@@ -15,7 +15,7 @@
     Measure { name: "log-bytes", run: |p| Ok(log_bytes(p)) },
 ];
 
-/// Bytes of marks on a front end's disk: assumed.
+/// Bytes of intents on a front end's disk: assumed.
 const DISK: f64 = 256e6;
 /// Seconds between two looks at the page of metrics: assumed.
 const SCRAPE: f64 = 15.0;
@@ -53,7 +53,7 @@
         &[4_000, 13_000, 40_000, 120_000],
         &[4_000, 13_000, 40_000, 120_000, 439_200],
     );
-    // The control: marks are kept for a day instead of an hour.
+    // The control: intents are kept for a day instead of an hour.
     let times = if plan.control { 24 } else { 1 };
     let point = |&kept: &u64| Ok(Point { size: kept as f64, value: marks::on_disk(kept * times)? });
     let points = sizes.iter().map(point).collect::<Result<Vec<_>, ScaleError>>()?;
--- a/crates/scale-tests/tests/record.rs
+++ b/crates/scale-tests/tests/record.rs
@@ -1,4 +1,4 @@
-//! The record's measurements at a small size, judged by counts; and with a fault put in, which must make them fall short.
+//! The cluster state's measurements at a small size, judged by counts; and with a fault put in, which must make them fall short.
 
 use stagehoist_scale_tests::record::cluster::{Cluster, Shape};
 use stagehoist_scale_tests::record::lines::Program;
--- a/crates/scale-tests/tests/record_state.rs
+++ b/crates/scale-tests/tests/record_state.rs
@@ -1,4 +1,4 @@
-//! The record itself, a region alone in simulated time, and marks: counts, and the faults that change them.
+//! The cluster state itself, a region alone in simulated time, and intents: counts, and the faults that change them.
 
 use stagehoist_scale_tests::letter;
 use stagehoist_scale_tests::record::apart::{play, Course, Plan};
--- a/crates/scale-tests/tests/small.rs
+++ b/crates/scale-tests/tests/small.rs
@@ -11,7 +11,7 @@
 const DIVIDED: Plan = Plan { shards: Some(300), ..WHOLE };
 const CONTROL: Plan = Plan { control: true, ..WHOLE };
 
-/// Rows that play the scenes of those that count bytes allocated, and the others; the record's have tests of their own.
+/// Rows that play the scenes of those that count bytes allocated, and the others; the cluster state's have tests of their own.
 fn parts() -> [Vec<Measure>; 2] {
     let mut lanes = lanes().into_iter();
     [lanes.next().unwrap(), lanes.next().unwrap()]
@@ -107,7 +107,7 @@
     }
 }
 
-/// Side by side every row is measured once, and comes out of its lane as it went in.
+/// Side by side every row is measured once, and comes out of its permit as it went in.
 #[test]
 fn lanes_have_every_row_once_and_change_none() {
     let mut named: Vec<&str> = lanes().concat().iter().map(|m| m.name).collect();
--- a/crates/sharding/src/assignment.rs
+++ b/crates/sharding/src/assignment.rs
@@ -13,7 +13,7 @@
 pub const MAX_MEMBERS: usize = 65_536;
 /// Most zones; members of further ones, by number, are left out.
 pub const MAX_ZONES: usize = 64;
-/// A zone of which more than one in so many members change at once is divided anew: dealing one member of a whole zone takes 2 us,
+/// A zone of which more than one in so many members change at once is divided anew: allocation one member of a whole zone takes 2 us,
 /// a change of one 62 us.
 const ANEW: usize = 28;
 /// Greatest weight, in thousandths.
@@ -39,6 +39,7 @@
         Member { weight: UNIT, ..self }
     }
 
+    /// A member with a given key.
     pub fn keyed(key: Key, zone: u16, capacity: f64) -> Member {
         let capacity = if capacity.is_finite() && capacity > 0.0 { capacity } else { 1.0 };
         Member { key, zone, weight: (capacity * UNIT as f64).round().clamp(1.0, MAX_WEIGHT) as i64 }
@@ -63,13 +64,14 @@
 #[derive(Clone, Debug)]
 pub struct Assignment {
     table: Arc<Table>,
-    /// What of its share of a zone a shard has at least, stand-ins counted.
+    /// What of its share of a zone a shard has at least, emulated systems counted.
     min_load: Part,
     zones: BTreeMap<u16, Zone>,
     members: BTreeMap<Key, Member>,
 }
 
 impl Assignment {
+    /// An assignment without members.
     pub fn new(division: &Division) -> Assignment {
         Assignment::with_min_load(division, FLOOR)
     }
@@ -107,10 +109,12 @@
         told - self.members.len()
     }
 
+    /// Members.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
+    /// Whether there are no members.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
@@ -220,6 +224,7 @@
         moved.filter(|m| m.from != m.to).collect()
     }
 
+    /// The shard that a member belongs to.
     pub fn home(&self, key: Key) -> Option<Shard> {
         let member = self.members.get(&key)?;
         self.zones.get(&member.zone)?.pool.shard(key)
@@ -232,7 +237,7 @@
         [home].into_iter().chain(zone.into_iter().flat_map(|z| z.beside(key))).collect()
     }
 
-    /// All members of a shard, those at home and the stand-ins, in the order of zones and ranks.
+    /// All members of a shard, those at home and the emulated systems, in the order of zones and ranks.
     pub fn of_shard(&self, shard: Shard) -> Vec<Key> {
         self.zones.values().flat_map(|z| z.members(shard)).collect()
     }
--- a/crates/sharding/src/change.rs
+++ b/crates/sharding/src/change.rs
@@ -22,10 +22,12 @@
 }
 
 impl Divisions {
+    /// One division, with no change under way.
     pub fn only(division: Division) -> Divisions {
         Divisions { first: division, change: None }
     }
 
+    /// A change from one division to another.
     pub fn changing(
         old: Division,
         new: Division,
@@ -37,6 +39,7 @@
         Ok(Divisions { first: old, change: Some((new, stage)) })
     }
 
+    /// How far the change has come; `None` without one.
     pub fn phase(&self) -> Option<TransitionPhase> {
         self.change.as_ref().map(|c| c.1)
     }
--- a/crates/sharding/src/division.rs
+++ b/crates/sharding/src/division.rs
@@ -29,7 +29,7 @@
     NoneOwned { rank: u32, of: u32 },
     #[error("function {name} spread over {spread} of {shards} shards")]
     BadSpread { name: String, spread: u32, shards: u32 },
-    #[error("function {name} is told twice")]
+    #[error("function {name} is declared twice")]
     ToldTwice { name: String },
     #[error("{told} functions with told traffic, more than {most}")]
     TooManyHot { told: usize, most: usize },
@@ -58,6 +58,7 @@
 }
 
 impl Division {
+    /// A division into shards of equal weight.
     pub fn new(shards: u32, generation: u32) -> Result<Division, DivisionError> {
         Division::weighted(shards, generation, BTreeMap::new())
     }
@@ -94,6 +95,7 @@
         Ok(Division { shards, generation, weights, table: Arc::new(table) })
     }
 
+    /// Number of shards.
     pub fn shards(&self) -> u32 {
         self.shards
     }
@@ -103,6 +105,7 @@
         self.generation
     }
 
+    /// Weight of a shard.
     pub fn weight(&self, shard: Shard) -> u32 {
         self.weights.get(&shard).copied().unwrap_or(1)
     }
@@ -132,6 +135,7 @@
 }
 
 impl Table {
+    /// Number of shards.
     pub fn shards(&self) -> u32 {
         self.first.len() as u32
     }
--- a/crates/sharding/src/homes.rs
+++ b/crates/sharding/src/homes.rs
@@ -1,5 +1,5 @@
-//! Functions in shards. One of which nothing is told has one home, by its name alone. Those that are told to
-//! have much traffic are dealt out so that no shard has much more than its part, in several shards where they
+//! Functions in shards. One of which nothing is notified has one home, by its name alone. Those that are told to
+//! have much traffic are allocated out so that no shard has much more than its part, in several shards where they
 //! are too much for one.
 
 use crate::division::{Division, DivisionError, Table};
@@ -54,7 +54,7 @@
 }
 
 impl HomeShards {
-    /// `calls` a second are expected in all; at least as many as are told of functions.
+    /// `calls` a second are expected in all; at least as many as are notified of functions.
     pub fn new(division: &Division, calls: f64, hot: &[HotFunction]) -> Result<HomeShards, DivisionError> {
         if hot.len() > MAX_HOT_FUNCTIONS {
             return Err(DivisionError::TooManyHot { told: hot.len(), most: MAX_HOT_FUNCTIONS });
--- a/crates/sharding/src/key.rs
+++ b/crates/sharding/src/key.rs
@@ -16,6 +16,7 @@
 const ORDER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl Key {
+    /// The key of a name.
     pub fn of(name: &str) -> Key {
         let mut hasher = SipHasher13::new_with_keys(NAMES.0, NAMES.1);
         hasher.write(name.as_bytes());
--- a/crates/sharding/src/pool.rs
+++ b/crates/sharding/src/pool.rs
@@ -85,6 +85,7 @@
 pub(crate) type Before = BTreeMap<Key, Option<Shard>>;
 
 impl Pool {
+    /// An empty pool.
     pub fn new(
         table: Arc<Table>,
         floor: Part,
@@ -108,6 +109,7 @@
         pool
     }
 
+    /// Items in the pool.
     pub fn len(&self) -> usize {
         self.items.len()
     }
@@ -117,24 +119,28 @@
         self.items.iter().map(|(key, i)| (*key, i.shard, i.weight))
     }
 
+    /// The division's table.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// What a shard lacks to its floor; any shard of a zone with members must have something.
+    /// What a shard lacks to its guaranteed minimum; any shard of a zone with members must have something.
     pub fn lacks(&self, shard: Shard) -> i64 {
         self.slots.get(shard as usize).map_or(0, |s| s.min_load.max(1) - s.load)
     }
 
+    /// The shard that an item is assigned to.
     pub fn shard(&self, key: Key) -> Option<Shard> {
         self.items.get(&key).map(|i| i.shard)
     }
 
+    /// Items of a shard.
     pub fn members(&self, shard: Shard) -> impl ExactSizeIterator<Item = Key> + '_ {
         let members = self.slots.get(shard as usize).map_or(&[][..], |s| &s.members[..]);
         members.iter().map(|m| m.1)
     }
 
+    /// Weight of a shard's items.
     pub fn load(&self, shard: Shard) -> i64 {
         self.slots.get(shard as usize).map_or(0, |s| s.load)
     }
@@ -163,7 +169,7 @@
         before
     }
 
-    /// Sets limits and floors; gives the shards where a limit rose.
+    /// Sets limits and guaranteed minimums; gives the shards where a limit rose.
     fn limit(&mut self) -> Vec<Shard> {
         let (total, mean) = (self.total, self.total / (self.items.len().max(1) as i64));
         if mean != self.mean {
--- a/crates/sharding/src/serving.rs
+++ b/crates/sharding/src/serving.rs
@@ -37,6 +37,7 @@
 }
 
 impl<'a> Serving<'a> {
+    /// Counts for a fleet whose shards are owned by number.
     pub fn new(divisions: &'a Divisions, zones: &'a [(u16, u32)]) -> Serving<'a> {
         Serving { divisions, zones, listed: None, ranked: None }
     }
@@ -51,7 +52,7 @@
         Serving { ranked: Some(of), ..self }
     }
 
-    /// Most front ends that any worker or function has, over both divisions, where the worker's capacity is told to each in
+    /// Most front ends that any worker or function has, over both divisions, where the worker's capacity is ordered to each in
     /// as many parts as it has shards.
     pub fn worst(&self) -> u32 {
         let worst = |d: &Division| (0..d.shards()).map(|s| self.most_of(d, s)).max().unwrap_or(1);
@@ -124,6 +125,7 @@
         TenantParts(parts)
     }
 
+    /// The tenant's part in a shard.
     pub fn of(&self, shard: Shard) -> f64 {
         self.0.get(&shard).copied().unwrap_or(0.0)
     }
--- a/crates/sharding/src/zone.rs
+++ b/crates/sharding/src/zone.rs
@@ -1,4 +1,4 @@
-//! One zone's members in shards: each at home in one, and stand-ins where a shard has few.
+//! One zone's members in shards: each at home in one, and emulated systems where a shard has few.
 
 use crate::division::Table;
 use crate::limits::Part;
@@ -15,6 +15,7 @@
 }
 
 impl Zone {
+    /// A zone without members.
     pub fn new(
         table: &Arc<Table>,
         floor: Part,
@@ -29,12 +30,14 @@
         zone
     }
 
+    /// Adds a member; the members whose shard changed, with the one before.
     pub fn insert(&mut self, key: Key, weight: i64) -> Before {
         let before = self.pool.insert(key, weight);
         self.update_substitutes(&before, key);
         before
     }
 
+    /// Removes a member; the members whose shard changed, with the one before.
     pub fn remove(&mut self, key: Key) -> Before {
         let before = self.pool.remove(key);
         self.update_substitutes(&before, key);
@@ -56,7 +59,7 @@
         self.substitutes.get(&shard).map_or(&[], |s| &s[..])
     }
 
-    /// Chooses the stand-ins of a shard.
+    /// Chooses the emulated systems of a shard.
     fn choose(&mut self, shard: Shard) {
         self.substitutes.remove(&shard);
         let mut lacks = self.pool.lacks(shard);
@@ -101,7 +104,7 @@
         best
     }
 
-    /// Keeps the stand-ins up after a change of one member, which moved the homes of those in `before`.
+    /// Keeps the emulated systems up after a change of one member, which moved the homes of those in `before`.
     fn update_substitutes(&mut self, before: &Before, changed: Key) {
         let came = self.pool.shard(changed).is_some();
         let after = before.keys().filter_map(|k| self.pool.shard(*k));
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Whether a shard's stand-ins, no home of it having changed, are still the right ones.
+    /// Whether a shard's emulated systems, no home of it having changed, are still the right ones.
     fn is_substitute(&self, shard: Shard, changed: Key, came: bool) -> bool {
         let (lacks, chosen) = (self.pool.lacks(shard), self.substitutes(shard));
         let Some(last) = chosen.last() else { return lacks <= 0 };
--- a/crates/sharding/tests/balance.rs
+++ b/crates/sharding/tests/balance.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// A shard that is told to weigh ten gets ten times as many.
+/// A shard that is ordered to weigh ten gets ten times as many.
 #[test]
 fn a_shard_told_to_be_hot_has_its_weight_in_workers() {
     let division = Division::weighted(20, 1, BTreeMap::from([(7, 10)])).unwrap();
@@ -135,7 +135,7 @@
     assert!(worst(&traffic) <= 1.25, "{}", worst(&traffic));
 }
 
-/// How many a shard has, stand-ins among them, and how many shards a member has, at most and at least.
+/// How many a shard has, emulated systems among them, and how many shards a member has, at most and at least.
 fn spans(list: &[Member]) -> [usize; 4] {
     let (all, _) = Assignment::of(&division(300), list.iter().copied());
     let of_shard: Vec<usize> = (0..300).map(|s| all.of_shard(s).len()).collect();
@@ -160,7 +160,7 @@
 }
 
 /// Front ends as they own by a list: hardly one has a second shard beside its own, and then its calls are at most three times the mean,
-/// while those of a front end without are at most twice. With stand-ins up to 7/8 of a share 972 had two to four, and the busiest 464 calls a second.
+/// while those of a front end without are at most twice. With emulated systems up to 7/8 of a share 972 had two to four, and the busiest 464 calls a second.
 #[test]
 fn no_front_end_has_many_times_the_mean() {
     let all = even("front-end", 7_200, 7);
