--- a/crates/admission/src/advice.rs
+++ b/crates/admission/src/advice.rs
@@ -7,7 +7,7 @@
 
 /// Weight of a new second in the pace.
 const GAIN: f64 = 0.3;
-const LOOK: Micros = 250_000;
+const CHECK_INTERVAL: Micros = 250_000;
 
 /// The pace at which answers leave, and advice by it.
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
     pub fn last_leave(&mut self, now: Micros) {
         self.last_leave.0 += 1;
         let passed = now - self.last_leave.1;
-        if passed >= LOOK {
+        if passed >= CHECK_INTERVAL {
             let pace = self.last_leave.0 as f64 / passed as f64;
             self.interval = Some(self.interval.map_or(pace, |p| p + GAIN * (pace - p)));
             self.last_leave = (0, now);
--- a/crates/admission/src/permits/class.rs
+++ b/crates/admission/src/permits/class.rs
@@ -7,7 +7,7 @@
 
 /// For how long calls must have waited before the pace tells that another will wait in vain: permits may be on
 /// their way.
-const SETTLED: Micros = 500_000;
+const STABLE_AFTER: Micros = 500_000;
 /// Weight of a new gap between two calls that left.
 const GAIN: f64 = 0.1;
 
@@ -183,7 +183,7 @@
     /// Whether a call would wait in vain, by the pace at which calls of its class left while others waited.
     pub fn is_hopeless(&self, class: usize, latest: Micros, now: Micros) -> bool {
         let of = &self.classes[class];
-        let settled = of.waiting_since.is_some_and(|since| now - since >= SETTLED);
+        let settled = of.waiting_since.is_some_and(|since| now - since >= STABLE_AFTER);
         let waits = of.mean_interval.map_or(0.0, |gap| gap * (of.turns.len() + 1) as f64);
         settled && waits > (latest - now) as f64
     }
--- a/crates/admission/src/window.rs
+++ b/crates/admission/src/window.rs
@@ -10,7 +10,7 @@
 const LEAST: u32 = 64;
 const MOST: u32 = 65_535;
 /// The slack takes what came within this time, twice.
-const LOOK: Micros = 100_000;
+const CHECK_INTERVAL: Micros = 100_000;
 
 /// The window of one channel.
 #[derive(Clone, Debug)]
@@ -48,8 +48,8 @@
     /// trip to the broker.
     pub fn next_request(&mut self, unsettled: usize, now: Micros) -> Option<u16> {
         let passed = now - self.arrivals.1;
-        if passed >= LOOK {
-            let in_a_look = f64::from(self.arrivals.0) * LOOK as f64 / passed as f64;
+        if passed >= CHECK_INTERVAL {
+            let in_a_look = f64::from(self.arrivals.0) * CHECK_INTERVAL as f64 / passed as f64;
             let wanted = ((2.0 * in_a_look) as u32).clamp(LEAST, MOST / 4);
             // Grows at once, shrinks slowly: bursts come again.
             self.slack = wanted.max(self.slack - self.slack / 8).max(LEAST);
--- a/crates/amqp/src/acks.rs
+++ b/crates/amqp/src/acks.rs
@@ -21,7 +21,7 @@
     }
 
     /// The tag may be acknowledged.
-    pub fn settle(&mut self, tag: u64) {
+    pub fn acknowledge(&mut self, tag: u64) {
         if let Some(settled) = self.open.get_mut(&tag) {
             self.waiting += usize::from(!std::mem::replace(settled, true));
         }
@@ -33,7 +33,7 @@
     }
 
     /// Tags that are neither settled nor removed.
-    pub fn unsettled(&self) -> usize {
+    pub fn outstanding(&self) -> usize {
         self.open.len() - self.waiting
     }
 
--- a/crates/amqp/src/acks/tests.rs
+++ b/crates/amqp/src/acks/tests.rs
@@ -8,14 +8,14 @@
 fn a_run_at_the_front_goes_in_one_and_what_is_behind_a_gap_alone() {
     let mut acks = Acks::default();
     (1..=6).for_each(|t| acks.delivered(t));
-    [2, 1, 3, 5].iter().for_each(|t| acks.settle(*t));
+    [2, 1, 3, 5].iter().for_each(|t| acks.acknowledge(*t));
     assert_eq!(acks.take(), [(3, true), (5, false)]);
     assert_eq!(acks.take(), []);
     acks.remove(4);
-    acks.settle(6);
+    acks.acknowledge(6);
     assert_eq!((acks.waiting(), acks.take()), (1, vec![(6, false)]));
     // A tag of another channel, or settled twice, changes nothing.
-    acks.settle(99);
+    acks.acknowledge(99);
     assert_eq!(acks.take(), []);
 }
 
@@ -35,7 +35,7 @@
                 1 | 2 => {
                     let Some(&tag) = at_broker.iter().nth(pick as usize % at_broker.len().max(1)) else { continue };
                     if op == 1 {
-                        acks.settle(tag);
+                        acks.acknowledge(tag);
                         settled.insert(tag);
                     } else if !settled.contains(&tag) {
                         acks.remove(tag);
--- a/crates/amqp/src/client/mod.rs
+++ b/crates/amqp/src/client/mod.rs
@@ -70,13 +70,13 @@
     options: ClientOptions,
     state: State,
     decoder: Decoder,
-    out: BytesMut,
+    output: BytesMut,
     events: VecDeque<ClientEvent>,
     channels: BTreeMap<u16, ChannelState>,
     frame_max: u32,
     channel_max: u16,
     heartbeat: Micros,
-    heard: Micros,
+    received_at: Micros,
     spoke: Micros,
     blocked: bool,
     /// Bytes ever put into `out`, and ever handed to the system by the caller.
@@ -97,12 +97,12 @@
             options,
             state: State::Start,
             decoder: Decoder::client(),
-            out: BytesMut::new(),
+            output: BytesMut::new(),
             events: VecDeque::new(),
             channels: BTreeMap::new(),
             channel_max: 2047,
             heartbeat: 0,
-            heard: now,
+            received_at: now,
             spoke: now,
             blocked: false,
             queued: 0,
@@ -130,9 +130,9 @@
     }
 
     fn put(&mut self, write: impl FnOnce(&mut BytesMut)) {
-        let before = self.out.len();
-        write(&mut self.out);
-        self.queued += (self.out.len() - before) as u64;
+        let before = self.output.len();
+        write(&mut self.output);
+        self.queued += (self.output.len() - before) as u64;
     }
 
     fn method(&mut self, channel: u16, method: AMQPClass) {
@@ -141,7 +141,7 @@
 
     /// Bytes to write next.
     pub fn output(&mut self) -> &mut BytesMut {
-        &mut self.out
+        &mut self.output
     }
 
     /// The caller handed `n` more bytes of the output to the system at `now`.
@@ -161,7 +161,7 @@
     /// When [`Client::tick`] is due, where heartbeats were agreed on.
     pub fn due(&self) -> Option<Micros> {
         let live = self.heartbeat > 0 && self.state != State::Closed;
-        live.then(|| (self.spoke + self.heartbeat / 2).min(self.heard + 2 * self.heartbeat))
+        live.then(|| (self.spoke + self.heartbeat / 2).min(self.received_at + 2 * self.heartbeat))
     }
 
     /// Heartbeats: one is sent after half an interval of silence, and the peer is abandoned after two (4.2.7).
@@ -169,8 +169,8 @@
         if self.heartbeat == 0 || self.state == State::Closed {
             return;
         }
-        if now - self.heard >= 2 * self.heartbeat {
-            self.fail(Fault::Silent(((now - self.heard) / 1000) as u64));
+        if now - self.received_at >= 2 * self.heartbeat {
+            self.fail(Fault::Silent(((now - self.received_at) / 1000) as u64));
         } else if now - self.spoke >= self.heartbeat / 2 {
             self.spoke = now;
             self.put(put_heartbeat);
@@ -179,7 +179,7 @@
 
     /// Takes bytes from the broker, in any split.
     pub fn receive(&mut self, bytes: &[u8], now: Micros) {
-        self.heard = now;
+        self.received_at = now;
         self.decoder.push(bytes);
         while self.state != State::Closed {
             let step = match self.decoder.next_frame() {
--- a/crates/checker/src/capture.rs
+++ b/crates/checker/src/capture.rs
@@ -31,16 +31,16 @@
 
 /// The direction of bytes, seen from the near side (front end or caller).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     Out,
     In,
 }
 
 /// Something that happened on a connection.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum CaptureEvent {
     Opened,
-    Bytes(Way, Bytes),
+    Bytes(Direction, Bytes),
     /// The connection ended, for both sides.
     Closed,
     /// The far side could not be reached; the near side saw its connection end with nothing said.
@@ -53,14 +53,14 @@
     pub at: Micros,
     pub link: usize,
     pub connection: u64,
-    pub what: What,
+    pub event: CaptureEvent,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     records: Vec<Record>,
     bytes: usize,
-    cut_short: bool,
+    truncated: bool,
     stopped: bool,
 }
 
@@ -84,21 +84,21 @@
     }
 
     /// Writes a line.
-    pub fn write(&self, link: usize, connection: u64, what: What) {
+    pub fn write(&self, link: usize, connection: u64, what: CaptureEvent) {
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         if inner.stopped {
             return;
         }
-        if let What::Bytes(_, bytes) = &what {
+        if let CaptureEvent::Bytes(_, bytes) = &what {
             if inner.bytes + bytes.len() > BYTES_MOST {
-                inner.cut_short = true;
+                inner.truncated = true;
                 return;
             }
             inner.bytes += bytes.len();
         }
         // Taken under the lock, so that times never go backwards in a capture.
         let at = self.now();
-        inner.records.push(Record { at, link, connection, what });
+        inner.records.push(Record { at, link, connection, event: what });
     }
 
     /// Records nothing from here on.
@@ -111,7 +111,7 @@
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         inner.stopped = true;
         let records = std::mem::take(&mut inner.records);
-        Capture { links, records, cut_short: inner.cut_short }
+        Capture { links, records, truncated: inner.truncated }
     }
 }
 
@@ -121,5 +121,5 @@
     pub links: Vec<Link>,
     pub records: Vec<Record>,
     /// Bytes were left out; nothing can be proven from such a capture.
-    pub cut_short: bool,
+    pub truncated: bool,
 }
--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -15,6 +15,6 @@
 pub mod streams;
 pub mod tap;
 
-pub use capture::{Capture, Link, Micros, Peer, Record, Way, What};
-pub use rules::{judge, Charter, ClassRule, Effect, PoolRule, Retired, Rule, Verdict, WorkerStart};
+pub use capture::{Capture, CaptureEvent, Direction, Link, Micros, Peer, Record};
+pub use rules::{check, ClassRule, Effect, PoolRule, Retired, Rule, RuleSet, Verdict, WorkerStart};
 pub use story::Story;
--- a/crates/checker/src/rules/answers.rs
+++ b/crates/checker/src/rules/answers.rs
@@ -1,10 +1,10 @@
 //! Rule 1: one final answer in time.
 
-use super::{ms, Charter, Rule, Tally, Verdict, WAKE};
+use super::{ms, Rule, RuleSet, Tally, Verdict, WAKE};
 use crate::capture::Micros;
 use crate::story::Story;
 
-pub(super) fn one_answer(story: &Story, charter: &Charter, verdict: &mut Verdict) -> Rule {
+pub(super) fn one_answer(story: &Story, charter: &RuleSet, verdict: &mut Verdict) -> Rule {
     let mut tally = Tally::new(1, "one final answer in time");
     for (id, call) in story.calls.iter().filter(|(_, c)| !c.function.is_empty()) {
         let give_up = charter.class(&call.function).map_or(Micros::MAX / 4, |c| c.give_up);
--- a/crates/checker/src/rules/charter.rs
+++ b/crates/checker/src/rules/charter.rs
@@ -10,7 +10,7 @@
     Idempotent,
     NonIdempotent,
     /// Repeats within the window, at workers of one scope, are dropped by the workers. A worker's group is looked up in
-    /// [`Charter::groups`]; `None` groups all.
+    /// [`RuleSet::groups`]; `None` groups all.
     IdempotentWithKey {
         grouped: bool,
         window: Micros,
@@ -58,7 +58,7 @@
 
 /// The rules' figures, and the facts of a day that no socket shows.
 #[derive(Clone, Debug, Default)]
-pub struct Charter {
+pub struct RuleSet {
     /// Function patterns (`rare-*`), each with its class.
     pub functions: Vec<(String, ClassRule)>,
     /// Time past a caller's patience in which an answer still counts.
@@ -106,7 +106,7 @@
     }
 }
 
-impl Charter {
+impl RuleSet {
     pub(super) fn class(&self, function: &str) -> Option<&ClassRule> {
         self.functions.iter().find(|(pattern, _)| takes(pattern, function)).map(|(_, class)| class)
     }
--- a/crates/checker/src/rules/effects.rs
+++ b/crates/checker/src/rules/effects.rs
@@ -1,9 +1,9 @@
 //! Rule 2: no effect twice.
 
-use super::{ms, Charter, Effect, Rule, Tally};
+use super::{ms, Effect, Rule, RuleSet, Tally};
 use crate::story::Story;
 
-pub(super) fn no_effect_twice(story: &Story, charter: &Charter) -> Rule {
+pub(super) fn no_effect_twice(story: &Story, charter: &RuleSet) -> Rule {
     let mut tally = Tally::new(2, "no effect twice");
     for (id, call) in &story.calls {
         let Some(class) = charter.class(&call.function) else { continue };
--- a/crates/checker/src/rules/mod.rs
+++ b/crates/checker/src/rules/mod.rs
@@ -7,7 +7,7 @@
 mod retired;
 mod workers;
 
-pub use charter::{Charter, ClassRule, Effect, PoolRule, Retired, WorkerStart};
+pub use charter::{ClassRule, Effect, PoolRule, Retired, RuleSet, WorkerStart};
 
 use crate::capture::Micros;
 use crate::story::{Call, Story};
@@ -57,7 +57,7 @@
 
 /// A byte that a front end wrote in time, or a connection that it ended, is seen by its tap a little later; what the machine was
 /// seen late is added.
-const ON_THE_WAY: Micros = 5_000;
+const TRANSIT: Micros = 5_000;
 
 struct Tally(Rule);
 
@@ -82,7 +82,7 @@
 }
 
 /// Judges a story by a charter.
-pub fn judge(story: &Story, charter: &Charter) -> Verdict {
+pub fn check(story: &Story, charter: &RuleSet) -> Verdict {
     let mut verdict = Verdict::default();
     let answers = one_answer(story, charter, &mut verdict);
     verdict.rules.push(answers);
--- a/crates/checker/src/rules/pools.rs
+++ b/crates/checker/src/rules/pools.rs
@@ -4,7 +4,7 @@
 //! show that none of its attempts is out: the last byte of an answer, or the end of the connection, as a front end can't know
 //! more of a worker. Attempts of a call from one front end use one permit together, from two front ends two.
 
-use super::{ms, Charter, PoolRule, Rule, Tally, ON_THE_WAY, WAKE};
+use super::{ms, PoolRule, Rule, RuleSet, Tally, TRANSIT, WAKE};
 use crate::capture::Micros;
 use crate::story::{Attempt, Call, Delivery, Story};
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 /// Calls of a tenant that come after a longer rest are a new surge.
 const REST: Micros = 1_000_000;
 /// The reason told with a refusal for want of permits.
-const NO_LANE: &str = "no-lane";
+const NO_PERMIT: &str = "no-lane";
 
 /// What changes at a moment; ends come before beginnings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,7 +33,7 @@
     overdue: usize,
 }
 
-pub(super) fn reservations(story: &Story, charter: &Charter) -> Rule {
+pub(super) fn reservations(story: &Story, charter: &RuleSet) -> Rule {
     let mut tally = Tally::new(7, "reservations");
     for pool in &charter.pools {
         let used = lanes(story, charter, pool, &mut tally);
@@ -43,9 +43,9 @@
 }
 
 /// When a run's end was known to its front end, at the latest.
-fn ended(charter: &Charter, attempt: &Attempt) -> Option<Micros> {
+fn ended(charter: &RuleSet, attempt: &Attempt) -> Option<Micros> {
     let at = attempt.ended?;
-    let late = if attempt.broke { ON_THE_WAY + charter.seen(at - CLOSING, at) } else { 0 };
+    let late = if attempt.broke { TRANSIT + charter.seen(at - CLOSING, at) } else { 0 };
     Some((at - late).max(attempt.asked))
 }
 
@@ -53,7 +53,7 @@
 /// which its front end was stopped does not count.
 fn overdue(
     story: &Story,
-    charter: &Charter,
+    charter: &RuleSet,
     pool: &PoolRule,
     call: &Call,
     delivery: &Delivery,
@@ -65,14 +65,14 @@
     let left = asked.chain(answered).filter(|at| *at >= came).chain(delivery.lost).min().unwrap_or(story.end);
     let stopped = charter.frozen.iter().filter(|s| s.0 == f && s.1 < left && s.2 >= came);
     let ran = stopped.map(|s| s.2 + WAKE).max().unwrap_or(came).max(came);
-    let from = ran + pool.within + ON_THE_WAY + charter.seen(came, left);
+    let from = ran + pool.within + TRANSIT + charter.seen(came, left);
     (from < left).then_some((from, left))
 }
 
 /// Checks each beginning against the pool; returns for each tenant with permits of its own how many it used from when.
 fn lanes<'a>(
     story: &'a Story,
-    charter: &Charter,
+    charter: &RuleSet,
     pool: &'a PoolRule,
     tally: &mut Tally,
 ) -> BTreeMap<&'a str, Vec<(Micros, usize)>> {
@@ -139,7 +139,7 @@
 /// A tenant that uses fewer permits than are its own is not refused for want of permits once its surge is older than the stated time.
 fn refusals(
     story: &Story,
-    charter: &Charter,
+    charter: &RuleSet,
     pool: &PoolRule,
     used: &BTreeMap<&str, Vec<(Micros, usize)>>,
     tally: &mut Tally,
@@ -153,13 +153,13 @@
     demand.values_mut().for_each(|d| d.sort_unstable());
     for (id, call) in calls() {
         let tenant = call.tenant.as_str();
-        let refused = call.replies.iter().filter(|r| r.outcome == "refused" && r.reason == NO_LANE);
+        let refused = call.replies.iter().filter(|r| r.outcome == "refused" && r.reason == NO_PERMIT);
         for reply in refused.filter(|r| charter.ran(r.front_end, r.at)) {
             let surge = surge(demand.get(tenant).map_or(&[][..], Vec::as_slice), reply.at);
             let (full, now) =
                 below(used.get(tenant).map_or(&[][..], Vec::as_slice), pool.reserved(tenant), reply.at);
             let from = surge.max(full);
-            let late = reply.at - from - ON_THE_WAY - charter.seen(from, reply.at);
+            let late = reply.at - from - TRANSIT - charter.seen(from, reply.at);
             tally.check(late <= pool.within, || {
                 let (f, at, from) = (reply.front_end, ms(reply.at), ms(from));
                 let own = pool.reserved(tenant);
--- a/crates/checker/src/rules/retired.rs
+++ b/crates/checker/src/rules/retired.rs
@@ -1,19 +1,19 @@
 //! Rule 6: retired stays retired.
 
-use super::{ms, Charter, Rule, Tally, ON_THE_WAY};
+use super::{ms, Rule, RuleSet, Tally, TRANSIT};
 use crate::capture::Micros;
 use crate::story::Story;
 
 /// After a retirement counts at a front end, nothing of the function leaves it: no answer `served`, no call and no order to
 /// load to a worker. An order to unload may.
-pub(super) fn retired_stays(story: &Story, charter: &Charter) -> Rule {
+pub(super) fn retired_stays(story: &Story, charter: &RuleSet) -> Rule {
     let mut tally = Tally::new(6, "retired stays retired");
     for retired in &charter.retired {
         let function = &retired.function;
         let kept = |front_end: u32, at: Micros| {
             retired
                 .counts_from(front_end)
-                .is_none_or(|from| at <= from || at - from <= ON_THE_WAY + charter.seen(from, at))
+                .is_none_or(|from| at <= from || at - from <= TRANSIT + charter.seen(from, at))
         };
         let told = |front_end: u32| retired.counts_from(front_end).map_or(0.0, ms);
         for (id, call) in story.calls.iter().filter(|(_, c)| c.function == *function) {
--- a/crates/checker/src/rules/workers.rs
+++ b/crates/checker/src/rules/workers.rs
@@ -1,14 +1,14 @@
 //! Rules 3 to 5: workers that drain or are gone, workers that are cold, and orders to load.
 
-use super::{ms, Charter, Rule, Tally};
+use super::{ms, Rule, RuleSet, Tally};
 use crate::capture::Micros;
-use crate::story::{Story, Told};
+use crate::story::{Story, WorkerNotice};
 
 /// Words of a list or worker shown with a breach, the last ones.
-const TOLD_SHOWN: usize = 12;
+const MAX_NOTICES_SHOWN: usize = 12;
 
 /// Since when a front end has been told without a break that a worker takes nothing new; None where it was not.
-fn shut_since(told: &[Told], at: Micros) -> Option<Micros> {
+fn shut_since(told: &[WorkerNotice], at: Micros) -> Option<Micros> {
     let (mut by_list, mut by_itself): (Option<Micros>, Option<Micros>) = (None, None);
     let mut started = 0;
     for t in told.iter().take_while(|t| t.at <= at) {
@@ -31,7 +31,7 @@
     }
 }
 
-pub(super) fn drains_kept(story: &Story, charter: &Charter) -> Rule {
+pub(super) fn drains_kept(story: &Story, charter: &RuleSet) -> Rule {
     let mut tally = Tally::new(3, "nothing new to a worker that drains or is gone");
     let calls = story.attempts.iter().map(|a| (a.front_end, &a.worker, a.asked, "call"));
     let loads = story.loads.iter().map(|l| (l.front_end, &l.worker, l.at, "load"));
@@ -44,15 +44,16 @@
         tally.check(kept, || {
             let since = shut.map_or(0.0, ms);
             let words: Vec<String> =
-                told.into_iter().flatten().filter(|t| t.at <= at).map(Told::to_string).collect();
-            let last = words.get(words.len().saturating_sub(TOLD_SHOWN)..).unwrap_or_default().join(", ");
+                told.into_iter().flatten().filter(|t| t.at <= at).map(WorkerNotice::to_string).collect();
+            let last =
+                words.get(words.len().saturating_sub(MAX_NOTICES_SHOWN)..).unwrap_or_default().join(", ");
             format!("front end {front_end}: {what} to {worker} at {} ms, told at {since} ms ({last})", ms(at))
         });
     }
     tally.0
 }
 
-pub(super) fn no_cold_worker_pushed_over(story: &Story, charter: &Charter) -> Rule {
+pub(super) fn no_cold_worker_pushed_over(story: &Story, charter: &RuleSet) -> Rule {
     let mut tally = Tally::new(4, "no cold worker pushed over");
     let Some((window, multiple, share, warm_up)) = charter.cold else { return tally.0 };
     for start in &charter.starts {
@@ -91,7 +92,7 @@
     tally.0
 }
 
-pub(super) fn loads_rationed(story: &Story, charter: &Charter) -> Rule {
+pub(super) fn loads_rationed(story: &Story, charter: &RuleSet) -> Rule {
     let mut tally = Tally::new(5, "loads rationed");
     let Some((window, free, share)) = charter.ration else { return tally.0 };
     let none = Vec::new();
--- a/crates/checker/src/story/mod.rs
+++ b/crates/checker/src/story/mod.rs
@@ -70,7 +70,7 @@
 
 /// What a front end was notified of a worker.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct WorkerNotice {
     pub at: Micros,
     pub by_list: bool,
     /// Ready; else draining or gone.
@@ -79,7 +79,7 @@
     pub started: i64,
 }
 
-impl std::fmt::Display for Told {
+impl std::fmt::Display for WorkerNotice {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let who = if self.by_list { "list" } else { "worker" };
         let what = if self.ready { "ready" } else { "shut" };
@@ -94,7 +94,7 @@
     pub attempts: Vec<Attempt>,
     pub loads: Vec<Load>,
     /// By front end and worker, in order of time.
-    pub told: BTreeMap<(u32, String), Vec<Told>>,
+    pub told: BTreeMap<(u32, String), Vec<WorkerNotice>>,
     /// Deliveries by front end: when.
     pub taken: BTreeMap<u32, Vec<Micros>>,
     /// Times in which the broker took no publishes from a front end, as it told it: from, to.
--- a/crates/checker/src/story/read.rs
+++ b/crates/checker/src/story/read.rs
@@ -1,7 +1,7 @@
 //! Reads a story from the streams of a capture.
 
-use super::{Attempt, Delivery, Load, Reply, Story, Told};
-use crate::capture::{Capture, Micros, Peer, Way};
+use super::{Attempt, Delivery, Load, Reply, Story, WorkerNotice};
+use crate::capture::{Capture, Direction, Micros, Peer};
 use crate::streams::{amqp, connections, http, AmqpItem, Connection, Exchange};
 use serde_json::Value;
 use stagehoist_amqp::{basic, channel, connection, AMQPClass, BasicProperties};
@@ -55,7 +55,7 @@
             let properties = &message.properties;
             let id = correlation(properties);
             match (&message.method, item.way) {
-                (AMQPClass::Basic(basic::AMQPMethod::Publish(publish)), Way::Out) => {
+                (AMQPClass::Basic(basic::AMQPMethod::Publish(publish)), Direction::Out) => {
                     let headers = properties.headers().as_ref();
                     let function = headers.and_then(|h| stagehoist_amqp::header_text(h, "function"));
                     let call = self.calls.entry(id).or_default();
@@ -65,7 +65,7 @@
                     let patience = text(properties.expiration()).parse::<i64>().ok();
                     call.patience = patience.map(|ms| ms * 1000);
                 }
-                (AMQPClass::Basic(basic::AMQPMethod::Deliver(_)), Way::In) => {
+                (AMQPClass::Basic(basic::AMQPMethod::Deliver(_)), Direction::In) => {
                     let answer = (item.at, header(properties, "outcome"));
                     self.calls.entry(id).or_default().answers.push(answer);
                 }
@@ -79,7 +79,7 @@
         for item in amqp(connection) {
             let message = match item.item {
                 AmqpItem::Message(message) => message,
-                AmqpItem::Method(method) if item.way == Way::In => {
+                AmqpItem::Method(method) if item.way == Direction::In => {
                     let open = match method {
                         AMQPClass::Connection(connection::AMQPMethod::Blocked(_)) => false,
                         AMQPClass::Connection(connection::AMQPMethod::Unblocked(_)) => true,
@@ -98,7 +98,7 @@
             };
             let id = correlation(&message.properties);
             match (&message.method, item.way) {
-                (AMQPClass::Basic(basic::AMQPMethod::Deliver(deliver)), Way::In) => {
+                (AMQPClass::Basic(basic::AMQPMethod::Deliver(deliver)), Direction::In) => {
                     self.taken.entry(front_end).or_default().push(item.at);
                     self.calls.entry(id).or_default().deliveries.push(Delivery {
                         at: item.at,
@@ -107,7 +107,7 @@
                         lost: connection.closed,
                     });
                 }
-                (AMQPClass::Basic(basic::AMQPMethod::Publish(_)), Way::Out) => {
+                (AMQPClass::Basic(basic::AMQPMethod::Publish(_)), Direction::Out) => {
                     let said = |name| header(&message.properties, name);
                     let reply =
                         Reply { at: item.at, front_end, outcome: said("outcome"), reason: said("reason") };
@@ -162,25 +162,25 @@
             _ => return,
         };
         let told = self.told.entry((front_end, worker.to_string())).or_default();
-        told.push(Told { at, by_list: false, ready, started: 0 });
+        told.push(WorkerNotice { at, by_list: false, ready, started: 0 });
     }
 
     fn list(&mut self, connection: &Connection, front_end: u32) {
         for exchange in http(connection) {
             let (Some(at), 200) = (exchange.answered, exchange.status) else { continue };
             let Ok(Value::Array(rows)) = serde_json::from_slice::<Value>(&exchange.answer) else { continue };
-            let mut listed: HashMap<String, Told> = HashMap::new();
+            let mut listed: HashMap<String, WorkerNotice> = HashMap::new();
             for row in &rows {
                 let Some(name) = row.pointer("/Service/ID").and_then(Value::as_str) else { continue };
                 let meta = |key: &str| row.pointer(&format!("/Service/Meta/{key}")).and_then(Value::as_str);
                 let ready = meta("state") != Some("draining");
                 let started = meta("started").and_then(|s| s.parse().ok()).unwrap_or(0);
-                listed.insert(name.to_string(), Told { at, by_list: true, ready, started });
+                listed.insert(name.to_string(), WorkerNotice { at, by_list: true, ready, started });
             }
             // Whoever was notified of before and is missing now is gone.
             for ((whom, worker), told) in &mut self.told {
                 if *whom == front_end && !listed.contains_key(worker) {
-                    told.push(Told { at, by_list: true, ready: false, started: 0 });
+                    told.push(WorkerNotice { at, by_list: true, ready: false, started: 0 });
                 }
             }
             for (worker, row) in listed {
--- a/crates/checker/src/streams.rs
+++ b/crates/checker/src/streams.rs
@@ -1,6 +1,6 @@
 //! Recorded bytes to AMQP messages and HTTP exchanges. A stream that breaks off gives what was whole.
 
-use crate::capture::{Capture, Micros, Way, What};
+use crate::capture::{Capture, CaptureEvent, Direction, Micros};
 use bytes::{Bytes, BytesMut};
 use stagehoist_amqp::content::{Assembler, Item};
 use stagehoist_amqp::{AMQPClass, Decoder, Message};
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub struct Amqp {
     pub at: Micros,
-    pub way: Way,
+    pub way: Direction,
     pub channel: u16,
     pub item: AmqpItem,
 }
@@ -47,7 +47,7 @@
     pub opened: Micros,
     pub closed: Option<Micros>,
     pub reached: bool,
-    pub bytes: Vec<(Micros, Way, Bytes)>,
+    pub bytes: Vec<(Micros, Direction, Bytes)>,
 }
 
 /// The connections of a capture, in the order in which they were opened.
@@ -56,8 +56,8 @@
     let mut place: HashMap<(usize, u64), usize> = HashMap::new();
     for record in &capture.records {
         let key = (record.link, record.connection);
-        match &record.what {
-            What::Opened => {
+        match &record.event {
+            CaptureEvent::Opened => {
                 place.insert(key, all.len());
                 all.push(Connection {
                     link: record.link,
@@ -71,10 +71,14 @@
             what => {
                 let Some(connection) = place.get(&key).and_then(|i| all.get_mut(*i)) else { continue };
                 match what {
-                    What::Bytes(way, bytes) => connection.bytes.push((record.at, *way, bytes.clone())),
-                    What::Closed => connection.closed = Some(record.at),
-                    What::Unreachable => (connection.closed, connection.reached) = (Some(record.at), false),
-                    What::Opened => {}
+                    CaptureEvent::Bytes(way, bytes) => {
+                        connection.bytes.push((record.at, *way, bytes.clone()))
+                    }
+                    CaptureEvent::Closed => connection.closed = Some(record.at),
+                    CaptureEvent::Unreachable => {
+                        (connection.closed, connection.reached) = (Some(record.at), false)
+                    }
+                    CaptureEvent::Opened => {}
                 }
             }
         }
@@ -91,7 +95,7 @@
     let mut dead = [false, false];
     let mut items = Vec::new();
     for (at, way, bytes) in &connection.bytes {
-        let side = usize::from(*way == Way::In);
+        let side = usize::from(*way == Direction::In);
         if dead[side] {
             continue;
         }
@@ -130,7 +134,7 @@
     let mut begun: Option<Micros> = None;
     for (at, way, bytes) in &connection.bytes {
         match way {
-            Way::Out => {
+            Direction::Out => {
                 begun.get_or_insert(*at);
                 out.extend_from_slice(bytes);
                 while let Some((used, mut exchange)) = request(&out) {
@@ -143,7 +147,7 @@
                     }
                 }
             }
-            Way::In => {
+            Direction::In => {
                 back.extend_from_slice(bytes);
                 while let Some((used, status, headers, body)) = response(&back) {
                     if let Some(exchange) = exchanges.get_mut(answered) {
--- a/crates/checker/src/tap.rs
+++ b/crates/checker/src/tap.rs
@@ -1,6 +1,6 @@
 //! A proxy on loopback that records what crosses a link, and breaks it on command.
 
-use crate::capture::{Recorder, Way, What};
+use crate::capture::{CaptureEvent, Direction, Recorder};
 use bytes::Bytes;
 use std::io;
 use std::sync::atomic::{AtomicU32, AtomicU64, AtomicU8, Ordering};
@@ -14,7 +14,7 @@
 /// What a tap does to exchanges on its link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Trouble {
+pub enum Fault {
     None = 0,
     /// The connection ends once a request was read whole by the far side, before its answer.
     ResetAfterRequest = 1,
@@ -31,24 +31,24 @@
 /// Commands to a tap, from any thread.
 #[derive(Debug)]
 pub struct Controls {
-    trouble: AtomicU8,
+    fault: AtomicU8,
     /// Percent of the answers that the trouble befalls.
     percent: AtomicU32,
     draws: AtomicU64,
     /// Delay of answers, in microseconds.
     delay: AtomicU64,
-    cut: watch::Sender<u64>,
+    disconnect: watch::Sender<u64>,
     down: watch::Sender<bool>,
 }
 
 impl Default for Controls {
     fn default() -> Controls {
         Controls {
-            trouble: AtomicU8::new(0),
+            fault: AtomicU8::new(0),
             percent: AtomicU32::new(0),
             draws: AtomicU64::new(0),
             delay: AtomicU64::new(0),
-            cut: watch::channel(0).0,
+            disconnect: watch::channel(0).0,
             down: watch::channel(false).0,
         }
     }
@@ -56,9 +56,9 @@
 
 impl Controls {
     /// Lets a trouble befall so many percent of the answers.
-    pub fn trouble(&self, trouble: Trouble, percent: u32) {
+    pub fn fault(&self, trouble: Fault, percent: u32) {
         self.percent.store(percent, Ordering::Relaxed);
-        self.trouble.store(trouble as u8, Ordering::Relaxed);
+        self.fault.store(trouble as u8, Ordering::Relaxed);
     }
 
     /// Delays every answer.
@@ -67,26 +67,26 @@
     }
 
     /// Ends every connection on the connection, now.
-    pub fn cut(&self) {
-        self.cut.send_modify(|n| *n += 1);
+    pub fn disconnect(&self) {
+        self.disconnect.send_modify(|n| *n += 1);
     }
 
     /// While down nothing listens, so that a connection is refused as by a machine whose process is gone.
     pub fn down(&self, down: bool) {
         self.down.send_replace(down);
         if down {
-            self.cut();
+            self.disconnect();
         }
     }
 
-    fn drawn(&self) -> Trouble {
-        let trouble = match self.trouble.load(Ordering::Relaxed) {
-            1 => Trouble::ResetAfterRequest,
-            2 => Trouble::LoseAnswer,
-            3 => Trouble::Garbage,
-            4 => Trouble::Truncate,
-            5 => Trouble::Stall,
-            _ => return Trouble::None,
+    fn drawn(&self) -> Fault {
+        let trouble = match self.fault.load(Ordering::Relaxed) {
+            1 => Fault::ResetAfterRequest,
+            2 => Fault::LoseAnswer,
+            3 => Fault::Garbage,
+            4 => Fault::Truncate,
+            5 => Fault::Stall,
+            _ => return Fault::None,
         };
         // A fixed sequence spread evenly, so that a third of the answers is a third in any stretch.
         let n = self.draws.fetch_add(1, Ordering::Relaxed);
@@ -94,7 +94,7 @@
         if draw < u64::from(self.percent.load(Ordering::Relaxed)) {
             trouble
         } else {
-            Trouble::None
+            Fault::None
         }
     }
 }
@@ -130,20 +130,20 @@
         connection += 1;
         let (far, recorder, controls) = (far.clone(), recorder.clone(), controls.clone());
         tasks.spawn(async move {
-            recorder.write(link, connection, What::Opened);
+            recorder.write(link, connection, CaptureEvent::Opened);
             let what = match TcpStream::connect(&far).await {
                 Err(_) => {
                     refuse(near);
-                    What::Unreachable
+                    CaptureEvent::Unreachable
                 }
                 Ok(far) => {
-                    let mut cut = controls.cut.subscribe();
+                    let mut cut = controls.disconnect.subscribe();
                     cut.mark_unchanged();
                     tokio::select! {
                         _ = carry(near, far, link, connection, &recorder, &controls) => {}
                         _ = cut.changed() => {}
                     }
-                    What::Closed
+                    CaptureEvent::Closed
                 }
             };
             recorder.write(link, connection, what);
@@ -168,7 +168,7 @@
     far.set_nodelay(true)?;
     let (mut out, mut back) = (vec![0u8; 64 << 10], vec![0u8; 64 << 10]);
     // The trouble of the exchange under way, drawn when its request goes out.
-    let mut trouble = Trouble::None;
+    let mut trouble = Fault::None;
     let mut fresh = true;
     loop {
         tokio::select! {
@@ -178,12 +178,12 @@
                     return Ok(());
                 }
                 let bytes = Bytes::copy_from_slice(&out[..n]);
-                recorder.write(link, connection, What::Bytes(Way::Out, bytes));
+                recorder.write(link, connection, CaptureEvent::Bytes(Direction::Out, bytes));
                 if fresh {
                     trouble = controls.drawn();
                     fresh = false;
                 }
-                if trouble == Trouble::Stall {
+                if trouble == Fault::Stall {
                     continue;
                 }
                 far.write_all(&out[..n]).await?;
@@ -199,25 +199,25 @@
                     tokio::time::sleep(Duration::from_micros(delay)).await;
                 }
                 let send = |bytes: &[u8]| {
-                    recorder.write(link, connection, What::Bytes(Way::In, Bytes::copy_from_slice(bytes)));
+                    recorder.write(link, connection, CaptureEvent::Bytes(Direction::In, Bytes::copy_from_slice(bytes)));
                 };
                 match trouble {
-                    Trouble::None => {
+                    Fault::None => {
                         send(&back[..n]);
                         near.write_all(&back[..n]).await?;
                     }
-                    Trouble::ResetAfterRequest => {
+                    Fault::ResetAfterRequest => {
                         let _ = near.set_zero_linger();
                         return Ok(());
                     }
-                    Trouble::LoseAnswer | Trouble::Stall => {}
-                    Trouble::Garbage => {
+                    Fault::LoseAnswer | Fault::Stall => {}
+                    Fault::Garbage => {
                         let junk = b"\x00\x01this is no answer\r\n\r\n";
                         send(junk);
                         near.write_all(junk).await?;
                         return Ok(());
                     }
-                    Trouble::Truncate => {
+                    Fault::Truncate => {
                         let part = &back[..n - (n / 8).max(1)];
                         send(part);
                         near.write_all(part).await?;
--- a/crates/checker/tests/doctored.rs
+++ b/crates/checker/tests/doctored.rs
@@ -6,7 +6,7 @@
 use scene::{broken, Scene, BROKER, MS, NOT_RUN, S, W1, W1_B, W2};
 use stagehoist_amqp::codec::{put_method, PROTOCOL_HEADER};
 use stagehoist_amqp::{connection, short, AMQPClass};
-use stagehoist_checker::Way;
+use stagehoist_checker::Direction;
 
 #[test]
 fn a_good_day_breaks_nothing_and_is_counted() {
@@ -21,7 +21,7 @@
     s.attempt(3 * S + 2 * MS, W1, "c", None, 5 * MS);
     s.answer(3 * S + 9 * MS, "c", "failed");
     s.load(4 * S, W1);
-    let v = s.judge(|_| {});
+    let v = s.check(|_| {});
     assert_eq!(broken(&v), Vec::<u8>::new(), "{v:#?}");
     assert_eq!((v.sent, v.served, v.refused, v.failed, v.unanswered), (3, 1, 1, 1, 0));
     assert!(v.rules.iter().filter(|r| r.rule != 4).all(|r| r.checks > 0), "{v:#?}");
@@ -31,19 +31,19 @@
 fn rule_1_broken_by_no_answer_by_two_by_a_late_one_and_by_a_wordless_one() {
     let mut s = Scene::new();
     s.call(S, "a", "safe");
-    let v = s.judge(|_| {});
+    let v = s.check(|_| {});
     assert_eq!((broken(&v), v.unanswered, v.not_owed), (vec![1], 1, 0));
     let mut s = Scene::new();
     s.call(S, "a", "safe").answer(S + 5 * MS, "a", "served").answer(S + 9 * MS, "a", "served");
-    let v = s.judge(|_| {});
+    let v = s.check(|_| {});
     assert_eq!((broken(&v), v.answered_twice), (vec![1], 1));
     let mut s = Scene::new();
     s.call(S, "a", "safe").answer(S + 2600 * MS, "a", "failed");
-    let v = s.judge(|_| {});
+    let v = s.check(|_| {});
     assert_eq!((broken(&v), v.late), (vec![1], 1));
     let mut s = Scene::new();
     s.call(S, "a", "safe").answer(S + MS, "a", "perhaps");
-    assert_eq!(broken(&s.judge(|_| {})), [1]);
+    assert_eq!(broken(&s.check(|_| {})), [1]);
 }
 
 #[test]
@@ -51,11 +51,11 @@
     let mut s = Scene::new();
     s.call(S, "a", "safe");
     s.close(2 * S, BROKER, s.broker);
-    let v = s.judge(|_| {});
+    let v = s.check(|_| {});
     assert_eq!((broken(&v), v.not_owed), (vec![], 1));
     let mut s = Scene::new();
     s.call(S, "a", "safe").answer(4 * S, "a", "refused");
-    let v = s.judge(|c| c.frozen.push((0, S, 4 * S)));
+    let v = s.check(|c| c.frozen.push((0, S, 4 * S)));
     assert_eq!((broken(&v), v.late), (vec![], 1));
     let mut s = Scene::new();
     s.call(S, "a", "safe").answer(4 * S, "a", "refused");
@@ -67,9 +67,9 @@
         };
         let mut out = BytesMut::new();
         put_method(&mut out, 0, AMQPClass::Connection(method));
-        s.bytes(at, BROKER, s.broker, Way::In, out.freeze());
+        s.bytes(at, BROKER, s.broker, Direction::In, out.freeze());
     }
-    assert_eq!(broken(&s.judge(|_| {})), Vec::<u8>::new());
+    assert_eq!(broken(&s.check(|_| {})), Vec::<u8>::new());
 }
 
 #[test]
@@ -82,12 +82,12 @@
         s.attempt(S + 2 * MS, W1, "a", first, MS);
         s.attempt(S + 5 * MS, W2, "a", Some((200, "")), MS);
         s.answer(S + 9 * MS, "a", "served");
-        assert_eq!(broken(&s.judge(|_| {})), [2], "{why}");
+        assert_eq!(broken(&s.check(|_| {})), [2], "{why}");
         let mut s = Scene::new();
         s.call(S, "a", "unsafe");
         s.attempt(S + 2 * MS, W1, "a", first, MS);
         s.answer(S + 9 * MS, "a", "refused");
-        assert_eq!(broken(&s.judge(|_| {})), [2], "refused after {why}");
+        assert_eq!(broken(&s.check(|_| {})), [2], "refused after {why}");
     }
 }
 
@@ -99,7 +99,7 @@
         s.attempt(S + 2 * MS, W1, "a", None, MS);
         s.attempt(S + 2 * MS + at, second, "a", Some((200, "")), MS);
         s.answer(S + 1900 * MS, "a", "served");
-        assert_eq!(broken(&s.judge(|_| {})).is_empty(), kept, "{second} {at}");
+        assert_eq!(broken(&s.check(|_| {})).is_empty(), kept, "{second} {at}");
     }
     let mut s = Scene::new();
     s.call(S, "a", "safe");
@@ -107,7 +107,7 @@
     s.attempt(S + 9 * MS, W2, "a", Some((200, "")), 9 * MS);
     s.answer(S + 60 * MS, "a", "served");
     let copy = Scene { records: s.records.clone(), ..s };
-    assert_eq!(broken(&copy.judge(|c| c.second_copies = true)), Vec::<u8>::new());
+    assert_eq!(broken(&copy.check(|c| c.second_copies = true)), Vec::<u8>::new());
 }
 
 #[test]
@@ -117,7 +117,7 @@
     s.attempt(S + 2 * MS, W1, "a", Some((200, "")), 50 * MS);
     s.attempt(S + 9 * MS, W2, "a", Some((200, "")), 9 * MS);
     s.answer(S + 60 * MS, "a", "served");
-    assert_eq!(broken(&s.judge(|_| {})), [2]);
+    assert_eq!(broken(&s.check(|_| {})), [2]);
 }
 
 /// Late without a gap, late by less than the gap seen, by more, and with a gap that was over before the caller's time was.
@@ -133,7 +133,7 @@
     ] {
         let mut s = Scene::new();
         s.call(S, "a", "safe").answer(by + late - MS, "a", "served");
-        let v = s.judge(|c| c.gaps.extend(gap));
+        let v = s.check(|c| c.gaps.extend(gap));
         assert_eq!((broken(&v).is_empty(), v.late), (kept, 1), "{late} {gap:?}");
     }
 }
@@ -152,12 +152,12 @@
             s.by_b = true;
         } else {
             s.broker = s.open(S + 400 * MS, BROKER);
-            s.bytes(S + 400 * MS, BROKER, s.broker, Way::Out, PROTOCOL_HEADER[..].into());
+            s.bytes(S + 400 * MS, BROKER, s.broker, Direction::Out, PROTOCOL_HEADER[..].into());
         }
         s.deliver(S + 500 * MS, "a", true);
         s.attempt(S + 510 * MS, second, "a", Some((200, "")), 5 * MS);
         s.answer(S + 520 * MS, "a", "served");
-        let v = s.judge(|c| {
+        let v = s.check(|c| {
             c.begun.push((0, S + 300 * MS));
             c.frozen.push((0, 0, S + 10 * MS));
         });
--- a/crates/checker/tests/doctored_pools.rs
+++ b/crates/checker/tests/doctored_pools.rs
@@ -3,12 +3,12 @@
 mod scene;
 
 use scene::{broken, Scene, BROKER, MS, S, W1, W1_B};
-use stagehoist_checker::rules::{Charter, PoolRule, Verdict};
+use stagehoist_checker::rules::{PoolRule, RuleSet, Verdict};
 use stagehoist_checker::Micros;
 
 const OK: Option<(u16, &str)> = Some((200, ""));
 
-fn pool(charter: &mut Charter) {
+fn pool(charter: &mut RuleSet) {
     charter.second_copies = true;
     charter.pools.push(PoolRule {
         name: "p".into(),
@@ -45,7 +45,7 @@
         // Over both front ends together.
         s.by_b = true;
         runs(&mut s, "own", own, S + MS, S + 90 * MS);
-        let v = s.judge(pool);
+        let v = s.check(pool);
         assert_eq!(breaches(&v) == 0, kept, "{lent} {own}: {v:#?}");
     }
 }
@@ -59,7 +59,7 @@
     s.call(S, "x", "keyed other");
     s.attempt(S + 2 * MS, W1, "x", OK, 20 * MS);
     s.answer(S + 40 * MS, "x", "served");
-    assert_eq!(breaches(&s.judge(pool)), 0);
+    assert_eq!(breaches(&s.check(pool)), 0);
 }
 
 /// A call of the tenant waits while others hold more than the pool less its permits: for the stated time, and for longer.
@@ -76,7 +76,7 @@
             s.answer(S + 280 * MS, &id, "refused no-worker");
         }
         // At 205 ms three calls have waited for too long, so that the others' share is one permit.
-        let v = s.judge(pool);
+        let v = s.check(pool);
         assert_eq!(breaches(&v) == 0, kept, "{tenant} {until}: {v:#?}");
     }
 }
@@ -88,7 +88,7 @@
         runs(&mut s, "other", 4, S, S + 800 * MS);
         s.by_b = true;
         s.call(S + 9 * MS, "w", "safe own").answer(S + 790 * MS, "w", "failed x");
-        let v = s.judge(|c| {
+        let v = s.check(|c| {
             pool(c);
             c.frozen.extend(stopped.then_some((1, S, S + 700 * MS)));
         });
@@ -110,7 +110,7 @@
         s.call(S, "first", "safe own").answer(S + 2 * MS, "first", "refused no-lane");
         runs(&mut s, "own", own, S + 3 * MS, S + 300 * MS);
         s.call(S + after - 2 * MS, "a", "safe own").answer(S + after, "a", &format!("refused {reason}"));
-        let v = s.judge(pool);
+        let v = s.check(pool);
         assert_eq!(breaches(&v) == 0, kept, "{after} {own} {reason}: {v:#?}");
     }
     // A new surge after a rest, and a tenant without permits of its own.
@@ -118,7 +118,7 @@
         let mut s = Scene::new();
         s.call(S, "first", &format!("safe {tenant}")).answer(S + 2 * MS, "first", "refused no-lane");
         s.call(at, "a", &format!("safe {tenant}")).answer(at + 2 * MS, "a", "refused no-lane");
-        assert_eq!(breaches(&s.judge(pool)), 0, "{tenant}");
+        assert_eq!(breaches(&s.check(pool)), 0, "{tenant}");
     }
 }
 
@@ -134,7 +134,7 @@
         s.call(next - 2 * MS, "next", "safe other");
         s.attempt(next, W1, "next", OK, 10 * MS);
         s.answer(next + 12 * MS, "next", "served");
-        let v = s.judge(pool);
+        let v = s.check(pool);
         assert_eq!(breaches(&v) == 0, kept, "{next}");
     }
     // A front end whose connection to the broker was lost holds no call that waits.
@@ -146,5 +146,5 @@
     s.close(S + 50 * MS, scene::BROKER_B, s.broker_b);
     s.by_b = false;
     assert_ne!((BROKER, broker), (scene::BROKER_B, s.broker_b));
-    assert_eq!(breaches(&s.judge(pool)), 0);
+    assert_eq!(breaches(&s.check(pool)), 0);
 }
--- a/crates/checker/tests/doctored_retired.rs
+++ b/crates/checker/tests/doctored_retired.rs
@@ -3,12 +3,12 @@
 mod scene;
 
 use scene::{broken, Scene, MS, S, W1, W1_B};
-use stagehoist_checker::rules::{Charter, Retired};
+use stagehoist_checker::rules::{Retired, RuleSet};
 use stagehoist_checker::Micros;
 
 /// `safe` is retired from 2 s; front end 1 counts from `second`, where told.
-fn retire(second: Option<Micros>) -> impl Fn(&mut Charter) {
-    move |charter: &mut Charter| {
+fn retire(second: Option<Micros>) -> impl Fn(&mut RuleSet) {
+    move |charter: &mut RuleSet| {
         let confirmed_from = second.map(|at| (1, at)).into_iter().collect();
         charter.retired.push(Retired { function: "safe".into(), in_force: Some(2 * S), confirmed_from });
     }
@@ -26,7 +26,7 @@
     s.attempt(3 * S + 2 * MS, W1, "c", Some((200, "")), 5 * MS);
     s.answer(3 * S + 9 * MS, "c", "served");
     s.order(3 * S, W1, "safe", "unload");
-    let v = s.judge(retire(None));
+    let v = s.check(retire(None));
     assert_eq!(broken(&v), Vec::<u8>::new(), "{v:#?}");
     assert_eq!(v.rules.last().map(|r| (r.rule, r.checks)), Some((6, 3)));
 }
@@ -47,7 +47,7 @@
                 s.answer(2 * S + 20 * MS, "a", "failed retired");
             }
         }
-        let v = s.judge(retire(None));
+        let v = s.check(retire(None));
         assert_eq!(broken(&v), [6], "{what}");
         assert_eq!(v.rules.last().map(|r| r.breach_count), Some(1), "{what}");
     }
@@ -64,7 +64,7 @@
     ] {
         let mut s = Scene::new();
         s.call(S, "a", "safe").answer(2 * S + after, "a", "served");
-        let v = s.judge(|c| {
+        let v = s.check(|c| {
             retire(None)(c);
             c.gaps.extend(gap);
         });
@@ -82,11 +82,11 @@
         s.call(3 * S, "a", "safe");
         s.attempt(3 * S + 2 * MS, W1_B, "a", Some((200, "")), 5 * MS);
         s.answer(3 * S + 9 * MS, "a", "served");
-        assert_eq!(broken(&s.judge(retire(second))).is_empty(), kept, "{second:?}");
+        assert_eq!(broken(&s.check(retire(second))).is_empty(), kept, "{second:?}");
         // The other front end is bound all the same.
         let mut s = Scene::new();
         s.call(3 * S, "a", "safe").answer(3 * S + 9 * MS, "a", "served");
-        assert_eq!(broken(&s.judge(retire(second))), [6]);
+        assert_eq!(broken(&s.check(retire(second))), [6]);
     }
 }
 
@@ -95,7 +95,7 @@
     for (confirmed, kept) in [(None, true), (Some(2 * S), false)] {
         let mut s = Scene::new();
         s.call(3 * S, "a", "safe").answer(3 * S + 9 * MS, "a", "served");
-        let v = s.judge(|c| {
+        let v = s.check(|c| {
             let confirmed_from = confirmed.map(|at| (0, at)).into_iter().collect();
             c.retired.push(Retired { function: "safe".into(), in_force: None, confirmed_from });
         });
--- a/crates/checker/tests/doctored_workers.rs
+++ b/crates/checker/tests/doctored_workers.rs
@@ -23,7 +23,7 @@
             s.attempt(S + wait, W1, "a", Some((200, "")), MS);
             s.answer(S + wait + 9 * MS, "a", "served");
         }
-        let v = s.judge(|_| {});
+        let v = s.check(|_| {});
         assert_eq!(broken(&v), if kept { vec![] } else { vec![3] }, "{told} {wait} {load}");
     }
 }
@@ -50,7 +50,7 @@
         s.call(3 * S, "b", "safe");
         s.attempt(3 * S + MS, W1, "b", Some((200, "")), MS);
         s.answer(3 * S + 9 * MS, "b", "served");
-        assert_eq!(broken(&s.judge(|_| {})).is_empty(), kept, "{back:?}");
+        assert_eq!(broken(&s.check(|_| {})).is_empty(), kept, "{back:?}");
     }
 }
 
@@ -68,7 +68,7 @@
         s.call(3 * S, "b", "safe");
         s.attempt(3 * S + MS, W1, "b", Some((200, "")), MS);
         s.answer(3 * S + 9 * MS, "b", "served");
-        let verdict = s.judge(|c| c.begun.extend(began.map(|at| (0, at))));
+        let verdict = s.check(|c| c.begun.extend(began.map(|at| (0, at))));
         assert_eq!(broken(&verdict).is_empty(), kept, "{began:?}: {:?}", verdict.rules[2]);
     }
 }
@@ -87,7 +87,7 @@
             s.answer(at + 5 * MS, &id, "served");
         }
         let start = WorkerStart { worker: "w1".into(), at: 1900 * MS, capacity: 10.0 };
-        let v = s.judge(|c| c.starts.push(start));
+        let v = s.check(|c| c.starts.push(start));
         assert_eq!(broken(&v), if kept { vec![] } else { vec![4] });
     }
 }
@@ -102,6 +102,6 @@
         for n in 0..loads {
             s.load(2 * S + n * MS, W1);
         }
-        assert_eq!(broken(&s.judge(|_| {})).is_empty(), kept);
+        assert_eq!(broken(&s.check(|_| {})).is_empty(), kept);
     }
 }
--- a/crates/checker/tests/scene/mod.rs
+++ b/crates/checker/tests/scene/mod.rs
@@ -4,8 +4,8 @@
 use bytes::{Bytes, BytesMut};
 use stagehoist_amqp::codec::{put_content, put_method, PROTOCOL_HEADER};
 use stagehoist_amqp::{basic, long, short, AMQPClass, BasicProperties, FieldTable};
-use stagehoist_checker::rules::{judge, Charter, ClassRule, Effect, Verdict};
-use stagehoist_checker::{Capture, Link, Micros, Peer, Record, Story, Way, What};
+use stagehoist_checker::rules::{check, ClassRule, Effect, RuleSet, Verdict};
+use stagehoist_checker::{Capture, CaptureEvent, Direction, Link, Micros, Peer, Record, Story};
 
 pub const MS: Micros = 1000;
 pub const S: Micros = 1_000_000;
@@ -86,21 +86,21 @@
         scene.broker = scene.open(0, BROKER);
         scene.broker_b = scene.open(0, BROKER_B);
         let header = Bytes::from_static(&PROTOCOL_HEADER);
-        scene.bytes(0, CALLERS, scene.callers, Way::Out, header.clone());
-        scene.bytes(0, BROKER, scene.broker, Way::Out, header.clone());
-        scene.bytes(0, BROKER_B, scene.broker_b, Way::Out, header);
+        scene.bytes(0, CALLERS, scene.callers, Direction::Out, header.clone());
+        scene.bytes(0, BROKER, scene.broker, Direction::Out, header.clone());
+        scene.bytes(0, BROKER_B, scene.broker_b, Direction::Out, header);
         scene
     }
     pub fn open(&mut self, at: Micros, link: usize) -> u64 {
         self.connections += 1;
-        self.records.push(Record { at, link, connection: self.connections, what: What::Opened });
+        self.records.push(Record { at, link, connection: self.connections, event: CaptureEvent::Opened });
         self.connections
     }
-    pub fn bytes(&mut self, at: Micros, link: usize, connection: u64, way: Way, bytes: Bytes) {
-        self.records.push(Record { at, link, connection, what: What::Bytes(way, bytes) });
+    pub fn bytes(&mut self, at: Micros, link: usize, connection: u64, way: Direction, bytes: Bytes) {
+        self.records.push(Record { at, link, connection, event: CaptureEvent::Bytes(way, bytes) });
     }
     pub fn close(&mut self, at: Micros, link: usize, connection: u64) {
-        self.records.push(Record { at, link, connection, what: What::Closed });
+        self.records.push(Record { at, link, connection, event: CaptureEvent::Closed });
     }
     fn front(&self) -> (usize, u64) {
         if self.by_b {
@@ -112,19 +112,19 @@
     /// A message is handed out, once more or first.
     pub fn deliver(&mut self, at: Micros, id: &str, again: bool) {
         let (link, connection) = self.front();
-        self.bytes(at, link, connection, Way::In, deliver(id, None, again));
+        self.bytes(at, link, connection, Direction::In, deliver(id, None, again));
     }
     /// A caller publishes a call (`function` or `function tenant`) and the front end gets it.
     pub fn call(&mut self, at: Micros, id: &str, function: &str) -> &mut Scene {
-        self.bytes(at, CALLERS, self.callers, Way::Out, publish(id, None, function));
+        self.bytes(at, CALLERS, self.callers, Direction::Out, publish(id, None, function));
         self.deliver(at + MS, id, false);
         self
     }
     /// The front end replies (`outcome` or `outcome reason`) and the caller gets it.
     pub fn answer(&mut self, at: Micros, id: &str, outcome: &str) -> &mut Scene {
         let (link, connection) = self.front();
-        self.bytes(at, link, connection, Way::Out, publish(id, Some(outcome), ""));
-        self.bytes(at + MS, CALLERS, self.callers, Way::In, deliver(id, Some(outcome), false));
+        self.bytes(at, link, connection, Direction::Out, publish(id, Some(outcome), ""));
+        self.bytes(at + MS, CALLERS, self.callers, Direction::In, deliver(id, Some(outcome), false));
         self
     }
     /// An attempt on a connection of its own; `answer` is its status and headers, None breaks the connection off.
@@ -142,10 +142,10 @@
             "POST /v2/models/f/infer HTTP/1.1\r\nhost: w\r\ncontent-length: {}\r\n\r\n{body}",
             body.len()
         );
-        self.bytes(at, worker, connection, Way::Out, request.into());
+        self.bytes(at, worker, connection, Direction::Out, request.into());
         if let Some((status, headers)) = answer {
             let text = format!("HTTP/1.1 {status} X\r\n{headers}content-length: 2\r\n\r\n{{}}");
-            self.bytes(at + took, worker, connection, Way::In, text.into());
+            self.bytes(at + took, worker, connection, Direction::In, text.into());
         } else {
             self.close(at + took, worker, connection);
         }
@@ -157,7 +157,7 @@
         let connection = self.open(at, worker);
         let path = format!("/v2/repository/models/{function}/{what}");
         let request = format!("POST {path} HTTP/1.1\r\ncontent-length: 0\r\n\r\n");
-        self.bytes(at, worker, connection, Way::Out, request.into());
+        self.bytes(at, worker, connection, Direction::Out, request.into());
     }
     /// The list tells of w1 and w2; `states` are `ready`, `draining` or `gone`.
     pub fn list(&mut self, at: Micros, states: [&str; 2]) {
@@ -173,16 +173,22 @@
             })
             .collect();
         let body = format!("[{}]", rows.join(","));
-        self.bytes(at, LIST, connection, Way::Out, "GET /v1/health/service/workers HTTP/1.1\r\n\r\n".into());
+        self.bytes(
+            at,
+            LIST,
+            connection,
+            Direction::Out,
+            "GET /v1/health/service/workers HTTP/1.1\r\n\r\n".into(),
+        );
         let text = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-        self.bytes(at, LIST, connection, Way::In, text.into());
+        self.bytes(at, LIST, connection, Direction::In, text.into());
     }
-    pub fn judge(mut self, edit: impl FnOnce(&mut Charter)) -> Verdict {
+    pub fn check(mut self, edit: impl FnOnce(&mut RuleSet)) -> Verdict {
         let link = |peer| Link { front_end: Some(0), peer };
         self.records.sort_by_key(|r| r.at);
         let last = self.records.last().map_or(0, |r| r.at);
         // Time goes on, so that nothing is open only because the recording ended.
-        self.records.push(Record { at: last + 10 * S, link: W2, connection: 0, what: What::Closed });
+        self.records.push(Record { at: last + 10 * S, link: W2, connection: 0, event: CaptureEvent::Closed });
         let links = vec![
             Link { front_end: None, peer: Peer::CallersBroker },
             link(Peer::Broker),
@@ -192,9 +198,9 @@
             Link { front_end: Some(1), peer: Peer::Broker },
             Link { front_end: Some(1), peer: Peer::Worker("w1".into()) },
         ];
-        let capture = Capture { links, records: self.records, cut_short: false };
+        let capture = Capture { links, records: self.records, truncated: false };
         let class = |effect| ClassRule { effect, give_up: 2500 * MS };
-        let mut charter = Charter {
+        let mut charter = RuleSet {
             functions: vec![
                 ("safe".into(), class(Effect::Idempotent)),
                 ("unsafe".into(), class(Effect::NonIdempotent)),
@@ -206,10 +212,10 @@
             ration: Some((10 * S, 1.0, 0.5)),
             cold: Some((S, 2.0, 0.25, 10 * S)),
             groups: [("w1".to_string(), "a".to_string()), ("w2".to_string(), "b".to_string())].into(),
-            ..Charter::default()
+            ..RuleSet::default()
         };
         edit(&mut charter);
-        judge(&Story::read(&capture), &charter)
+        check(&Story::read(&capture), &charter)
     }
 }
 
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -4,7 +4,7 @@
 
 use clap::Args;
 use shown::{account, shower};
-use stagehoist_harness::{measure, play_on, Day, Stack, StageError};
+use stagehoist_harness::{measure, play_on, Day, HarnessError, Stack};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
@@ -107,7 +107,7 @@
     let ledger = stage(day).and_then(|mut stack| {
         let ledger = play_on(&mut stack, &mut shower());
         let kept = keep.map_or(Ok(()), |folder| stack.keep(folder));
-        kept.map_err(StageError::Config).and(ledger)
+        kept.map_err(HarnessError::Config).and(ledger)
     });
     match ledger {
         Ok(ledger) => account(&ledger, json),
@@ -163,8 +163,8 @@
     }
 }
 
-fn stage(day: Day) -> Result<Stack, StageError> {
-    let binary = std::env::current_exe().map_err(StageError::Socket)?;
+fn stage(day: Day) -> Result<Stack, HarnessError> {
+    let binary = std::env::current_exe().map_err(HarnessError::Socket)?;
     let mut stack = Stack::start(day, &binary)?;
     stack.wait_ready(Duration::from_secs(20))?;
     Ok(stack)
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -33,7 +33,7 @@
             .map(|(tenant, lanes)| Reservation { tenant: tenant.clone(), permits: *lanes })
             .collect(),
     };
-    let keep = |keep: &stagehoist_config::Keep| ReplicaOptions {
+    let keep = |keep: &stagehoist_config::ReplicaSettings| ReplicaOptions {
         number: keep.number,
         listen: keep.listen.clone(),
         store: PathBuf::from(&keep.store),
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -4,7 +4,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use stagehoist_gateway::state::{module, PolicyFactory};
 use stagehoist_load_generator::amqp::{Manners, Target};
-use stagehoist_load_generator::stand::StandOptions;
+use stagehoist_load_generator::stand::LoadStackOptions;
 use stagehoist_load_generator::sweep::{Point, SweepOptions};
 use stagehoist_load_generator::{baseline, plot, sweep, LoadError, Mix, Plan, Report, Shape};
 use std::path::PathBuf;
@@ -278,7 +278,7 @@
 }
 
 fn all(args: &SweepArgs) -> Result<bool, LoadError> {
-    let stand = StandOptions {
+    let stand = LoadStackOptions {
         workers: args.workers,
         lanes: args.lanes,
         run_ms: args.run_ms,
@@ -288,7 +288,7 @@
         give_up: args.pace.give_up,
         stamp: args.stamp,
         more: args.more.replace(';', "\n"),
-        ..StandOptions::default()
+        ..LoadStackOptions::default()
     };
     let options = SweepOptions {
         stand,
--- a/crates/cli/tests/fleet_days.rs
+++ b/crates/cli/tests/fleet_days.rs
@@ -4,7 +4,7 @@
 mod alone;
 
 use alone::alone;
-use stagehoist_checker::{judge, Capture, Charter, Peer, Record, Story, Way, What};
+use stagehoist_checker::{check, Capture, CaptureEvent, Direction, Peer, Record, RuleSet, Story};
 use stagehoist_harness::{play, record_on, Day, Ledger, Stack};
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -58,7 +58,7 @@
 fn request<'a>(capture: &'a Capture, kind: &str, worker: Option<&str>, from: i64) -> &'a Record {
     let sent = |r: &&Record| {
         let Peer::Worker(name) = &capture.links[r.link].peer else { return false };
-        let What::Bytes(Way::Out, bytes) = &r.what else { return false };
+        let CaptureEvent::Bytes(Direction::Out, bytes) = &r.event else { return false };
         let line = bytes.split(|b| *b == b'\r').next().unwrap_or_default();
         r.at >= from
             && worker.is_none_or(|w| w == name)
@@ -74,14 +74,18 @@
     let after = capture.records.iter().position(|r| r.at > request.at).unwrap();
     let newest = capture.records.iter().map(|r| r.connection).max().unwrap();
     let copy = |connection| {
-        [What::Opened, request.what.clone()].map(|what| Record { connection, what, ..request.clone() })
+        [CaptureEvent::Opened, request.event.clone()].map(|what| Record {
+            connection,
+            event: what,
+            ..request.clone()
+        })
     };
     doctored.records.splice(after..after, (newest + 1..=newest + times).flat_map(copy));
     doctored
 }
 
 /// A day whose front ends order all loads, on a stack that stands still; every rule kept.
-fn ordering(name: &str, text: &str, seconds: u64) -> (Stack, Ledger, Capture, Charter) {
+fn ordering(name: &str, text: &str, seconds: u64) -> (Stack, Ledger, Capture, RuleSet) {
     let day = Day::parse(name, text).unwrap().shortened(Duration::from_secs(seconds));
     let mut stack = Stack::start(day, Path::new(env!("CARGO_BIN_EXE_stagehoist"))).unwrap();
     stack.wait_ready(Duration::from_secs(20)).unwrap();
@@ -121,7 +125,7 @@
     assert!(ledger.verdict.rules[4].checks > 100, "{:?}", ledger.verdict.rules[4]);
 
     let kept = |capture: &Capture, rule: u8| {
-        let verdict = judge(&Story::read(capture), &charter);
+        let verdict = check(&Story::read(capture), &charter);
         verdict.rules.iter().find(|r| r.rule == rule).unwrap().kept
     };
     // Twelve within ten seconds are free: most of these are over any ration of a front end with its part of the calls.
--- a/crates/cli/tests/overload.rs
+++ b/crates/cli/tests/overload.rs
@@ -5,7 +5,7 @@
 
 use alone::alone;
 use stagehoist_load_generator::amqp::{self, Manners, Target};
-use stagehoist_load_generator::stand::{Stand, StandOptions};
+use stagehoist_load_generator::stand::{LoadStack, LoadStackOptions};
 use stagehoist_load_generator::{Mix, Plan, Report, Shape};
 use std::path::Path;
 use std::process::Command;
@@ -37,7 +37,7 @@
     }
 
     /// Runs on a thread of its own.
-    fn start(&self, stack: &Stand) -> JoinHandle<Report> {
+    fn start(&self, stack: &LoadStack) -> JoinHandle<Report> {
         let load = self.clone();
         let target = Target {
             broker: stack.broker_url().unwrap(),
@@ -60,7 +60,7 @@
         })
     }
 
-    fn run(&self, stack: &Stand) -> Report {
+    fn run(&self, stack: &LoadStack) -> Report {
         accounted(self.name, self.start(stack))
     }
 }
@@ -74,8 +74,8 @@
 }
 
 /// Workers for 400 calls a second; copies stand.
-fn warm(options: &StandOptions) -> Stand {
-    let mut stack = Stand::start(Path::new(env!("CARGO_BIN_EXE_stagehoist")), options).unwrap();
+fn warm(options: &LoadStackOptions) -> LoadStack {
+    let mut stack = LoadStack::start(Path::new(env!("CARGO_BIN_EXE_stagehoist")), options).unwrap();
     stack.serve().unwrap();
     Load { settle: 3 * S, ..Load::new("warm", 150.0, 1.5) }.run(&stack);
     stack
@@ -92,7 +92,7 @@
 #[test]
 fn three_front_ends_in_two_processes_at_five_times_the_capacity_one_of_them_stopped() {
     let _alone = alone();
-    let stack = warm(&StandOptions { processes: vec![2, 1], ..StandOptions::default() });
+    let stack = warm(&LoadStackOptions { processes: vec![2, 1], ..LoadStackOptions::default() });
     let load = Load::new("flood", 2000.0, 4.0).start(&stack);
     std::thread::sleep(Duration::from_millis(700));
     signal(stack.gateways()[1], "-STOP");
@@ -109,7 +109,7 @@
 fn bodies_of_a_megabyte_up_to_the_bound_on_bytes() {
     let _alone = alone();
     let more = "held-bytes-most 8MB\nbody-most 2MB\n".to_string();
-    let stack = warm(&StandOptions { more, run_ms: 400, ..StandOptions::default() });
+    let stack = warm(&LoadStackOptions { more, run_ms: 400, ..LoadStackOptions::default() });
     let report = Load { size: 1 << 20, ..Load::new("large", 40.0, 2.0) }.run(&stack);
     assert!(report.refused.contains_key("too-many-bytes-held"), "{:?}", report.refused);
     assert!(report.served_in_aim + report.served_late > 5, "{report:#?}");
@@ -120,7 +120,7 @@
     let _alone = alone();
     for queue in ["calls", "steady"] {
         let more = "consume steady declare durable\n".to_string();
-        let stack = warm(&StandOptions { more, ..StandOptions::default() });
+        let stack = warm(&LoadStackOptions { more, ..LoadStackOptions::default() });
         let flood = Load { function: "loud", ..Load::new("loud", 2000.0, 3.0) }.start(&stack);
         let steady = Load { function: "quiet", queue, ..Load::new("quiet", 40.0, 3.0) }.start(&stack);
         let (flood, steady) = (accounted("loud", flood), accounted("quiet", steady));
@@ -132,8 +132,8 @@
 #[test]
 fn a_backlog_of_unknown_age_is_answered_without_running_what_is_too_late() {
     let _alone = alone();
-    let options = StandOptions { processes: vec![2], ..StandOptions::default() };
-    let mut stack = Stand::start(Path::new(env!("CARGO_BIN_EXE_stagehoist")), &options).unwrap();
+    let options = LoadStackOptions { processes: vec![2], ..LoadStackOptions::default() };
+    let mut stack = LoadStack::start(Path::new(env!("CARGO_BIN_EXE_stagehoist")), &options).unwrap();
     // The queue must stand before callers publish to it: the gateway declares it, and goes.
     stack.serve().unwrap();
     stack.end_gateways();
@@ -154,7 +154,7 @@
 #[test]
 fn callers_that_repeat_every_refusal_at_once_leave_no_state_that_lasts() {
     let _alone = alone();
-    let stack = warm(&StandOptions { processes: vec![2], ..StandOptions::default() });
+    let stack = warm(&LoadStackOptions { processes: vec![2], ..LoadStackOptions::default() });
     let manners = Manners { at_once: 0.84, honour: 0.0, most: 10 };
     let shape = Shape::Burst { times: 6.0, at: 1.0, span: 2.0 };
     let report = Load { manners, shape, ..Load::new("burst", 250.0, 10.0) }.run(&stack);
--- a/crates/cli/tests/platform/calls.rs
+++ b/crates/cli/tests/platform/calls.rs
@@ -3,7 +3,7 @@
 use crate::stage::{ms, served, settle, Stage, KEYS, LOOK};
 use stagehoist_emulator::platform::bus::record;
 use stagehoist_emulator::platform::client::array;
-use stagehoist_emulator::platform::{Executor, Fault, What};
+use stagehoist_emulator::platform::{Executor, ExecutorRequest, Fault};
 use std::time::Instant;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -18,7 +18,9 @@
     client.request(99, "look", &fields, b"x").await.unwrap();
     assert_eq!(client.wait(31, ms(4000)).await[30].word, "200");
     let held = |e: &Executor| {
-        e.seen().iter().any(|s| matches!(&s.what, What::Hold { key, .. } if key == "00000000000000bb"))
+        e.seen()
+            .iter()
+            .any(|s| matches!(&s.what, ExecutorRequest::Hold { key, .. } if key == "00000000000000bb"))
     };
     assert!(stage.executors.iter().any(held));
     // Never answered by its executor and abandoned by its client: stopped, and nothing more is written for it.
@@ -27,8 +29,9 @@
     tokio::time::sleep(ms(100)).await;
     client.raw(&array(&[b"ABORT", b"100"])).await.unwrap();
     tokio::time::sleep(ms(300)).await;
-    let stopped =
-        |e: &Executor| e.seen().iter().any(|s| s.what == What::Stop { id: "00000000000000ab".into() });
+    let stopped = |e: &Executor| {
+        e.seen().iter().any(|s| s.what == ExecutorRequest::Stop { id: "00000000000000ab".into() })
+    };
     assert!(stage.executors.iter().any(stopped));
     assert_eq!(client.answers().len(), 31);
     stage.verdict(&answers);
--- a/crates/cli/tests/platform/closes.rs
+++ b/crates/cli/tests/platform/closes.rs
@@ -4,7 +4,7 @@
 use rustix::process::Signal;
 use socket2::{Domain, Socket, Type};
 use stagehoist_emulator::platform::client::array;
-use stagehoist_emulator::platform::{Fault, What};
+use stagehoist_emulator::platform::{ExecutorRequest, Fault};
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
@@ -51,8 +51,8 @@
     let mut client = TcpStream::from(socket);
     let saw = |n: u64, stop: bool| {
         stage.executors[0].seen().iter().any(|s| match &s.what {
-            What::Run { id, .. } => !stop && *id == format!("{n:016x}"),
-            What::Stop { id } => stop && *id == format!("{n:016x}"),
+            ExecutorRequest::Run { id, .. } => !stop && *id == format!("{n:016x}"),
+            ExecutorRequest::Stop { id } => stop && *id == format!("{n:016x}"),
             _ => false,
         })
     };
--- a/crates/cli/tests/platform/ending.rs
+++ b/crates/cli/tests/platform/ending.rs
@@ -3,7 +3,7 @@
 use crate::stage::{config_classes, ms, Stage, KEYS};
 use rustix::process::Signal;
 use stagehoist_emulator::platform::client::array;
-use stagehoist_emulator::platform::{Asked, Client, Fault, What};
+use stagehoist_emulator::platform::{Client, ExecutorRequest, Fault, SentRequest};
 use std::time::{Duration, Instant};
 
 /// From SIGTERM to SIGKILL at the earliest, where the longest deadline is 3 s or more.
@@ -24,7 +24,7 @@
         let at = Instant::now();
         client.raw(&request(n, class, LONG)).await.unwrap();
         let (id, tag, body) = (format!("{n:016x}"), n.to_string(), b"x".to_vec());
-        self.asked.push(Asked { at, id, tag, allow: ms(LONG), is_unsafe, body, left: None });
+        self.asked.push(SentRequest { at, id, tag, allow: ms(LONG), is_unsafe, body, left: None });
     }
 
     /// Waits until executors saw so many attempts.
@@ -187,7 +187,7 @@
     assert_eq!(stage.ends(ms(3000)).await, Some(0));
     for (n, executor) in stage.executors.iter().enumerate() {
         for seen in executor.seen() {
-            if let What::Run { id, .. } = seen.what {
+            if let ExecutorRequest::Run { id, .. } = seen.what {
                 let answer = answers.iter().find(|a| format!("{:016x}", a.tag.parse::<u64>().unwrap()) == id);
                 assert_ne!(answer.map(|a| &*a.word), Some("503"), "sent to {n} and refused: {id}");
             }
--- a/crates/cli/tests/platform/leaving.rs
+++ b/crates/cli/tests/platform/leaving.rs
@@ -4,7 +4,7 @@
 use rustix::process::Signal;
 use serde_json::json;
 use stagehoist_emulator::platform::client::array;
-use stagehoist_emulator::platform::{after_leaving, Fault, What};
+use stagehoist_emulator::platform::{after_leaving, ExecutorRequest, Fault};
 use std::net::SocketAddr;
 use std::time::Instant;
 use tokio::io::AsyncReadExt;
@@ -93,7 +93,7 @@
         }
         let ended = |stage: &Stage| {
             let seen = stage.executors.iter().flat_map(|e| e.seen());
-            seen.filter(|s| matches!(s.what, What::Answered { .. })).count()
+            seen.filter(|s| matches!(s.what, ExecutorRequest::Answered { .. })).count()
         };
         let by = Instant::now() + ms(5000);
         while stage.runs(0) + stage.runs(1) < 12 {
--- a/crates/cli/tests/platform/lists.rs
+++ b/crates/cli/tests/platform/lists.rs
@@ -2,7 +2,7 @@
 
 use crate::stage::{config, ms, served, Stage};
 use rustix::process::Signal;
-use stagehoist_emulator::platform::bus::Mood;
+use stagehoist_emulator::platform::bus::SubscriptionFault;
 use stagehoist_emulator::platform::EventBus;
 use std::time::Instant;
 
@@ -13,11 +13,11 @@
     let mut n = 0;
     for step in 0..4 {
         match step {
-            0 => stage.bus.mood(Mood::Twice),
-            1 => stage.bus.mood(Mood::Cut),
+            0 => stage.bus.mood(SubscriptionFault::Twice),
+            1 => stage.bus.mood(SubscriptionFault::Cut),
             2 => {
                 // Silent with its connection open: found by time, told on the next connection.
-                stage.bus.mood(Mood::Silent);
+                stage.bus.mood(SubscriptionFault::Silent);
                 tokio::time::sleep(ms(1200)).await;
             }
             _ => {
@@ -34,7 +34,7 @@
         }
         stage.drain(step);
         if step == 2 {
-            stage.bus.mood(Mood::Well);
+            stage.bus.mood(SubscriptionFault::Well);
         }
         // What the event subscription would have told counts later where it breaks, is silent or moves.
         let allowed = [0, 2000, 4000, 4000][step];
--- a/crates/cli/tests/platform/stage.rs
+++ b/crates/cli/tests/platform/stage.rs
@@ -4,7 +4,9 @@
 use serde_json::json;
 use stagehoist_emulator::platform::bus::record;
 use stagehoist_emulator::platform::client::array;
-use stagehoist_emulator::platform::{judge, Answered, Asked, Client, EventBus, Executor, Told, What};
+use stagehoist_emulator::platform::{
+    judge, Answered, Client, EventBus, Executor, ExecutorRequest, RuleSettings, SentRequest,
+};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -32,8 +34,8 @@
     pub bus: EventBus,
     pub child: Child,
     pub listen: SocketAddr,
-    pub asked: Vec<Asked>,
-    pub told: Told,
+    pub asked: Vec<SentRequest>,
+    pub told: RuleSettings,
     /// Lines of the command's log since it started.
     pub log: Arc<Mutex<Vec<String>>>,
 }
@@ -114,7 +116,7 @@
         edit(&mut told);
         std::fs::write(&path, told.to_string()).unwrap();
         let (child, listen, log) = command(&path);
-        let told = Told { grace: ms(250), ration: (6.0, 0.1, ms(10_000)), ..Told::default() };
+        let told = RuleSettings { grace: ms(250), ration: (6.0, 0.1, ms(10_000)), ..RuleSettings::default() };
         let asked = Vec::new();
         let stage =
             Stage { _folder: folder, config: path, executors: all, bus, child, listen, asked, told, log };
@@ -139,7 +141,7 @@
         let at = Instant::now();
         client.request(n, class, &fields, &body).await.unwrap();
         let (tag, allow, left) = (n.to_string(), ms(LOOK), None);
-        self.asked.push(Asked { at, id, tag, allow, is_unsafe, body, left });
+        self.asked.push(SentRequest { at, id, tag, allow, is_unsafe, body, left });
     }
 
     /// Writes calls of these numbers, one after each pause.
@@ -177,7 +179,7 @@
     }
 
     pub fn runs(&self, n: usize) -> usize {
-        self.executors[n].seen().iter().filter(|s| matches!(s.what, What::Run { .. })).count()
+        self.executors[n].seen().iter().filter(|s| matches!(s.what, ExecutorRequest::Run { .. })).count()
     }
 
     pub async fn ends(&mut self, limit: Duration) -> Option<i32> {
--- a/crates/cli/tests/platform/start.rs
+++ b/crates/cli/tests/platform/start.rs
@@ -4,7 +4,7 @@
 use rustix::process::Signal;
 use serde_json::json;
 use stagehoist_emulator::platform::bus::record;
-use stagehoist_emulator::platform::{Executor, What};
+use stagehoist_emulator::platform::{Executor, ExecutorRequest};
 use std::process::Command;
 
 #[test]
@@ -49,7 +49,7 @@
         most = most.max(descriptors());
     }
     let answers = client.wait(400, ms(4000)).await;
-    let touched = |e: &&Executor| e.seen().iter().any(|s| matches!(s.what, What::Run { .. }));
+    let touched = |e: &&Executor| e.seen().iter().any(|s| matches!(s.what, ExecutorRequest::Run { .. }));
     let touched = stage.executors.iter().filter(touched).count();
     assert_eq!(answers.len(), 400);
     assert!(touched > 150, "{touched} executors saw a call");
--- a/crates/cli/tests/platform/together.rs
+++ b/crates/cli/tests/platform/together.rs
@@ -4,7 +4,9 @@
 use crate::stage::{command, ms, Stage, KEYS, LOOK};
 use rustix::process::{kill_process, Pid, Signal};
 use stagehoist_emulator::platform::client::array;
-use stagehoist_emulator::platform::{after_leaving, Asked, Client, Fault, Seen, What};
+use stagehoist_emulator::platform::{
+    after_leaving, Client, ExecutorRequest, Fault, ObservedRequest, SentRequest,
+};
 use std::net::SocketAddr;
 use std::process::Child;
 use std::time::{Duration, Instant};
@@ -36,7 +38,7 @@
     }
 }
 
-fn request(n: u64) -> (Vec<u8>, Asked) {
+fn request(n: u64) -> (Vec<u8>, SentRequest) {
     let (class, is_unsafe) = if n.is_multiple_of(4) { ("book", true) } else { ("look", false) };
     let (id, tag, body) = (format!("{n:016x}"), n.to_string(), vec![n as u8; 20]);
     let key = KEYS[(n % 4) as usize];
@@ -44,11 +46,11 @@
         format!("ref={id},allow={LOOK},project=acme,lookup={key},effort=20,extras=memory_mb:64;lanes:4");
     let bytes = array(&[b"REQ", tag.as_bytes(), class.as_bytes(), fields.as_bytes(), &body]);
     let (at, allow, left) = (Instant::now(), ms(LOOK), None);
-    (bytes, Asked { at, id, tag, allow, is_unsafe, body, left })
+    (bytes, SentRequest { at, id, tag, allow, is_unsafe, body, left })
 }
 
 /// A client of a front end that asks and leaves; what it asked, with when it began to leave.
-async fn leaves(to: SocketAddr, first: u64, how: Leaves, stays: Duration) -> Vec<Asked> {
+async fn leaves(to: SocketAddr, first: u64, how: Leaves, stays: Duration) -> Vec<SentRequest> {
     let mut stream = TcpStream::connect(to).await.unwrap();
     let mut asked = Vec::new();
     for n in first..first + EACH {
@@ -77,12 +79,18 @@
 }
 
 /// The capture with one attempt for a call of each of these lists so long after its client left.
-fn doctored(seen: &[(u32, Vec<Seen>)], asked: &[&[Asked]], after: Duration) -> Vec<(u32, Vec<Seen>)> {
+fn doctored(
+    seen: &[(u32, Vec<ObservedRequest>)],
+    asked: &[&[SentRequest]],
+    after: Duration,
+) -> Vec<(u32, Vec<ObservedRequest>)> {
     let mut seen = seen.to_vec();
     for one in asked.iter().map(|list| &list[0]) {
         let (id, class, key) = (one.id.clone(), "look".to_string(), KEYS[0].to_string());
         let at = one.left.unwrap() + after;
-        seen[0].1.push(Seen { at, what: What::Run { id, class, key, body: Vec::new() } });
+        seen[0]
+            .1
+            .push(ObservedRequest { at, what: ExecutorRequest::Run { id, class, key, body: Vec::new() } });
     }
     seen
 }
@@ -102,7 +110,7 @@
         }
         assert_eq!(client.wait(8, ms(5000)).await.len(), 8);
     }
-    let mut asked: [Vec<Asked>; 3] = Default::default();
+    let mut asked: [Vec<SentRequest>; 3] = Default::default();
     let mut left_meanwhile = 0;
     for round in 0..ROUNDS {
         // Errors ask for retries, silence for hedged requests.
@@ -134,7 +142,7 @@
         let on_again = Instant::now();
         while let Some(done) = clients.join_next().await {
             let (process, list) = done.unwrap();
-            let meanwhile = |a: &&Asked| a.left.is_some_and(|at| at > stopped && at < on_again);
+            let meanwhile = |a: &&SentRequest| a.left.is_some_and(|at| at > stopped && at < on_again);
             if process as u64 == round % 3 {
                 left_meanwhile += list.iter().filter(meanwhile).count();
             }
@@ -152,9 +160,9 @@
         println!("front end {n}: {}", after_leaving(list, &seen));
     }
     // Further attempts and hedged requests are among them.
-    let runs = |a: &Asked| {
+    let runs = |a: &SentRequest| {
         let each = seen.iter().flat_map(|(_, seen)| seen);
-        each.filter(|s| matches!(&s.what, What::Run { id, .. } if *id == a.id)).count()
+        each.filter(|s| matches!(&s.what, ExecutorRequest::Run { id, .. } if *id == a.id)).count()
     };
     let again = all.iter().filter(|a| runs(a) > 1).count();
     println!("{again} tried again, {left_meanwhile} left a process that did not run");
--- a/crates/cli/tests/platform/versions.rs
+++ b/crates/cli/tests/platform/versions.rs
@@ -1,7 +1,7 @@
 //! New versions of a function on a quiet day: executors lose the copies that a front end believes in.
 
 use crate::stage::{ms, Stage, KEYS};
-use stagehoist_emulator::platform::{Answered, Client, Executor, What};
+use stagehoist_emulator::platform::{Answered, Client, Executor, ExecutorRequest};
 use std::collections::BTreeMap;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -13,7 +13,8 @@
 
 /// The executor has the new version in place of the old from now on.
 async fn gets_new_version(executor: &Executor) {
-    let frees = |e: &Executor| e.seen().iter().filter(|s| matches!(s.what, What::Free { .. })).count();
+    let frees =
+        |e: &Executor| e.seen().iter().filter(|s| matches!(s.what, ExecutorRequest::Free { .. })).count();
     let before = frees(executor);
     let mut stream = TcpStream::connect(executor.address).await.unwrap();
     stream.write_all(format!("FREE {OLD}\r\n").as_bytes()).await.unwrap();
@@ -47,14 +48,14 @@
         let mut keys = BTreeMap::new();
         for seen in executor.seen() {
             match seen.what {
-                What::Run { id, key, .. } => {
+                ExecutorRequest::Run { id, key, .. } => {
                     *attempts.entry(id.clone()).or_insert(0) += 1;
                     keys.insert(id, key);
                 }
-                What::Answered { id, word } if word == "MISS" => {
+                ExecutorRequest::Answered { id, word } if word == "MISS" => {
                     *misses.entry((executor.id, keys[&id].clone())).or_insert(0) += 1;
                 }
-                What::Hold { key, copies } if copies > 0 => {
+                ExecutorRequest::Hold { key, copies } if copies > 0 => {
                     *misses.entry((executor.id, key)).or_insert(0) -= 1;
                 }
                 _ => {}
--- a/crates/cluster-state/src/allocation/account.rs
+++ b/crates/cluster-state/src/allocation/account.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Account {
     number: u64,
-    heard_at: Micros,
+    reported_at: Micros,
     confirmed: Version,
     known: bool,
     ready_capacity: u32,
@@ -37,7 +37,7 @@
         if report.number <= self.number {
             return false;
         }
-        (self.number, self.heard_at, self.ready_capacity) = (report.number, now, report.ready_capacity);
+        (self.number, self.reported_at, self.ready_capacity) = (report.number, now, report.ready_capacity);
         self.confirmed = self.confirmed.max(report.confirmed);
         let applied = report.demand.iter().map(|d| d.applied).min().unwrap_or(0);
         self.known |= self.given.iter().any(|g| g.number == applied);
@@ -96,7 +96,7 @@
         let given = self.given.iter().filter(|g| now < g.given_at + lease + longest);
         let given = given.filter_map(|g| g.permits.get(pool)).copied().max().unwrap_or(0);
         let runs =
-            if now < self.heard_at + longest { self.in_use.get(pool).copied().unwrap_or(0) } else { 0 };
+            if now < self.reported_at + longest { self.in_use.get(pool).copied().unwrap_or(0) } else { 0 };
         let out = given.max(runs.saturating_sub(floor));
         let counted = self.counted.entry(pool.to_owned()).or_default();
         (std::mem::replace(counted, out), out)
@@ -118,8 +118,8 @@
     }
 
     /// When its last report came.
-    pub fn heard_at(&self) -> Micros {
-        self.heard_at
+    pub fn reported_at(&self) -> Micros {
+        self.reported_at
     }
 
     /// The newest view that it confirmed.
--- a/crates/cluster-state/src/allocation/mod.rs
+++ b/crates/cluster-state/src/allocation/mod.rs
@@ -169,7 +169,7 @@
         self.accounts.retain(|m, a| {
             a.forget(now - span);
             // Runs of one that is gone may go on at workers.
-            record.is_present(m) || now < a.heard_at() + span
+            record.is_present(m) || now < a.reported_at() + span
         });
         // Guaranteed minimums of earlier editions end once all have applied a later one.
         let accounts = &self.accounts;
@@ -235,7 +235,7 @@
     /// Accounts that are not old.
     fn fresh(&self, now: Micros) -> impl Iterator<Item = (&Member, &Account)> {
         let late = now - self.terms.grantor_span();
-        self.accounts.iter().filter(move |(_, a)| a.heard_at() > late)
+        self.accounts.iter().filter(move |(_, a)| a.reported_at() > late)
     }
 
     /// A pool's size. Where it goes by workers, for allocation the lower median of what members told of late:
--- a/crates/cluster-state/src/inquiry.rs
+++ b/crates/cluster-state/src/inquiry.rs
@@ -62,7 +62,7 @@
 struct OpenInquiry {
     keys: Vec<MessageKey>,
     since: Micros,
-    asked_at: Micros,
+    sent_at: Micros,
     round: u32,
     /// Who is to say, once the leader told it.
     members: Option<BTreeSet<String>>,
@@ -88,21 +88,21 @@
         let (of, heard, asked) = (None, BTreeSet::new(), Micros::MIN / 2);
         self.open.insert(
             number,
-            OpenInquiry { keys, since: now, asked_at: asked, round: 0, members: of, answered: heard, known },
+            OpenInquiry { keys, since: now, sent_at: asked, round: 0, members: of, answered: heard, known },
         );
         true
     }
 
     /// When [`InquiryRounds::next`] has something.
     pub fn next_due(&self) -> Option<Micros> {
-        self.open.values().map(|o| o.asked_at + RETRY_INTERVAL).min()
+        self.open.values().map(|o| o.sent_at + RETRY_INTERVAL).min()
     }
 
     /// The next question to send.
     pub fn next_request(&mut self, now: Micros) -> Option<SessionRequest> {
         self.open.retain(|_, o| now - o.since < INQUIRY_TIMEOUT);
-        let (number, open) = self.open.iter_mut().find(|(_, o)| now >= o.asked_at + RETRY_INTERVAL)?;
-        (open.asked_at, open.round) = (now, open.round + 1);
+        let (number, open) = self.open.iter_mut().find(|(_, o)| now >= o.sent_at + RETRY_INTERVAL)?;
+        (open.sent_at, open.round) = (now, open.round + 1);
         let told = open.members.iter().flatten().filter(|name| !open.answered.contains(*name));
         let to = told.cloned().collect();
         Some(SessionRequest::Inquire { number: *number, round: open.round, to, keys: open.keys.clone() })
@@ -117,7 +117,7 @@
         now: Micros,
     ) -> Option<InquiryEvent> {
         let open = self.open.get_mut(&number)?;
-        if turn == open.round && now - open.asked_at <= MEMBERS_VALID_FOR {
+        if turn == open.round && now - open.sent_at <= MEMBERS_VALID_FOR {
             open.members.get_or_insert_with(|| names.into_iter().collect());
         }
         self.conclude(number)
--- a/crates/cluster-state/src/leader.rs
+++ b/crates/cluster-state/src/leader.rs
@@ -13,13 +13,13 @@
 struct Session {
     confirmed: Version,
     /// Until when a promise given to it may be relied on.
-    promised_at: Micros,
+    promised_until: Micros,
 }
 
 /// How far a tombstone has come with this leader; by the change that proposed it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct RetirementProgress {
-    first_seen: Micros,
+    observed_at: Micros,
     /// Since when it is in force at every member.
     confirmed_since: Option<Micros>,
     /// When the last command for it was handed out, and how many members that excepted.
@@ -34,7 +34,7 @@
     sessions: BTreeMap<Member, Session>,
     progress: BTreeMap<Version, RetirementProgress>,
     /// When runs in whose place another joined were last let leave.
-    next_leave_check: Option<Micros>,
+    last_leave_check: Option<Micros>,
     /// The change up to which the cluster state was judged, and when time alone may bring something.
     evaluated: Option<Version>,
     wake: Option<Micros>,
@@ -54,7 +54,7 @@
             began: now,
             sessions,
             progress: courses,
-            next_leave_check: let_leave,
+            last_leave_check: let_leave,
             evaluated: judged,
             wake,
             is_waiting: false,
@@ -95,7 +95,7 @@
             session.confirmed = confirmed;
             self.evaluated = None;
         }
-        session.promised_at = session.promised_at.max(now + given);
+        session.promised_until = session.promised_until.max(now + given);
         Some(Grant {
             number: report.number,
             version: record.view.version,
--- a/crates/cluster-state/src/leader/commands.rs
+++ b/crates/cluster-state/src/leader/commands.rs
@@ -41,7 +41,7 @@
         self.evaluated = Some(record.version);
         (self.wake, self.is_waiting) = (None, false);
         self.sessions.retain(|m, _| record.is_present(m) || record.replaced.contains_key(m));
-        let mut commands = self.next_leave_check(record, now);
+        let mut commands = self.last_leave_check(record, now);
         let late = self.lagging_runs(record, now);
         // Of the first so many late runs: the oldest joining of all, and of those that may rely on a promise.
         let mut oldest = vec![(Version::MAX, Version::MAX)];
@@ -54,7 +54,7 @@
         for (function, tombstone) in &record.view.tombstones {
             let proposed = tombstone.proposed;
             let mut course = before.remove(&proposed).unwrap_or(RetirementProgress {
-                first_seen: now,
+                observed_at: now,
                 confirmed_since: None,
                 proposed: None,
             });
@@ -97,10 +97,10 @@
             // several reports long; who has not confirmed by then is named, so that one long call in progress
             // holds up nobody's state.
             (TombstoneState::Proposed, RetirementMode::Available)
-                if found.has_relying_run && now < course.first_seen + self.terms.grantor_span() =>
+                if found.has_relying_run && now < course.observed_at + self.terms.grantor_span() =>
             {
                 self.is_waiting = true;
-                self.wake_at(course.first_seen + self.terms.grantor_span());
+                self.wake_at(course.observed_at + self.terms.grantor_span());
                 return None;
             }
             (TombstoneState::Proposed, RetirementMode::Available) => {
@@ -150,7 +150,7 @@
     }
 
     /// Runs in whose place another joined and to which no promise stands any more leave.
-    fn next_leave_check(&mut self, record: &ClusterState, now: Micros) -> Vec<Command> {
+    fn last_leave_check(&mut self, record: &ClusterState, now: Micros) -> Vec<Command> {
         let (gone, at_work): (Vec<_>, Vec<_>) =
             record.replaced.keys().partition(|m| self.relies_until(m) <= now);
         let next = at_work.into_iter().map(|m| self.relies_until(m)).min();
@@ -158,12 +158,12 @@
         if gone.is_empty() {
             return Vec::new();
         }
-        let again = self.next_leave_check.map_or(now, |at| at + self.retry_interval());
+        let again = self.last_leave_check.map_or(now, |at| at + self.retry_interval());
         if now < again {
             self.wake_at(again);
             return Vec::new();
         }
-        self.next_leave_check = Some(now);
+        self.last_leave_check = Some(now);
         self.wake_at(now + self.retry_interval());
         gone.into_iter().cloned().map(Command::Leave).collect()
     }
@@ -196,7 +196,7 @@
 
     /// Until when a promise to a member, of this leader or of one before, may stand.
     fn relies_until(&self, member: &Member) -> Micros {
-        let own = self.sessions.get(member).map_or(Micros::MIN, |s| s.promised_at);
+        let own = self.sessions.get(member).map_or(Micros::MIN, |s| s.promised_until);
         own.max(self.began + self.terms.takeover_wait())
     }
 
--- a/crates/config/src/build.rs
+++ b/crates/config/src/build.rs
@@ -5,7 +5,7 @@
 use crate::lexer::Line;
 use crate::list_source::list_source;
 use crate::marks::marks;
-use crate::model::{Class, Config, Consume, Function, Kind, ListSource, Listen, ListenWhat, Tenant};
+use crate::model::{Class, Config, Consume, Function, Kind, ListSource, Listen, ListenPurpose, Tenant};
 use crate::parts::{broker, effect};
 use crate::sharding::sharding;
 use crate::source::Source;
@@ -171,7 +171,7 @@
         drain_most: s.duration("drain-most", 30 * S),
         listen: s
             .all("listen")
-            .filter_map(|l| Some(Listen { what: ListenWhat::Metrics, address: l.text("address")? }))
+            .filter_map(|l| Some(Listen { what: ListenPurpose::Metrics, address: l.text("address")? }))
             .collect(),
         over_share_worth: s.number("over-share-worth", "value", 1.0),
         worth_by_work: s.text("worth-by", "unit").as_deref() == Some("work"),
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -14,7 +14,7 @@
     /// Addresses of the replicas by their numbers.
     pub keepers: BTreeMap<u64, String>,
     /// Where this process is a replica itself.
-    pub keep: Option<Keep>,
+    pub keep: Option<ReplicaSettings>,
     /// In which the members' last incarnations are kept.
     pub folder: Option<String>,
     pub view_lease: i64,
@@ -46,7 +46,7 @@
 
 /// The replica that this process runs.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Keep {
+pub struct ReplicaSettings {
     pub number: u64,
     pub listen: String,
     pub store: String,
@@ -79,10 +79,10 @@
     "recover",
 ];
 
-type Stray = Vec<(Position, String, String)>;
+type FaultList = Vec<(Position, String, String)>;
 
 /// What the directives say of the fleet; None where there is no replica. What is wrong goes to `stray`.
-pub fn fleet(s: &Source<'_>, tenants: &[Tenant], stray: &mut Stray) -> Option<Fleet> {
+pub fn fleet(s: &Source<'_>, tenants: &[Tenant], stray: &mut FaultList) -> Option<Fleet> {
     let keepers: BTreeMap<u64, String> =
         s.all("keeper").filter_map(|l| Some((l.count("number")?, l.text("address")?))).collect();
     let member = s.text("member", "name");
@@ -115,7 +115,11 @@
         stray.push((line.at.clone(), what, "1, 3 or 5 keeper lines".into()));
     }
     let keep = s.one("keep").and_then(|l| {
-        Some(Keep { number: l.count("number")?, listen: l.text("listen")?, store: l.text("store")? })
+        Some(ReplicaSettings {
+            number: l.count("number")?,
+            listen: l.text("listen")?,
+            store: l.text("store")?,
+        })
     });
     if let (Some(keep), Some(line)) = (&keep, s.one("keep")) {
         if !keepers.contains_key(&keep.number) {
@@ -141,7 +145,7 @@
     })
 }
 
-fn recover(s: &Source<'_>, stray: &mut Stray) -> Option<Recover> {
+fn recover(s: &Source<'_>, stray: &mut FaultList) -> Option<Recover> {
     let line = s.one("recover")?;
     if s.one("fleet-folder").is_none() {
         // There it is noted whether the last run left in order.
@@ -158,7 +162,7 @@
 }
 
 /// A later generation is known inside as `NAME@2`: no function may be called so itself.
-fn numbered_names(s: &Source<'_>, stray: &mut Stray) {
+fn numbered_names(s: &Source<'_>, stray: &mut FaultList) {
     for line in s.all("function") {
         if let Some(name) = line.text("name").filter(|n| ends_numbered(n)) {
             let expected = "a name without @ and a number at its end".to_string();
@@ -173,7 +177,7 @@
     tail.is_some_and(|t| !t.is_empty() && t.bytes().all(|b| b.is_ascii_digit()))
 }
 
-fn pools(s: &Source<'_>, tenants: &[Tenant], stray: &mut Stray) -> Vec<Pool> {
+fn pools(s: &Source<'_>, tenants: &[Tenant], stray: &mut FaultList) -> Vec<Pool> {
     let mut pools: Vec<Pool> = Vec::new();
     let mut taken: BTreeMap<String, String> = BTreeMap::new();
     for line in s.all("pool") {
--- a/crates/config/src/fleet_grammar.rs
+++ b/crates/config/src/fleet_grammar.rs
@@ -1,6 +1,6 @@
 //! The directives of a process that is part of a fleet.
 
-use crate::grammar::{may, must, one, Directive, Often, H, MS, S};
+use crate::grammar::{may, must, one, Directive, Occurrence, H, MS, S};
 use crate::value::Kind;
 
 const NUMBER: Kind = Kind::Count(1, u64::MAX);
@@ -12,13 +12,13 @@
         name: "keeper",
         places: &[must("number", NUMBER), must("address", Kind::Address)],
         keys: &[],
-        often: Often::OncePerName,
+        often: Occurrence::OncePerName,
     },
     Directive {
         name: "keep",
         places: &[must("number", NUMBER)],
         keys: &[must("listen", Kind::Address), must("store", Kind::Text)],
-        often: Often::Once,
+        often: Occurrence::Once,
     },
     one("fleet-folder", &[must("folder", Kind::Text)]),
     one("view-lease", &[must("value", Kind::Duration(100 * MS, 60 * S))]),
@@ -30,20 +30,20 @@
         name: "pool",
         places: &[must("name", Kind::Text)],
         keys: &[must("functions", Kind::Text), must("lanes", Kind::Text)],
-        often: Often::OncePerName,
+        often: Occurrence::OncePerName,
     },
     Directive {
         name: "reserve",
         places: &[must("tenant", Kind::Text)],
         keys: &[must("pool", Kind::Text), must("lanes", Kind::Count(1, 1_000_000))],
-        often: Often::Any,
+        often: Occurrence::Any,
     },
     one("pools-edition", &[must("number", NUMBER)]),
     Directive {
         name: "marks",
         places: &[must("folder", Kind::Text)],
         keys: &[may("keep", Kind::Duration(S, 1000 * H)), may("most", Kind::Count(1000, 100_000_000))],
-        often: Often::Once,
+        often: Occurrence::Once,
     },
     Directive {
         name: "recover",
@@ -55,6 +55,6 @@
             may("share", Kind::Number(0.01, 1.0)),
             may("new", Kind::Duration(S, H)),
         ],
-        often: Often::Once,
+        often: Occurrence::Once,
     },
 ];
--- a/crates/config/src/front_ends_list.rs
+++ b/crates/config/src/front_ends_list.rs
@@ -1,6 +1,6 @@
 //! The list of front ends that a divided fleet follows.
 
-use crate::grammar::{may, must, Directive, Often, H, MS, S};
+use crate::grammar::{may, must, Directive, Occurrence, H, MS, S};
 use crate::list_source::list_source;
 use crate::model::ListSource;
 use crate::source::Source;
@@ -19,7 +19,7 @@
         may("pause", Kind::Duration(0, H)),
         may("poll", Kind::Duration(10 * MS, H)),
     ],
-    often: Often::Once,
+    often: Occurrence::Once,
 }];
 
 /// Where the list of front ends is, and which of its entries are this process's own.
--- a/crates/config/src/grammar.rs
+++ b/crates/config/src/grammar.rs
@@ -19,7 +19,7 @@
 
 /// How often a directive may stand in a configuration.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Often {
+pub enum Occurrence {
     Once,
     /// Once for each value of its first argument.
     OncePerName,
@@ -31,7 +31,7 @@
     pub name: &'static str,
     pub places: &'static [Argument],
     pub keys: &'static [Argument],
-    pub often: Often,
+    pub often: Occurrence,
 }
 
 /// An argument that is required.
@@ -46,7 +46,7 @@
 
 /// A directive that stands once at most and takes its arguments by place.
 pub const fn one(name: &'static str, places: &'static [Argument]) -> Directive {
-    Directive { name, places, keys: &[], often: Often::Once }
+    Directive { name, places, keys: &[], often: Occurrence::Once }
 }
 
 const YES: &[Argument] = &[must("value", Kind::YesNo)];
@@ -69,7 +69,7 @@
         name: "listen",
         places: &[must("what", Kind::Word(&["metrics"])), must("address", Kind::Address)],
         keys: &[],
-        often: Often::OncePerName,
+        often: Occurrence::OncePerName,
     },
     // The service.
     Directive {
@@ -85,7 +85,7 @@
             may("late-worth", Kind::Number(0.0, 1.0)),
             may("aim-stretch", Kind::Number(0.0, 1e3)),
         ],
-        often: Often::OncePerName,
+        often: Occurrence::OncePerName,
     },
     Directive {
         name: "function",
@@ -101,13 +101,13 @@
             may("calls", Kind::Rate(0.0, 1e9)),
             may("spread", Kind::Count(1, 4_096)),
         ],
-        often: Often::OncePerName,
+        often: Occurrence::OncePerName,
     },
     Directive {
         name: "tenant",
         places: &[must("name", Kind::Text)],
         keys: &[must("quota", Kind::Rate(0.0, 1e9)), may("functions", Kind::Text)],
-        often: Often::OncePerName,
+        often: Occurrence::OncePerName,
     },
     one("over-share-worth", SHARE),
     one("worth-by", &[must("unit", Kind::Word(&["call", "work"]))]),
@@ -116,7 +116,7 @@
         name: "broker",
         places: &[must("url", Kind::Url("amqp"))],
         keys: &[],
-        often: Often::OncePerName,
+        often: Occurrence::OncePerName,
     },
     Directive {
         name: "consume",
@@ -125,14 +125,14 @@
             may("prefetch", Kind::Count(1, 65_535)),
             may("declare", Kind::Word(&["no", "durable", "transient"])),
         ],
-        often: Often::OncePerName,
+        often: Occurrence::OncePerName,
     },
     one("heartbeat", &[must("value", Kind::Duration(0, H))]),
     Directive {
         name: "reconnect",
         places: &[],
         keys: &[must("first", Kind::Duration(MS, H)), must("most", Kind::Duration(MS, H))],
-        often: Often::Once,
+        often: Occurrence::Once,
     },
     one("confirm-timeout", &[must("value", Kind::Duration(MS, H))]),
     one("replies", &[must("by", Kind::Word(&["confirm", "transaction"]))]),
@@ -141,7 +141,7 @@
         name: "answer-memory",
         places: &[],
         keys: &[must("count", Kind::Count(1, 10_000_000)), must("keep", Kind::Duration(S, 24 * H))],
-        often: Often::Once,
+        often: Occurrence::Once,
     },
     // Workers.
     Directive {
@@ -152,7 +152,7 @@
             may("wait", Kind::Duration(100 * MS, 10 * 60 * S)),
             may("poll", Kind::Duration(10 * MS, H)),
         ],
-        often: Often::Once,
+        often: Occurrence::Once,
     },
     one("workers-most", &[must("count", Kind::Count(1, MAX_MEMBERS as u64))]),
     one("list-subscribe", YES),
@@ -162,9 +162,14 @@
         name: "worker-kind",
         places: &[must("name", Kind::Text)],
         keys: &[must("memory", Kind::Size(1, 1 << 50))],
-        often: Often::OncePerName,
+        often: Occurrence::OncePerName,
+    },
+    Directive {
+        name: "zone-names",
+        places: &[must("names", Kind::Text)],
+        keys: &[],
+        often: Occurrence::Once,
     },
-    Directive { name: "zone-names", places: &[must("names", Kind::Text)], keys: &[], often: Often::Once },
     one("zone", &[must("name", Kind::Text)]),
     one("drain-grace", ANY_DURATION),
     Directive {
@@ -176,7 +181,7 @@
             must("share", Kind::Number(0.0, 1.0)),
             must("warm-up", Kind::Duration(0, H)),
         ],
-        often: Often::Once,
+        often: Occurrence::Once,
     },
     one("attempts", &[must("most", Kind::Count(1, 100))]),
     one("second-copies", YES),
@@ -190,7 +195,7 @@
         name: "idle-connections",
         places: &[],
         keys: &[must("close", Kind::Duration(MS, H)), must("most", Kind::Count(0, 10_000))],
-        often: Often::Once,
+        often: Occurrence::Once,
     },
     one("retry-after-most", ANY_DURATION),
     one("idle-keep", ANY_DURATION),
@@ -204,7 +209,7 @@
             must("free", Kind::Number(0.0, 1e6)),
             must("share", Kind::Number(0.0, 1e3)),
         ],
-        often: Often::Once,
+        often: Occurrence::Once,
     },
     Directive {
         name: "load-ration",
@@ -214,7 +219,7 @@
             must("free", Kind::Number(0.0, 1e6)),
             must("share", Kind::Number(0.0, 1e3)),
         ],
-        often: Often::Once,
+        often: Occurrence::Once,
     },
     Directive {
         name: "price",
@@ -225,13 +230,13 @@
             may("cross-zone", Kind::Number(0.0, 1e3)),
             may("fetch", Kind::Number(0.0, 1e3)),
         ],
-        often: Often::Once,
+        often: Occurrence::Once,
     },
     Directive {
         name: "reports",
         places: &[must("via", Kind::Word(&["never", "answers", "probe"]))],
         keys: &[may("fields", Kind::Text)],
-        often: Often::Once,
+        often: Occurrence::Once,
     },
 ];
 
--- a/crates/config/src/lexer.rs
+++ b/crates/config/src/lexer.rs
@@ -1,7 +1,7 @@
 //! Files to lines, lines to words with their places, words to directives with typed values.
 
 use crate::build::build;
-use crate::grammar::{directive, directives, Directive, Often};
+use crate::grammar::{directive, directives, Directive, Occurrence};
 use crate::model::Config;
 use crate::nearest::nearest;
 use crate::value::Value;
@@ -194,9 +194,9 @@
         let mut faults = Vec::new();
         for line in &self.lines {
             let name = match line.directive.often {
-                Often::Any => continue,
-                Often::Once => String::new(),
-                Often::OncePerName => {
+                Occurrence::Any => continue,
+                Occurrence::Once => String::new(),
+                Occurrence::OncePerName => {
                     match line.directive.places.first().and_then(|p| line.values.get(p.key)) {
                         Some((value, _)) => format!(" {value:?}"),
                         None => continue,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -30,12 +30,12 @@
 mod value;
 mod words;
 
-pub use fleet::{ends_numbered, Fleet, Keep, Pool, Recover};
+pub use fleet::{ends_numbered, Fleet, Pool, Recover, ReplicaSettings};
 pub use front_ends_list::FrontEndsList;
 pub use lexer::{load, parse};
-pub use marks::Marks;
+pub use marks::IntentLogSettings;
 pub use model::{
-    takes, Broker, Class, Config, Consume, Function, Kind, ListSource, Listen, ListenWhat, Tenant,
+    takes, Broker, Class, Config, Consume, Function, Kind, ListSource, Listen, ListenPurpose, Tenant,
 };
 pub use parts::broker;
 pub use sharding::Sharding;
--- a/crates/config/src/marks.rs
+++ b/crates/config/src/marks.rs
@@ -7,7 +7,7 @@
 
 /// Where attempts of calls that is not idempotent are recorded before they leave.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Marks {
+pub struct IntentLogSettings {
     pub folder: String,
     /// How long an intent is kept, in microseconds: longer than any message may be delivered again.
     pub keep: i64,
@@ -21,9 +21,9 @@
     classes: &[Class],
     keepers: bool,
     stray: &mut Vec<(Position, String, String)>,
-) -> Option<Marks> {
+) -> Option<IntentLogSettings> {
     let line = s.one("marks")?;
-    let marks = Marks {
+    let marks = IntentLogSettings {
         folder: line.text("folder")?,
         keep: line.duration("keep").unwrap_or(3600 * S),
         most: line.count("most").unwrap_or(1_000_000),
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::Fleet;
 use crate::front_ends_list::FrontEndsList;
-use crate::marks::Marks;
+use crate::marks::IntentLogSettings;
 use crate::sharding::Sharding;
 use stagehoist::{Effect, OnMiss, ReportChannel, RetryBudget};
 
@@ -102,14 +102,14 @@
 
 /// What an address is listened on for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListenWhat {
+pub enum ListenPurpose {
     Metrics,
 }
 
 /// An address that the process listens on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listen {
-    pub what: ListenWhat,
+    pub what: ListenPurpose,
     pub address: String,
 }
 
@@ -182,7 +182,7 @@
     pub report_via: ReportChannel,
     pub report_fields: Vec<String>,
     /// None: attempts are not recorded on disk.
-    pub marks: Option<Marks>,
+    pub marks: Option<IntentLogSettings>,
     /// None: the fleet isn't divided.
     pub sharding: Option<Sharding>,
     /// None: front ends own shards by their numbers.
--- a/crates/config/src/render.rs
+++ b/crates/config/src/render.rs
@@ -1,6 +1,6 @@
 //! A configuration written back, one directive a line; reading it gives the same configuration.
 
-use crate::fleet::{Fleet, Keep};
+use crate::fleet::{Fleet, ReplicaSettings};
 use crate::model::{Config, Function, ListSource};
 use crate::value::{show_duration as d, show_size};
 use crate::words::word;
@@ -185,7 +185,8 @@
     fn lines(&self) -> Vec<String> {
         let mut out = vec![format!("member {}", word(&self.member))];
         out.extend(self.keepers.iter().map(|(number, address)| format!("keeper {number} {address}")));
-        let keep = |k: &Keep| format!("keep {} listen {} store {}", k.number, k.listen, word(&k.store));
+        let keep =
+            |k: &ReplicaSettings| format!("keep {} listen {} store {}", k.number, k.listen, word(&k.store));
         out.extend(self.keep.as_ref().map(keep));
         out.extend(self.folder.as_ref().map(|f| format!("fleet-folder {}", word(f))));
         out.push(format!("view-lease {}", d(self.view_lease)));
--- a/crates/config/src/sharding.rs
+++ b/crates/config/src/sharding.rs
@@ -1,6 +1,6 @@
 //! The division of the fleet into shards, as `crates/sharding` computes it.
 
-use crate::grammar::{may, must, Directive, Often};
+use crate::grammar::{may, must, Directive, Occurrence};
 use crate::source::Source;
 use crate::value::Kind;
 use crate::words::word;
@@ -11,7 +11,7 @@
 
 /// Most shards that one front end may have to serve by what is notified.
 const SHARDS_EACH: u32 = 16;
-const STAGES: &[&str] = &["announced", "both", "closing"];
+const PHASES: &[&str] = &["announced", "both", "closing"];
 const SHARDS: Kind = Kind::Count(1, MAX_SHARDS as u64);
 
 /// Taken together with those of [`crate::grammar::DIRECTIVES`].
@@ -22,24 +22,24 @@
         keys: &[
             must("generation", Kind::Count(1, u32::MAX as u64 - 1)),
             may("next", SHARDS),
-            may("stage", Kind::Word(STAGES)),
+            may("stage", Kind::Word(PHASES)),
             may("calls", Kind::Rate(0.0, 1e9)),
             may("workers", Kind::Count(1, u32::MAX as u64)),
             may("first", Kind::Count(0, 99_999)),
         ],
-        often: Often::Once,
+        often: Occurrence::Once,
     },
     Directive {
         name: "shard",
         places: &[must("number", Kind::Count(0, MAX_SHARDS as u64 - 1))],
         keys: &[must("weight", Kind::Count(1, MAX_SHARD_WEIGHT as u64))],
-        often: Often::OncePerName,
+        often: Occurrence::OncePerName,
     },
     Directive {
         name: "shard-front-ends",
         places: &[must("zone", Kind::Text), must("count", Kind::Count(1, 100_000))],
         keys: &[],
-        often: Often::OncePerName,
+        often: Occurrence::OncePerName,
     },
 ];
 
@@ -60,10 +60,10 @@
     pub tenants: BTreeMap<String, Vec<String>>,
 }
 
-type Stray = Vec<(Position, String, String)>;
+type FaultList = Vec<(Position, String, String)>;
 
 /// What the directives say of shards; None where there are none. What is wrong goes to `stray`.
-pub fn sharding(s: &Source<'_>, zones: &[String], stray: &mut Stray) -> Option<Sharding> {
+pub fn sharding(s: &Source<'_>, zones: &[String], stray: &mut FaultList) -> Option<Sharding> {
     let Some(line) = s.one("shards") else {
         alone(s, stray);
         return None;
@@ -123,7 +123,7 @@
     };
     let old = checked(shards, generation, "count")?;
     let stages = [TransitionPhase::Announced, TransitionPhase::Both, TransitionPhase::Closing];
-    let stage = STAGES.iter().position(|s| stage.as_deref() == Some(s)).map(|at| stages[at]);
+    let stage = PHASES.iter().position(|s| stage.as_deref() == Some(s)).map(|at| stages[at]);
     let divisions = match (next, stage) {
         (Some(next), Some(stage)) => {
             Divisions::changing(old, checked(next, generation + 1, "next")?, stage).ok()?
@@ -136,7 +136,7 @@
 }
 
 /// Directives and keys that mean nothing without shards.
-fn alone(s: &Source<'_>, stray: &mut Stray) {
+fn alone(s: &Source<'_>, stray: &mut FaultList) {
     let expected = || "a shards line".to_string();
     for line in ["shard", "shard-front-ends"].iter().flat_map(|name| s.all(name)) {
         stray.push((line.at.clone(), format!("{} without shards", line.directive.name), expected()));
@@ -150,7 +150,7 @@
     }
 }
 
-fn zones_told(s: &Source<'_>, names: &[String], fleet: u32, stray: &mut Stray) -> Vec<(u16, u32)> {
+fn zones_told(s: &Source<'_>, names: &[String], fleet: u32, stray: &mut FaultList) -> Vec<(u16, u32)> {
     let mut told = BTreeMap::new();
     for line in s.all("shard-front-ends") {
         let (Some(zone), Some(count)) = (line.text("zone"), line.count("count")) else { continue };
@@ -174,7 +174,7 @@
     told.into_iter().collect()
 }
 
-fn hot(s: &Source<'_>, divisions: &Divisions, calls: f64, stray: &mut Stray) -> Vec<HotFunction> {
+fn hot(s: &Source<'_>, divisions: &Divisions, calls: f64, stray: &mut FaultList) -> Vec<HotFunction> {
     let mut hot = Vec::new();
     let fewest = divisions.each().map(Division::shards).min().unwrap_or(1);
     for line in s.all("function").filter(|l| l.get("calls").is_some() || l.get("spread").is_some()) {
@@ -202,7 +202,7 @@
     hot
 }
 
-fn tenants(s: &Source<'_>, stray: &mut Stray) -> BTreeMap<String, Vec<String>> {
+fn tenants(s: &Source<'_>, stray: &mut FaultList) -> BTreeMap<String, Vec<String>> {
     let mut tenants = BTreeMap::new();
     for line in s.all("tenant") {
         let (Some(name), Some(functions)) = (line.text("name"), line.text("functions")) else { continue };
@@ -222,7 +222,7 @@
         let old = self.divisions.old();
         let mut shards = format!("shards {} generation {}", old.shards(), old.generation());
         if let (Some(next), Some(stage)) = (self.divisions.next(), self.divisions.phase()) {
-            let stage = STAGES[stage as usize];
+            let stage = PHASES[stage as usize];
             shards += &format!(" next {} stage {stage}", next.shards());
         }
         shards += &format!(" calls {}/s first {}", self.calls, self.first);
--- a/crates/consensus/src/frames.rs
+++ b/crates/consensus/src/frames.rs
@@ -46,7 +46,7 @@
 }
 
 /// A front end's connection at a replica, in two: what it says is shorter than what it is notified.
-pub fn apart(frames: Frames) -> (Reading, Writing) {
+pub fn split(frames: Frames) -> (Reading, Writing) {
     let parts = frames.into_parts();
     let (read, write) = parts.io.into_split();
     let codec = |most| LengthDelimitedCodec::builder().max_frame_length(most).new_codec();
--- a/crates/consensus/src/replica/connection.rs
+++ b/crates/consensus/src/replica/connection.rs
@@ -1,7 +1,7 @@
 //! A front end's connection at a replica: frames in to the desk, frames out from it.
 
 use super::service::{Notes, ServiceMessage};
-use crate::frames::{apart, decode, Frames, WRITE_TIMEOUT};
+use crate::frames::{decode, split, Frames, WRITE_TIMEOUT};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use stagehoist_cluster_state::SessionRequest;
@@ -20,7 +20,7 @@
     if desk.send(ServiceMessage::Connected { conn, hello, out }).await.is_err() {
         return;
     }
-    let (mut stream, mut sink) = apart(frames);
+    let (mut stream, mut sink) = split(frames);
     loop {
         tokio::select! {
             frame = timeout(SILENCE_TIMEOUT, stream.next()) => {
--- a/crates/consensus/src/replica/formation.rs
+++ b/crates/consensus/src/replica/formation.rs
@@ -66,7 +66,7 @@
     }
     let mut asked = 0u32;
     while gate.state() == State::Undecided {
-        let answers = ask_all(&peers).await;
+        let answers = request_status(&peers).await;
         match choose(start, peers.numbers().len(), &answers) {
             Choice::Form => {
                 gate.set(State::Open);
@@ -111,7 +111,7 @@
     raft.runtime_config().elect(true);
 }
 
-async fn ask_all(peers: &Peers) -> BTreeMap<u64, ReplicaStatus> {
+async fn request_status(peers: &Peers) -> BTreeMap<u64, ReplicaStatus> {
     let asked = peers.numbers().into_iter().map(|n| async move {
         match peers.call(n, PeerRequest::Status, ANSWER_TIMEOUT).await {
             Some(PeerResponse::Status(stand)) => Some((n, stand)),
--- a/crates/consensus/src/replica/service_state/inquiries.rs
+++ b/crates/consensus/src/replica/service_state/inquiries.rs
@@ -14,7 +14,7 @@
 const MAJORITY_TRUSTED: Micros = 250_000;
 
 /// Those of the names that a question goes to: who has not said yet; empty: all. Both grow with the fleet.
-fn asked_of<'a, T: Ord>(of: &'a [T], to: &[T]) -> Vec<&'a T> {
+fn remaining_members<'a, T: Ord>(of: &'a [T], to: &[T]) -> Vec<&'a T> {
     let open: BTreeSet<&T> = to.iter().collect();
     of.iter().filter(|name| open.is_empty() || open.contains(name)).collect()
 }
@@ -40,8 +40,10 @@
             return;
         }
         let of: Vec<String> = record.members.keys().filter(|name| **name != from.name).cloned().collect();
-        let asked: Vec<u64> =
-            asked_of(&of, to).into_iter().filter_map(|name| self.by_name.get(name).copied()).collect();
+        let asked: Vec<u64> = remaining_members(&of, to)
+            .into_iter()
+            .filter_map(|name| self.by_name.get(name).copied())
+            .collect();
         self.send(conn, &SessionResponse::InquiryMembers { number, round: turn, members: of });
         let question = SessionResponse::Inquire { from, number, keys };
         asked.into_iter().for_each(|conn| self.try_send(conn, &question));
--- a/crates/consensus/src/replica/service_state/inquiries/tests.rs
+++ b/crates/consensus/src/replica/service_state/inquiries/tests.rs
@@ -1,4 +1,4 @@
-use super::asked_of;
+use super::remaining_members;
 use std::cell::Cell;
 use std::cmp::Ordering;
 
@@ -41,7 +41,7 @@
     // All but every third, last first, and one that the cluster state does not hold.
     let to: Vec<Counted> = (0..4097).rev().filter(|n| n % 3 != 0).map(Counted).collect();
     COMPARED.set(0);
-    let asked: Vec<usize> = asked_of(&of, &to).into_iter().map(|c| c.0).collect();
+    let asked: Vec<usize> = remaining_members(&of, &to).into_iter().map(|c| c.0).collect();
     let compared = COMPARED.get();
     assert_eq!(asked, (0..4096).filter(|n| n % 3 != 0).collect::<Vec<_>>());
     // Of 4096 names one by one against 2731 there are millions.
@@ -51,6 +51,6 @@
 #[test]
 fn all_are_asked_where_none_is_told() {
     let of = [Counted(1), Counted(2)];
-    assert_eq!(asked_of(&of, &[]).len(), 2);
-    assert!(asked_of(&of, &[Counted(3)]).is_empty());
+    assert_eq!(remaining_members(&of, &[]).len(), 2);
+    assert!(remaining_members(&of, &[Counted(3)]).is_empty());
 }
--- a/crates/consensus/src/session/permits.rs
+++ b/crates/consensus/src/session/permits.rs
@@ -44,14 +44,14 @@
         if gave_back || (last.confirmed, last.ready_capacity) != (told.confirmed, told.ready_capacity) {
             return Some(REPORT_GAP);
         }
-        began(last.demand.iter().map(stood), told.demand.iter().map(stood))
+        began(last.demand.iter().map(demand_key), told.demand.iter().map(demand_key))
     }
 }
 
 /// Whose demand it is, permits in use and calls that wait.
 type DemandKey<K> = (K, u32, u32);
 
-fn stood(d: &Demand) -> DemandKey<(&str, &str)> {
+fn demand_key(d: &Demand) -> DemandKey<(&str, &str)> {
     ((&d.pool, &d.tenant), d.in_use, d.waiting)
 }
 
--- a/crates/consensus/src/store/open.rs
+++ b/crates/consensus/src/store/open.rs
@@ -53,7 +53,7 @@
         Found::Intact(db) => {
             let store = Store { db: Arc::new(db), guard: guard.clone() };
             let start = if existed || mark.is_none() {
-                catch_unwind(AssertUnwindSafe(|| judge(&store, mark)))
+                catch_unwind(AssertUnwindSafe(|| check_start(&store, mark)))
                     .unwrap_or_else(|_| Err("it can't be read".into()))
             } else {
                 Err("it is gone".into())
@@ -115,7 +115,7 @@
 }
 
 /// Whether a store may go on as it is; the reason why not.
-pub(super) fn judge(store: &Store, mark: Option<Fingerprint>) -> Result<Start, String> {
+pub(super) fn check_start(store: &Store, mark: Option<Fingerprint>) -> Result<Start, String> {
     type Ends = (Option<Vote>, Option<LogId>, Option<u64>);
     let all = (|| -> Result<Ends, StoreError> {
         let read = store.db.begin_read()?;
--- a/crates/consensus/src/store/tests/mod.rs
+++ b/crates/consensus/src/store/tests/mod.rs
@@ -3,7 +3,7 @@
 mod disk;
 mod golden;
 
-use super::open::judge;
+use super::open::check_start;
 use super::state_machine::State;
 use super::{key, Start, StateMachine, Store, StoreFingerprint};
 use crate::types::{Batch, Entry, LogId, Vote};
@@ -119,7 +119,7 @@
         return (!nothing).then(|| "it does not open".into());
     };
     let mark = store.guard.lock().unwrap().fingerprint();
-    match judge(&store, mark) {
+    match check_start(&store, mark) {
         Ok(Start::Intact | Start::Pristine) => {}
         other => return Some(format!("judged as {other:?}")),
     }
@@ -193,12 +193,12 @@
             }
         });
         store.save_vote(&Vote::new(1, 1)).await.unwrap();
-        let apart = *counted.borrow();
+        let split = *counted.borrow();
         store.set_vote(&Vote::new(2, 1)).unwrap();
-        let inline = *counted.borrow() - apart;
+        let inline = *counted.borrow() - split;
         assert!(
-            apart >= 3 && inline == 0,
-            "{apart} turns of others meanwhile; {inline} where it is written inline"
+            split >= 3 && inline == 0,
+            "{split} turns of others meanwhile; {inline} where it is written inline"
         );
         others.abort();
     });
--- a/crates/consensus/tests/cut.rs
+++ b/crates/consensus/tests/cut.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// A member that reaches the replicas by relays of its own.
-fn apart(fleet: &Fleet) -> (Options, Vec<Relay>) {
+fn split(fleet: &Fleet) -> (Options, Vec<Relay>) {
     let mut options = fleet.options(&["apart".into()]);
     let relays: Vec<_> = fleet.keepers.values().map(|to| Relay::new(to)).collect();
     options.replicas = fleet.keepers.keys().copied().zip(relays.iter().map(|r| r.address.clone())).collect();
@@ -29,10 +29,10 @@
 
 fn comes_in_force_after_its_promise(way: Way) {
     let fleet = Fleet::started(3);
-    let (options, relays) = apart(&fleet);
+    let (options, relays) = split(&fleet);
     let now = clock();
-    let apart = start(options, now.clone()).unwrap();
-    let session = &apart.sessions["apart"];
+    let split = start(options, now.clone()).unwrap();
+    let session = &split.sessions["apart"];
     wait("a promise to it", || is_fresh(session, &now));
     relays.iter().for_each(|r| r.set(way));
     fleet.session(1).retire.try_send(retirement("f", RetirementMode::Strict)).unwrap();
@@ -49,16 +49,16 @@
     assert!(was_fresh > 0 && shown(session, "f").is_none());
     relays.iter().for_each(|r| r.cut(false));
     wait("it is shown it once it is back", || in_force(session, "f"));
-    apart.stop();
+    split.stop();
 }
 
 #[test]
 fn an_available_retirement_names_the_one_cut_off_until_it_confirms() {
     let fleet = Fleet::started(3);
-    let (options, relays) = apart(&fleet);
+    let (options, relays) = split(&fleet);
     let now = clock();
-    let apart = start(options, now.clone()).unwrap();
-    let session = &apart.sessions["apart"];
+    let split = start(options, now.clone()).unwrap();
+    let session = &split.sessions["apart"];
     wait("a promise to it", || is_fresh(session, &now));
     relays.iter().for_each(|r| r.cut(true));
     fleet.session(1).retire.try_send(retirement("f", RetirementMode::Available)).unwrap();
@@ -71,7 +71,7 @@
         confirm(session);
         in_force(f.session(2), "f")
     });
-    apart.stop();
+    split.stop();
 }
 
 /// Replica 1 leads and is cut off from the others, not from one of its members. Whether that member took its view for
@@ -99,9 +99,9 @@
     }
     assert_eq!(fleet.leader(), Some(1));
     let now = clock();
-    let apart = Options { replicas: here, terms: doctored, ..fleet.options(&["apart".into()]) };
-    let apart = start(apart, now.clone()).unwrap();
-    let session = &apart.sessions["apart"];
+    let split = Options { replicas: here, terms: doctored, ..fleet.options(&["apart".into()]) };
+    let split = start(split, now.clone()).unwrap();
+    let session = &split.sessions["apart"];
     wait("a promise to it", || is_fresh(session, &now));
     own.values().chain([&fleet.relays[&1]]).for_each(|r| r.cut(true));
     fleet.session(2).retire.try_send(retirement("f", RetirementMode::Strict)).unwrap();
@@ -112,7 +112,7 @@
         std::thread::sleep(Duration::from_millis(2));
     }
     assert!(shown(session, "f").is_none());
-    apart.stop();
+    split.stop();
     was_fresh
 }
 
--- a/crates/core/src/bin/stagehoist-adapter.rs
+++ b/crates/core/src/bin/stagehoist-adapter.rs
@@ -19,9 +19,9 @@
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
     #[error("batch header cut off at byte {0}")]
-    HeaderCutOff(usize),
+    HeaderTruncated(usize),
     #[error("frame cut off at byte {position} of {length}")]
-    FrameCutOff { position: usize, length: usize },
+    FrameTruncated { position: usize, length: usize },
     #[error(transparent)]
     Wire(#[from] WireError),
     #[error(transparent)]
@@ -56,7 +56,7 @@
     while read < header.len() {
         match input.read(&mut header[read..]) {
             Ok(0) if read == 0 => return Ok(None),
-            Ok(0) => return Err(AdapterError::HeaderCutOff(read)),
+            Ok(0) => return Err(AdapterError::HeaderTruncated(read)),
             Ok(count) => read += count,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(error) => return Err(error.into()),
@@ -70,7 +70,10 @@
     let mut body = Vec::new();
     let read = input.take(expected as u64).read_to_end(&mut body)?;
     if read < expected {
-        return Err(AdapterError::FrameCutOff { position: BATCH_HEADER_SIZE + read, length: header.length });
+        return Err(AdapterError::FrameTruncated {
+            position: BATCH_HEADER_SIZE + read,
+            length: header.length,
+        });
     }
     Ok(body)
 }
--- a/crates/core/src/policy/beliefs.rs
+++ b/crates/core/src/policy/beliefs.rs
@@ -46,7 +46,7 @@
     /// A load that a request started occupies it until then.
     pub loading_until: Micros,
     /// When it last showed that it is alive.
-    pub heard_at: Micros,
+    pub last_response_at: Micros,
     /// Load orders that it has not answered, and when they were given.
     pub load_orders: BTreeMap<FunctionId, Micros>,
     pub copies: BTreeMap<FunctionId, CachedCopy>,
@@ -55,7 +55,7 @@
 impl Beliefs {
     /// Beliefs about a process that has just started.
     pub fn restarted(now: Micros) -> Beliefs {
-        Beliefs { slowdown: 1.0, slowdown_at: now, heard_at: now, ..Beliefs::default() }
+        Beliefs { slowdown: 1.0, slowdown_at: now, last_response_at: now, ..Beliefs::default() }
     }
 
     /// The copies of a function that are believed to be loaded.
--- a/crates/core/src/policy/completion.rs
+++ b/crates/core/src/policy/completion.rs
@@ -77,6 +77,6 @@
         if was_only_miss && !self.load_budget.is_outstanding(order) {
             self.load(index, function, now, actions);
         }
-        self.settle(end.request, actions);
+        self.conclude(end.request, actions);
     }
 }
--- a/crates/core/src/policy/dispatch.rs
+++ b/crates/core/src/policy/dispatch.rs
@@ -136,7 +136,7 @@
         }
         match placement {
             Placement::Send(prediction) => self.send(id, prediction, now, actions),
-            Placement::WaitUntil(until) if until <= now => self.settle(id, actions),
+            Placement::WaitUntil(until) if until <= now => self.conclude(id, actions),
             Placement::WaitUntil(until) if until > objective_at && !is_past_objective => {
                 self.give_up_objective(id, now, actions);
             }
--- a/crates/core/src/policy/learning.rs
+++ b/crates/core/src/policy/learning.rs
@@ -30,7 +30,7 @@
         beliefs.lost_connections += u32::from(end.outcome == Reset);
         let is_gone = end.outcome == ConnectFailed || none_in_flight && beliefs.lost_connections > 1;
         if !matches!(end.outcome, Timeout | Cancelled | ConnectFailed | Reset) {
-            beliefs.heard_at = now;
+            beliefs.last_response_at = now;
         }
         if !self.functions.contains_key(&attempt.function) {
             return;
@@ -54,7 +54,9 @@
                 self.workers[index].beliefs.copies.remove(&attempt.function);
             }
             Error => self.record_failure(index, Failure::Error, now, actions),
-            ConnectFailed | Reset if is_gone => self.record_failure(index, Failure::Gone, now, actions),
+            ConnectFailed | Reset if is_gone => {
+                self.record_failure(index, Failure::Unreachable, now, actions)
+            }
             ConnectFailed | Reset => self.record_failure(index, Failure::Error, now, actions),
             Timeout | Cancelled => self.learn_from_silence(index, attempt, end, now),
             Outcome::Superseded => {}
--- a/crates/core/src/policy/maintenance.rs
+++ b/crates/core/src/policy/maintenance.rs
@@ -21,7 +21,7 @@
 
 impl FrontEnd {
     pub(super) fn maintain(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        self.settle_expired(now, actions);
+        self.conclude_expired(now, actions);
         self.load_budget.expire(now, &self.settings);
         self.expire_arrivals(now);
         self.mean_error_rate = self.mean_error_rate();
@@ -37,11 +37,11 @@
         }
     }
 
-    fn settle_expired(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn conclude_expired(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let expired = self.deadlines.iter().take_while(|deadline| deadline.at <= now);
         let expired: Vec<RequestId> = expired.map(|deadline| deadline.request).collect();
         for request in expired {
-            self.settle(request, actions);
+            self.conclude(request, actions);
         }
     }
 
@@ -101,7 +101,7 @@
             }
         }
         for index in silent {
-            self.record_failure(index, Failure::Gone, now, actions);
+            self.record_failure(index, Failure::Unreachable, now, actions);
         }
         for attempt in overdue {
             self.retry_overdue(&attempt, now, actions);
@@ -126,7 +126,7 @@
     let is_overdue = |attempt: &&Attempt| {
         let predicted = attempt.predicted.finish - attempt.sent_at;
         let limit = ((OVERDUE_FACTOR * predicted as f64) as Micros).max(min_overdue);
-        now > attempt.sent_at + limit && worker.beliefs.heard_at <= attempt.sent_at
+        now > attempt.sent_at + limit && worker.beliefs.last_response_at <= attempt.sent_at
     };
     worker.in_flight.iter().filter(is_overdue).count() >= SILENT_ATTEMPTS
 }
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -172,7 +172,7 @@
             Event::Request(request) => self.on_request(request, now),
             Event::AttemptEnded(end) => {
                 self.on_attempt_ended(end, now, actions);
-                self.mark_changed(end.worker);
+                self.note_changed(end.worker);
             }
             Event::ClientGone { request } => self.forget(*request),
             Event::Timer { token } => self.on_timer(*token),
@@ -184,11 +184,11 @@
                     copies: u32::from(*copies),
                 };
                 self.on_loaded(&load, now);
-                self.mark_changed(*worker);
+                self.note_changed(*worker);
             }
             Event::HealthChecked { worker, outcome, report, .. } => {
                 self.on_health_checked(*worker, *outcome, report, now, actions);
-                self.mark_changed(*worker);
+                self.note_changed(*worker);
             }
             Event::Started { request, .. } => self.on_started(*request),
             Event::Gossip { .. } => {}
@@ -196,7 +196,7 @@
     }
 
     /// Has the next decisions consider a worker.
-    fn mark_changed(&mut self, worker: WorkerId) {
+    fn note_changed(&mut self, worker: WorkerId) {
         self.changed_workers.extend(self.worker_index.get(&worker));
     }
 }
--- a/crates/core/src/policy/outliers.rs
+++ b/crates/core/src/policy/outliers.rs
@@ -25,7 +25,7 @@
     /// A request failed; the worker is there.
     Error,
     /// No connection, or all that was in flight broke off: its process is gone, restarted or silent.
-    Gone,
+    Unreachable,
 }
 
 impl FrontEnd {
@@ -44,13 +44,13 @@
         let worker = &mut self.workers[index];
         let beliefs = &mut worker.beliefs;
         beliefs.error_rate += GAIN * (1.0 - beliefs.error_rate);
-        if failure == Failure::Gone {
+        if failure == Failure::Unreachable {
             beliefs.copies = BTreeMap::new();
             beliefs.load_orders = BTreeMap::new();
             worker.warming_since = Some(now);
         }
         let is_outlier = beliefs.error_rate > EJECTION_ERROR_GAINS * GAIN + self.mean_error_rate;
-        if (failure == Failure::Gone || is_outlier) && beliefs.ejected_until <= now {
+        if (failure == Failure::Unreachable || is_outlier) && beliefs.ejected_until <= now {
             beliefs.consecutive_ejections =
                 (beliefs.consecutive_ejections + 1).min(MAX_CONSECUTIVE_EJECTIONS);
             let doublings = (beliefs.consecutive_ejections - 1).min(MAX_EJECTION_DOUBLINGS);
@@ -73,7 +73,7 @@
         match outcome {
             Outcome::Ok => self.on_report(index, report, now),
             Outcome::ConnectFailed | Outcome::Reset => {
-                self.record_failure(index, Failure::Gone, now, actions)
+                self.record_failure(index, Failure::Unreachable, now, actions)
             }
             _ => {}
         }
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -68,7 +68,7 @@
     /// Chance that a home has a copy which this front end does not know of.
     copy_chance: f64,
     /// The attempt is kept for a worker with a copy.
-    keep_for_copy: bool,
+    reserved_for_copy: bool,
     /// Demand of the fleet that the workers looked at so far do not hold as homes.
     remaining_demand: f64,
     candidates: Candidates,
@@ -121,7 +121,7 @@
             misses_answer,
             // Never 0, else a home would be none, and no answer from one could raise it again.
             copy_chance: self.home_hit_rate.unwrap_or(DEFAULT_HOME_HIT_RATE).max(f64::MIN_POSITIVE),
-            keep_for_copy: misses_answer && self.keeps_last_attempt(call, function, now),
+            reserved_for_copy: misses_answer && self.reserves_last_attempt(call, function, now),
             remaining_demand: self.fleet_demand(function, now),
             candidates: Candidates::default(),
         }
@@ -129,7 +129,7 @@
 
     /// A last attempt is kept where an order may bring a copy, an only one while such an order is outstanding: else
     /// nobody would try a home and learn of a copy.
-    fn keeps_last_attempt(&self, call: &PendingCall, function: &Function, now: Micros) -> bool {
+    fn reserves_last_attempt(&self, call: &PendingCall, function: &Function, now: Micros) -> bool {
         let is_last = call.attempts.len() as u32 + 1 >= self.settings.max_attempts;
         let is_ordered =
             |&index: &usize| self.workers[index].beliefs.load_orders.contains_key(&call.request.function);
@@ -233,7 +233,7 @@
     /// Where a miss only answers: a home, the next in rank if one lacks the copy. Else a load: one at a time, beyond the
     /// homes at the first with capacity.
     fn may_try_without_copy(&self, worker: &Worker, is_home: bool, lacks_copy: bool) -> bool {
-        let is_barred = self.misses_answer && (lacks_copy || self.keep_for_copy)
+        let is_barred = self.misses_answer && (lacks_copy || self.reserved_for_copy)
             || !is_home && (self.misses_answer || self.candidates.load_with_capacity.is_some());
         !is_barred && worker.beliefs.loading_until <= self.now
     }
--- a/crates/core/src/policy/prediction.rs
+++ b/crates/core/src/policy/prediction.rs
@@ -55,7 +55,7 @@
     capacity: f64,
     /// Requests with the one in hand.
     requests: f64,
-    others: OtherRequests,
+    other_requests: OtherRequests,
     /// Run time relative to a run alone.
     slowdown: f64,
 }
@@ -78,7 +78,7 @@
         let capacity = worker.endpoint.capacity.max(1.0);
         let others = self.other_requests(worker, now);
         let requests = worker.in_flight.len() as f64 + 1.0 + others.likely;
-        Contention { capacity, requests, others, slowdown: (requests / capacity).max(1.0) }
+        Contention { capacity, requests, other_requests: others, slowdown: (requests / capacity).max(1.0) }
     }
 
     /// Predicts a request's finish at a worker, where a load takes `load_time`.
@@ -108,7 +108,8 @@
             .and_then(Function::run_percentile_99)
             .map(|run| run * worker.beliefs.slowdown * contention.slowdown);
         let finish = start + slow_run.unwrap_or(mean_run) as Micros;
-        let crowding = contention.requests - contention.others.likely + contention.others.possible;
+        let crowding =
+            contention.requests - contention.other_requests.likely + contention.other_requests.possible;
         let stretch = (crowding / contention.capacity / contention.slowdown - 1.0).max(0.0);
         let cost = (finish + doubt) as f64
             + mean_run * stretch
--- a/crates/core/src/policy/reports.rs
+++ b/crates/core/src/policy/reports.rs
@@ -11,7 +11,7 @@
     /// A worker showed that it is alive, and reported its load where it does.
     pub(super) fn on_report(&mut self, index: usize, report: &LoadReport, now: Micros) {
         let worker = &mut self.workers[index];
-        worker.beliefs.heard_at = now;
+        worker.beliefs.last_response_at = now;
         let Some(values) = report else { return };
         let own = worker.in_flight.len() as f64;
         let capacity = worker.endpoint.capacity;
--- a/crates/core/src/policy/shedding.rs
+++ b/crates/core/src/policy/shedding.rs
@@ -25,7 +25,7 @@
         let late_value = self.settings.classes[call.request.class as usize].late_value;
         self.work_price.request_rejected(call.weight, now, self.shortest_objective);
         if (is_behind || late_value <= 0.0) && !call.has_attempt_in_flight() {
-            self.settle(id, actions);
+            self.conclude(id, actions);
         } else {
             self.dequeue(id);
             self.enqueue(id, EnqueueReason::PastObjective, now);
@@ -49,7 +49,7 @@
 
     /// Rule 1: the one final answer of a request that was not served, a rejection where that may be said (rule 2), else a
     /// failure.
-    pub(super) fn settle(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn conclude(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(call) = self.pending.get(&id) else { return };
         actions.push(if self.may_reject(call) {
             Action::Reject { request: id, retry_after: self.retry_after(id) }
--- a/crates/emulator/src/broker/methods.rs
+++ b/crates/emulator/src/broker/methods.rs
@@ -1,7 +1,7 @@
 //! The methods of channels: exchanges, queues, publishing, consuming, acknowledging (specification 1.4 to 1.8).
 
 use super::model::{alternate, read_arguments, Binding, ConsumerRef, Exchange, Kind, Queue, Stored, Target};
-use super::{Broker, Consumer, Cut, Micros, Phase, Transaction, Unacked, BODY_MAX, REPLY_QUEUE};
+use super::{Broker, Consumer, Disconnect, Micros, Phase, Transaction, Unacked, BODY_MAX, REPLY_QUEUE};
 use stagehoist_amqp::codec::{ids, put_content, put_method};
 use stagehoist_amqp::error::{reply, Fault};
 use stagehoist_amqp::{basic, channel, confirm, exchange, queue, short, tx};
@@ -96,7 +96,7 @@
                     self.route_publish(number, id, message, now)?;
                 }
                 for (tag, multiple, how) in all.settles {
-                    self.settle(number, id, (tag, multiple), how, ids, now)?;
+                    self.settle_delivery(number, id, (tag, multiple), how, ids, now)?;
                 }
                 if let Some(channel) = self.channel(number, id) {
                     channel.tx = Some(Transaction::default());
@@ -104,9 +104,9 @@
                 let cut = self
                     .connections
                     .get_mut(&number)
-                    .and_then(|c| c.cut.take_if(|c| *c == Cut::BeforeConfirm));
+                    .and_then(|c| c.disconnect.take_if(|c| *c == Disconnect::BeforeConfirm));
                 if cut.is_some() {
-                    return self.cut_off(number, now);
+                    return self.drop_connection(number, now);
                 }
                 self.answer(number, id, false, AMQPClass::Tx(M::CommitOk(tx::CommitOk {})))
             }
@@ -379,16 +379,21 @@
                 self.answer(number, id, c.nowait, AMQPClass::Basic(M::CancelOk(ok)))
             }
             M::Get(get) => self.get(number, id, &get, ids, now),
-            M::Ack(ack) => {
-                self.settle(number, id, (ack.delivery_tag, ack.multiple), Settled::Acked, ids, now)
-            }
+            M::Ack(ack) => self.settle_delivery(
+                number,
+                id,
+                (ack.delivery_tag, ack.multiple),
+                Settlement::Acked,
+                ids,
+                now,
+            ),
             M::Nack(n) => {
-                let how = if n.requeue { Settled::Requeued } else { Settled::Rejected };
-                self.settle(number, id, (n.delivery_tag, n.multiple), how, ids, now)
+                let how = if n.requeue { Settlement::Requeued } else { Settlement::Rejected };
+                self.settle_delivery(number, id, (n.delivery_tag, n.multiple), how, ids, now)
             }
             M::Reject(r) => {
-                let how = if r.requeue { Settled::Requeued } else { Settled::Rejected };
-                self.settle(number, id, (r.delivery_tag, false), how, ids, now)
+                let how = if r.requeue { Settlement::Requeued } else { Settlement::Rejected };
+                self.settle_delivery(number, id, (r.delivery_tag, false), how, ids, now)
             }
             M::Recover(_) => {
                 self.recover(number, id);
@@ -462,8 +467,8 @@
             routing_key: short(&message.key),
             message_count,
         };
-        put_method(&mut connection.out, id, AMQPClass::Basic(basic::AMQPMethod::GetOk(ok)));
-        put_content(&mut connection.out, id, &message.properties, &message.body, frame_max);
+        put_method(&mut connection.output, id, AMQPClass::Basic(basic::AMQPMethod::GetOk(ok)));
+        put_content(&mut connection.output, id, &message.properties, &message.body, frame_max);
         if !get.no_ack {
             let queue = get.queue.as_str().to_string();
             channel.unacked.insert(channel.last_tag, Unacked { queue, tag: String::new(), message });
@@ -472,12 +477,12 @@
         Ok(())
     }
 
-    fn settle(
+    fn settle_delivery(
         &mut self,
         number: u64,
         id: u16,
         (tag, multiple): (u64, bool),
-        how: Settled,
+        how: Settlement,
         ids: (u16, u16),
         now: Micros,
     ) -> Done {
@@ -506,9 +511,9 @@
             self.model.touched.insert(unacked.queue.clone());
             let message = unacked.message;
             match how {
-                Settled::Acked => self.stats.acked += 1,
-                Settled::Rejected => self.model.dead_letter(&unacked.queue, message, "rejected", now),
-                Settled::Requeued => self.model.requeue(&unacked.queue, message),
+                Settlement::Acked => self.stats.acked += 1,
+                Settlement::Rejected => self.model.dead_letter(&unacked.queue, message, "rejected", now),
+                Settlement::Requeued => self.model.requeue(&unacked.queue, message),
             }
         }
         self.touch_consumed(number, id);
@@ -529,9 +534,12 @@
         let AMQPClass::Basic(basic::AMQPMethod::Publish(publish)) = message.method else {
             return Err(Fault::connection(reply::COMMAND_INVALID, "content of the other side", ids));
         };
-        let cut = self.connections.get_mut(&number).and_then(|c| c.cut.take_if(|c| *c == Cut::BeforeRouting));
+        let cut = self
+            .connections
+            .get_mut(&number)
+            .and_then(|c| c.disconnect.take_if(|c| *c == Disconnect::BeforeRouting));
         if cut.is_some() {
-            return self.cut_off(number, now);
+            return self.drop_connection(number, now);
         }
         let message = Message { method: AMQPClass::Basic(basic::AMQPMethod::Publish(publish)), ..message };
         if let Some(tx) = self.channel(number, id).and_then(|c| c.tx.as_mut()) {
@@ -619,14 +627,14 @@
             };
             if let Some(connection) = self.connections.get_mut(&number) {
                 let frame_max = connection.frame_max;
-                put_method(&mut connection.out, id, AMQPClass::Basic(basic::AMQPMethod::Return(back)));
-                put_content(&mut connection.out, id, &stored.properties, &stored.body, frame_max);
+                put_method(&mut connection.output, id, AMQPClass::Basic(basic::AMQPMethod::Return(back)));
+                put_content(&mut connection.output, id, &stored.properties, &stored.body, frame_max);
             }
         }
         let confirming = self.channel(number, id).is_some_and(|c| c.confirms.is_some());
         let cut = self.connections.get_mut(&number).filter(|_| confirming);
-        if cut.and_then(|c| c.cut.take_if(|c| *c == Cut::BeforeConfirm)).is_some() {
-            return self.cut_off(number, now);
+        if cut.and_then(|c| c.disconnect.take_if(|c| *c == Disconnect::BeforeConfirm)).is_some() {
+            return self.drop_connection(number, now);
         }
         let held = taken != Some(false);
         let Some(channel) = self.channel(number, id) else { return Ok(()) };
@@ -644,10 +652,10 @@
     }
 
     /// Ends a connection at once; what it wrote last is not answered.
-    fn cut_off(&mut self, number: u64, now: Micros) -> Done {
+    fn drop_connection(&mut self, number: u64, now: Micros) -> Done {
         self.stats.cut += 1;
         if let Some(connection) = self.connections.get_mut(&number) {
-            connection.out.clear();
+            connection.output.clear();
             connection.phase = Phase::Over;
             let channels = std::mem::take(&mut connection.channels);
             for (id, channel) in channels {
@@ -674,8 +682,8 @@
             exchange: short(""),
             routing_key: short(key),
         };
-        put_method(&mut connection.out, id, AMQPClass::Basic(basic::AMQPMethod::Deliver(deliver)));
-        put_content(&mut connection.out, id, &message.properties, &message.body, frame_max);
+        put_method(&mut connection.output, id, AMQPClass::Basic(basic::AMQPMethod::Deliver(deliver)));
+        put_content(&mut connection.output, id, &message.properties, &message.body, frame_max);
         self.stats.delivered += 1;
         self.dirty.insert(number);
         Some(true)
@@ -683,7 +691,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Settled {
+pub(super) enum Settlement {
     Acked,
     Rejected,
     Requeued,
--- a/crates/emulator/src/broker/mod.rs
+++ b/crates/emulator/src/broker/mod.rs
@@ -70,7 +70,7 @@
 #[derive(Debug, Default)]
 struct Transaction {
     publishes: Vec<stagehoist_amqp::Message>,
-    settles: Vec<(u64, bool, methods::Settled)>,
+    settles: Vec<(u64, bool, methods::Settlement)>,
 }
 
 /// A delivery that waits for its acknowledgement.
@@ -114,22 +114,22 @@
 struct Connection {
     phase: Phase,
     decoder: Decoder,
-    out: BytesMut,
+    output: BytesMut,
     channels: BTreeMap<u16, Channel>,
     frame_max: u32,
     heartbeat: Micros,
-    heard: Micros,
+    received_at: Micros,
     spoke: Micros,
     /// The client takes `basic.cancel` from us.
     cancel_notify: bool,
     blocked_notify: bool,
     /// Cut the connection when the next publish comes: before it is routed, or after and before its confirm.
-    cut: Option<Cut>,
+    disconnect: Option<Disconnect>,
 }
 
 /// Where a connection is cut in the middle of a publish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum Disconnect {
     /// The publish's frames came, nothing was routed.
     BeforeRouting,
     /// The message was routed, the confirm was not sent.
@@ -186,15 +186,15 @@
         let connection = Connection {
             phase: Phase::Header,
             decoder: Decoder::server(),
-            out: BytesMut::new(),
+            output: BytesMut::new(),
             channels: BTreeMap::new(),
             frame_max: FRAME_MAX,
             heartbeat: 0,
-            heard: now,
+            received_at: now,
             spoke: now,
             cancel_notify: false,
             blocked_notify: false,
-            cut: None,
+            disconnect: None,
         };
         self.connections.insert(number, connection);
         number
@@ -242,9 +242,9 @@
     }
 
     /// Cuts a connection at the next publish or delivery.
-    pub fn arm_cut(&mut self, number: u64, cut: Cut) {
+    pub fn arm_disconnect(&mut self, number: u64, cut: Disconnect) {
         if let Some(connection) = self.connections.get_mut(&number) {
-            connection.cut = Some(cut);
+            connection.disconnect = Some(cut);
         }
     }
 
@@ -259,7 +259,7 @@
             } else {
                 connection::AMQPMethod::Unblocked(connection::Unblocked {})
             };
-            put_method(&mut connection.out, 0, AMQPClass::Connection(method));
+            put_method(&mut connection.output, 0, AMQPClass::Connection(method));
             self.dirty.insert(*number);
         }
     }
@@ -269,7 +269,7 @@
         for (number, connection) in &mut self.connections {
             for id in connection.channels.keys() {
                 let flow = channel::AMQPMethod::Flow(channel::Flow { active });
-                put_method(&mut connection.out, *id, AMQPClass::Channel(flow));
+                put_method(&mut connection.output, *id, AMQPClass::Channel(flow));
                 self.dirty.insert(*number);
             }
         }
@@ -292,7 +292,7 @@
     /// Bytes to write on a connection; None once it is to be closed at once and without a word.
     pub fn take_output(&mut self, number: u64) -> Option<BytesMut> {
         let connection = self.connections.get_mut(&number)?;
-        Some(connection.out.split())
+        Some(connection.output.split())
     }
 
     /// Whether a connection is over once its output is written.
@@ -309,11 +309,11 @@
             if connection.heartbeat == 0 {
                 continue;
             }
-            if now - connection.heard >= 2 * connection.heartbeat {
+            if now - connection.received_at >= 2 * connection.heartbeat {
                 silent.push(*number);
             } else if now - connection.spoke >= connection.heartbeat / 2 {
                 connection.spoke = now;
-                put_heartbeat(&mut connection.out);
+                put_heartbeat(&mut connection.output);
                 self.dirty.insert(*number);
             }
         }
@@ -326,7 +326,7 @@
     /// Bytes came on a connection.
     pub fn receive(&mut self, number: u64, bytes: &[u8], now: Micros) {
         let Some(connection) = self.connections.get_mut(&number) else { return };
-        connection.heard = now;
+        connection.received_at = now;
         connection.decoder.push(bytes);
         loop {
             let Some(connection) = self.connections.get_mut(&number) else { return };
@@ -396,7 +396,7 @@
 
     fn send(&mut self, number: u64, channel: u16, method: AMQPClass) {
         if let Some(connection) = self.connections.get_mut(&number) {
-            put_method(&mut connection.out, channel, method);
+            put_method(&mut connection.output, channel, method);
             self.dirty.insert(number);
         }
     }
@@ -408,7 +408,7 @@
         match fault {
             Fault::ProtocolHeader(_) => {
                 if let Some(connection) = self.connections.get_mut(&number) {
-                    connection.out.extend_from_slice(&PROTOCOL_HEADER);
+                    connection.output.extend_from_slice(&PROTOCOL_HEADER);
                     connection.phase = Phase::Over;
                 }
             }
@@ -640,9 +640,9 @@
         };
         self.stats.delivered += 1;
         self.stats.redelivered += u64::from(message.redelivered);
-        let before = connection.out.len();
-        put_method(&mut connection.out, to.channel, AMQPClass::Basic(basic::AMQPMethod::Deliver(deliver)));
-        put_content(&mut connection.out, to.channel, &message.properties, &message.body, frame_max);
+        let before = connection.output.len();
+        put_method(&mut connection.output, to.channel, AMQPClass::Basic(basic::AMQPMethod::Deliver(deliver)));
+        put_content(&mut connection.output, to.channel, &message.properties, &message.body, frame_max);
         if let Some(consumer) = channel.consumers.get_mut(&to.tag) {
             if !consumer.no_ack {
                 consumer.out += 1;
@@ -651,12 +651,12 @@
             }
         }
         self.dirty.insert(to.connection);
-        if connection.cut == Some(Cut::MidDelivery) {
+        if connection.disconnect == Some(Disconnect::MidDelivery) {
             // Only half of these bytes go out, then the socket closes.
-            let half = before + (connection.out.len() - before) / 2;
-            connection.out.truncate(half);
+            let half = before + (connection.output.len() - before) / 2;
+            connection.output.truncate(half);
             connection.phase = Phase::Over;
-            connection.cut = None;
+            connection.disconnect = None;
             self.stats.cut += 1;
             let channels = std::mem::take(&mut connection.channels);
             for (id, channel) in channels {
@@ -707,7 +707,7 @@
     let Some(channel) = connection.channels.get(&consumer.channel) else { return false };
     let Some(own) = channel.consumers.get(&consumer.tag) else { return false };
     // A socket that takes nothing must not fill memory.
-    let roomy = connection.out.len() < 8 << 20;
+    let roomy = connection.output.len() < 8 << 20;
     let within = |limit: u16, used: usize| limit == 0 || used < usize::from(limit);
     roomy
         && connection.phase == Phase::Running
--- a/crates/emulator/src/broker/server.rs
+++ b/crates/emulator/src/broker/server.rs
@@ -1,6 +1,6 @@
 //! The broker on a listening socket, with faults on command.
 
-use super::{Broker, Cut, Micros};
+use super::{Broker, Disconnect, Micros};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Faults {
     /// Cut connections that consume from a queue, at their next publish or delivery.
-    Cut { queue: String, how: Cut },
+    Cut { queue: String, how: Disconnect },
     /// Close connections that consume from a queue, now.
     Drop { queue: String },
     /// Hold back everything written to clients for so long each time; zero ends it.
@@ -122,7 +122,7 @@
         match fault {
             Faults::Cut { queue, how } => {
                 for number in broker.consumers_of(&queue) {
-                    broker.arm_cut(number, how);
+                    broker.arm_disconnect(number, how);
                 }
             }
             Faults::Drop { queue } => {
--- a/crates/emulator/src/platform/bus.rs
+++ b/crates/emulator/src/platform/bus.rs
@@ -10,7 +10,7 @@
 
 /// How the event subscription behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum SubscriptionFault {
     #[default]
     Well,
     /// The connection stays open and nothing comes.
@@ -23,7 +23,7 @@
 
 struct State {
     events: Vec<(u64, u8, Vec<u8>, Instant)>,
-    mood: Mood,
+    mood: SubscriptionFault,
     connections: usize,
 }
 
@@ -65,7 +65,8 @@
     pub async fn start_at(address: SocketAddr, last: u64) -> std::io::Result<EventBus> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let state = Arc::new(Mutex::new(State { events: Vec::new(), mood: Mood::Well, connections: 0 }));
+        let state =
+            Arc::new(Mutex::new(State { events: Vec::new(), mood: SubscriptionFault::Well, connections: 0 }));
         let (changed, seen) = watch::channel(last);
         let shared = state.clone();
         let task = tokio::spawn(async move {
@@ -86,7 +87,7 @@
         number
     }
 
-    pub fn mood(&self, mood: Mood) {
+    pub fn mood(&self, mood: SubscriptionFault) {
         self.state.lock().unwrap().mood = mood;
     }
 
@@ -120,19 +121,19 @@
             let mut s = state.lock().unwrap();
             let due: Vec<_> = s.events.iter().filter(|e| e.0 > last).cloned().collect();
             let mood = s.mood;
-            if mood == Mood::Cut && !due.is_empty() {
-                s.mood = Mood::Well;
+            if mood == SubscriptionFault::Cut && !due.is_empty() {
+                s.mood = SubscriptionFault::Well;
             }
             (due, mood)
         };
-        if mood != Mood::Silent {
+        if mood != SubscriptionFault::Silent {
             for (number, kind, payload, _) in due {
                 let bytes = frame(number, kind, &payload);
-                if mood == Mood::Cut {
+                if mood == SubscriptionFault::Cut {
                     let _ = stream.write_all(&bytes[..bytes.len() / 2]).await;
                     return;
                 }
-                let times = if mood == Mood::Twice { 2 } else { 1 };
+                let times = if mood == SubscriptionFault::Twice { 2 } else { 1 };
                 for _ in 0..times {
                     if stream.write_all(&bytes).await.is_err() {
                         return;
@@ -145,7 +146,7 @@
         tokio::select! {
             _ = changed.changed() => {}
             _ = tokio::time::sleep(Duration::from_secs(1)) => {
-                if state.lock().unwrap().mood != Mood::Silent && stream.write_all(&frame(last, 0, &[])).await.is_err() {
+                if state.lock().unwrap().mood != SubscriptionFault::Silent && stream.write_all(&frame(last, 0, &[])).await.is_err() {
                     return;
                 }
             }
--- a/crates/emulator/src/platform/executor.rs
+++ b/crates/emulator/src/platform/executor.rs
@@ -36,7 +36,7 @@
 
 /// What crossed a socket.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum ExecutorRequest {
     Run {
         id: String,
         class: String,
@@ -62,14 +62,14 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ObservedRequest {
     pub at: Instant,
-    pub what: What,
+    pub what: ExecutorRequest,
 }
 
 #[derive(Default)]
 struct State {
-    seen: Vec<Seen>,
+    seen: Vec<ObservedRequest>,
     copies: BTreeSet<String>,
     faults: VecDeque<Fault>,
     running: BTreeMap<(u64, String), Arc<Notify>>,
@@ -115,7 +115,7 @@
         self.state.lock().unwrap().faults.extend(faults);
     }
 
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn seen(&self) -> Vec<ObservedRequest> {
         self.state.lock().unwrap().seen.clone()
     }
 
@@ -135,8 +135,8 @@
     }
 }
 
-fn note(state: &Mutex<State>, what: What) {
-    state.lock().unwrap().seen.push(Seen { at: Instant::now(), what });
+fn note(state: &Mutex<State>, what: ExecutorRequest) {
+    state.lock().unwrap().seen.push(ObservedRequest { at: Instant::now(), what });
 }
 
 fn field(list: &str, name: &str) -> String {
@@ -180,7 +180,8 @@
                 }
                 body.truncate(length);
                 let (key, class) = (field(fields, "key"), field(fields, "class"));
-                let what = What::Run { id: id.into(), class, key: key.clone(), body: body.clone() };
+                let what =
+                    ExecutorRequest::Run { id: id.into(), class, key: key.clone(), body: body.clone() };
                 note(&state, what);
                 let stop = Arc::new(Notify::new());
                 let (holds, fault) = {
@@ -210,13 +211,13 @@
                 });
             }
             ["STOP", id] => {
-                note(&state, What::Stop { id: id.into() });
+                note(&state, ExecutorRequest::Stop { id: id.into() });
                 if let Some(stop) = state.lock().unwrap().running.remove(&(conn, id.to_string())) {
                     stop.notify_one();
                 }
             }
             ["NOOP" | "INFO", tag] => {
-                note(&state, What::Probe);
+                note(&state, ExecutorRequest::Probe);
                 let out = state.lock().unwrap().running.len();
                 let _ = to_write
                     .send(format!("{tag} UP stats=inflight:{out};x0:0.1 0\r\n\r\n").into_bytes())
@@ -224,7 +225,7 @@
             }
             ["HOLD", tag, fields] => {
                 let (key, copies) = (field(fields, "key"), field(fields, "copies").parse().unwrap_or(0));
-                note(&state, What::Hold { key: key.clone(), copies });
+                note(&state, ExecutorRequest::Hold { key: key.clone(), copies });
                 let (state, to_write, tag) = (state.clone(), to_write.clone(), tag.to_string());
                 tokio::spawn(async move {
                     if copies > 0 {
@@ -236,7 +237,7 @@
                 });
             }
             ["FREE", key] => {
-                note(&state, What::Free { key: key.into() });
+                note(&state, ExecutorRequest::Free { key: key.into() });
                 state.lock().unwrap().copies.remove(key);
             }
             _ => break,
@@ -258,7 +259,7 @@
     whole.extend_from_slice(body);
     whole.extend_from_slice(b"\r\n");
     let told = fault.map_or(word.to_string(), |f| format!("{f:?}"));
-    note(state, What::Answered { id: id.into(), word: told });
+    note(state, ExecutorRequest::Answered { id: id.into(), word: told });
     let send = |bytes: Vec<u8>| async { drop(to_write.send(bytes).await) };
     match fault {
         None | Some(Fault::Error) => send(whole).await,
--- a/crates/emulator/src/platform/judge.rs
+++ b/crates/emulator/src/platform/judge.rs
@@ -3,7 +3,7 @@
 mod leaving;
 
 use super::client::Answered;
-use super::executor::{Seen, What};
+use super::executor::{ExecutorRequest, ObservedRequest};
 pub use leaving::{after_leaving, AfterLeaving};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 
 /// A request as a client wrote it.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct SentRequest {
     pub at: Instant,
     pub id: String,
     pub tag: String,
@@ -31,7 +31,7 @@
 
 /// What the rules go by.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct RuleSettings {
     /// When each executor was ordered to drain or be gone.
     pub drained: BTreeMap<u32, Instant>,
     pub grace: Duration,
@@ -41,10 +41,10 @@
 
 /// Everything that broke a rule, in words; empty where all were kept.
 pub fn judge(
-    asked: &[Asked],
+    asked: &[SentRequest],
     answers: &[Answered],
-    executors: &[(u32, Vec<Seen>)],
-    told: &Told,
+    executors: &[(u32, Vec<ObservedRequest>)],
+    told: &RuleSettings,
 ) -> Vec<String> {
     let mut broken = Vec::new();
     for a in asked {
@@ -66,9 +66,9 @@
         let mut attempts: Vec<(Instant, bool)> = Vec::new();
         for (_, seen) in executors {
             for (n, s) in seen.iter().enumerate() {
-                if matches!(&s.what, What::Run { id, .. } if *id == a.id) {
+                if matches!(&s.what, ExecutorRequest::Run { id, .. } if *id == a.id) {
                     let end = seen[n..].iter().find_map(|e| match &e.what {
-                        What::Answered { id, word } if *id == a.id => Some(word.as_str()),
+                        ExecutorRequest::Answered { id, word } if *id == a.id => Some(word.as_str()),
                         _ => None,
                     });
                     attempts.push((s.at, matches!(end, Some("MISS" | "BUSY" | "VOID"))));
@@ -91,13 +91,14 @@
     let mut orders: Vec<Instant> = Vec::new();
     for (id, seen) in executors {
         for s in seen {
-            let new = matches!(s.what, What::Run { .. })
-                || matches!(s.what, What::Hold { copies, .. } if copies > 0);
+            let new = matches!(s.what, ExecutorRequest::Run { .. })
+                || matches!(s.what, ExecutorRequest::Hold { copies, .. } if copies > 0);
             let late = told.drained.get(id).is_some_and(|at| s.at > *at + told.grace + SLACK);
             if new && late {
                 broken.push(format!("3: {:?} to executor {id:08x} after it drained", s.what));
             }
-            orders.extend(matches!(s.what, What::Hold { copies, .. } if copies > 0).then_some(s.at));
+            orders
+                .extend(matches!(s.what, ExecutorRequest::Hold { copies, .. } if copies > 0).then_some(s.at));
         }
     }
     let (free, share, window) = told.ration;
--- a/crates/emulator/src/platform/judge/leaving.rs
+++ b/crates/emulator/src/platform/judge/leaving.rs
@@ -1,14 +1,14 @@
 //! Attempts that begin though their client cancelled the request or closed its connection: counted over all
 //! front ends, as each of them comes too rarely to be seen at one.
 
-use super::Asked;
-use crate::platform::executor::{Seen, What};
+use super::SentRequest;
+use crate::platform::executor::{ExecutorRequest, ObservedRequest};
 use std::collections::HashMap;
 use std::fmt;
 use std::time::{Duration, Instant};
 
 /// An attempt that begins so long after its client left was on its way.
-pub const ON_ITS_WAY: Duration = Duration::from_millis(100);
+pub const TRANSIT: Duration = Duration::from_millis(100);
 /// So many beyond that are a break.
 pub const BREAK: usize = 3;
 
@@ -49,7 +49,7 @@
 
 /// Looks at every attempt, first or further, of all front ends. One counts from when an executor had read it
 /// whole.
-pub fn after_leaving(asked: &[Asked], executors: &[(u32, Vec<Seen>)]) -> AfterLeaving {
+pub fn after_leaving(asked: &[SentRequest], executors: &[(u32, Vec<ObservedRequest>)]) -> AfterLeaving {
     // An id that was asked again, by whomever, is left only once its last asker left.
     let mut left: HashMap<&str, Option<Instant>> = HashMap::new();
     for a in asked {
@@ -58,12 +58,12 @@
     }
     let mut all = AfterLeaving::default();
     for seen in executors.iter().flat_map(|(_, seen)| seen) {
-        let What::Run { id, .. } = &seen.what else { continue };
+        let ExecutorRequest::Run { id, .. } = &seen.what else { continue };
         all.attempts += 1;
         let since = left.get(&**id).copied().flatten().and_then(|at| seen.at.checked_duration_since(at));
         if let Some(since) = since.filter(|since| !since.is_zero()) {
             all.after += 1;
-            all.late += usize::from(since > ON_ITS_WAY);
+            all.late += usize::from(since > TRANSIT);
             all.worst = all.worst.max(since);
         }
     }
--- a/crates/emulator/src/platform/judge/leaving/tests.rs
+++ b/crates/emulator/src/platform/judge/leaving/tests.rs
@@ -1,8 +1,8 @@
-use super::super::{judge, Told};
+use super::super::{judge, RuleSettings};
 use super::*;
 
-fn asked(at: Instant, id: &str, left: Option<u64>) -> Asked {
-    Asked {
+fn asked(at: Instant, id: &str, left: Option<u64>) -> SentRequest {
+    SentRequest {
         at,
         id: id.into(),
         tag: id.into(),
@@ -13,22 +13,22 @@
     }
 }
 
-fn run(at: Instant, ms: u64, id: &str) -> Seen {
-    let what = What::Run { id: id.into(), class: "".into(), key: "".into(), body: Vec::new() };
-    Seen { at: at + Duration::from_millis(ms), what }
+fn run(at: Instant, ms: u64, id: &str) -> ObservedRequest {
+    let what = ExecutorRequest::Run { id: id.into(), class: "".into(), key: "".into(), body: Vec::new() };
+    ObservedRequest { at: at + Duration::from_millis(ms), what }
 }
 
 /// Ten requests that were left after 50 ms each; their attempts begin at these times, by turns at two
 /// executors.
-fn capture(t: Instant, begins: [u64; 10]) -> (Vec<Asked>, Vec<(u32, Vec<Seen>)>) {
+fn capture(t: Instant, begins: [u64; 10]) -> (Vec<SentRequest>, Vec<(u32, Vec<ObservedRequest>)>) {
     let ids: Vec<String> = (0..10).map(|n| n.to_string()).collect();
     let all = ids.iter().map(|id| asked(t, id, Some(50))).collect();
     let at = |odd: usize| (0..10).filter(|n| n % 2 == odd).map(|n| run(t, begins[n], &ids[n])).collect();
     (all, vec![(1, at(0)), (2, at(1))])
 }
 
-fn breaks(asked: &[Asked], executors: &[(u32, Vec<Seen>)]) -> Vec<String> {
-    judge(asked, &[], executors, &Told::default())
+fn breaks(asked: &[SentRequest], executors: &[(u32, Vec<ObservedRequest>)]) -> Vec<String> {
+    judge(asked, &[], executors, &RuleSettings::default())
 }
 
 #[test]
--- a/crates/emulator/src/platform/judge/tests.rs
+++ b/crates/emulator/src/platform/judge/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn seen(at: Instant, what: What) -> Seen {
-    Seen { at, what }
+fn seen(at: Instant, what: ExecutorRequest) -> ObservedRequest {
+    ObservedRequest { at, what }
 }
 
 /// The checker finds each break, so that its silence means something.
@@ -11,7 +11,7 @@
 fn each_rule_is_found_broken() {
     let t = Instant::now();
     let ms = Duration::from_millis;
-    let ask = |id: &str, is_unsafe| Asked {
+    let ask = |id: &str, is_unsafe| SentRequest {
         at: t,
         id: id.into(),
         tag: id.into(),
@@ -26,8 +26,9 @@
         word: word.into(),
         body: body.to_vec(),
     };
-    let run = |id: &str| What::Run { id: id.into(), class: "".into(), key: "".into(), body: vec![] };
-    let end = |id: &str, word: &str| What::Answered { id: id.into(), word: word.into() };
+    let run =
+        |id: &str| ExecutorRequest::Run { id: id.into(), class: "".into(), key: "".into(), body: vec![] };
+    let end = |id: &str, word: &str| ExecutorRequest::Answered { id: id.into(), word: word.into() };
     let asked = ["never", "late", "twice", "made", "again", "missed"].map(|id| ask(id, true));
     let answers = [
         answered("late", "500", 200, b""),
@@ -42,10 +43,11 @@
         seen(t, end("again", "ERR")),
         seen(t, run("missed")),
         seen(t, end("missed", "MISS")),
-        seen(t + ms(500), What::Hold { key: "k".into(), copies: 1 }),
+        seen(t + ms(500), ExecutorRequest::Hold { key: "k".into(), copies: 1 }),
     ];
     let two = vec![seen(t + ms(1), run("again")), seen(t + ms(2), run("missed"))];
-    let told = Told { drained: [(1, t + ms(100))].into(), grace: ms(250), ration: (0.0, 0.0, ms(1000)) };
+    let told =
+        RuleSettings { drained: [(1, t + ms(100))].into(), grace: ms(250), ration: (0.0, 0.0, ms(1000)) };
     let broken = judge(&asked, &answers, &[(1, one), (2, two)], &told);
     let has = |text: &str| broken.iter().any(|b| b.starts_with(text));
     for text in ["1: never was never", "1: late was answered late", "1: twice was answered 2", "1: made got"]
@@ -54,8 +56,8 @@
     }
     assert!(has("2: again may have run 2") && has("2: again was refused") && has("3: Hold"), "{broken:?}");
     assert!(!broken.iter().any(|b| b.contains("missed")), "{broken:?}");
-    let flood: Vec<Seen> =
-        (0..9).map(|n| seen(t + ms(n), What::Hold { key: "k".into(), copies: 1 })).collect();
-    let told = Told { ration: (2.0, 0.1, ms(1000)), ..Told::default() };
+    let flood: Vec<ObservedRequest> =
+        (0..9).map(|n| seen(t + ms(n), ExecutorRequest::Hold { key: "k".into(), copies: 1 })).collect();
+    let told = RuleSettings { ration: (2.0, 0.1, ms(1000)), ..RuleSettings::default() };
     assert!(judge(&[], &[], &[(1, flood)], &told).iter().any(|b| b.starts_with("5:")));
 }
--- a/crates/emulator/src/platform/mod.rs
+++ b/crates/emulator/src/platform/mod.rs
@@ -9,5 +9,5 @@
 
 pub use bus::EventBus;
 pub use client::{Answered, Client};
-pub use executor::{Executor, Fault, Seen, What};
-pub use judge::{after_leaving, judge, AfterLeaving, Asked, Told};
+pub use executor::{Executor, ExecutorRequest, Fault, ObservedRequest};
+pub use judge::{after_leaving, judge, AfterLeaving, RuleSettings, SentRequest};
--- a/crates/emulator/src/worker/server.rs
+++ b/crates/emulator/src/worker/server.rs
@@ -286,7 +286,7 @@
         plain(StatusCode::OK, serde_json::Value::from(rows).to_string())
     }
 
-    fn carry_out(self: &Rc<Worker>, steps: Vec<Step>) {
+    fn execute(self: &Rc<Worker>, steps: Vec<Step>) {
         for step in steps {
             match step {
                 Step::Run { call, span, found, crowd, .. } => {
@@ -300,13 +300,15 @@
                     tokio::task::spawn_local(async move {
                         tokio::time::sleep(Duration::from_micros(span)).await;
                         worker.controls.served.fetch_add(1, Ordering::Relaxed);
-                        worker.settle(call, Finish { result: Ok((found, span as Micros)), crowd });
+                        worker.finish_call(call, Finish { result: Ok((found, span as Micros)), crowd });
                         let mut more = Vec::new();
                         worker.model.borrow_mut().finished(call, worker.now(), &mut more);
-                        worker.carry_out(more);
+                        worker.execute(more);
                     });
                 }
-                Step::Refuse { call, why, crowd } => self.settle(call, Finish { result: Err(why), crowd }),
+                Step::Refuse { call, why, crowd } => {
+                    self.finish_call(call, Finish { result: Err(why), crowd })
+                }
                 Step::Fetch { function } => {
                     let worker = self.clone();
                     tokio::task::spawn_local(async move {
@@ -317,7 +319,7 @@
                         }
                         let mut more = Vec::new();
                         worker.model.borrow_mut().loaded(&function, ok, worker.now(), &mut more);
-                        worker.carry_out(more);
+                        worker.execute(more);
                     });
                 }
                 Step::Answer { order, copies, full } => {
@@ -334,7 +336,7 @@
         }
     }
 
-    fn settle(&self, call: CallId, finish: Finish) {
+    fn finish_call(&self, call: CallId, finish: Finish) {
         if let Some(waiter) = self.calls.borrow_mut().remove(&call) {
             // A caller that left needs no answer.
             let _ = waiter.send(finish);
@@ -360,7 +362,7 @@
         self.calls.borrow_mut().insert(call, tell);
         let mut steps = Vec::new();
         self.model.borrow_mut().arrive(call, name, &program, self.now(), &mut steps);
-        self.carry_out(steps);
+        self.execute(steps);
         let guard = Leaves { worker: self.clone(), call };
         let finish = told.await;
         drop(guard);
@@ -425,7 +427,7 @@
         self.orders.borrow_mut().insert(order, tell);
         let mut steps = Vec::new();
         self.model.borrow_mut().order(order, name, &program, wanted, self.now(), &mut steps);
-        self.carry_out(steps);
+        self.execute(steps);
         let (copies, full) = told.await.unwrap_or((0, true));
         let status = if full { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::OK };
         let mut response = plain(status, format!("{{\"copies\":{copies}}}"));
--- a/crates/emulator/tests/broker.rs
+++ b/crates/emulator/tests/broker.rs
@@ -4,7 +4,7 @@
 use lapin::options::*;
 use lapin::types::{AMQPValue, FieldTable, LongString, ShortString};
 use lapin::{BasicProperties, Confirmation, Connection, ConnectionProperties, ExchangeKind};
-use stagehoist_emulator::broker::{self, Broker, BrokerOptions, Cut, Faults, Handle};
+use stagehoist_emulator::broker::{self, Broker, BrokerOptions, Disconnect, Faults, Handle};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -221,7 +221,7 @@
             .await
             .unwrap();
         assert!(!calls.next().await.unwrap().unwrap().redelivered);
-        handle.fault(Faults::Cut { queue: "calls".into(), how: Cut::BeforeRouting });
+        handle.fault(Faults::Cut { queue: "calls".into(), how: Disconnect::BeforeRouting });
         let _ = channel
             .basic_publish(
                 name(""),
--- a/crates/gateway/src/amqp/front/consuming.rs
+++ b/crates/gateway/src/amqp/front/consuming.rs
@@ -7,12 +7,12 @@
     /// The socket holds nothing more: where the broker may send, its queues are empty.
     pub fn on_socket_drained(&mut self, now: Micros) {
         if self.phase != Phase::Ready
-            || self.window.as_ref().is_some_and(|w| !w.is_open(self.acks.unsettled()))
+            || self.window.as_ref().is_some_and(|w| !w.is_open(self.acks.outstanding()))
         {
             return;
         }
         for (age, queue) in self.ages.iter_mut().zip(&self.queues) {
-            if queue.from.prefetch.is_none_or(|most| self.acks.unsettled() < usize::from(most)) {
+            if queue.from.prefetch.is_none_or(|most| self.acks.outstanding() < usize::from(most)) {
                 age.dry(now);
             }
         }
@@ -31,7 +31,7 @@
                 }
             }
         }
-        if let Some(count) = self.window.as_mut().and_then(|w| w.next_request(self.acks.unsettled(), now)) {
+        if let Some(count) = self.window.as_mut().and_then(|w| w.next_request(self.acks.outstanding(), now)) {
             self.counters.windows += 1;
             self.qos(count, true);
         }
--- a/crates/gateway/src/amqp/front/deliveries.rs
+++ b/crates/gateway/src/amqp/front/deliveries.rs
@@ -30,7 +30,7 @@
 
     pub(super) fn ack(&mut self, tag: u64) {
         self.open.1 |= self.config.transactions;
-        self.acks.settle(tag);
+        self.acks.acknowledge(tag);
     }
 
     pub(super) fn take_delivery(&mut self, message: Message, now: Micros) {
--- a/crates/gateway/src/amqp/front/drain.rs
+++ b/crates/gateway/src/amqp/front/drain.rs
@@ -21,7 +21,7 @@
     /// What is still under way when the connection ends comes to others as delivered before, and fails there if it
     /// is not idempotent.
     pub fn is_drained(&self) -> bool {
-        self.draining && self.stopping.is_empty() && self.unsettled() == 0
+        self.draining && self.stopping.is_empty() && self.unacknowledged() == 0
     }
 
     /// Ends the connection in order.
--- a/crates/gateway/src/amqp/front/mod.rs
+++ b/crates/gateway/src/amqp/front/mod.rs
@@ -194,7 +194,7 @@
     }
 
     /// Deliveries of the present connection that are not acknowledged.
-    pub fn unsettled(&self) -> usize {
+    pub fn unacknowledged(&self) -> usize {
         self.deliveries.values().filter(|d| d.generation == self.generation).count()
     }
 
--- a/crates/gateway/src/amqp/front/queues.rs
+++ b/crates/gateway/src/amqp/front/queues.rs
@@ -43,7 +43,7 @@
         let mut held: BTreeMap<String, (QueueState, Arrives, Consume)> = BTreeMap::new();
         for (at, division) in owned.iter().enumerate() {
             let old = at + 1 < owned.len();
-            let own = division.owned.iter().map(|s| (s, QueueState::Consumed, old));
+            let own = division.current.iter().map(|s| (s, QueueState::Consumed, old));
             let leaving = division.leaving.iter().map(|s| (s, QueueState::Consumed, true));
             let kept = division.retained.iter().map(|s| (s, QueueState::Retained, true));
             for (shard, hold, left) in own.chain(leaving).chain(kept) {
@@ -68,7 +68,7 @@
             self.set_queue_state(self.queues.len() - 1, hold, now);
         }
         if let Some(places) = self.places.as_mut() {
-            places.owns(owned, arrives);
+            places.set_served(owned, arrives);
         }
         self.update_ready();
     }
--- a/crates/gateway/src/amqp/inquiries.rs
+++ b/crates/gateway/src/amqp/inquiries.rs
@@ -16,8 +16,8 @@
 use tokio::sync::mpsc;
 
 /// This member and all others, among those that the front asks.
-const OWN: &str = "own";
-const OTHERS: &str = "others";
+const LOCAL_STORE: &str = "own";
+const PEERS: &str = "others";
 /// Numbers of questions to the store that others asked; the front's own are below.
 const FOREIGN: u64 = 1 << 63;
 
@@ -28,7 +28,7 @@
 }
 
 /// Another member's question, while the store looks.
-struct Asked {
+struct PeerQuestion {
     from: Member,
     number: u64,
     keys: Vec<Key>,
@@ -44,11 +44,11 @@
 pub(super) struct Inquiries {
     log: Option<(IntentLog, EventSender)>,
     answers: mpsc::UnboundedReceiver<LogEvent>,
-    others: Option<PeerInquiry>,
+    peers: Option<PeerInquiry>,
     names: (Rc<str>, Rc<str>),
     /// Questions to others by number, with the calls that wait.
-    own: BTreeMap<u64, Vec<Ticket>>,
-    of_peers: BTreeMap<u64, Asked>,
+    local: BTreeMap<u64, Vec<Ticket>>,
+    of_peers: BTreeMap<u64, PeerQuestion>,
     next: u64,
 }
 
@@ -57,14 +57,14 @@
     pub(super) fn new(marking: Option<InquirySettings>, front: &mut Front) -> Inquiries {
         let (reply, answers) = mpsc::unbounded_channel();
         let (marks, others) = marking.map_or((None, None), |m| (Some((m.intent_log, reply)), m.peers));
-        let names: (Rc<str>, Rc<str>) = (OWN.into(), OTHERS.into());
+        let names: (Rc<str>, Rc<str>) = (LOCAL_STORE.into(), PEERS.into());
         if marks.is_some() {
             let members = [Some(names.0.clone()), others.as_ref().map(|_| names.1.clone())];
             front.set_inquiry(members.into_iter().flatten().collect(), InquiryLimits::default());
             front.set_known(others.is_none());
         }
         let (out, asked) = (BTreeMap::new(), BTreeMap::new());
-        Inquiries { log: marks, answers, others, names, own: out, of_peers: asked, next: 0 }
+        Inquiries { log: marks, answers, peers: others, names, local: out, of_peers: asked, next: 0 }
     }
 
     pub(super) fn are_on(&self) -> bool {
@@ -73,8 +73,8 @@
 
     /// Asks what the front wants to know. One that can't be reached from here is known not to tell.
     pub(super) fn put(&mut self, front: &mut Front, clock: Clock) {
-        while let Some(heard) = self.others.as_mut().and_then(|o| o.events.try_recv().ok()) {
-            self.hear(heard, front, clock);
+        while let Some(heard) = self.peers.as_mut().and_then(|o| o.events.try_recv().ok()) {
+            self.on_inquiry_event(heard, front, clock);
         }
         let (own, others): (Vec<Question>, Vec<Question>) =
             front.take_questions().into_iter().partition(|q| q.2 == self.names.0);
@@ -90,15 +90,15 @@
             self.next += 1;
             let said = InquiryMessage::Inquire { number: self.next, keys };
             let whole = matches!(&said, InquiryMessage::Inquire { keys, .. } if keys.len() == tickets.len());
-            if !whole || self.others.as_ref().is_none_or(|o| o.requests.try_send(said).is_err()) {
+            if !whole || self.peers.as_ref().is_none_or(|o| o.requests.try_send(said).is_err()) {
                 let name = self.names.1.clone();
                 tickets.iter().for_each(|t| front.on_inquiry_answer(*t, &name, None, clock.now()));
                 continue;
             }
-            self.own.insert(self.next, tickets);
-            while self.own.len() > MAX_OPEN_INQUIRIES {
+            self.local.insert(self.next, tickets);
+            while self.local.len() > MAX_OPEN_INQUIRIES {
                 // Nobody answers so late.
-                self.own.pop_first();
+                self.local.pop_first();
             }
         }
     }
@@ -106,7 +106,7 @@
     /// The next word.
     pub(super) async fn next(&mut self) -> InquiryInput {
         let heard = async {
-            match self.others.as_mut() {
+            match self.peers.as_mut() {
                 Some(others) => others.events.recv().await,
                 None => None,
             }
@@ -121,20 +121,20 @@
 
     pub(super) fn take(&mut self, came: InquiryInput, front: &mut Front, clock: Clock) {
         match came {
-            InquiryInput::Inquiry(heard) => self.hear(heard, front, clock),
+            InquiryInput::Inquiry(heard) => self.on_inquiry_event(heard, front, clock),
             InquiryInput::Log(LogEvent::Recorded(..)) => {}
-            InquiryInput::Log(LogEvent::Answered(number, told)) if number >= FOREIGN => {
+            InquiryInput::Log(LogEvent::Answered(number, convert_knowledge)) if number >= FOREIGN => {
                 let (id, at) = split(number);
-                self.looked(id, at, told, front, clock);
+                self.on_local_answer(id, at, convert_knowledge, front, clock);
             }
-            InquiryInput::Log(LogEvent::Answered(ticket, told)) => {
+            InquiryInput::Log(LogEvent::Answered(ticket, convert_knowledge)) => {
                 let own = self.names.0.clone();
-                front.on_inquiry_answer(ticket, &own, Some(told), clock.now());
+                front.on_inquiry_answer(ticket, &own, Some(convert_knowledge), clock.now());
             }
         }
     }
 
-    fn hear(&mut self, heard: InquiryEvent, front: &mut Front, clock: Clock) {
+    fn on_inquiry_event(&mut self, heard: InquiryEvent, front: &mut Front, clock: Clock) {
         let Some((marks, reply)) = self.log.as_ref() else { return };
         match heard {
             InquiryEvent::Joined { run, before } => {
@@ -160,17 +160,17 @@
                         return;
                     }
                 }
-                self.of_peers.insert(id, Asked { from, number, keys, known });
+                self.of_peers.insert(id, PeerQuestion { from, number, keys, known });
             }
             InquiryEvent::Answered { number, known } => {
-                let Some(tickets) = self.own.get(&number).cloned() else { return };
+                let Some(tickets) = self.local.get(&number).cloned() else { return };
                 if known.iter().all(Option::is_some) {
-                    self.own.remove(&number);
+                    self.local.remove(&number);
                 }
                 for (ticket, known) in tickets.into_iter().zip(known) {
                     if let Some(known) = known {
                         let name = self.names.1.clone();
-                        front.on_inquiry_answer(ticket, &name, Some(told(known)), clock.now());
+                        front.on_inquiry_answer(ticket, &name, Some(convert_knowledge(known)), clock.now());
                     }
                 }
             }
@@ -178,7 +178,14 @@
     }
 
     /// The store looked for one message of another's question.
-    fn looked(&mut self, id: u64, at: usize, marks: AttemptKnowledge, front: &mut Front, clock: Clock) {
+    fn on_local_answer(
+        &mut self,
+        id: u64,
+        at: usize,
+        marks: AttemptKnowledge,
+        front: &mut Front,
+        clock: Clock,
+    ) {
         let Some(asked) = self.of_peers.get_mut(&id) else { return };
         let (Some(key), Some(place)) = (asked.keys.get(at), asked.known.get_mut(at)) else { return };
         *place = Some(match front.on_peer_inquiry(key, marks, clock.now()) {
@@ -189,7 +196,7 @@
         let Some(known) = asked.known.iter().copied().collect::<Option<Vec<MessageKnowledge>>>() else {
             return;
         };
-        if let (Some(asked), Some(others)) = (self.of_peers.remove(&id), self.others.as_ref()) {
+        if let (Some(asked), Some(others)) = (self.of_peers.remove(&id), self.peers.as_ref()) {
             // What finds no room is asked again.
             let _ = others.requests.try_send(InquiryMessage::Answer {
                 to: asked.from,
@@ -221,7 +228,7 @@
     Key::new(&message.reply_to, &message.correlation, &message.message)
 }
 
-fn told(known: MessageKnowledge) -> AttemptKnowledge {
+fn convert_knowledge(known: MessageKnowledge) -> AttemptKnowledge {
     match known {
         MessageKnowledge::None => AttemptKnowledge::None,
         MessageKnowledge::MayHaveRun => AttemptKnowledge::MayHaveRun,
--- a/crates/gateway/src/shards/by_list.rs
+++ b/crates/gateway/src/shards/by_list.rs
@@ -10,16 +10,16 @@
     /// A whole list of front ends came. Gives own shards and what the module is notified, where own shards changed.
     pub fn front_ends(&mut self, list: &[Entry], now: Micros) -> Option<(Vec<OwnedShards>, Update)> {
         let owned = self.ownership.as_mut()?.listed(list, now)?;
-        Some(self.owns(owned, now))
+        Some(self.set_owned(owned, now))
     }
 
     /// The same as time passes: shards that were handed over go.
     pub fn handed_over(&mut self, now: Micros) -> Option<(Vec<OwnedShards>, Update)> {
         let owned = self.ownership.as_mut()?.tick(now)?;
-        Some(self.owns(owned, now))
+        Some(self.set_owned(owned, now))
     }
 
-    fn owns(&mut self, owned: Vec<OwnedShards>, now: Micros) -> (Vec<OwnedShards>, Update) {
+    fn set_owned(&mut self, owned: Vec<OwnedShards>, now: Micros) -> (Vec<OwnedShards>, Update) {
         for ((own, _), told) in self.served.iter_mut().zip(&owned) {
             *own = told.served();
         }
--- a/crates/gateway/src/shards/ownership.rs
+++ b/crates/gateway/src/shards/ownership.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnedShards {
     pub generation: u32,
-    pub owned: Vec<Shard>,
+    pub current: Vec<Shard>,
     /// No more its own; their queues are consumed still.
     pub leaving: Vec<Shard>,
     /// Their queues are consumed no more; what still comes over them is taken.
@@ -27,14 +27,14 @@
 impl OwnedShards {
     /// Shards whose functions and workers are this front end's.
     pub fn served(&self) -> Vec<Shard> {
-        let mut all = [&self.owned[..], &self.leaving, &self.retained].concat();
+        let mut all = [&self.current[..], &self.leaving, &self.retained].concat();
         all.sort_unstable();
         all
     }
 
     /// Shards whose queues are consumed.
     pub fn consumed(&self) -> impl Iterator<Item = Shard> + '_ {
-        self.owned.iter().chain(&self.leaving).copied()
+        self.current.iter().chain(&self.leaving).copied()
     }
 }
 
@@ -165,7 +165,7 @@
     /// What is owned now; given where it changed.
     fn renew(&mut self, now: Micros) -> Option<Vec<OwnedShards>> {
         let front_ends = self.front_ends.as_ref()?;
-        let own_before: Vec<Vec<Shard>> = self.current.iter().map(|d| d.owned.clone()).collect();
+        let own_before: Vec<Vec<Shard>> = self.current.iter().map(|d| d.current.clone()).collect();
         let mut told = Vec::new();
         for (at, division) in self.divisions.served().map(Division::generation).enumerate() {
             let own = front_ends.own_key(division).to_vec();
@@ -173,7 +173,7 @@
                 self.released.insert((division, *shard), now);
             }
             self.released.retain(|(generation, shard), _| *generation != division || !own.contains(shard));
-            let mut owned = OwnedShards { generation: division, owned: own, ..OwnedShards::default() };
+            let mut owned = OwnedShards { generation: division, current: own, ..OwnedShards::default() };
             for ((_, shard), at) in self.released.range((division, 0)..=(division, Shard::MAX)) {
                 match now - at {
                     age if age < self.handover => owned.leaving.push(*shard),
@@ -188,7 +188,7 @@
         if told == self.current {
             return None;
         }
-        let own: Vec<Vec<Shard>> = told.iter().map(|d| d.owned.clone()).collect();
+        let own: Vec<Vec<Shard>> = told.iter().map(|d| d.current.clone()).collect();
         if own != own_before {
             self.changes += 1;
             tracing::info!(?own, others = self.known.len(), "own shards by the list of front ends");
--- a/crates/gateway/src/shards/placement.rs
+++ b/crates/gateway/src/shards/placement.rs
@@ -52,7 +52,7 @@
     }
 
     /// Own shards changed; `queues` tells what each queue is, by its place.
-    pub fn owns(&mut self, owned: &[OwnedShards], queues: Vec<Arrives>) {
+    pub fn set_served(&mut self, owned: &[OwnedShards], queues: Vec<Arrives>) {
         for ((_, own), told) in self.0.iter_mut().zip(owned) {
             *own = told.served();
         }
--- a/crates/gateway/src/state/core/counters.rs
+++ b/crates/gateway/src/state/core/counters.rs
@@ -9,7 +9,7 @@
     pub failed: u64,
     /// Refused before the module saw them: unknown function, or more calls than may be held.
     pub rejected_at_intake: u64,
-    pub clients_gone: u64,
+    pub abandoned_calls: u64,
     pub attempts: u64,
     /// Of these, those after the first for their call.
     pub retries: u64,
--- a/crates/gateway/src/state/core/endpoints.rs
+++ b/crates/gateway/src/state/core/endpoints.rs
@@ -16,7 +16,7 @@
 enum State {
     Serving,
     Draining,
-    Gone,
+    Departed,
 }
 
 /// Which workers drain or are gone, as far as was notified, and what of it is inputs.
@@ -33,14 +33,14 @@
             let listed: std::collections::BTreeSet<WorkerId> =
                 update.endpoints.iter().map(|r| r.worker).collect();
             let left =
-                self.states.iter().filter(|(id, state)| **state != State::Gone && !listed.contains(id));
+                self.states.iter().filter(|(id, state)| **state != State::Departed && !listed.contains(id));
             let left: Vec<WorkerId> = left.map(|(id, _)| *id).collect();
-            left.into_iter().for_each(|id| self.set(id, State::Gone));
+            left.into_iter().for_each(|id| self.set(id, State::Departed));
         }
         for row in &update.endpoints {
             let state = match row.lifecycle {
                 Lifecycle::Ready => State::Serving,
-                Lifecycle::Gone => State::Gone,
+                Lifecycle::Gone => State::Departed,
                 _ => State::Draining,
             };
             self.set(row.worker, state);
@@ -60,16 +60,16 @@
             let since = match state {
                 State::Serving => None,
                 State::Draining => Some(now),
-                State::Gone => Some(Micros::MIN),
+                State::Departed => Some(Micros::MIN),
             };
-            if state == State::Gone {
+            if state == State::Departed {
                 self.departed.push_back((now, worker));
             }
             out.push(Command::WorkerDraining { worker, since });
         }
         while self.departed.front().is_some_and(|(at, _)| now - at > GONE_RETENTION) {
             let Some((_, worker)) = self.departed.pop_front() else { return };
-            if self.states.get(&worker) == Some(&State::Gone) {
+            if self.states.get(&worker) == Some(&State::Departed) {
                 self.states.remove(&worker);
                 out.push(Command::WorkerDraining { worker, since: None });
             }
--- a/crates/gateway/src/state/core/mod.rs
+++ b/crates/gateway/src/state/core/mod.rs
@@ -212,14 +212,14 @@
         match news {
             Input::Call(arrival) => self.on_call(now, arrival, out),
             Input::ClientGone(ticket) => {
-                self.counters.clients_gone += u64::from(self.waiting.remove(ticket));
+                self.counters.abandoned_calls += u64::from(self.waiting.remove(ticket));
                 if let Some(request) = self.by_ticket.remove(&ticket) {
-                    self.counters.clients_gone += 1;
+                    self.counters.abandoned_calls += 1;
                     if !self.is_waiting(request) {
                         self.events.push(Event::ClientGone { request });
                     }
                     self.close_call(request);
-                    if self.settings.cancel_when_gone {
+                    if self.settings.cancel_abandoned {
                         self.cancel_attempts(now, request, out);
                     }
                 }
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -59,7 +59,7 @@
     /// Names of functions kept, and for how long one is kept that is not called.
     pub name_limits: (usize, Micros),
     /// A caller that leaves has its attempts stopped; else they run to their end.
-    pub cancel_when_gone: bool,
+    pub cancel_abandoned: bool,
 }
 
 impl From<&Config> for CoreSettings {
@@ -77,7 +77,7 @@
             max_retry_after: config.retry_after_most,
             load_timeout: config.load_timeout,
             name_limits: (100_000, 600_000_000),
-            cancel_when_gone: false,
+            cancel_abandoned: false,
         }
     }
 }
--- a/crates/gateway/tests/crossings_amqp.rs
+++ b/crates/gateway/tests/crossings_amqp.rs
@@ -70,7 +70,7 @@
             w.connect();
             assert!(w.arrivals().is_empty(), "it would run a second time");
             assert_eq!(w.outcomes(), [("a", "served")], "{mode:?} {end:?}");
-            assert_eq!((w.broker.depth("calls"), w.front.unsettled()), (Some(0), 0));
+            assert_eq!((w.broker.depth("calls"), w.front.unacknowledged()), (Some(0), 0));
         }
     }
 }
