--- a/crates/gateway/tests/crossings_redelivered.rs
+++ b/crates/gateway/tests/crossings_redelivered.rs
@@ -68,7 +68,7 @@
         w.cut();
         w.front = Front::new(config(""), 2, w.now);
         let number = w.broker.connect(w.now);
-        w.broker.arm_cut(number, Cut::BeforeConfirm);
+        w.broker.arm_disconnect(number, Disconnect::BeforeConfirm);
         w.front_at = Some(number);
         w.front.connected(&config("").brokers[0], w.now);
         w.settle();
--- a/crates/gateway/tests/first_list.rs
+++ b/crates/gateway/tests/first_list.rs
@@ -44,7 +44,7 @@
     assert_eq!((calls.len(), consumers(&w)), (1, 1));
     w.serve(&calls[0]);
     w.settle();
-    assert_eq!((w.outcomes(), w.front.unsettled()), (vec![("a", "served")], 0));
+    assert_eq!((w.outcomes(), w.front.unacknowledged()), (vec![("a", "served")], 0));
 }
 
 /// The wait ends by itself, at the told time and not before, and says when.
--- a/crates/gateway/tests/front.rs
+++ b/crates/gateway/tests/front.rs
@@ -23,7 +23,7 @@
         }
         w.settle();
         assert_eq!((w.broker.stats.acked, w.outcomes()), (1, vec![("a", "served")]));
-        assert_eq!(w.front.unsettled(), 0);
+        assert_eq!(w.front.unacknowledged(), 0);
     }
 }
 
@@ -77,16 +77,16 @@
 #[test]
 fn a_reply_in_doubt_is_withheld_or_resent_as_told_and_a_transaction_leaves_no_doubt() {
     for (mode, cut, answers) in [
-        ("replies confirm\n", Cut::BeforeConfirm, 1),
-        ("replies confirm\n", Cut::BeforeRouting, 0),
-        ("replies confirm\ndoubtful-reply resend\n", Cut::BeforeConfirm, 2),
-        ("replies transaction\n", Cut::BeforeConfirm, 1),
-        ("replies transaction\n", Cut::BeforeRouting, 1),
+        ("replies confirm\n", Disconnect::BeforeConfirm, 1),
+        ("replies confirm\n", Disconnect::BeforeRouting, 0),
+        ("replies confirm\ndoubtful-reply resend\n", Disconnect::BeforeConfirm, 2),
+        ("replies transaction\n", Disconnect::BeforeConfirm, 1),
+        ("replies transaction\n", Disconnect::BeforeRouting, 1),
     ] {
         let mut w = World::new(mode);
         w.publish("a", "recurring", |p| p);
         let calls = w.arrivals();
-        w.broker.arm_cut(w.front_at.unwrap(), cut);
+        w.broker.arm_disconnect(w.front_at.unwrap(), cut);
         w.serve(&calls[0]);
         w.settle();
         assert!(w.front_at.is_none(), "cut");
@@ -94,7 +94,7 @@
         assert!(w.arrivals().is_empty());
         assert_eq!(w.outcomes().len(), answers, "{mode:?} {cut:?}");
         assert_eq!(w.broker.depth("calls"), Some(0));
-        assert_eq!(w.front.unsettled(), 0);
+        assert_eq!(w.front.unacknowledged(), 0);
     }
 }
 
@@ -159,7 +159,10 @@
     let channel = w.caller.channel;
     w.caller.client.publish(channel, publish, &BasicProperties::default(), &Bytes::from_static(b"x"));
     w.settle();
-    assert_eq!((w.front.counters.rejected, w.broker.depth("calls"), w.front.unsettled()), (1, Some(0), 0));
+    assert_eq!(
+        (w.front.counters.rejected, w.broker.depth("calls"), w.front.unacknowledged()),
+        (1, Some(0), 0)
+    );
 }
 
 #[test]
@@ -169,7 +172,7 @@
     let calls = w.arrivals();
     w.serve(&calls[0]);
     w.settle();
-    assert_eq!((w.front.counters.unroutable, w.broker.stats.acked, w.front.unsettled()), (1, 1, 0));
+    assert_eq!((w.front.counters.unroutable, w.broker.stats.acked, w.front.unacknowledged()), (1, 1, 0));
 }
 
 #[test]
--- a/crates/gateway/tests/front_marks.rs
+++ b/crates/gateway/tests/front_marks.rs
@@ -46,7 +46,10 @@
     w.serve(&calls[0]);
     w.settle();
     assert_eq!(w.outcomes(), [("a", "served")]);
-    assert_eq!((w.front.counters.inquired, w.front.counters.run_by_intents, w.front.unsettled()), (1, 1, 0));
+    assert_eq!(
+        (w.front.counters.inquired, w.front.counters.run_by_intents, w.front.unacknowledged()),
+        (1, 1, 0)
+    );
 }
 
 #[test]
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -85,7 +85,7 @@
         );
         let config = parse("orders.conf", &text).unwrap();
         let now = 1_700_000_000_000_000;
-        let figures = CoreSettings { cancel_when_gone: stop_when_gone, ..CoreSettings::from(&config) };
+        let figures = CoreSettings { cancel_abandoned: stop_when_gone, ..CoreSettings::from(&config) };
         let core = Core::with(noted, figures, 3, now);
         let (sent, ended, answers) = Default::default();
         let (left, crossed, tickets, leaving, case) = Default::default();
--- a/crates/gateway/tests/shards.rs
+++ b/crates/gateway/tests/shards.rs
@@ -223,7 +223,7 @@
     assert_eq!(w.caller.answers[0].2, "other-shard");
     w.serve(&calls[0]);
     w.settle();
-    assert_eq!((w.front.unsettled(), w.front.counters.leaving_shard), (0, 0));
+    assert_eq!((w.front.unacknowledged(), w.front.counters.leaving_shard), (0, 0));
 }
 
 /// A call that may have run at another front end, whose function is of another shard by now: it is not refused, which would
--- a/crates/gateway/tests/shards_list.rs
+++ b/crates/gateway/tests/shards_list.rs
@@ -39,7 +39,7 @@
 }
 
 fn own_of(owned: &[OwnedShards]) -> BTreeSet<Shard> {
-    owned.iter().flat_map(|o| o.owned.clone()).collect()
+    owned.iter().flat_map(|o| o.current.clone()).collect()
 }
 
 /// Own shards of front ends with these lists.
@@ -157,16 +157,16 @@
     assert!(it.tick(S + HANDOVER - 1).is_none());
     let kept = it.tick(S + HANDOVER).unwrap().remove(0);
     assert_eq!((&kept.retained, &kept.leaving[..]), (&now.leaving, &[][..]));
-    assert_eq!((kept.served(), kept.consumed().collect::<Vec<_>>()), (all.clone(), now.owned.clone()));
+    assert_eq!((kept.served(), kept.consumed().collect::<Vec<_>>()), (all.clone(), now.current.clone()));
     assert_eq!(it.due(), Some(S + 2 * HANDOVER));
     let gone = it.tick(S + 2 * HANDOVER).unwrap().remove(0);
-    assert_eq!((gone.served(), it.due()), (now.owned.clone(), None));
+    assert_eq!((gone.served(), it.due()), (now.current.clone(), None));
     // The other dies, and is back before anything of its shards was left.
     let alone = it.listed(&list([0]), 20 * S).unwrap().remove(0);
-    assert_eq!(alone.owned, all);
+    assert_eq!(alone.current, all);
     it.listed(&list([0, 2]), 21 * S).unwrap();
     let back = it.listed(&list([0]), 21 * S + HANDOVER / 2).unwrap().remove(0);
-    assert_eq!((back.owned, back.leaving, it.due()), (all, vec![], None));
+    assert_eq!((back.current, back.leaving, it.due()), (all, vec![], None));
 }
 
 /// Front ends of a generation alone count in its division; a tag of it comes with the restart.
--- a/crates/gateway/tests/shards_list_sockets.rs
+++ b/crates/gateway/tests/shards_list_sockets.rs
@@ -33,7 +33,7 @@
     let list: Vec<Entry> = (0..4).map(entry).collect();
     let of = |n| {
         let mut it = shards::Ownership::new(&configuration(n, "h:1", "h:2", "w")).unwrap();
-        it.listed(&list, 0).unwrap()[0].owned.clone()
+        it.listed(&list, 0).unwrap()[0].current.clone()
     };
     let owned: Vec<Vec<Shard>> = (0..4).map(of).collect();
     let owners = |s: &Shard| owned.iter().filter(|own| own.contains(s)).count();
--- a/crates/gateway/tests/shards_queues.rs
+++ b/crates/gateway/tests/shards_queues.rs
@@ -20,14 +20,14 @@
 
 fn owned(own: &[Shard], leaving: &[Shard], kept: &[Shard]) -> [OwnedShards; 1] {
     let [own, leaving, kept] = [own, leaving, kept].map(<[Shard]>::to_vec);
-    [OwnedShards { generation: 1, owned: own, leaving, retained: kept }]
+    [OwnedShards { generation: 1, current: own, leaving, retained: kept }]
 }
 
 /// A function of this shard, whose effect is unsafe.
 fn function(shard: Shard) -> String {
     let config = of(0);
     let mut places = Places::new(&config).unwrap();
-    places.owns(&owned(&[shard], &[], &[]), vec![]);
+    places.set_served(&owned(&[shard], &[], &[]), vec![]);
     (0..).map(|i| format!("f{i}")).find(|f| places.of(f) == FunctionPlacement::Owned).unwrap()
 }
 
@@ -143,7 +143,7 @@
     w.front.serve_shards(&owned(&[1], &[], &[]), w.now);
     w.serve(&calls[0]);
     w.settle();
-    assert_eq!((w.outcomes(), w.front.unsettled()), (vec![("a", "served")], 0));
+    assert_eq!((w.outcomes(), w.front.unacknowledged()), (vec![("a", "served")], 0));
     assert_eq!((w.front.counters.given_back, w.front.counters.other_shard), (0, 0));
 }
 
@@ -163,7 +163,11 @@
         w.front.serve_shards(&owned(&[1], &[], &[0]), w.now);
         w.front.serve_shards(&owned(&[1], &[], &[]), w.now);
         w.settle();
-        assert_eq!((w.arrivals().len(), w.front.counters.given_back, w.front.unsettled()), (0, 1, 0), "{by}");
+        assert_eq!(
+            (w.arrivals().len(), w.front.counters.given_back, w.front.unacknowledged()),
+            (0, 1, 0),
+            "{by}"
+        );
         assert_eq!((w.broker.depth(&queue("calls", 1, 0)), w.caller.answers.len()), (Some(1), 0), "{by}");
         // It had not been taken: when this front end owns the shard again, it is an ordinary call that comes again.
         w.front.serve_shards(&owned(&[0, 1], &[], &[]), w.now);
--- a/crates/gateway/tests/shards_turns.rs
+++ b/crates/gateway/tests/shards_turns.rs
@@ -62,7 +62,7 @@
         assert_eq!(core.shard_workers(), Some((0, 0)), "no worker is told before the first list");
         assert!(turn(core, now, vec![Input::FrontEndList(None)]).own.is_empty());
         let told = turn(core, now, vec![Input::FrontEndList(Some(whole.clone()))]).own;
-        shards.push(told[0][0].owned.clone());
+        shards.push(told[0][0].current.clone());
         workers.push(core.shard_workers().unwrap().0);
         assert!(workers.last().is_some_and(|n| *n > 0));
     }
@@ -78,7 +78,7 @@
     for (n, core) in all.iter_mut().enumerate().skip(1) {
         let before = core.shard_workers().unwrap().0;
         let told = turn(core, later, vec![Input::FrontEndList(Some(whole[1..].to_vec()))]);
-        let own = told.own.first().map_or(shards[n].clone(), |o| o[0].owned.clone());
+        let own = told.own.first().map_or(shards[n].clone(), |o| o[0].current.clone());
         assert!(
             own.len() == shards[n].len() || core.shard_workers().unwrap().0 > before,
             "{n}: workers come too"
@@ -103,7 +103,7 @@
     let held: Vec<(bool, bool)> =
         owned.iter().map(|o| (o.leaving.is_empty(), o.retained.is_empty())).collect();
     assert_eq!(held, [(false, true), (true, false), (true, true)], "{owned:?}");
-    assert_eq!(owned[2].owned, shards[gained]);
+    assert_eq!(owned[2].current, shards[gained]);
     assert!(steps.iter().any(|(_, (_, draining))| *draining > 0), "{steps:?}");
     assert_eq!(core.shard_workers(), Some((workers[gained], 0)), "{steps:?}");
 }
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -7,7 +7,7 @@
     FieldTable,
 };
 pub use stagehoist_config::{parse, Config};
-pub use stagehoist_emulator::broker::{Broker, BrokerOptions, Cut};
+pub use stagehoist_emulator::broker::{Broker, BrokerOptions, Disconnect};
 pub use stagehoist_gateway::amqp::Front;
 pub use stagehoist_gateway::state::{Answer, Arrival};
 pub use std::rc::Rc;
--- a/crates/harness/src/callers.rs
+++ b/crates/harness/src/callers.rs
@@ -59,7 +59,7 @@
 }
 
 /// What callers listen to.
-pub struct Told {
+pub struct CallerSettings {
     pub pace: watch::Receiver<Pace>,
     /// Tenants that calls name, each with its part of them; at one for each they come at the told rate, at more so much
     /// faster. Empty: calls name none.
@@ -68,7 +68,7 @@
     pub addresses: watch::Receiver<Addresses>,
 }
 
-impl Told {
+impl CallerSettings {
     /// Calls a second of all tenants together.
     fn rate(&self) -> f64 {
         let tenants = self.tenants.borrow();
@@ -98,7 +98,7 @@
     layout: Layout,
     seed: u64,
     counts: Arc<Counts>,
-    mut told: Told,
+    mut told: CallerSettings,
 ) {
     let start = Instant::now();
     let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -121,7 +121,7 @@
     random: &mut ChaCha8Rng,
     sent: &mut u64,
     counts: &Counts,
-    told: &mut Told,
+    told: &mut CallerSettings,
 ) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let now = || start.elapsed().as_micros() as i64;
--- a/crates/harness/src/day/check.rs
+++ b/crates/harness/src/day/check.rs
@@ -1,6 +1,6 @@
 //! What only the whole day shows to be wrong.
 
-use super::{Day, DayFault, Pick, StoreFault, Trouble};
+use super::{Day, DayFault, Pick, ScenarioFault, StoreFault};
 use stagehoist_config::Position;
 
 /// Front ends of a day with replicas, at most.
@@ -37,7 +37,7 @@
         }
         let sizes = self.division.map(|d| (1, d.shards)).into_iter();
         let changes = self.troubles.iter().filter_map(|t| match t.trouble {
-            Trouble::Shards { to } => Some((t.line, to)),
+            ScenarioFault::Shards { to } => Some((t.line, to)),
             _ => None,
         });
         for (line, shards) in sizes.chain(changes) {
@@ -67,7 +67,8 @@
         for planned in &self.troubles {
             let (trouble, line) = (&planned.trouble, planned.line);
             let named = trouble.clone().pick_mut().copied();
-            let machine = matches!(trouble, Trouble::MachineKill { .. } | Trouble::MachineStop { .. });
+            let machine =
+                matches!(trouble, ScenarioFault::MachineKill { .. } | ScenarioFault::MachineStop { .. });
             let (what, among) =
                 if machine { ("machine", self.machines()) } else { ("front end", self.front_ends) };
             if matches!(named, Some(Pick::Number(n)) if n >= among) {
@@ -81,7 +82,7 @@
             if trouble.needs_keepers() && fleet.keepers == 0 {
                 fault(line, format!("{trouble:?} without keepers"), "keepers and a number".into());
             }
-            let damage = matches!(trouble, Trouble::Store { how: StoreFault::Damage, .. });
+            let damage = matches!(trouble, ScenarioFault::Store { how: StoreFault::Damage, .. });
             if damage && matches!(named, Some(Pick::Number(n)) if n >= fleet.keepers) {
                 fault(
                     line,
@@ -89,7 +90,7 @@
                     "a front end that keeps the record".into(),
                 );
             }
-            if let Trouble::Surge { tenant, .. } = trouble {
+            if let ScenarioFault::Surge { tenant, .. } = trouble {
                 if !fleet.callers().iter().any(|c| c.tenant == *tenant) {
                     let expected = "other, or a tenant with a reservation, on a day with pools";
                     fault(line, format!("no calls come from tenant {tenant:?}"), expected.into());
--- a/crates/harness/src/day/draw.rs
+++ b/crates/harness/src/day/draw.rs
@@ -1,6 +1,6 @@
 //! Moments and victims that a day leaves open, drawn by a seed.
 
-use super::{Day, Pick, Trouble};
+use super::{Day, Pick, ScenarioFault};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
@@ -12,7 +12,7 @@
     /// It comes no earlier and no later; where they are the same the moment is exact.
     pub from: Duration,
     pub to: Duration,
-    pub trouble: Trouble,
+    pub trouble: ScenarioFault,
     /// Its words after the moment, and the line that they stand on.
     pub text: String,
     pub line: usize,
@@ -27,10 +27,10 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut retired = BTreeSet::new();
         for planned in &mut day.troubles {
-            let keepers_only = matches!(planned.trouble, Trouble::Store { .. });
+            let keepers_only = matches!(planned.trouble, ScenarioFault::Store { .. });
             let among = match planned.trouble {
                 _ if keepers_only => day.fleet.keepers,
-                Trouble::MachineKill { .. } | Trouble::MachineStop { .. } => self.machines(),
+                ScenarioFault::MachineKill { .. } | ScenarioFault::MachineStop { .. } => self.machines(),
                 _ => day.front_ends,
             };
             planned.settle(&mut random, among, &mut retired);
@@ -64,7 +64,7 @@
             let words = self.text.split(' ').map(|w| if w == "any" { number.to_string() } else { w.into() });
             self.text = words.collect::<Vec<_>>().join(" ");
         }
-        if let Trouble::Retire { functions, successor } = &mut self.trouble {
+        if let ScenarioFault::Retire { functions, successor } = &mut self.trouble {
             if functions.len() > 1 {
                 // One that still stands, where there is one.
                 let left: Vec<&String> = functions.iter().filter(|f| !retired.contains(*f)).collect();
--- a/crates/harness/src/day/mod.rs
+++ b/crates/harness/src/day/mod.rs
@@ -21,7 +21,7 @@
 
 pub use draw::Planned;
 pub use fleet::{Calls, Fleet, Pool, Reserve};
-pub use trouble::{Cut, Pick, StoreFault, Trouble};
+pub use trouble::{LinkFault, Pick, ScenarioFault, StoreFault};
 
 use crate::division::Division;
 use grammar::trouble;
@@ -185,7 +185,7 @@
     pub fn has_own_queue(&self, front_end: u32) -> bool {
         let is_own = |pick: Pick| pick == Pick::Any || pick.number() == front_end;
         let mut troubles = self.troubles.iter();
-        troubles.any(|t| matches!(t.trouble, Trouble::Surge { only: Some(pick), .. } if is_own(pick)))
+        troubles.any(|t| matches!(t.trouble, ScenarioFault::Surge { only: Some(pick), .. } if is_own(pick)))
     }
 
     /// The same day in a fraction of its time: moments and spans shrink alike, but no span under 400 ms, as shorter ones
--- a/crates/harness/src/day/pick.rs
+++ b/crates/harness/src/day/pick.rs
@@ -28,7 +28,7 @@
 
 /// Where the broker cuts a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum LinkFault {
     BeforeRouting,
     BeforeConfirm,
     MidDelivery,
--- a/crates/harness/src/day/tests.rs
+++ b/crates/harness/src/day/tests.rs
@@ -7,7 +7,7 @@
     Day::parse("day", &format!("{HEAD}{text}")).unwrap()
 }
 
-fn trouble_of(text: &str) -> Trouble {
+fn trouble_of(text: &str) -> ScenarioFault {
     day(&format!("at 1s {text}\n")).troubles[0].trouble.clone()
 }
 
@@ -20,7 +20,7 @@
 fn troubles_of_links_processes_and_stores_are_read() {
     let span = Duration::from_secs(2);
     let (one, any) = (Pick::Number(1), Pick::Any);
-    let link = |fault| Trouble::Link { front_end: one, fault, span };
+    let link = |fault| ScenarioFault::Link { front_end: one, fault, span };
     let delay = Fault::Delay(Duration::from_millis(30));
     for (text, expected) in [
         ("link 1 cut for 2s", link(Fault::Cut)),
@@ -28,21 +28,21 @@
         ("link 1 half-out for 2s", link(Fault::HalfOut)),
         ("link 1 half-in for 2s", link(Fault::HalfIn)),
         ("link 1 delay 30ms for 2s", link(delay)),
-        ("front-end any kill for 2s", Trouble::Kill { front_end: any, span: Some(span) }),
-        ("front-end 1 kill", Trouble::Kill { front_end: one, span: None }),
-        ("front-end 1 stop for 2s # slept", Trouble::Stop { front_end: one, span }),
-        ("leader kill", Trouble::LeaderKill { span: None }),
-        ("leader kill for 2s", Trouble::LeaderKill { span: Some(span) }),
-        ("leader stop for 2s", Trouble::LeaderStop { span }),
-        ("everything kill for 2s", Trouble::Everything { span }),
-        ("store any copy", Trouble::Store { front_end: any, how: StoreFault::Copy }),
-        ("store 1 set-back", Trouble::Store { front_end: one, how: StoreFault::SetBack }),
-        ("store 1 damage", Trouble::Store { front_end: one, how: StoreFault::Damage }),
-        ("store slow 600% for 2s", Trouble::StoreSlow { percent: 600, span }),
+        ("front-end any kill for 2s", ScenarioFault::Kill { front_end: any, span: Some(span) }),
+        ("front-end 1 kill", ScenarioFault::Kill { front_end: one, span: None }),
+        ("front-end 1 stop for 2s # slept", ScenarioFault::Stop { front_end: one, span }),
+        ("leader kill", ScenarioFault::LeaderKill { span: None }),
+        ("leader kill for 2s", ScenarioFault::LeaderKill { span: Some(span) }),
+        ("leader stop for 2s", ScenarioFault::LeaderStop { span }),
+        ("everything kill for 2s", ScenarioFault::Everything { span }),
+        ("store any copy", ScenarioFault::Store { front_end: any, how: StoreFault::Copy }),
+        ("store 1 set-back", ScenarioFault::Store { front_end: one, how: StoreFault::SetBack }),
+        ("store 1 damage", ScenarioFault::Store { front_end: one, how: StoreFault::Damage }),
+        ("store slow 600% for 2s", ScenarioFault::StoreSlow { percent: 600, span }),
     ] {
         assert_eq!(trouble_of(text), expected, "{text}");
     }
-    let retire = |functions: &[&str], successor: Option<&str>| Trouble::Retire {
+    let retire = |functions: &[&str], successor: Option<&str>| ScenarioFault::Retire {
         functions: functions.iter().map(|f| f.to_string()).collect(),
         successor: successor.map(str::to_string),
     };
@@ -115,16 +115,16 @@
         for planned in &drawn.troubles {
             let at = planned.from.as_secs_f64();
             match &planned.trouble {
-                Trouble::Kill { front_end: Pick::Number(n), .. } => {
+                ScenarioFault::Kill { front_end: Pick::Number(n), .. } => {
                     assert!(*n < 5 && (3.0..=6.0).contains(&at));
                     victims.insert(*n);
                 }
-                Trouble::Store { front_end: Pick::Number(n), .. } => {
+                ScenarioFault::Store { front_end: Pick::Number(n), .. } => {
                     assert!(*n < 3 && (5.0..=6.0).contains(&at), "a store is a keeper's");
                     kept.insert(*n);
                 }
-                Trouble::Link { front_end: Pick::Number(_), .. } => assert_eq!(at, 2.0),
-                Trouble::Retire { functions, .. } => retired.extend(functions.clone()),
+                ScenarioFault::Link { front_end: Pick::Number(_), .. } => assert_eq!(at, 2.0),
+                ScenarioFault::Retire { functions, .. } => retired.extend(functions.clone()),
                 other => panic!("not settled: {other:?}"),
             }
         }
@@ -153,7 +153,7 @@
     let short = day("at 4s..8s front-end any kill for 2s\n").shortened(Duration::from_secs(6));
     let planned = &short.troubles[0];
     assert_eq!((planned.from, planned.to), (Duration::from_secs(2), Duration::from_secs(4)));
-    let expected = Trouble::Kill { front_end: Pick::Any, span: Some(Duration::from_secs(1)) };
+    let expected = ScenarioFault::Kill { front_end: Pick::Any, span: Some(Duration::from_secs(1)) };
     assert_eq!(planned.trouble, expected);
 }
 
--- a/crates/harness/src/day/trouble.rs
+++ b/crates/harness/src/day/trouble.rs
@@ -1,12 +1,12 @@
 //! What can go wrong on a day.
 
-pub use super::pick::{Cut, Pick, StoreFault};
+pub use super::pick::{LinkFault, Pick, StoreFault};
 use crate::relay::Fault;
 use std::time::Duration;
 
 /// What goes wrong.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
+pub enum ScenarioFault {
     /// A worker drains; the list says so `lag` later; after the span it serves again.
     Drain {
         worker: String,
@@ -71,7 +71,7 @@
     },
     /// The broker cuts the front ends' connections: in the middle of a reply, after routing it, or of a delivery.
     BrokerCut {
-        how: Cut,
+        how: LinkFault,
     },
     BrokerDelay {
         by: Duration,
@@ -168,57 +168,59 @@
     },
 }
 
-impl Trouble {
+impl ScenarioFault {
     pub(super) fn span_mut(&mut self) -> Option<&mut Duration> {
         match self {
-            Trouble::Drain { span, .. }
-            | Trouble::Vanish { span, .. }
-            | Trouble::Die { span, .. }
-            | Trouble::StoreSlow { span, .. }
-            | Trouble::LoseAnswers { span, .. }
-            | Trouble::Reset { span, .. }
-            | Trouble::Stall { span, .. }
-            | Trouble::Garbage { span, .. }
-            | Trouble::Truncate { span, .. }
-            | Trouble::Late { span, .. }
-            | Trouble::Slow { span, .. }
-            | Trouble::Fail { span, .. }
-            | Trouble::BrokerDelay { span, .. }
-            | Trouble::BrokerDeaf { span }
-            | Trouble::BrokerBlocked { span }
-            | Trouble::BrokerFlow { span }
-            | Trouble::ListFails { span }
-            | Trouble::ListLags { span, .. }
-            | Trouble::ListFlaps { span, .. }
-            | Trouble::Flood { span, .. }
-            | Trouble::Link { span, .. }
-            | Trouble::LeaderStop { span }
-            | Trouble::Everything { span }
-            | Trouble::Surge { span, .. }
-            | Trouble::MachineKill { span, .. }
-            | Trouble::MachineStop { span, .. }
-            | Trouble::Stop { span, .. } => Some(span),
-            Trouble::Kill { span, .. } | Trouble::LeaderKill { span } => span.as_mut(),
-            Trouble::BrokerCut { .. }
-            | Trouble::BrokerRestart
-            | Trouble::ListIndexResets
-            | Trouble::Retire { .. }
-            | Trouble::Shards { .. }
-            | Trouble::Store { .. }
-            | Trouble::Terminate { .. } => None,
+            ScenarioFault::Drain { span, .. }
+            | ScenarioFault::Vanish { span, .. }
+            | ScenarioFault::Die { span, .. }
+            | ScenarioFault::StoreSlow { span, .. }
+            | ScenarioFault::LoseAnswers { span, .. }
+            | ScenarioFault::Reset { span, .. }
+            | ScenarioFault::Stall { span, .. }
+            | ScenarioFault::Garbage { span, .. }
+            | ScenarioFault::Truncate { span, .. }
+            | ScenarioFault::Late { span, .. }
+            | ScenarioFault::Slow { span, .. }
+            | ScenarioFault::Fail { span, .. }
+            | ScenarioFault::BrokerDelay { span, .. }
+            | ScenarioFault::BrokerDeaf { span }
+            | ScenarioFault::BrokerBlocked { span }
+            | ScenarioFault::BrokerFlow { span }
+            | ScenarioFault::ListFails { span }
+            | ScenarioFault::ListLags { span, .. }
+            | ScenarioFault::ListFlaps { span, .. }
+            | ScenarioFault::Flood { span, .. }
+            | ScenarioFault::Link { span, .. }
+            | ScenarioFault::LeaderStop { span }
+            | ScenarioFault::Everything { span }
+            | ScenarioFault::Surge { span, .. }
+            | ScenarioFault::MachineKill { span, .. }
+            | ScenarioFault::MachineStop { span, .. }
+            | ScenarioFault::Stop { span, .. } => Some(span),
+            ScenarioFault::Kill { span, .. } | ScenarioFault::LeaderKill { span } => span.as_mut(),
+            ScenarioFault::BrokerCut { .. }
+            | ScenarioFault::BrokerRestart
+            | ScenarioFault::ListIndexResets
+            | ScenarioFault::Retire { .. }
+            | ScenarioFault::Shards { .. }
+            | ScenarioFault::Store { .. }
+            | ScenarioFault::Terminate { .. } => None,
         }
     }
 
     /// The front end that it befalls, where it names one.
     pub(super) fn pick_mut(&mut self) -> Option<&mut Pick> {
         match self {
-            Trouble::Stop { front_end, .. }
-            | Trouble::Terminate { front_end }
-            | Trouble::Kill { front_end, .. }
-            | Trouble::Link { front_end, .. }
-            | Trouble::Store { front_end, .. } => Some(front_end),
-            Trouble::MachineKill { machine, .. } | Trouble::MachineStop { machine, .. } => Some(machine),
-            Trouble::Surge { only, .. } => only.as_mut(),
+            ScenarioFault::Stop { front_end, .. }
+            | ScenarioFault::Terminate { front_end }
+            | ScenarioFault::Kill { front_end, .. }
+            | ScenarioFault::Link { front_end, .. }
+            | ScenarioFault::Store { front_end, .. } => Some(front_end),
+            ScenarioFault::MachineKill { machine, .. } | ScenarioFault::MachineStop { machine, .. } => {
+                Some(machine)
+            }
+            ScenarioFault::Surge { only, .. } => only.as_mut(),
             _ => None,
         }
     }
@@ -227,11 +229,11 @@
     pub(super) fn needs_keepers(&self) -> bool {
         matches!(
             self,
-            Trouble::Link { .. }
-                | Trouble::LeaderKill { .. }
-                | Trouble::LeaderStop { .. }
-                | Trouble::Retire { .. }
-                | Trouble::Store { .. }
+            ScenarioFault::Link { .. }
+                | ScenarioFault::LeaderKill { .. }
+                | ScenarioFault::LeaderStop { .. }
+                | ScenarioFault::Retire { .. }
+                | ScenarioFault::Store { .. }
         )
     }
 }
--- a/crates/harness/src/division.rs
+++ b/crates/harness/src/division.rs
@@ -10,7 +10,7 @@
 pub const HOT: [(&str, f64); 3] = [("free-times", 0.45), ("clashes", 0.30), ("recurring", 0.17)];
 
 /// Words of the configuration's directive for the stages of a change, in their order.
-const STAGES: [(TransitionPhase, &str); 3] = [
+const PHASES: [(TransitionPhase, &str); 3] = [
     (TransitionPhase::Announced, "announced"),
     (TransitionPhase::Both, "both"),
     (TransitionPhase::Closing, "closing"),
@@ -47,7 +47,7 @@
     /// The word of its stage.
     pub fn stage(&self) -> Option<&'static str> {
         let (_, stage) = self.next?;
-        STAGES.iter().find(|s| s.0 == stage).map(|s| s.1)
+        PHASES.iter().find(|s| s.0 == stage).map(|s| s.1)
     }
 
     /// The configuration's directive for one front end.
--- a/crates/harness/src/layout.rs
+++ b/crates/harness/src/layout.rs
@@ -2,7 +2,7 @@
 
 use crate::day::Day;
 use crate::division::Division;
-use stagehoist_checker::rules::{Charter, ClassRule, Effect};
+use stagehoist_checker::rules::{ClassRule, Effect, RuleSet};
 use stagehoist_emulator::worker::{Catalogue, Program, Spec};
 use std::sync::Arc;
 
@@ -154,9 +154,9 @@
     }
 
     /// The rules' figures, as [`Layout::config`] tells them to the gateway.
-    pub fn charter(&self) -> Charter {
+    pub fn charter(&self) -> RuleSet {
         let class = |effect| ClassRule { effect, give_up: GIVE_UP };
-        Charter {
+        RuleSet {
             functions: vec![
                 ("free-times".into(), class(Effect::Idempotent)),
                 ("clashes".into(), class(Effect::IdempotentWithKey { grouped: false, window: 5 * S })),
@@ -168,7 +168,7 @@
             second_copies: true,
             ration: Some((10 * S, 12.0, 0.2)),
             cold: Some((S, 2.5, 0.25, 6 * S)),
-            ..Charter::default()
+            ..RuleSet::default()
         }
     }
 
--- a/crates/harness/src/lib.rs
+++ b/crates/harness/src/lib.rs
@@ -16,11 +16,11 @@
 mod retired;
 mod stack;
 
-pub use day::{Day, DayFault, Fleet, Pick, Planned, Pool, Reserve, StoreFault, Trouble};
+pub use day::{Day, DayFault, Fleet, Pick, Planned, Pool, Reserve, ScenarioFault, StoreFault};
 pub use division::{Addresses, Division};
 pub use lateness::Lateness;
 pub use layout::Layout;
 pub use measure::{measure, Measured};
 pub use play::{play, play_on, record_on, Ledger, Progress};
-pub use retired::Seen;
-pub use stack::{Stack, StageError};
+pub use retired::ObservedRetirement;
+pub use stack::{HarnessError, Stack};
--- a/crates/harness/src/measure.rs
+++ b/crates/harness/src/measure.rs
@@ -5,7 +5,7 @@
 use crate::day::Day;
 use crate::layout::Layout;
 use crate::process::{self, cpu_us};
-use crate::stack::{Stack, StageError};
+use crate::stack::{HarnessError, Stack};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
@@ -69,7 +69,7 @@
     rate: f64,
     seconds: u64,
     show: &mut dyn FnMut(&Measured),
-) -> Result<(), StageError> {
+) -> Result<(), HarnessError> {
     for &workers in sizes {
         for measured in [direct(workers, rate, seconds)?, proxied(binary, workers, rate, seconds)?] {
             show(&measured);
@@ -90,7 +90,13 @@
     NoMetrics,
 }
 
-fn gateway(binary: &Path, workers: u32, rate: f64, seconds: u64, kind: Kind) -> Result<Measured, StageError> {
+fn gateway(
+    binary: &Path,
+    workers: u32,
+    rate: f64,
+    seconds: u64,
+    kind: Kind,
+) -> Result<Measured, HarnessError> {
     let mut day = day(workers, rate);
     let mut layout = Layout::light(&day);
     let what = match kind {
@@ -205,11 +211,11 @@
     rate: f64,
     seconds: u64,
     through: Option<&mut StartProxy<'_>>,
-) -> Result<(Vec<i64>, u64, f64), StageError> {
+) -> Result<(Vec<i64>, u64, f64), HarnessError> {
     let day = day(workers, rate);
     let layout = Layout::light(&day);
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    let runtime = runtime.map_err(StageError::Socket)?;
+    let runtime = runtime.map_err(HarnessError::Socket)?;
     let recorder = Recorder::default();
     let mut links = Vec::new();
     let mut targets = Vec::new();
@@ -244,9 +250,9 @@
         });
     });
     let addresses: Vec<String> = told.recv_timeout(Duration::from_secs(5)).unwrap_or_default();
-    let mut tapped = |name: &str, far: &str| -> Result<String, StageError> {
-        let listener = runtime.block_on(TcpListener::bind("127.0.0.1:0")).map_err(StageError::Socket)?;
-        let address = listener.local_addr().map_err(StageError::Socket)?.to_string();
+    let mut tapped = |name: &str, far: &str| -> Result<String, HarnessError> {
+        let listener = runtime.block_on(TcpListener::bind("127.0.0.1:0")).map_err(HarnessError::Socket)?;
+        let address = listener.local_addr().map_err(HarnessError::Socket)?.to_string();
         let link = links.len();
         links.push(Link { front_end: Some(0), peer: Peer::Worker(name.into()) });
         runtime.spawn(tap::serve(listener, far.to_string(), link, recorder.clone(), Arc::default()));
@@ -297,12 +303,12 @@
     Ok((times, answered, cpu))
 }
 
-fn direct(workers: u32, rate: f64, seconds: u64) -> Result<Measured, StageError> {
+fn direct(workers: u32, rate: f64, seconds: u64) -> Result<Measured, HarnessError> {
     let (times, answered, _) = plain(workers, rate, seconds, None)?;
     Ok(finish("direct call", workers, rate, times, answered, 0.0, None, None))
 }
 
-fn proxied(binary: &Path, workers: u32, rate: f64, seconds: u64) -> Result<Measured, StageError> {
+fn proxied(binary: &Path, workers: u32, rate: f64, seconds: u64) -> Result<Measured, HarnessError> {
     let mut start = |targets: &[String]| {
         let mut process = Command::new(binary)
             .args(["standin", "proxy", "--to", &targets.join(",")])
--- a/crates/harness/src/play/change.rs
+++ b/crates/harness/src/play/change.rs
@@ -1,15 +1,15 @@
 //! The number of shards changed, stage by stage: each comes in force by restarts of one machine after the other.
 
-use super::Player;
+use super::ScenarioRunner;
 use crate::layout::GIVE_UP;
-use crate::stack::StageError;
+use crate::stack::HarnessError;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 /// Callers have gone over; what they sent to the old queues has had its time after so long.
 const OLD_QUEUES: Duration = Duration::from_micros(GIVE_UP as u64 + 500_000);
 /// Between two looks at the processes' logs.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A stage under way.
 #[derive(Debug)]
@@ -24,9 +24,9 @@
     gone_over: bool,
 }
 
-impl Player<'_> {
+impl ScenarioRunner<'_> {
     /// Goes on with a change of the number of shards, where one is under way.
-    pub(super) fn change(&mut self) -> Result<(), StageError> {
+    pub(super) fn change(&mut self) -> Result<(), HarnessError> {
         let Some(&to) = self.changes.front() else { return Ok(()) };
         let now = Instant::now();
         let Some(mut change) = self.change.take() else {
@@ -46,7 +46,7 @@
             self.change = Some(change);
             return Ok(());
         }
-        change.not_before = now + LOOK;
+        change.not_before = now + CHECK_INTERVAL;
         let stack = &self.stack;
         change.restarting.retain(|(front_end, before)| stack.times_consuming(*front_end) <= *before);
         // One that was down starts with what it is notified by then, and is waited for as the others.
--- a/crates/harness/src/play/end.rs
+++ b/crates/harness/src/play/end.rs
@@ -1,16 +1,16 @@
 //! Troubles as they end.
 
-use super::{Player, Undo};
+use super::{ScenarioRunner, Undo};
 use crate::callers::Pace;
-use crate::stack::StageError;
+use crate::stack::HarnessError;
 use rustix::process::Signal;
 use stagehoist_checker::rules::WorkerStart;
-use stagehoist_checker::tap::Trouble as Tapped;
+use stagehoist_checker::tap::Fault as TapFault;
 use stagehoist_emulator::broker::Faults;
 use std::time::{Duration, Instant};
 
-impl Player<'_> {
-    pub(super) fn end_due(&mut self) -> Result<(), StageError> {
+impl ScenarioRunner<'_> {
+    pub(super) fn end_due(&mut self) -> Result<(), HarnessError> {
         let now = Instant::now();
         let (due, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.undo).into_iter().partition(|u| u.0 <= now);
@@ -28,7 +28,7 @@
                 }
                 Undo::Taps(names) => {
                     for name in names {
-                        self.taps(Some(&name), |c| c.trouble(Tapped::None, 0));
+                        self.taps(Some(&name), |c| c.fault(TapFault::None, 0));
                     }
                 }
                 Undo::Delay(name) => self.taps(Some(&name), |c| c.delay(Duration::ZERO)),
@@ -85,7 +85,7 @@
     }
 
     /// A front end that was ordered to end must do so with exit code 0 within the longest give-up time and a little.
-    fn reap(&mut self, front_end: u32, by: Instant) -> Result<(), StageError> {
+    fn reap(&mut self, front_end: u32, by: Instant) -> Result<(), HarnessError> {
         let process = &mut self.stack.front_ends[front_end as usize].process;
         let code = match process.try_wait() {
             Ok(Some(status)) => status.code(),
@@ -109,7 +109,7 @@
         self.begin_anew(front_end)
     }
 
-    pub(super) fn begin_anew(&mut self, front_end: u32) -> Result<(), StageError> {
+    pub(super) fn begin_anew(&mut self, front_end: u32) -> Result<(), HarnessError> {
         self.charter.begun.push((front_end, self.stack.recorder.now()));
         self.stack.restart_front_end(front_end)
     }
--- a/crates/harness/src/play/fleet.rs
+++ b/crates/harness/src/play/fleet.rs
@@ -1,37 +1,37 @@
 //! Troubles of processes, of the links between them, and of what they share.
 
 use super::loss::Watch;
-use super::{Player, Undo, PATIENCE};
-use crate::day::{Calls, Pick, StoreFault, Trouble};
-use crate::stack::StageError;
+use super::{ScenarioRunner, Undo, START_TIMEOUT};
+use crate::day::{Calls, Pick, ScenarioFault, StoreFault};
+use crate::stack::HarnessError;
 use rustix::process::Signal;
 use std::time::{Duration, Instant};
 
 /// How long a trouble of the leader waits for one to lead, and how often it looks.
 const LEADER_WAIT: Duration = Duration::from_secs(5);
-const LEADER_LOOK: Duration = Duration::from_millis(20);
+const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Calls that a killed front end held when it died are the broker's again; older ones had their time, in microseconds.
 const HELD: i64 = 2_500_000;
 
-impl Player<'_> {
-    pub(super) fn begin_fleet(&mut self, trouble: &Trouble) -> Result<(), StageError> {
+impl ScenarioRunner<'_> {
+    pub(super) fn begin_fleet(&mut self, trouble: &ScenarioFault) -> Result<(), HarnessError> {
         match trouble {
-            Trouble::Link { front_end, fault, span } => {
+            ScenarioFault::Link { front_end, fault, span } => {
                 let ticket = self.stack.between.fault(front_end.number(), *fault);
                 self.later(*span, Undo::Heal(ticket));
             }
-            Trouble::LeaderKill { .. } | Trouble::LeaderStop { .. } => {
+            ScenarioFault::LeaderKill { .. } | ScenarioFault::LeaderStop { .. } => {
                 self.leader(trouble, Instant::now() + LEADER_WAIT)?;
             }
-            Trouble::Retire { functions, successor } => {
+            ScenarioFault::Retire { functions, successor } => {
                 for function in functions.iter().take(1) {
                     self.retirements.asked(function, self.stack.recorder.now());
                     self.stack.retire(function, successor.as_deref())?;
                 }
             }
-            Trouble::Everything { span } => self.power_loss(*span),
-            Trouble::Store { front_end, how } => self.store(front_end.number(), *how)?,
-            Trouble::Surge { tenant, times, only, span } => {
+            ScenarioFault::Everything { span } => self.power_loss(*span),
+            ScenarioFault::Store { front_end, how } => self.store(front_end.number(), *how)?,
+            ScenarioFault::Surge { tenant, times, only, span } => {
                 let number = self.surges.iter().map(|s| s.0 + 1).max().unwrap_or(0);
                 let only = only.map(Pick::number);
                 self.surges.push((number, Calls { tenant: tenant.clone(), part: *times, only }));
@@ -62,7 +62,7 @@
         self.later(Duration::from_millis(50), Undo::Reap(front_end, by));
     }
 
-    pub(super) fn kill(&mut self, front_end: u32) -> Result<(), StageError> {
+    pub(super) fn kill(&mut self, front_end: u32) -> Result<(), HarnessError> {
         if self.down.contains_key(&front_end) {
             return Ok(());
         }
@@ -91,7 +91,7 @@
             self.stack.signal(*front_end, Signal::KILL);
         }
         for front_end in front_ends {
-            self.stack.wait_end(*front_end, PATIENCE);
+            self.stack.wait_end(*front_end, START_TIMEOUT);
             // One that was ordered to end needs to do so in order no more.
             self.undo.retain(|u| !matches!(u.1, Undo::Reap(f, _) if f == *front_end));
             // What it held is the broker's again; from here on the new process is judged.
@@ -108,7 +108,7 @@
     }
 
     /// Starts a process whose time is over; not one that was killed for longer meanwhile.
-    pub(super) fn start_again(&mut self, front_end: u32) -> Result<(), StageError> {
+    pub(super) fn start_again(&mut self, front_end: u32) -> Result<(), HarnessError> {
         if self.down.get(&front_end).is_none_or(|until| *until > Instant::now()) {
             return Ok(());
         }
@@ -132,18 +132,22 @@
     }
 
     /// Befalls the leader now; where none does, once one does.
-    pub(super) fn leader(&mut self, trouble: &Trouble, by: Instant) -> Result<(), StageError> {
+    pub(super) fn leader(&mut self, trouble: &ScenarioFault, by: Instant) -> Result<(), HarnessError> {
         match (self.stack.leader(), trouble) {
-            (Some(front_end), Trouble::LeaderStop { span }) => self.stop(front_end, *span),
-            (Some(front_end), Trouble::LeaderKill { span: Some(span) }) => self.kill_for(front_end, *span),
+            (Some(front_end), ScenarioFault::LeaderStop { span }) => self.stop(front_end, *span),
+            (Some(front_end), ScenarioFault::LeaderKill { span: Some(span) }) => {
+                self.kill_for(front_end, *span)
+            }
             (Some(front_end), _) => self.kill(front_end)?,
-            (None, _) if Instant::now() < by => self.later(LEADER_LOOK, Undo::Leader(trouble.clone(), by)),
+            (None, _) if Instant::now() < by => {
+                self.later(LEADER_CHECK_INTERVAL, Undo::Leader(trouble.clone(), by))
+            }
             (None, _) => self.stack.disorderly.push(format!("no keeper led for {trouble:?}")),
         }
         Ok(())
     }
 
-    fn store(&mut self, front_end: u32, how: StoreFault) -> Result<(), StageError> {
+    fn store(&mut self, front_end: u32, how: StoreFault) -> Result<(), HarnessError> {
         let up = !self.down.contains_key(&front_end);
         match how {
             StoreFault::Copy if up => {
--- a/crates/harness/src/play/listing.rs
+++ b/crates/harness/src/play/listing.rs
@@ -1,8 +1,8 @@
 //! The list of front ends as a source with a time to live shows it: who is dead or stopped is left out a while later, who is back
 //! stands on it at once. While the lists fail it stays as it was.
 
-use super::{Player, Undo};
-use crate::stack::StageError;
+use super::{ScenarioRunner, Undo};
+use crate::stack::HarnessError;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -16,9 +16,9 @@
     left_out: Vec<u32>,
 }
 
-impl Player<'_> {
+impl ScenarioRunner<'_> {
     /// Writes the list anew where it changed.
-    pub(super) fn list_front_ends(&mut self) -> Result<(), StageError> {
+    pub(super) fn list_front_ends(&mut self) -> Result<(), HarnessError> {
         if !self.stack.day.owners_listed {
             return Ok(());
         }
--- a/crates/harness/src/play/loss.rs
+++ b/crates/harness/src/play/loss.rs
@@ -8,7 +8,7 @@
 
 const S: i64 = 1_000_000;
 /// How often the store's fetches are noted.
-const LOOK: i64 = 50_000;
+const CHECK_INTERVAL: i64 = 50_000;
 /// Over how long before the loss the goodput of before is taken.
 const BEFORE: i64 = 3 * S;
 /// Share of the goodput of before at which it counts as back.
@@ -47,7 +47,7 @@
     }
 
     pub fn look(&mut self, now: i64, fetches: u64) {
-        if self.fetches.last().is_none_or(|last| now >= last.0 + LOOK) {
+        if self.fetches.last().is_none_or(|last| now >= last.0 + CHECK_INTERVAL) {
             self.fetches.push((now, fetches));
         }
     }
--- a/crates/harness/src/play/mod.rs
+++ b/crates/harness/src/play/mod.rs
@@ -10,15 +10,15 @@
 mod tenants;
 
 use crate::callers::Pace;
-use crate::day::{Calls, Day, Trouble};
+use crate::day::{Calls, Day, ScenarioFault};
 use crate::lateness::Lateness;
 use crate::retired::Retirements;
-use crate::stack::{Stack, StageError};
+use crate::stack::{HarnessError, Stack};
 use ledger::{percentiles, pools};
 pub use loss::Loss;
 use serde::Serialize;
-use stagehoist_checker::rules::{judge, served_times, Charter, Verdict};
-use stagehoist_checker::tap::Trouble as Tapped;
+use stagehoist_checker::rules::{check, served_times, RuleSet, Verdict};
+use stagehoist_checker::tap::Fault as TapFault;
 use stagehoist_checker::{Capture, Story};
 use std::collections::{BTreeMap, VecDeque};
 use std::path::Path;
@@ -28,7 +28,7 @@
 use tenants::{tenants, TenantShare};
 
 /// Longest time for the stack to stand, and for the last answers after the last call.
-const PATIENCE: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What happened on a day, as callers and sockets saw it.
 #[derive(Clone, Debug, Serialize)]
@@ -95,15 +95,15 @@
     /// A front end that was killed starts again.
     Start(u32),
     /// Nobody led when it was to begin; it is tried again until then.
-    Leader(Trouble, Instant),
+    Leader(ScenarioFault, Instant),
     Surge(u64),
     /// By then the process must have ended.
     Reap(u32, Instant),
 }
 
-struct Player<'a> {
+struct ScenarioRunner<'a> {
     stack: &'a mut Stack,
-    charter: Charter,
+    charter: RuleSet,
     start: Instant,
     undo: Vec<(Instant, Undo)>,
     /// Front ends whose process is dead, and until when.
@@ -121,15 +121,15 @@
 }
 
 /// Plays a day on a new stack. `binary` is the project's own binary.
-pub fn play(day: &Day, binary: &Path, show: &mut dyn FnMut(Progress<'_>)) -> Result<Ledger, StageError> {
+pub fn play(day: &Day, binary: &Path, show: &mut dyn FnMut(Progress<'_>)) -> Result<Ledger, HarnessError> {
     let mut stack = Stack::start(day.clone(), binary)?;
-    stack.wait_ready(PATIENCE)?;
+    stack.wait_ready(START_TIMEOUT)?;
     show(Progress::Ready);
     play_on(&mut stack, show)
 }
 
 /// Plays the stack's day and judges it. The stack has ended after it.
-pub fn play_on(stack: &mut Stack, show: &mut dyn FnMut(Progress<'_>)) -> Result<Ledger, StageError> {
+pub fn play_on(stack: &mut Stack, show: &mut dyn FnMut(Progress<'_>)) -> Result<Ledger, HarnessError> {
     record_on(stack, show).map(|played| played.0)
 }
 
@@ -137,14 +137,14 @@
 pub fn record_on(
     stack: &mut Stack,
     show: &mut dyn FnMut(Progress<'_>),
-) -> Result<(Ledger, Capture, Charter), StageError> {
+) -> Result<(Ledger, Capture, RuleSet), HarnessError> {
     let day = stack.day.drawn(stack.day.seed);
     let drawn = day.drawn_text().lines().map(str::to_string).collect();
     let charter = stack.layout.charter();
     let lateness = Lateness::start(stack.recorder.clone());
     let start = Instant::now();
     stack.pace.send_replace(Pace { rate: day.rate, stop: false });
-    let mut player = Player {
+    let mut player = ScenarioRunner {
         stack,
         charter,
         start,
@@ -188,7 +188,7 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     let unchanged = player.changes.len();
-    let Player { mut charter, retirements, lost, .. } = player;
+    let ScenarioRunner { mut charter, retirements, lost, .. } = player;
     charter.gaps = lateness.finish();
     charter.retired = retirements.charter();
     charter.pools = pools(&day.fleet);
@@ -201,15 +201,15 @@
         mishaps.push(format!("{unchanged} changes of the number of shards did not come to their end"));
     }
     mishaps.extend(stack.fallen().into_iter().map(|w| format!("worker {w} fell over cold")));
-    if let Err(error) = stack.end(PATIENCE) {
+    if let Err(error) = stack.end(START_TIMEOUT) {
         mishaps.push(error.to_string());
     }
     let capture = stack.recorder.finish(stack.links.clone());
-    if capture.cut_short {
+    if capture.truncated {
         mishaps.push("the recording was cut short; its verdict proves nothing".into());
     }
     let story = Story::read(&capture);
-    let verdict = judge(&story, &charter);
+    let verdict = check(&story, &charter);
     let ledger = Ledger {
         verdict,
         latency_ms: percentiles(&served_times(&story)),
@@ -225,7 +225,7 @@
     Ok((ledger, capture, charter))
 }
 
-impl Player<'_> {
+impl ScenarioRunner<'_> {
     fn later(&mut self, after: Duration, undo: Undo) {
         self.undo.push((Instant::now() + after, undo));
     }
@@ -235,8 +235,8 @@
         self.stack.worker_taps.iter().filter(|((_, n), _)| own(n)).for_each(|(_, controls)| with(controls));
     }
 
-    fn befall(&mut self, worker: &str, trouble: Tapped, percent: u32, span: Duration) {
-        self.taps(Some(worker), |c| c.trouble(trouble, percent));
+    fn befall(&mut self, worker: &str, trouble: TapFault, percent: u32, span: Duration) {
+        self.taps(Some(worker), |c| c.fault(trouble, percent));
         self.later(span, Undo::Taps(vec![worker.to_string()]));
     }
 }
--- a/crates/harness/src/relay.rs
+++ b/crates/harness/src/relay.rs
@@ -36,16 +36,16 @@
 }
 
 impl Fault {
-    fn lets(self, way: Way) -> bool {
+    fn lets(self, way: Direction) -> bool {
         match self {
             Fault::None | Fault::Delay(_) => true,
             Fault::Cut | Fault::Stall => false,
-            Fault::HalfOut => way == Way::Out,
-            Fault::HalfIn => way == Way::In,
+            Fault::HalfOut => way == Direction::Out,
+            Fault::HalfIn => way == Direction::In,
         }
     }
     fn lets_both(self) -> bool {
-        self.lets(Way::Out) && self.lets(Way::In)
+        self.lets(Direction::Out) && self.lets(Direction::In)
     }
     fn delay(self) -> Duration {
         match self {
@@ -56,7 +56,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Direction {
     Out,
     In,
 }
@@ -122,8 +122,8 @@
         let (mut near_read, mut near_write) = near.split();
         let (mut far_read, mut far_write) = far.split();
         tokio::try_join!(
-            carry(&mut near_read, &mut far_write, Way::Out, fault.clone()),
-            carry(&mut far_read, &mut near_write, Way::In, fault.clone()),
+            carry(&mut near_read, &mut far_write, Direction::Out, fault.clone()),
+            carry(&mut far_read, &mut near_write, Direction::In, fault.clone()),
         )
     };
     let ended = tokio::select! {
@@ -149,7 +149,7 @@
 async fn carry(
     from: &mut tcp::ReadHalf<'_>,
     to: &mut tcp::WriteHalf<'_>,
-    way: Way,
+    way: Direction,
     mut fault: watch::Receiver<Fault>,
 ) -> io::Result<()> {
     let (line, mut pieces) = mpsc::channel::<(Instant, Vec<u8>)>(PIECES_MOST);
--- a/crates/harness/src/retired.rs
+++ b/crates/harness/src/retired.rs
@@ -16,7 +16,7 @@
 
 /// What was seen of one function's retirement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Seen {
+pub struct ObservedRetirement {
     pub generation: u64,
     /// When the day asked for it.
     pub asked: Option<Micros>,
@@ -30,7 +30,7 @@
 /// All retirements of a day, by function.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Retirements {
-    pub seen: BTreeMap<String, Seen>,
+    pub seen: BTreeMap<String, ObservedRetirement>,
     text: String,
 }
 
@@ -72,7 +72,7 @@
 
     /// What the checker is notified: one that is not in force is held against nobody.
     pub fn charter(&self) -> Vec<Retired> {
-        let retired = |(function, seen): (&String, &Seen)| Retired {
+        let retired = |(function, seen): (&String, &ObservedRetirement)| Retired {
             function: function.clone(),
             in_force: seen.in_force,
             confirmed_from: seen.confirmed_from.clone(),
@@ -82,12 +82,12 @@
 
     /// When each came in force after it was asked for, in milliseconds; none where it did not.
     pub fn after_ms(&self) -> BTreeMap<String, Option<f64>> {
-        let after = |seen: &Seen| Some((seen.in_force? - seen.asked?) as f64 / 1000.0);
+        let after = |seen: &ObservedRetirement| Some((seen.in_force? - seen.asked?) as f64 / 1000.0);
         self.seen.iter().filter(|s| s.1.asked.is_some()).map(|(f, seen)| (f.clone(), after(seen))).collect()
     }
 }
 
-impl Seen {
+impl ObservedRetirement {
     fn in_force(&mut self, but_for: &[u32], now: Micros) {
         if self.in_force.is_none() {
             self.in_force = Some(now);
--- a/crates/harness/src/stack/fleet.rs
+++ b/crates/harness/src/stack/fleet.rs
@@ -1,6 +1,6 @@
 //! The links between front ends and replicas, and the files of each process's part of the fleet.
 
-use super::{Stack, StageError};
+use super::{HarnessError, Stack};
 use crate::day::{Day, StoreFault};
 use crate::fleet::{leader, lines, Files};
 use crate::relay::{Fault, Port};
@@ -31,10 +31,10 @@
 
 impl Between {
     /// Reserves the ports of all replicas and relays; the relays are yet to be served.
-    pub(super) fn new(day: &Day, folder: &Path) -> Result<(Between, Vec<Waiting>), StageError> {
+    pub(super) fn new(day: &Day, folder: &Path) -> Result<(Between, Vec<Waiting>), HarnessError> {
         let mut between = Between::default();
         let mut waiting = Vec::new();
-        let reserve = || Port::reserve().map_err(StageError::Socket);
+        let reserve = || Port::reserve().map_err(HarnessError::Socket);
         for _ in 0..day.fleet.keepers {
             between._listens.push(reserve()?);
         }
@@ -55,7 +55,7 @@
         if day.fleet.keepers > 0 {
             let file = Files::of(folder, 0).retirements;
             std::fs::write(file, "# NAME GENERATION [successor=NAME] [reason=WORDS]\n")
-                .map_err(StageError::Config)?;
+                .map_err(HarnessError::Config)?;
         }
         Ok((between, waiting))
     }
@@ -100,12 +100,12 @@
     }
 
     /// Asks for a function's first generation to be retired.
-    pub fn retire(&self, function: &str, successor: Option<&str>) -> Result<(), StageError> {
+    pub fn retire(&self, function: &str, successor: Option<&str>) -> Result<(), HarnessError> {
         let successor = successor.map(|s| format!(" successor={s}")).unwrap_or_default();
         let line = format!("{function} 1{successor} reason=asked-by-the-day\n");
         let file = self.files(0).retirements;
         let file = std::fs::OpenOptions::new().append(true).open(file);
-        file.and_then(|mut f| f.write_all(line.as_bytes())).map_err(StageError::Config)
+        file.and_then(|mut f| f.write_all(line.as_bytes())).map_err(HarnessError::Config)
     }
 
     /// Where the files of a front end's process are.
@@ -115,19 +115,19 @@
 
     /// Copies a process's store and memory, sets them back to the last copy, or damages the store. The process must have
     /// ended, or for a copy be stopped: then it is what a crash at that moment would have left.
-    pub fn befall_store(&self, front_end: u32, how: StoreFault) -> Result<(), StageError> {
+    pub fn befall_store(&self, front_end: u32, how: StoreFault) -> Result<(), HarnessError> {
         let files = self.files(front_end);
         let copy = self.folder.path().join(format!("copy-{front_end}"));
         let pairs = [(&files.store, copy.join("store")), (&files.fleet, copy.join("fleet"))];
         match how {
             StoreFault::Copy => {
-                pairs.iter().try_for_each(|(from, to)| replace(from, to)).map_err(StageError::Config)
+                pairs.iter().try_for_each(|(from, to)| replace(from, to)).map_err(HarnessError::Config)
             }
             // Without a copy it is set back to nothing.
             StoreFault::SetBack => {
-                pairs.iter().try_for_each(|(to, from)| replace(from, to)).map_err(StageError::Config)
+                pairs.iter().try_for_each(|(to, from)| replace(from, to)).map_err(HarnessError::Config)
             }
-            StoreFault::Damage => damage(&files.store).map_err(StageError::Config),
+            StoreFault::Damage => damage(&files.store).map_err(HarnessError::Config),
         }
     }
 
--- a/crates/harness/src/stack/front_ends.rs
+++ b/crates/harness/src/stack/front_ends.rs
@@ -1,6 +1,6 @@
 //! The front ends' processes.
 
-use super::{Stack, StageError};
+use super::{HarnessError, Stack};
 use crate::day::Day;
 use crate::division::{Addresses, Division};
 use std::path::Path;
@@ -19,10 +19,10 @@
 }
 
 impl Stack {
-    pub(super) fn spawn(&self, config: &Path) -> Result<Child, StageError> {
+    pub(super) fn spawn(&self, config: &Path) -> Result<Child, HarnessError> {
         let log = config.with_extension("log");
         let log =
-            std::fs::OpenOptions::new().create(true).append(true).open(log).map_err(StageError::Config)?;
+            std::fs::OpenOptions::new().create(true).append(true).open(log).map_err(HarnessError::Config)?;
         Command::new(&self.binary)
             .args(["--log", &self.layout.log, "--log-format", "json", "serve"])
             .arg(config)
@@ -30,7 +30,7 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .map_err(|source| StageError::Process { binary: self.binary.clone(), source })
+            .map_err(|source| HarnessError::Process { binary: self.binary.clone(), source })
     }
 
     /// What a front end's process wrote last.
@@ -53,7 +53,7 @@
     }
 
     /// Waits until every front end consumes.
-    pub fn wait_ready(&mut self, most: Duration) -> Result<(), StageError> {
+    pub fn wait_ready(&mut self, most: Duration) -> Result<(), HarnessError> {
         use std::sync::atomic::Ordering;
         let by = Instant::now() + most;
         while Instant::now() < by {
@@ -61,7 +61,7 @@
                 let ended = self.front_ends[number].process.try_wait();
                 if let Ok(Some(status)) = ended {
                     let log = self.log(number as u32);
-                    return Err(StageError::Ended(number as u32, format!("{status}\n{log}")));
+                    return Err(HarnessError::Ended(number as u32, format!("{status}\n{log}")));
                 }
             }
             if self.counts.consumers.load(Ordering::Relaxed) >= u64::from(self.day.front_ends) {
@@ -71,7 +71,7 @@
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        Err(StageError::NotReady(most))
+        Err(HarnessError::NotReady(most))
     }
 
     /// Sends a signal to a front end's process.
@@ -88,25 +88,28 @@
     }
 
     /// Tells the front ends of a division: it comes in force for each as it starts anew.
-    pub fn divide(&mut self, division: Division) -> Result<(), StageError> {
+    pub fn divide(&mut self, division: Division) -> Result<(), HarnessError> {
         self.day.division = Some(division);
         for (number, front_end) in self.front_ends.iter().enumerate() {
-            let text = std::fs::read_to_string(&front_end.config).map_err(StageError::Config)?;
+            let text = std::fs::read_to_string(&front_end.config).map_err(HarnessError::Config)?;
             let rest: Vec<&str> = text.lines().filter(|l| !l.starts_with("shards ")).collect();
             let line = division.line(&self.day, number as u32);
-            std::fs::write(&front_end.config, rest.join("\n") + "\n" + &line).map_err(StageError::Config)?;
+            std::fs::write(&front_end.config, rest.join("\n") + "\n" + &line)
+                .map_err(HarnessError::Config)?;
         }
         Ok(())
     }
 
     /// Tells the front ends of the list of those that live.
-    pub fn list_front_ends(&self, listed: &[u32]) -> Result<(), StageError> {
+    pub fn list_front_ends(&self, listed: &[u32]) -> Result<(), HarnessError> {
         let generation = self.day.division.map_or(1, |d| d.generation);
         let line =
             |f: &u32| format!("front-end-{f} generations {generation} zone {}\n", self.layout.hall(*f));
         let text: String = listed.iter().map(line).collect();
         let (path, whole) = (self.folder.path().join(LIST), self.folder.path().join("front-ends.next"));
-        std::fs::write(&whole, text).and_then(|()| std::fs::rename(&whole, &path)).map_err(StageError::Config)
+        std::fs::write(&whole, text)
+            .and_then(|()| std::fs::rename(&whole, &path))
+            .map_err(HarnessError::Config)
     }
 
     /// How often a front end's own shards changed by that list, the first time counted.
@@ -115,13 +118,13 @@
     }
 
     /// Tells the callers where to send by the division that front ends are notified of.
-    pub fn address(&mut self) -> Result<(), StageError> {
-        self.addresses.send_replace(Addresses::of(&self.day).map_err(StageError::Division)?);
+    pub fn address(&mut self) -> Result<(), HarnessError> {
+        self.addresses.send_replace(Addresses::of(&self.day).map_err(HarnessError::Division)?);
         Ok(())
     }
 
     /// Starts a front end's process anew after the old one ended.
-    pub fn restart_front_end(&mut self, front_end: u32) -> Result<(), StageError> {
+    pub fn restart_front_end(&mut self, front_end: u32) -> Result<(), HarnessError> {
         let config = self.front_ends[front_end as usize].config.clone();
         let process = self.spawn(&config)?;
         self.front_ends[front_end as usize].process = process;
@@ -141,7 +144,7 @@
     }
 
     /// Tells every front end to end in order, and sees that each does so with exit code 0.
-    pub fn end(&mut self, most: Duration) -> Result<(), StageError> {
+    pub fn end(&mut self, most: Duration) -> Result<(), HarnessError> {
         for front_end in 0..self.front_ends.len() as u32 {
             self.signal(front_end, rustix::process::Signal::TERM);
         }
@@ -149,7 +152,11 @@
             let code = self.wait_end(front_end, most);
             if code != Some(0) {
                 let log = self.log(front_end);
-                return Err(StageError::NoOrderlyEnd(front_end, most, format!("exit code {code:?}\n{log}")));
+                return Err(HarnessError::NoOrderlyEnd(
+                    front_end,
+                    most,
+                    format!("exit code {code:?}\n{log}"),
+                ));
             }
         }
         Ok(())
--- a/crates/harness/src/stack/host.rs
+++ b/crates/harness/src/stack/host.rs
@@ -1,6 +1,6 @@
 //! Threads and loopback sockets of the emulated systems.
 
-use super::StageError;
+use super::HarnessError;
 use stagehoist_emulator::worker;
 use std::net::TcpListener as StdListener;
 use std::sync::Arc;
@@ -14,13 +14,13 @@
 }
 
 /// Runs something on a thread of its own with a current-thread runtime, until the host is dropped.
-pub(super) fn host<F>(work: impl FnOnce() -> F + Send + 'static) -> Result<Host, StageError>
+pub(super) fn host<F>(work: impl FnOnce() -> F + Send + 'static) -> Result<Host, HarnessError>
 where
     F: std::future::Future<Output = ()> + 'static,
 {
     let (stop, mut stopped) = watch::channel(false);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(StageError::Socket)?;
+    let runtime = runtime.map_err(HarnessError::Socket)?;
     std::thread::Builder::new()
         .spawn(move || {
             let local = tokio::task::LocalSet::new();
@@ -32,18 +32,18 @@
                 }
             });
         })
-        .map_err(StageError::Socket)?;
+        .map_err(HarnessError::Socket)?;
     Ok(Host { _stop: stop })
 }
 
-pub(super) fn listen() -> Result<(StdListener, String), StageError> {
+pub(super) fn listen() -> Result<(StdListener, String), HarnessError> {
     let open = || {
         let listener = StdListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?.to_string();
         Ok((listener, address))
     };
-    open().map_err(StageError::Socket)
+    open().map_err(HarnessError::Socket)
 }
 
 pub(super) struct StartWorker {
--- a/crates/harness/src/stack/mod.rs
+++ b/crates/harness/src/stack/mod.rs
@@ -27,7 +27,7 @@
 
 /// What can keep a stage from standing.
 #[derive(Debug, thiserror::Error)]
-pub enum StageError {
+pub enum HarnessError {
     #[error("can't open a loopback socket: {0}")]
     Socket(#[source] io::Error),
     #[error("can't write the front ends' configuration: {0}")]
@@ -44,7 +44,7 @@
     NoOrderlyEnd(u32, Duration, String),
 }
 
-struct WorkerStand {
+struct WorkerProcess {
     address: String,
     controls: Arc<worker::Controls>,
     down: bool,
@@ -81,7 +81,7 @@
     pub front_ends: Vec<FrontEnd>,
     /// Broken by hand: did every front end that was ordered to end do so in order.
     pub disorderly: Vec<String>,
-    workers: BTreeMap<String, WorkerStand>,
+    workers: BTreeMap<String, WorkerProcess>,
     start_worker: mpsc::UnboundedSender<StartWorker>,
     binary: PathBuf,
     folder: tempfile::TempDir,
--- a/crates/harness/src/stack/start.rs
+++ b/crates/harness/src/stack/start.rs
@@ -3,8 +3,8 @@
 use super::fleet::Between;
 use super::front_ends::owners_line;
 use super::host::{host, listen, run_worker, StartWorker};
-use super::{unix_ms, FrontEnd, Stack, StageError, WorkerStand};
-use crate::callers::{self, Counts, Pace, Told};
+use super::{unix_ms, FrontEnd, HarnessError, Stack, WorkerProcess};
+use crate::callers::{self, CallerSettings, Counts, Pace};
 use crate::day::Day;
 use crate::division::Addresses;
 use crate::layout::Layout;
@@ -23,18 +23,18 @@
 
 impl Stack {
     /// Starts everything; `binary` is the project's own binary, whose `serve` runs the front ends.
-    pub fn start(day: Day, binary: &Path) -> Result<Stack, StageError> {
+    pub fn start(day: Day, binary: &Path) -> Result<Stack, HarnessError> {
         let layout = Layout::of(&day);
         Stack::with_layout(day, layout, binary)
     }
 
     /// Starts everything by a layout other than the day's own.
-    pub fn with_layout(day: Day, layout: Layout, binary: &Path) -> Result<Stack, StageError> {
+    pub fn with_layout(day: Day, layout: Layout, binary: &Path) -> Result<Stack, HarnessError> {
         let recorder = Recorder::default();
         let mut hosts = Vec::new();
         let mut links = Vec::new();
         let mut taps: Vec<(StdListener, String, usize, Arc<tap::Controls>)> = Vec::new();
-        let mut tap = |front_end: Option<u32>, peer: Peer, far: &str| -> Result<_, StageError> {
+        let mut tap = |front_end: Option<u32>, peer: Peer, far: &str| -> Result<_, HarnessError> {
             let (listener, address) = listen()?;
             let controls = Arc::new(tap::Controls::default());
             taps.push((listener, far.to_string(), links.len(), controls.clone()));
@@ -96,10 +96,10 @@
             };
             // The thread that takes it lives as long as the hosts.
             let _ = start_worker.send(sent);
-            workers.insert(plan.name.clone(), WorkerStand { address, controls: stand, down: false });
+            workers.insert(plan.name.clone(), WorkerProcess { address, controls: stand, down: false });
         }
 
-        let folder = tempfile::tempdir().map_err(StageError::Config)?;
+        let folder = tempfile::tempdir().map_err(HarnessError::Config)?;
         let mut worker_taps = BTreeMap::new();
         let mut lists = Vec::new();
         let mut configs = Vec::new();
@@ -131,7 +131,7 @@
             let path = folder.path().join(format!("front-end-{front_end}.conf"));
             let shared = &between.lines[front_end as usize];
             let text = layout.config(&day, front_end, &broker, &list) + shared + &owners;
-            std::fs::write(&path, text).map_err(StageError::Config)?;
+            std::fs::write(&path, text).map_err(HarnessError::Config)?;
             configs.push(path);
         }
         let (callers_broker, _) = tap(None, Peer::CallersBroker, &broker_address)?;
@@ -173,8 +173,8 @@
         let (pace, told) = watch::channel(Pace { rate: 0.0, stop: false });
         let (tenants, weights) = watch::channel(day.fleet.callers());
         let (count, seed, plan) = (counts.clone(), day.seed, layout.clone());
-        let (addresses, where_to) = watch::channel(Addresses::of(&day).map_err(StageError::Division)?);
-        let told = Told { pace: told, tenants: weights, addresses: where_to };
+        let (addresses, where_to) = watch::channel(Addresses::of(&day).map_err(HarnessError::Division)?);
+        let told = CallerSettings { pace: told, tenants: weights, addresses: where_to };
         hosts.push(host(move || callers::run(callers_broker, 0, plan, seed, count, told))?);
 
         let mut stack = Stack {
--- a/crates/intent-log/src/file.rs
+++ b/crates/intent-log/src/file.rs
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// The file can't be read; a missing or unreadable number is `Ok(None)`.
-pub fn witness(folder: &Path, name: &str) -> Result<Option<LastRun>, IntentLogError> {
+pub fn read_last_run(folder: &Path, name: &str) -> Result<Option<LastRun>, IntentLogError> {
     match fs::read_to_string(folder.join(format!("marks-{name}.run"))) {
         Ok(text) => Ok(text.trim().parse().ok().map(|run| LastRun { run, commits: 0 })),
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
--- a/crates/intent-log/src/lib.rs
+++ b/crates/intent-log/src/lib.rs
@@ -23,6 +23,6 @@
 mod thread;
 
 pub use error::IntentLogError;
-pub use file::witness;
+pub use file::read_last_run;
 pub use store::{Batch, Intent, IntentStore, LastRun, Opener, Options};
 pub use thread::{start, EventSender, IntentLog, LogEvent, LogLocation};
--- a/crates/intent-log/src/store.rs
+++ b/crates/intent-log/src/store.rs
@@ -135,12 +135,12 @@
         Ok(last)
     }
 
-    /// A run begins under this number, which is on disk when this returns; it may be told a higher one later. `witness` is what is known from elsewhere of the
+    /// A run begins under this number, which is on disk when this returns; it may be told a higher one later. `last_run` is what is known from elsewhere of the
     /// run before; without one nothing of former runs is proven.
     ///
     /// # Errors
     /// [`IntentLogError::RunGone`] where the file knows this run or a later one: an older count than the store's.
-    pub fn begin(&mut self, run: u64, witness: Option<LastRun>, now: Micros) -> Result<(), IntentLogError> {
+    pub fn begin(&mut self, run: u64, last_run: Option<LastRun>, now: Micros) -> Result<(), IntentLogError> {
         self.reopen(now)?;
         let database = self.database.as_ref().ok_or(IntentLogError::NotStarted)?;
         let transaction = write(database)?;
@@ -159,13 +159,13 @@
         };
         transaction.commit()?;
         self.is_complete =
-            matches!((before, witness), (Some((r, c)), Some(w)) if r == w.run && c >= w.commits);
+            matches!((before, last_run), (Some((r, c)), Some(w)) if r == w.run && c >= w.commits);
         (self.before, self.current_number) = (before, run);
         self.run.get_or_insert(run);
         Ok(())
     }
 
-    /// Commits of this run so far, for a witness.
+    /// Commits of this run so far, for a last_run.
     pub fn commits(&self) -> Option<LastRun> {
         self.run.map(|_| LastRun { run: self.current_number, commits: self.commits })
     }
--- a/crates/intent-log/src/thread.rs
+++ b/crates/intent-log/src/thread.rs
@@ -22,7 +22,7 @@
     pub folder: PathBuf,
     /// The member's; letters, digits, `-` and `_`, others become `_`.
     pub name: String,
-    /// Counts its runs by itself, with the small file beside the store as the witness of the last: for a member without
+    /// Counts its runs by itself, with the small file beside the store as the last_run of the last: for a member without
     /// replicas. Else [`IntentLog::begin`] tells the run, and until then nothing is recorded or proven.
     pub standalone: bool,
 }
@@ -70,11 +70,11 @@
     }
 
     /// This run's number was notified, with what is known of the run before.
-    pub fn begin(&self, run: u64, witness: Option<LastRun>) -> bool {
-        self.requests.try_send(LogRequest::Begin(run, witness)).is_ok()
+    pub fn begin(&self, run: u64, last_run: Option<LastRun>) -> bool {
+        self.requests.try_send(LogRequest::Begin(run, last_run)).is_ok()
     }
 
-    /// The run that is in progress and its commits so far; for the cluster state's replicas, as the next run's witness.
+    /// The run that is in progress and its commits so far; for the cluster state's replicas, as the next run's last_run.
     pub fn commits(&self) -> Option<LastRun> {
         *self.state.borrow()
     }
@@ -100,12 +100,12 @@
         other => other?,
     };
     if place.standalone {
-        let witness = file::witness(&place.folder, &name)?;
-        let last = store.last_run()?.max(witness.map(|w| w.run));
+        let last_run = file::read_last_run(&place.folder, &name)?;
+        let last = store.last_run()?.max(last_run.map(|w| w.run));
         let run = last.unwrap_or(0) + 1;
         // The number beside the store first: a store that has begun and is then set back is notified by it.
         file::note_run(&place.folder, &name, run)?;
-        store.begin(run, witness, 0)?;
+        store.begin(run, last_run, 0)?;
         tracing::info!(run, proves = store.is_proof(0), "intent log open");
     }
     let (line, words) = sync_channel(LINE);
@@ -142,11 +142,11 @@
                 }
                 LogRequest::Ended(mark) => batch.ended.push(mark),
                 LogRequest::Query(number, identity, reply) => asks.push((number, identity, reply)),
-                LogRequest::Begin(run, witness) => begins = Some((run, witness)),
+                LogRequest::Begin(run, last_run) => begins = Some((run, last_run)),
             }
         }
-        if let Some((run, witness)) = begins {
-            match store.begin(run, witness, now()) {
+        if let Some((run, last_run)) = begins {
+            match store.begin(run, last_run, now()) {
                 Ok(()) => begins = None,
                 Err(fault) => {
                     tracing::error!(run, %fault, "the intent log can't begin this run");
--- a/crates/intent-log/tests/golden.rs
+++ b/crates/intent-log/tests/golden.rs
@@ -1,7 +1,7 @@
 //! A store of intents and the number of its last run, as the build before the renaming of the packages wrote them: opened,
 //! asked and continued. `golden/` never changes with the code.
 
-use stagehoist_intent_log::{start, witness, Intent, LastRun, LogEvent, LogLocation, Options};
+use stagehoist_intent_log::{read_last_run, start, Intent, LastRun, LogEvent, LogLocation, Options};
 use stagehoist_recovery::AttemptKnowledge;
 use std::path::Path;
 use tokio::sync::mpsc::unbounded_channel;
@@ -37,11 +37,11 @@
     for file in FILES {
         std::fs::copy(golden.join(file), folder.path().join(file)).unwrap();
     }
-    assert_eq!(witness(folder.path(), "a_0").unwrap(), Some(LastRun { run: 1, commits: 0 }));
+    assert_eq!(read_last_run(folder.path(), "a_0").unwrap(), Some(LastRun { run: 1, commits: 0 }));
     let answers = run(folder.path(), LATER, KEPT.identity);
     assert_eq!(
         answers,
         (LogEvent::Recorded(LATER, true), LogEvent::Answered(5, AttemptKnowledge::MayHaveRun))
     );
-    assert_eq!(witness(folder.path(), "a_0").unwrap(), Some(LastRun { run: 2, commits: 0 }));
+    assert_eq!(read_last_run(folder.path(), "a_0").unwrap(), Some(LastRun { run: 2, commits: 0 }));
 }
--- a/crates/intent-log/tests/store.rs
+++ b/crates/intent-log/tests/store.rs
@@ -5,7 +5,7 @@
 use disk::{Disk, Draw};
 use redb::Database;
 use stagehoist_intent_log::{
-    start, witness, Batch, Intent, IntentLogError, IntentStore, LastRun, LogEvent, LogLocation, Options,
+    read_last_run, start, Batch, Intent, IntentLogError, IntentStore, LastRun, LogEvent, LogLocation, Options,
 };
 use stagehoist_recovery::AttemptKnowledge;
 
@@ -38,10 +38,10 @@
     let mut first = open(disk, 0).unwrap();
     first.begin(1, None, 0).unwrap();
     first.commit(&marks([1]), KEEP + 1).unwrap();
-    let witness = first.commits();
+    let read_last_run = first.commits();
     drop(first);
     let mut store = open(disk, 0).unwrap();
-    store.begin(2, witness, 0).unwrap();
+    store.begin(2, read_last_run, 0).unwrap();
     store
 }
 
@@ -253,7 +253,7 @@
     assert_eq!(run(&place, 1), AttemptKnowledge::NotKnown, "the first");
     let old = std::fs::read(&store).unwrap();
     assert_eq!(run(&place, 2), AttemptKnowledge::None);
-    assert_eq!(witness(folder.path(), "front_0").unwrap().map(|w| w.run), Some(2));
+    assert_eq!(read_last_run(folder.path(), "front_0").unwrap().map(|w| w.run), Some(2));
     std::fs::write(&store, &old).unwrap();
     assert_eq!(run(&place, 3), AttemptKnowledge::NotKnown, "a store set back");
     let whole = std::fs::read(&store).unwrap();
--- a/crates/load-generator/src/stand.rs
+++ b/crates/load-generator/src/stand.rs
@@ -12,7 +12,7 @@
 
 /// What stands.
 #[derive(Clone, Debug)]
-pub struct StandOptions {
+pub struct LoadStackOptions {
     /// Workers, calls at a time on each, and milliseconds of a run: their product is the capacity.
     pub workers: u32,
     pub lanes: u32,
@@ -30,9 +30,9 @@
     pub more: String,
 }
 
-impl Default for StandOptions {
-    fn default() -> StandOptions {
-        StandOptions {
+impl Default for LoadStackOptions {
+    fn default() -> LoadStackOptions {
+        LoadStackOptions {
             workers: 4,
             lanes: 2,
             run_ms: 20,
@@ -48,7 +48,7 @@
     }
 }
 
-impl StandOptions {
+impl LoadStackOptions {
     /// Calls a second that the workers can run.
     pub fn capacity(&self) -> f64 {
         f64::from(self.workers * self.lanes) * 1000.0 / f64::from(self.run_ms.max(1))
@@ -112,8 +112,8 @@
 }
 
 /// A stack that stands; its processes end with it.
-pub struct Stand {
-    options: StandOptions,
+pub struct LoadStack {
+    options: LoadStackOptions,
     binary: PathBuf,
     /// Address of the broker.
     pub broker: String,
@@ -123,9 +123,9 @@
     _parts: [Part; 3],
 }
 
-impl Stand {
+impl LoadStack {
     /// Starts broker, store and workers; no gateway yet.
-    pub fn start(binary: &Path, options: &StandOptions) -> Result<Stand, LoadError> {
+    pub fn start(binary: &Path, options: &LoadStackOptions) -> Result<LoadStack, LoadError> {
         let mut broker = vec!["standin", "broker", "--listen", "127.0.0.1:0"];
         broker.extend(options.stamp.then_some("--stamp"));
         let broker = Part::start(binary, &broker)?;
@@ -143,7 +143,7 @@
         let list = workers.address("worker-list")?;
         let folder =
             tempfile::tempdir().map_err(|source| LoadError::Start { what: "a directory".into(), source })?;
-        Ok(Stand {
+        Ok(LoadStack {
             options: options.clone(),
             binary: binary.to_path_buf(),
             broker: broker_at,
@@ -211,7 +211,7 @@
         self.gateways.iter().map(|g| cpu_us(g.0.child.id())).sum()
     }
 
-    /// Kills the gateways' processes; [`Stand::serve`] starts new ones.
+    /// Kills the gateways' processes; [`LoadStack::serve`] starts new ones.
     pub fn end_gateways(&mut self) {
         self.gateways.clear();
     }
--- a/crates/load-generator/src/sweep.rs
+++ b/crates/load-generator/src/sweep.rs
@@ -2,7 +2,7 @@
 //! loads over several seeds, under the module and under baselines.
 
 use crate::amqp::{self, Manners, Target};
-use crate::stand::{Stand, StandOptions};
+use crate::stand::{LoadStack, LoadStackOptions};
 use crate::{LoadError, Mix, Plan, Report, Shape};
 use serde::Serialize;
 use stagehoist::Micros;
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct SweepOptions {
     /// What stands; policy and seed are the sweep's.
-    pub stand: StandOptions,
+    pub stand: LoadStackOptions,
     /// Offered loads, in multiples of the capacity.
     pub multiples: Vec<f64>,
     pub seeds: Vec<u64>,
@@ -48,8 +48,8 @@
     multiple: f64,
     seed: u64,
 ) -> Result<Point, LoadError> {
-    let stand = StandOptions { policy: policy.into(), seed, ..options.stand.clone() };
-    let mut stack = Stand::start(binary, &stand)?;
+    let stand = LoadStackOptions { policy: policy.into(), seed, ..options.stand.clone() };
+    let mut stack = LoadStack::start(binary, &stand)?;
     stack.serve()?;
     let offered = multiple * stand.capacity();
     let target = Target {
--- a/crates/platform/src/clients/cancelled.rs
+++ b/crates/platform/src/clients/cancelled.rs
@@ -17,7 +17,7 @@
         let conn = self.calls.borrow().get(&ticket).map(|held| held.conn.clone());
         let heard = conn.as_ref().is_none_or(|conn| self.read_pending(conn));
         if conn.is_some_and(|conn| conn.over.get()) || self.cancelled.borrow().contains_key(&ticket) {
-            return ClientPresence::Gone;
+            return ClientPresence::Disconnected;
         }
         if heard {
             ClientPresence::Waiting
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -216,7 +216,7 @@
             load_timeout: self.settings.load_delay,
             // The module forgets functions after eight times the keep-alive.
             name_limits: (50_000, (10 * self.settings.idle_retention).max(30_000_000)),
-            cancel_when_gone: true,
+            cancel_abandoned: true,
         }
     }
 
--- a/crates/platform/src/connection/ending.rs
+++ b/crates/platform/src/connection/ending.rs
@@ -20,10 +20,10 @@
             Some(at) => {
                 self.silent |= self.read <= at && now - at >= patience;
                 if open.written_at.is_none() {
-                    self.is_cut_short = true;
+                    self.is_truncated = true;
                     self.queue.clear();
                 }
-                if !self.is_cut_short {
+                if !self.is_truncated {
                     if self.stopped.len() == STOPPED {
                         self.stopped.pop_front();
                     }
@@ -44,7 +44,7 @@
             return false;
         };
         let outcome = if open.started_at.is_some() {
-            self.is_cut_short = true;
+            self.is_truncated = true;
             self.queue.clear();
             Outcome::Error
         } else {
@@ -65,13 +65,13 @@
     }
 
     /// Whether nothing more is written here.
-    pub fn is_cut(&self) -> bool {
-        self.is_cut_short
+    pub fn is_truncated(&self) -> bool {
+        self.is_truncated
     }
 
     /// Whether nothing is awaited any more on a line that takes nothing.
     pub fn is_spent(&self) -> bool {
-        self.is_cut_short && self.pending.values().all(|o| o.started_at.is_none())
+        self.is_truncated && self.pending.values().all(|o| o.started_at.is_none())
     }
 
     /// Takes out what was not begun to be written. What was must be written to its end, or nothing behind it can be read.
@@ -94,9 +94,9 @@
     /// Withdraws what was not begun to be written, as the executor or this connection takes nothing new. The latter is this
     /// side's doing and says nothing against the executor.
     pub fn withdraw(&mut self, now: Micros, news: &mut Vec<Input>) {
-        let outcome = if self.is_cut_short { Outcome::Full } else { Outcome::ConnectFailed };
+        let outcome = if self.is_truncated { Outcome::Full } else { Outcome::ConnectFailed };
         let unbegun = |o: &PendingExchange| {
-            o.started_at.is_none() && (self.is_cut_short || !matches!(o.exchange, Exchange::Probe { .. }))
+            o.started_at.is_none() && (self.is_truncated || !matches!(o.exchange, Exchange::Probe { .. }))
         };
         let tags: Vec<Tag> = self.pending.iter().filter(|(_, o)| unbegun(o)).map(|(t, _)| *t).collect();
         for tag in tags {
--- a/crates/platform/src/connection/mod.rs
+++ b/crates/platform/src/connection/mod.rs
@@ -99,7 +99,7 @@
     active: Micros,
     silent: bool,
     /// A request of which a part was written is not completed: nothing more is written here.
-    is_cut_short: bool,
+    is_truncated: bool,
     next: u64,
 }
 
@@ -161,13 +161,13 @@
 
     /// Queues a health check, with the load report asked for or not.
     pub fn send_health_check(&mut self, report: bool, what: Exchange, now: Micros) {
-        let (word, tag) = (if report { "INFO" } else { "NOOP" }, self.next_own_tag());
+        let (word, tag) = (if report { "INFO" } else { "NOOP" }, self.next_internal_tag());
         self.push(Some((Tag::Internal(tag), what)), format!("{word} {tag}\r\n").into_bytes(), now);
     }
 
     /// Queues an order to load.
     pub fn send_load(&mut self, key: &str, copies: u8, what: Exchange, now: Micros) {
-        let tag = self.next_own_tag();
+        let tag = self.next_internal_tag();
         let bytes = format!("HOLD {tag} key={key},copies={copies}\r\n").into_bytes();
         self.push(Some((Tag::Internal(tag), what)), bytes, now);
     }
@@ -177,7 +177,7 @@
         self.push(None, format!("FREE {key}\r\n").into_bytes(), now);
     }
 
-    fn next_own_tag(&mut self) -> u64 {
+    fn next_internal_tag(&mut self) -> u64 {
         // Fewer digits than an id has, so that neither is taken for the other.
         self.next = self.next % 1_000_000_000 + 1;
         self.next
--- a/crates/platform/src/executors/commands.rs
+++ b/crates/platform/src/executors/commands.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 impl Executors {
-    fn mark_dirty(&self, link: Rc<Connection>) {
+    fn note_unwritten(&self, link: Rc<Connection>) {
         if !link.dirty.replace(true) {
             self.dirty.borrow_mut().push(link);
         }
@@ -53,7 +53,7 @@
             begin_by: attempt.start_by,
         };
         self.in_flight_attempts.borrow_mut().insert((attempt.request, attempt.attempt), flying);
-        self.mark_dirty(link);
+        self.note_unwritten(link);
         Ok(())
     }
 
@@ -64,7 +64,7 @@
         if ends {
             return flying.link.end(Closure::ProtocolViolated);
         }
-        self.mark_dirty(flying.link);
+        self.note_unwritten(flying.link);
     }
 
     /// Asks an executor for its load; the answer comes as [`Input::Probed`].
@@ -74,7 +74,7 @@
             Some(link) => {
                 let report = !self.limits.report.is_empty();
                 link.line.borrow_mut().send_health_check(report, Exchange::Probe { worker, sent }, sent);
-                self.mark_dirty(link);
+                self.note_unwritten(link);
             }
             None => {
                 // For want of descriptors of its own it speaks against no executor; one that is not listed is gone.
@@ -103,7 +103,7 @@
                 link.line.borrow_mut().send_load(name, copies, what, sent);
                 // Its task sets an alarm for when this counts as lost.
                 link.wake.notify_one();
-                self.mark_dirty(link);
+                self.note_unwritten(link);
             }
             None => {
                 let (outcome, copies) = (Outcome::ConnectFailed, 0);
@@ -122,7 +122,7 @@
     pub fn unload(self: &Rc<Self>, worker: WorkerId, name: &str) {
         if let Some(link) = self.pick(worker, None) {
             link.line.borrow_mut().send_unload(name, self.shared.clock.now());
-            self.mark_dirty(link);
+            self.note_unwritten(link);
         }
     }
 
--- a/crates/platform/src/executors/connection.rs
+++ b/crates/platform/src/executors/connection.rs
@@ -224,7 +224,7 @@
                     && line.expire(now, limits.connect_timeout, limits.order_timeout, &mut news).is_err();
                 let idle = line.is_idle();
                 let unused = now - line.active() >= limits.idle_close - limits.idle_close / 8;
-                let shut = link.moved.get() || line.is_silent() || line.is_cut();
+                let shut = link.moved.get() || line.is_silent() || line.is_truncated();
                 let useless = idle && (unused || !executor.ready || shut);
                 drop(line);
                 if over {
--- a/crates/platform/src/executors/mod.rs
+++ b/crates/platform/src/executors/mod.rs
@@ -62,7 +62,7 @@
     /// Its socket was read to its end, and it waits.
     Waiting,
     /// It cancelled the call or is gone.
-    Gone,
+    Disconnected,
     /// Its socket was not read to its end: what it cancelled may lie there, so nothing begins for it.
     Unread,
 }
--- a/crates/platform/src/executors/selection.rs
+++ b/crates/platform/src/executors/selection.rs
@@ -64,7 +64,7 @@
                 let room = line.attempts() < self.limits.streams && !id.is_some_and(|id| line.has(id));
                 room && !l.moved.get()
                     && !line.is_silent()
-                    && !line.is_cut()
+                    && !line.is_truncated()
                     && !matches!(l.state.get(), State::Over(_))
             };
             let mut idle = None;
--- a/crates/platform/src/executors/writing.rs
+++ b/crates/platform/src/executors/writing.rs
@@ -56,7 +56,7 @@
                     self.take_back(line, id, attempt)
                 }
                 ClientPresence::Waiting => false,
-                ClientPresence::Gone => {
+                ClientPresence::Disconnected => {
                     self.in_flight_attempts.borrow_mut().remove(&attempt);
                     self.stop(line, (id, &format!("{id:016x}")))
                 }
@@ -74,7 +74,7 @@
         self.in_flight_attempts.borrow_mut().remove(&attempt);
         let (now, mut news) = (self.shared.clock.now(), Vec::new());
         let ends = line.take_back(id, now, &mut news);
-        if line.is_cut() && !ends {
+        if line.is_truncated() && !ends {
             line.withdraw(now, &mut news);
         }
         self.on_ended(&news);
@@ -87,7 +87,7 @@
     pub(super) fn stop(&self, line: &mut ConnectionState, (id, text): (u64, &str)) -> bool {
         let now = self.shared.clock.now();
         let ends = line.stop(id, text, now, self.limits.connect_timeout);
-        if line.is_cut() && !ends {
+        if line.is_truncated() && !ends {
             let mut news = Vec::new();
             line.withdraw(now, &mut news);
             self.on_ended(&news);
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -65,7 +65,7 @@
 }
 
 /// What the words of a request ask.
-pub(crate) fn asked(words: &[Vec<u8>], catalog: &Catalog) -> Result<ClientRequest, Unusable> {
+pub(crate) fn parse_request(words: &[Vec<u8>], catalog: &Catalog) -> Result<ClientRequest, Unusable> {
     let (4 | 5, Some(class), Some(list)) = (words.len(), words.get(2), words.get(3)) else {
         return Err(Unusable::Words);
     };
--- a/crates/platform/src/resp.rs
+++ b/crates/platform/src/resp.rs
@@ -13,7 +13,7 @@
 /// Longest `*N` or `$N` with its line end.
 const HEADER: usize = 24;
 /// Longest whole array.
-const WHOLE: usize = MAX_BODY + (8 << 10);
+const MAX_ARRAY: usize = MAX_BODY + (8 << 10);
 
 /// What makes a client's bytes unreadable; nothing that follows on the connection can be read either.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -62,7 +62,7 @@
         for span in spans.iter_mut().take(count) {
             let Some(length) = self.header(&mut at, b'$', MAX_BODY)? else { return Ok(None) };
             let end = at + length;
-            if end + 2 > WHOLE {
+            if end + 2 > MAX_ARRAY {
                 return Err(RespError::TooLong);
             }
             if self.buffer.len() > end && self.buffer[end] != b'\r' {
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -189,7 +189,7 @@
             let in_flight = self.executors.in_flight();
             let on_connections: usize = in_flight.iter().map(|e| e.1).sum();
             tracing::info!(
-                taken = c.taken, served = c.served, refused = c.refused, failed = c.failed, gone = c.clients_gone,
+                taken = c.taken, served = c.served, refused = c.refused, failed = c.failed, gone = c.abandoned_calls,
                 attempts = c.attempts, retries = c.retries, loads = c.loads, health_checks = c.health_checks, batches,
                 unanswered = core.unanswered(), attempts_in_flight = core.attempts_in_flight(), on_connections, ready = core.ready_workers(), functions = core.names(),
                 module_us_a_call = spent / 1000 / calls.max(1),
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -4,7 +4,7 @@
 
 use crate::bounds::ConnectionActivity;
 use crate::deferred::DeferredRequests;
-use crate::request::asked;
+use crate::request::parse_request;
 pub use crate::request::{Catalog, ClientRequest, Unusable, ANSWER_TRANSIT};
 use crate::resp::{encode, Decoder, Words};
 use answers::{FAILED, REFUSED};
@@ -164,12 +164,12 @@
                 self.close(said);
             }
             _ if self.open.len() >= MAX_OPEN_REQUESTS => encode(&mut self.output, &[tag, REFUSED]),
-            _ => match asked(&words, catalog) {
-                Ok(asked) => {
+            _ => match parse_request(&words, catalog) {
+                Ok(parse_request) => {
                     self.has_requested = true;
                     *next_ticket += 1;
                     self.open.insert(number, *next_ticket);
-                    said.push(ClientEvent::Call(*next_ticket, Box::new(asked)));
+                    said.push(ClientEvent::Call(*next_ticket, Box::new(parse_request)));
                 }
                 Err(why) => {
                     self.unusable = Some(why);
--- a/crates/platform/src/subscription.rs
+++ b/crates/platform/src/subscription.rs
@@ -46,7 +46,7 @@
 pub struct EventSubscription {
     last: u64,
     buffer: BytesMut,
-    heard_at: Micros,
+    received_at: Micros,
     failures: u32,
     /// When the connection came up, until it has brought inputs.
     opened: Option<Micros>,
@@ -65,7 +65,7 @@
         EventSubscription {
             last,
             buffer: BytesMut::new(),
-            heard_at: now,
+            received_at: now,
             failures: 0,
             opened: None,
             short_sessions: 0,
@@ -83,7 +83,7 @@
     /// A connection stands; gives what to write on it. A frame that was cut off is forgotten.
     pub fn connected(&mut self, now: Micros) -> [u8; 8] {
         self.buffer = BytesMut::new();
-        self.heard_at = now;
+        self.received_at = now;
         self.opened = Some(now);
         match &mut self.replay {
             Some(replay) => {
@@ -96,7 +96,7 @@
 
     /// When the connection counts as silent.
     pub fn silent_at(&self) -> Micros {
-        self.heard_at + SILENCE
+        self.received_at + SILENCE
     }
 
     /// How long to wait before the next connection. Frames alone do not make it short: a bus whose connections end at
@@ -104,7 +104,8 @@
     pub fn pause(&mut self) -> Micros {
         self.failures += 1;
         if let Some(opened) = self.opened.take() {
-            self.short_sessions = if self.heard_at - opened < PAUSE.1 { self.short_sessions + 1 } else { 0 };
+            self.short_sessions =
+                if self.received_at - opened < PAUSE.1 { self.short_sessions + 1 } else { 0 };
         }
         match self.failures.max(self.short_sessions) {
             0 | 1 => 0,
@@ -133,7 +134,7 @@
             let mut frame = self.buffer.split_to(4 + length);
             frame.advance(4);
             let (number, kind) = (frame.get_u64(), frame.get_u8());
-            (self.heard_at, self.failures) = (now, 0);
+            (self.received_at, self.failures) = (now, 0);
             if self.replay.is_some() {
                 self.replayed(number, kind, &frame, news)?;
                 continue;
--- a/crates/platform/tests/crossings/lines.rs
+++ b/crates/platform/tests/crossings/lines.rs
@@ -132,7 +132,7 @@
     line.send_health_check(false, Exchange::Probe { worker: 3, sent: 0 }, 0);
     write(&mut line, 9, 0);
     assert!(!line.stop(3, "0000000000000003", MS, 250 * MS));
-    assert!(line.is_cut() && !line.wants_write());
+    assert!(line.is_truncated() && !line.wants_write());
     line.withdraw(MS, &mut news);
     assert!(matches!(
         news[..],
--- a/crates/recovery/src/delivery_cache.rs
+++ b/crates/recovery/src/delivery_cache.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug)]
 struct Entry<A> {
     known: Known<A>,
-    born: Micros,
+    created_at: Micros,
 }
 
 /// The messages of late, bounded in number and age.
@@ -180,7 +180,7 @@
             self.forget(born, &old, now);
         }
         self.order.push_back((now, key.clone()));
-        self.entries.insert(key.clone(), Entry { known, born: now });
+        self.entries.insert(key.clone(), Entry { known, created_at: now });
     }
 
     fn expire(&mut self, now: Micros) {
@@ -191,7 +191,7 @@
     }
 
     fn forget(&mut self, born: Micros, key: &Key, now: Micros) {
-        if self.entries.get(key).is_some_and(|e| e.born == born) {
+        if self.entries.get(key).is_some_and(|e| e.created_at == born) {
             let gone = self.entries.remove(key);
             if gone.is_some_and(|e| matches!(e.known, Known::Running(_))) {
                 // It may still have its first attempt before it, and no intent yet.
--- a/crates/recovery/src/intent_gate.rs
+++ b/crates/recovery/src/intent_gate.rs
@@ -58,7 +58,7 @@
 }
 
 struct Waiting<A> {
-    what: A,
+    attempt: A,
     number: u64,
     worker: WorkerId,
     due: Micros,
@@ -119,7 +119,7 @@
         }
         let by = due.min(now + self.limits.longest);
         self.deadlines.insert((by, id));
-        self.waiting.insert(id, Waiting { what, number, worker, due, by });
+        self.waiting.insert(id, Waiting { attempt: what, number, worker, due, by });
         self.calls.entry(number).or_default().waiting.push(id);
         GateDecision::Wait { record: ask }
     }
@@ -152,9 +152,9 @@
         let steps = ids.into_iter().filter_map(|id| {
             let held = self.take(id)?;
             let step = match (on_disk, self.still_allowed(&held, now)) {
-                (false, _) => GateDecision::Unsent(held.what, UnsentReason::NoIntent),
-                (true, Some(why)) => GateDecision::Unsent(held.what, why),
-                (true, None) => GateDecision::Send(held.what),
+                (false, _) => GateDecision::Unsent(held.attempt, UnsentReason::NoIntent),
+                (true, Some(why)) => GateDecision::Unsent(held.attempt, why),
+                (true, None) => GateDecision::Send(held.attempt),
             };
             Some((id, step))
         });
@@ -178,7 +178,7 @@
     /// A call is answered: its attempts that wait never leave, and its intent serves no more.
     pub fn call_ended(&mut self, number: u64) -> Vec<(AttemptId, A)> {
         let ids = self.calls.remove(&number).unwrap_or_default().waiting;
-        ids.into_iter().filter_map(|id| Some((id, self.take(id)?.what))).collect()
+        ids.into_iter().filter_map(|id| Some((id, self.take(id)?.attempt))).collect()
     }
 
     /// What is known of a worker: that it drains since then, or is gone (`Some(Micros::MIN)`), or serves.
@@ -202,7 +202,7 @@
             let held = self.take(id)?;
             Some((
                 id,
-                held.what,
+                held.attempt,
                 if now >= held.due { UnsentReason::TooLate } else { UnsentReason::NoIntent },
             ))
         });
--- a/crates/recovery/src/phases.rs
+++ b/crates/recovery/src/phases.rs
@@ -52,7 +52,7 @@
     /// After this long in `reserved` the part admitted grows by time too, over as long again.
     pub ramping: Micros,
     /// Time that a call needs beside its wait, to be let wait at all.
-    pub room: Micros,
+    pub admission_wait: Micros,
     /// Share of calls served in time at which the fleet counts as warm.
     pub served: f64,
     /// Part of the others' calls that is admitted at least, so that there is evidence to see.
@@ -67,7 +67,7 @@
             opening_storage: 2_000_000,
             resolving_in_doubt: 3_000_000,
             ramping: 20_000_000,
-            room: 300_000,
+            admission_wait: 300_000,
             served: 0.9,
             least: 0.05,
             calls: 20,
@@ -238,7 +238,7 @@
         };
         // Waiting is for calls that can still be served after the longest wait.
         let wait = (ends - now).max(1);
-        if budget >= wait + self.limits.room {
+        if budget >= wait + self.limits.admission_wait {
             return Admission::Wait { until: now + wait };
         }
         let spread = (wait as f64 * (1.0 + self.random.next_fraction())) as Micros;
--- a/crates/sharding/src/assignment.rs
+++ b/crates/sharding/src/assignment.rs
@@ -2,7 +2,7 @@
 //! zone, old or from the other side of a cut, changes nothing in its own.
 
 use crate::division::{Division, Table};
-use crate::limits::{Part, FLOOR, UNIT};
+use crate::limits::{Part, MIN_LOAD, UNIT};
 use crate::pool::Before;
 use crate::zone::Zone;
 use crate::{Key, Shard};
@@ -73,7 +73,7 @@
 impl Assignment {
     /// An assignment without members.
     pub fn new(division: &Division) -> Assignment {
-        Assignment::with_min_load(division, FLOOR)
+        Assignment::with_min_load(division, MIN_LOAD)
     }
 
     pub(crate) fn with_min_load(division: &Division, floor: Part) -> Assignment {
--- a/crates/sharding/src/limits.rs
+++ b/crates/sharding/src/limits.rs
@@ -13,11 +13,11 @@
 /// Where less than this part of the zone's weight is at home in a shard, its own share being 1, others stand
 /// in up to it. So a shard has capacity even where all that were at home in it left, and nobody moves for
 /// that.
-pub(crate) const FLOOR: Part = (7, 8);
+pub(crate) const MIN_LOAD: Part = (7, 8);
 
 /// The same for front ends, where one that stands in knows the workers and functions of two shards, and pays for both with each
 /// call, while one with few others beside it pays for its calls alone: those of the emptiest shard have 1.5 times the mean.
-pub(crate) const FLOOR_FRONT_ENDS: Part = (1, 4);
+pub(crate) const MIN_FRONT_END_LOAD: Part = (1, 4);
 
 /// The usual weight of a member.
 pub(crate) const UNIT: i64 = 1_000;
--- a/crates/sharding/src/ownership.rs
+++ b/crates/sharding/src/ownership.rs
@@ -4,7 +4,7 @@
 use crate::change::Divisions;
 use crate::division::{Division, DivisionError};
 use crate::homes::HomeShards;
-use crate::limits::FLOOR_FRONT_ENDS;
+use crate::limits::MIN_FRONT_END_LOAD;
 use crate::{Key, Shard};
 
 /// A front end as the list of members tells it.
@@ -45,7 +45,7 @@
         let assign = |d: &Division| {
             let serves = |f: &&FrontEnd| (f.serves.0..=f.serves.1).contains(&d.generation());
             let others = list.iter().filter(serves).map(|f| f.member.alike());
-            let mut all = Assignment::with_min_load(d, FLOOR_FRONT_ENDS);
+            let mut all = Assignment::with_min_load(d, MIN_FRONT_END_LOAD);
             // Over the bounds they aren't counted.
             all.fill([own.alike()].into_iter().chain(others));
             (d.generation(), all)
