--- a/crates/admission/src/permits/class.rs
+++ b/crates/admission/src/permits/class.rs
@@ -117,11 +117,11 @@
     }
 
     /// Takes the permits of a grant for one tenant's class.
-    pub fn grant(&mut self, tenant: &str, lanes: u32) {
+    pub fn grant(&mut self, tenant: &str, permits: u32) {
         if let Some(class) = self.classes.iter_mut().find(|c| c.name == tenant) {
-            self.permits += lanes;
+            self.permits += permits;
             self.excess -= class.in_use.saturating_sub(class.permits);
-            class.permits += lanes;
+            class.permits += permits;
             self.excess += class.in_use.saturating_sub(class.permits);
         }
     }
--- a/crates/admission/src/permits/mod.rs
+++ b/crates/admission/src/permits/mod.rs
@@ -114,15 +114,15 @@
         &mut self,
         number: u64,
         until: Micros,
-        lanes: impl IntoIterator<Item = (&'a str, &'a str, u32)>,
+        permits: impl IntoIterator<Item = (&'a str, &'a str, u32)>,
     ) {
         (self.applied, self.until) = (number, until);
         for pool in &mut self.pools {
             pool.clear();
         }
-        for (pool, tenant, lanes) in lanes {
+        for (pool, tenant, permits) in permits {
             if let Some(pool) = self.pools.iter_mut().find(|p| p.name() == pool) {
-                pool.grant(tenant, lanes);
+                pool.grant(tenant, permits);
             }
         }
     }
@@ -171,21 +171,21 @@
     }
 
     /// All attempts of a call are known to have ended.
-    pub fn leave(&mut self, lane: Permit, now: Micros) {
-        if let Some(pool) = self.pools.get_mut(lane.pool) {
-            pool.leave(lane.class, now);
+    pub fn leave(&mut self, permit: Permit, now: Micros) {
+        if let Some(pool) = self.pools.get_mut(permit.pool) {
+            pool.leave(permit.class, now);
         }
     }
 
     /// Calls that need wait no longer, in order, appended to `woken`. To be asked after any change and at
     /// [`PermitPools::next`].
-    pub fn take_ready(&mut self, now: Micros, woken: &mut Vec<WaitOutcome>) {
+    pub fn take_ready(&mut self, now: Micros, outcomes: &mut Vec<WaitOutcome>) {
         self.expire(now);
         while let Some((_, call)) = self.deadlines.first().copied().filter(|(latest, _)| *latest <= now) {
             let Some(waits) = self.waiting.get(&call).copied() else { break };
             self.cancel(call);
             let retry_after = self.pools[waits.pool].retry_after(waits.class);
-            woken.push(WaitOutcome::Rejected { call, retry_after });
+            outcomes.push(WaitOutcome::Rejected { call, retry_after });
         }
         let floored = now >= self.quiet_until;
         for (place, pool) in self.pools.iter_mut().enumerate() {
@@ -193,7 +193,7 @@
                 if let Some(waits) = self.waiting.remove(&call) {
                     self.deadlines.remove(&(waits.latest_start, call));
                 }
-                woken.push(WaitOutcome::Granted { call, permit: Permit { pool: place, class } });
+                outcomes.push(WaitOutcome::Granted { call, permit: Permit { pool: place, class } });
             }
         }
     }
--- a/crates/cluster-state/src/allocation/account.rs
+++ b/crates/cluster-state/src/allocation/account.rs
@@ -63,9 +63,9 @@
     }
 
     /// A grant goes out.
-    pub fn on_grant(&mut self, number: u64, now: Micros, lanes: &[(String, String, u32)]) {
+    pub fn on_grant(&mut self, number: u64, now: Micros, permits: &[(String, String, u32)]) {
         let mut given = OutstandingGrant { number, given_at: now, permits: BTreeMap::new() };
-        for (pool, _, n) in lanes {
+        for (pool, _, n) in permits {
             *given.permits.entry(pool.clone()).or_default() += n;
         }
         self.given.push(given);
@@ -88,7 +88,7 @@
     pub fn count(
         &mut self,
         pool: &str,
-        floor: u32,
+        guaranteed: u32,
         now: Micros,
         lease: Micros,
         longest: Micros,
@@ -97,7 +97,7 @@
         let given = given.filter_map(|g| g.permits.get(pool)).copied().max().unwrap_or(0);
         let runs =
             if now < self.reported_at + longest { self.in_use.get(pool).copied().unwrap_or(0) } else { 0 };
-        let out = given.max(runs.saturating_sub(floor));
+        let out = given.max(runs.saturating_sub(guaranteed));
         let counted = self.counted.entry(pool.to_owned()).or_default();
         (std::mem::replace(counted, out), out)
     }
--- a/crates/cluster-state/src/allocation/mod.rs
+++ b/crates/cluster-state/src/allocation/mod.rs
@@ -93,38 +93,38 @@
 
     /// Whether a front end of this name may join. One beyond the told number would have no guaranteed minimum, and could
     /// not know it while it is cut off; so it is rejected at its hello.
-    pub fn admits(&self, record: &ClusterState, name: &str) -> bool {
-        self.admits_with(record, name, 0)
+    pub fn admits(&self, state: &ClusterState, name: &str) -> bool {
+        self.admits_with(state, name, 0)
     }
 
     /// The same where so many others, not yet in the cluster state, were admitted before.
-    pub fn admits_with(&self, record: &ClusterState, name: &str, others: usize) -> bool {
-        record.present().filter(|m| m.name != name).count() + others < self.limits.front_ends as usize
+    pub fn admits_with(&self, state: &ClusterState, name: &str, others: usize) -> bool {
+        state.present().filter(|m| m.name != name).count() + others < self.limits.front_ends as usize
     }
 
     /// A present member reported, and promises may be given: the permits of the grant that answers, by pool and
     /// tenant. A report that is late or came twice changes nothing and gets none.
     pub fn report(
         &mut self,
-        record: &ClusterState,
+        state: &ClusterState,
         member: &Member,
         report: &Report,
         now: Micros,
     ) -> Vec<(String, String, u32)> {
-        self.observe(record, now);
+        self.observe(state, now);
         let account = self.accounts.entry(member.clone()).or_default();
         if !account.on_report(report, now, self.guards) {
             return Vec::new();
         }
         self.may_allocate_all = self.may_allocate_all || self.may_allocate(now);
-        self.recompute(record, now);
+        self.recompute(state, now);
         self.count(member, now);
-        let lanes = if self.may_allocate_all { self.allocate(member) } else { Vec::new() };
+        let permits = if self.may_allocate_all { self.allocate(member) } else { Vec::new() };
         if let Some(account) = self.accounts.get_mut(member) {
-            account.on_grant(report.number, now, &lanes);
+            account.on_grant(report.number, now, &permits);
         }
         self.count(member, now);
-        lanes
+        permits
     }
 
     /// Whether no permits that this leader does not know of can be in use: promises of earlier ones have run
@@ -144,24 +144,25 @@
     }
 
     /// Follows members and pools.
-    fn observe(&mut self, record: &ClusterState, now: Micros) {
+    fn observe(&mut self, state: &ClusterState, now: Micros) {
         // The first look may come late: who is there then may have been given permits by an earlier leader, and
         // so may a run in whose place another joined.
         if !self.has_observed || now < self.began + self.terms.takeover_wait() {
             self.has_observed = true;
-            self.earlier_members.extend(record.present());
-            self.earlier_members.extend(record.replaced.keys().cloned());
+            self.earlier_members.extend(state.present());
+            self.earlier_members.extend(state.replaced.keys().cloned());
         }
-        if self.pools != record.view.pools {
-            let floors = self.pools.iter().map(|p| (p.name.clone(), self.guaranteed(&p.name, now))).collect();
-            self.earlier_guarantees.push((record.view.version, floors));
-            self.pools = record.view.pools.clone();
+        if self.pools != state.view.pools {
+            let guarantees =
+                self.pools.iter().map(|p| (p.name.clone(), self.guaranteed(&p.name, now))).collect();
+            self.earlier_guarantees.push((state.view.version, guarantees));
+            self.pools = state.view.pools.clone();
             self.round = None;
         }
     }
 
     /// Counts and shares out anew, at most once in [`AllocationLimits::every`].
-    fn recompute(&mut self, record: &ClusterState, now: Micros) {
+    fn recompute(&mut self, state: &ClusterState, now: Micros) {
         if self.round.as_ref().is_some_and(|(at, _)| now - at < self.limits.interval) {
             return;
         }
@@ -169,23 +170,24 @@
         self.accounts.retain(|m, a| {
             a.forget(now - span);
             // Runs of one that is gone may go on at workers.
-            record.is_present(m) || now < a.reported_at() + span
+            state.is_present(m) || now < a.reported_at() + span
         });
         // Guaranteed minimums of earlier editions end once all have applied a later one.
         let accounts = &self.accounts;
         let applied =
-            |v: Version| record.present().all(|m| accounts.get(&m).is_some_and(|a| a.confirmed() >= v));
+            |v: Version| state.present().all(|m| accounts.get(&m).is_some_and(|a| a.confirmed() >= v));
         self.earlier_guarantees.retain(|(version, _)| !applied(*version));
         let mut pools = BTreeMap::new();
         for pool in &self.pools {
-            let floor = self.guaranteed(&pool.name, now);
-            let all = if self.guards.guarantees { self.limits.front_ends.saturating_mul(floor) } else { 0 };
-            let lanes = self.size(pool, now, false).saturating_sub(all);
+            let guaranteed = self.guaranteed(&pool.name, now);
+            let all =
+                if self.guards.guarantees { self.limits.front_ends.saturating_mul(guaranteed) } else { 0 };
+            let permits = self.size(pool, now, false).saturating_sub(all);
             let members: Vec<_> = self.fresh(now).map(|(m, a)| (m, a.wanted(&pool.name))).collect();
-            let targets = Targets::reckon(lanes, &pool.reservations, &members);
+            let targets = Targets::reckon(permits, &pool.reservations, &members);
             pools.insert(
                 pool.name.clone(),
-                AllocationRound { permits: lanes, guaranteed: floor, outstanding: 0, targets },
+                AllocationRound { permits: permits, guaranteed: guaranteed, outstanding: 0, targets },
             );
         }
         let (lease, longest) = (self.terms.grantor_span(), self.longest());
@@ -215,13 +217,13 @@
         let Some((account, (_, pools))) = self.accounts.get(member).zip(self.round.as_ref()) else {
             return Vec::new();
         };
-        let mut lanes = Vec::new();
+        let mut permits = Vec::new();
         for (pool, round) in pools {
             let others = round.outstanding.saturating_sub(account.counted(pool));
             let of = round.targets.of(member, round.permits.saturating_sub(others)).into_iter();
-            lanes.extend(of.map(|(tenant, n)| (pool.clone(), tenant, n)));
+            permits.extend(of.map(|(tenant, n)| (pool.clone(), tenant, n)));
         }
-        lanes
+        permits
     }
 
     fn longest(&self) -> Micros {
@@ -242,8 +244,8 @@
     /// one front end that sees no workers does not empty the pool, and one that still counts workers that are
     /// gone does not widen it. For guaranteed minimums the greatest, as each member reckons its own by its own count.
     fn size(&self, pool: &Pool, now: Micros, for_floors: bool) -> u32 {
-        if let PoolSize::Permits(lanes) = pool.size {
-            return lanes;
+        if let PoolSize::Permits(permits) = pool.size {
+            return permits;
         }
         let mut ready: Vec<u32> = self.fresh(now).map(|(_, a)| a.ready_capacity()).collect();
         ready.sort_unstable();
@@ -255,7 +257,7 @@
     fn guaranteed(&self, pool: &str, now: Micros) -> u32 {
         let of = self.pools.iter().find(|p| p.name == pool);
         let new = of.map_or(0, |p| guaranteed_permits(self.size(p, now, true), &self.limits));
-        let old = self.earlier_guarantees.iter().filter_map(|(_, floors)| floors.get(pool)).copied();
+        let old = self.earlier_guarantees.iter().filter_map(|(_, guarantees)| guarantees.get(pool)).copied();
         old.fold(new, u32::max)
     }
 }
--- a/crates/cluster-state/src/allocation/targets.rs
+++ b/crates/cluster-state/src/allocation/targets.rs
@@ -18,23 +18,23 @@
 
 impl Targets {
     /// Computes the targets of all members in a pool of so many permits.
-    pub fn reckon(lanes: u32, reservations: &[Reservation], members: &Wants) -> Targets {
+    pub fn reckon(permits: u32, reservations: &[Reservation], members: &Wants) -> Targets {
         let mut targets = Targets::default();
         let Some(most) = u32::try_from(members.len()).ok().filter(|n| *n > 0) else { return targets };
-        let mut left = lanes;
+        let mut left = permits;
         let mut idle = Vec::new();
         let mut beyond: Vec<(&Member, &str, u32)> = Vec::new();
-        let reserved = scaled(lanes, reservations);
-        for (reservation, lanes) in reservations.iter().zip(reserved) {
+        let reserved = scaled(permits, reservations);
+        for (reservation, permits) in reservations.iter().zip(reserved) {
             let wants: Vec<u32> = members.iter().map(|(_, w)| want(*w, &reservation.tenant)).collect();
-            let parts = max_min(lanes, &wants);
+            let parts = max_min(permits, &wants);
             for (((member, _), part), want) in members.iter().zip(&parts).zip(&wants) {
                 targets.add(member, 0, &reservation.tenant, *part);
                 beyond.push((member, &reservation.tenant, want - part));
             }
             let used: u32 = parts.iter().sum();
             left -= used;
-            idle.push((reservation.tenant.as_str(), lanes - used));
+            idle.push((reservation.tenant.as_str(), permits - used));
         }
         beyond.extend(members.iter().map(|(m, w)| (*m, "", want(*w, ""))));
         let wants: Vec<u32> = beyond.iter().map(|(_, _, want)| *want).collect();
@@ -45,11 +45,11 @@
         // Ahead of demand: what an owner may ask for, then the others' part, evenly; the first in order get
         // the odd ones.
         idle.push(("", u32::MAX));
-        for (tenant, lanes) in idle {
-            let lanes = lanes.min(left);
-            left -= lanes;
+        for (tenant, permits) in idle {
+            let permits = permits.min(left);
+            left -= permits;
             for (place, (member, _)) in (0..most).zip(members) {
-                targets.add(member, 1, tenant, lanes / most + u32::from(place < lanes % most));
+                targets.add(member, 1, tenant, permits / most + u32::from(place < permits % most));
             }
         }
         targets
@@ -57,21 +57,21 @@
 
     /// What a member is to get of so many that are left.
     pub fn of(&self, member: &Member, mut left: u32) -> BTreeMap<String, u32> {
-        let mut lanes = BTreeMap::new();
+        let mut permits = BTreeMap::new();
         for (tenant, n) in self.members.get(member).into_iter().flatten().flatten() {
             let n = left.min(*n);
             left -= n;
             if n > 0 {
-                *lanes.entry(tenant.clone()).or_default() += n;
+                *permits.entry(tenant.clone()).or_default() += n;
             }
         }
-        lanes
+        permits
     }
 
-    fn add(&mut self, member: &Member, part: usize, tenant: &str, lanes: u32) {
-        if lanes > 0 {
+    fn add(&mut self, member: &Member, part: usize, tenant: &str, permits: u32) {
+        if permits > 0 {
             let of = self.members.entry(member.clone()).or_default();
-            *of[part].entry(tenant.to_owned()).or_default() += lanes;
+            *of[part].entry(tenant.to_owned()).or_default() += permits;
         }
     }
 }
@@ -81,22 +81,22 @@
 }
 
 /// Reservations as they stand where fewer permits are left than were reserved: in proportion, rounded down.
-fn scaled(lanes: u32, reservations: &[Reservation]) -> Vec<u32> {
+fn scaled(permits: u32, reservations: &[Reservation]) -> Vec<u32> {
     let all: u64 = reservations.iter().map(|r| u64::from(r.permits)).sum();
     let part = |r: &Reservation| match all {
-        all if all <= u64::from(lanes) => r.permits,
-        all => u32::try_from(u64::from(r.permits) * u64::from(lanes) / all).unwrap_or(lanes),
+        all if all <= u64::from(permits) => r.permits,
+        all => u32::try_from(u64::from(r.permits) * u64::from(permits) / all).unwrap_or(permits),
     };
     reservations.iter().map(part).collect()
 }
 
 /// Max-min shares: nobody gets more than it wants, and whoever gets less gets no less than any other, but for
 /// one permit.
-fn max_min(lanes: u32, wants: &[u32]) -> Vec<u32> {
+fn max_min(permits: u32, wants: &[u32]) -> Vec<u32> {
     let mut order: Vec<usize> = (0..wants.len()).collect();
     order.sort_by_key(|i| wants[*i]);
     let mut parts = vec![0; wants.len()];
-    let mut left = lanes;
+    let mut left = permits;
     for (done, i) in order.into_iter().enumerate() {
         let others = u32::try_from(wants.len() - done).unwrap_or(u32::MAX);
         // Rounded up, as the odd permits go to the first of those that want as much; the sum stays within what
--- a/crates/cluster-state/src/bounds.rs
+++ b/crates/cluster-state/src/bounds.rs
@@ -80,7 +80,7 @@
     let names = pool.functions.iter().map(|name| ("pattern", name));
     let mut names = names.chain(pool.reservations.iter().map(|r| ("tenant", &r.tenant)));
     let reserved: u64 = pool.reservations.iter().map(|r| u64::from(r.permits)).sum();
-    let beyond = matches!(pool.size, PoolSize::Permits(lanes) if reserved > u64::from(lanes));
+    let beyond = matches!(pool.size, PoolSize::Permits(permits) if reserved > u64::from(permits));
     name_refusal("pool", &pool.name)
         .or_else(|| too_many("patterns of a pool", pool.functions.len(), MAX_PATTERNS))
         .or_else(|| too_many("reservations of a pool", pool.reservations.len(), MAX_PATTERNS))
--- a/crates/cluster-state/src/leader.rs
+++ b/crates/cluster-state/src/leader.rs
@@ -78,19 +78,19 @@
     /// where that is too long ago, or where the member is not a present one.
     pub fn report(
         &mut self,
-        record: &ClusterState,
+        state: &ClusterState,
         member: &Member,
         report: &Report,
         now: Micros,
         acked: Micros,
     ) -> Option<Grant> {
-        if !record.is_present(member) || now.saturating_sub(acked) > self.terms.quorum {
+        if !state.is_present(member) || now.saturating_sub(acked) > self.terms.quorum {
             return None;
         }
         let given = self.terms.grantor_span();
         let session = self.sessions.entry(member.clone()).or_default();
         // Nobody can have seen more than there is.
-        let confirmed = report.confirmed.min(record.view.version);
+        let confirmed = report.confirmed.min(state.view.version);
         if confirmed > session.confirmed {
             session.confirmed = confirmed;
             self.evaluated = None;
@@ -98,9 +98,9 @@
         session.promised_until = session.promised_until.max(now + given);
         Some(Grant {
             number: report.number,
-            version: record.view.version,
+            version: state.view.version,
             lease: self.terms.lease,
-            permits: self.allocator.as_mut().map_or_else(Vec::new, |d| d.report(record, member, report, now)),
+            permits: self.allocator.as_mut().map_or_else(Vec::new, |d| d.report(state, member, report, now)),
         })
     }
 }
--- a/crates/cluster-state/src/leader/commands.rs
+++ b/crates/cluster-state/src/leader/commands.rs
@@ -24,8 +24,8 @@
 impl Leader {
     /// When [`Leader::due`] may next have something: `now` where something changed since it was last asked,
     /// else by time alone. None: only a report or a change of the cluster state can bring something.
-    pub fn next_due(&self, record: &ClusterState, now: Micros) -> Option<Micros> {
-        if self.evaluated == Some(record.version) {
+    pub fn next_due(&self, state: &ClusterState, now: Micros) -> Option<Micros> {
+        if self.evaluated == Some(state.version) {
             self.wake.map(|wake| wake.max(now))
         } else {
             Some(now)
@@ -34,42 +34,42 @@
 
     /// Changes of the cluster state that are due. Nothing is looked at before [`Leader::next`]; then every run and
     /// tombstone once.
-    pub fn due_commands(&mut self, record: &ClusterState, now: Micros) -> Vec<Command> {
-        if self.next_due(record, now).is_none_or(|next| next > now) {
+    pub fn due_commands(&mut self, state: &ClusterState, now: Micros) -> Vec<Command> {
+        if self.next_due(state, now).is_none_or(|next| next > now) {
             return Vec::new();
         }
-        self.evaluated = Some(record.version);
+        self.evaluated = Some(state.version);
         (self.wake, self.is_waiting) = (None, false);
-        self.sessions.retain(|m, _| record.is_present(m) || record.replaced.contains_key(m));
-        let mut commands = self.last_leave_check(record, now);
-        let late = self.lagging_runs(record, now);
+        self.sessions.retain(|m, _| state.is_present(m) || state.replaced.contains_key(m));
+        let mut commands = self.last_leave_check(state, now);
+        let lagging = self.lagging_runs(state, now);
         // Of the first so many late runs: the oldest joining of all, and of those that may rely on a promise.
         let mut oldest = vec![(Version::MAX, Version::MAX)];
-        for run in &late {
+        for run in &lagging {
             let (all, relying) = oldest[oldest.len() - 1];
             let relying = if now < run.relies_until { relying.min(run.joined) } else { relying };
             oldest.push((all.min(run.joined), relying));
         }
         let mut before = std::mem::take(&mut self.progress);
-        for (function, tombstone) in &record.view.tombstones {
+        for (function, tombstone) in &state.view.tombstones {
             let proposed = tombstone.proposed;
-            let mut course = before.remove(&proposed).unwrap_or(RetirementProgress {
+            let mut progress = before.remove(&proposed).unwrap_or(RetirementProgress {
                 observed_at: now,
                 confirmed_since: None,
                 proposed: None,
             });
-            let behind = late.partition_point(|run| run.confirmed < proposed);
+            let behind = lagging.partition_point(|run| run.confirmed < proposed);
             // Who joined later was never told less than that it is retired.
             let found = TombstoneEvidence {
                 has_earlier_run: oldest[behind].0 < proposed,
                 has_relying_run: oldest[behind].1 < proposed,
-                lagging: &late[..behind],
+                lagging: &lagging[..behind],
             };
-            commands.extend(self.evaluate(record, function, tombstone, &mut course, &found, now));
-            self.progress.insert(proposed, course);
+            commands.extend(self.evaluate(state, function, tombstone, &mut progress, &found, now));
+            self.progress.insert(proposed, progress);
         }
         if self.is_waiting {
-            let ends = late.iter().map(|run| run.relies_until).filter(|end| *end > now);
+            let ends = lagging.iter().map(|run| run.relies_until).filter(|end| *end > now);
             ends.min().into_iter().for_each(|end| self.wake_at(end));
         }
         commands
@@ -78,10 +78,10 @@
     /// What is due for one tombstone.
     fn evaluate(
         &mut self,
-        record: &ClusterState,
+        state: &ClusterState,
         function: &str,
         tombstone: &Tombstone,
-        course: &mut RetirementProgress,
+        progress: &mut RetirementProgress,
         found: &TombstoneEvidence,
         now: Micros,
     ) -> Option<Command> {
@@ -97,10 +97,10 @@
             // several reports long; who has not confirmed by then is named, so that one long call in progress
             // holds up nobody's state.
             (TombstoneState::Proposed, RetirementMode::Available)
-                if found.has_relying_run && now < course.observed_at + self.terms.grantor_span() =>
+                if found.has_relying_run && now < progress.observed_at + self.terms.grantor_span() =>
             {
                 self.is_waiting = true;
-                self.wake_at(course.observed_at + self.terms.grantor_span());
+                self.wake_at(progress.observed_at + self.terms.grantor_span());
                 return None;
             }
             (TombstoneState::Proposed, RetirementMode::Available) => {
@@ -111,7 +111,7 @@
             (TombstoneState::InForce { but_for }, _) => {
                 let open = |m: &&Member| {
                     !self.has_confirmed(m, tombstone.proposed)
-                        && (record.is_present(m) || record.replaced.contains_key(m))
+                        && (state.is_present(m) || state.replaced.contains_key(m))
                 };
                 but_for.iter().filter(open).cloned().collect()
             }
@@ -121,10 +121,10 @@
         let forget = tombstone.state == state;
         if forget {
             if found.has_earlier_run {
-                course.confirmed_since = None;
+                progress.confirmed_since = None;
                 return None;
             }
-            let due = *course.confirmed_since.get_or_insert(now) + self.terms.tombstone_retention;
+            let due = *progress.confirmed_since.get_or_insert(now) + self.terms.tombstone_retention;
             if now < due {
                 self.wake_at(due);
                 return None;
@@ -133,13 +133,13 @@
         // What was handed out is being agreed on. Each change sends the view to all, so names go from it
         // together.
         let pause = self.retry_interval();
-        if let Some((at, last)) = course.proposed {
+        if let Some((at, last)) = progress.proposed {
             if now < at + pause && (excepted > 0 || last == 0) {
                 self.wake_at(at + pause);
                 return None;
             }
         }
-        course.proposed = Some((now, excepted));
+        progress.proposed = Some((now, excepted));
         self.wake_at(now + pause);
         Some(match state {
             TombstoneState::InForce { but_for } if !forget => {
@@ -150,9 +150,9 @@
     }
 
     /// Runs in whose place another joined and to which no promise stands any more leave.
-    fn last_leave_check(&mut self, record: &ClusterState, now: Micros) -> Vec<Command> {
+    fn last_leave_check(&mut self, state: &ClusterState, now: Micros) -> Vec<Command> {
         let (gone, at_work): (Vec<_>, Vec<_>) =
-            record.replaced.keys().partition(|m| self.relies_until(m) <= now);
+            state.replaced.keys().partition(|m| self.relies_until(m) <= now);
         let next = at_work.into_iter().map(|m| self.relies_until(m)).min();
         next.into_iter().for_each(|end| self.wake_at(end));
         if gone.is_empty() {
@@ -169,15 +169,15 @@
     }
 
     /// Runs that may be in progress and have not confirmed all, those that confirmed least first.
-    fn lagging_runs(&self, record: &ClusterState, now: Micros) -> Vec<LaggingRun> {
-        let newest = record.view.tombstones.values().map(|t| t.proposed).max().unwrap_or(0);
-        let present = record.members.iter().filter(|(_, run)| run.left.is_none());
+    fn lagging_runs(&self, state: &ClusterState, now: Micros) -> Vec<LaggingRun> {
+        let newest = state.view.tombstones.values().map(|t| t.proposed).max().unwrap_or(0);
+        let present = state.members.iter().filter(|(_, run)| run.left.is_none());
         let present = present
             .map(|(name, run)| (Member { name: name.clone(), incarnation: run.incarnation }, run.joined));
-        let replaced = record.replaced.iter().map(|(m, joined)| (m.clone(), *joined));
+        let replaced = state.replaced.iter().map(|(m, joined)| (m.clone(), *joined));
         let replaced = replaced.filter(|(m, _)| now < self.relies_until(m));
         let runs = present.chain(replaced).filter(|(_, joined)| *joined < newest);
-        let mut late: Vec<LaggingRun> = runs
+        let mut lagging: Vec<LaggingRun> = runs
             .map(|(member, joined)| LaggingRun {
                 confirmed: self.sessions.get(&member).map_or(0, |s| s.confirmed),
                 joined,
@@ -186,8 +186,8 @@
             })
             .filter(|run| run.confirmed < newest)
             .collect();
-        late.sort_by_key(|run| run.confirmed);
-        late
+        lagging.sort_by_key(|run| run.confirmed);
+        lagging
     }
 
     fn has_confirmed(&self, member: &Member, version: Version) -> bool {
--- a/crates/cluster-state/src/lease.rs
+++ b/crates/cluster-state/src/lease.rs
@@ -85,8 +85,8 @@
             self.status.fresh_until = self.status.fresh_until.max(until);
         }
         if until >= self.status.permits_until {
-            let lanes = grant.permits.into_iter().map(|(pool, tenant, lanes)| ((pool, tenant), lanes));
-            self.status.permits = Arc::new(lanes.collect());
+            let permits = grant.permits.into_iter().map(|(pool, tenant, permits)| ((pool, tenant), permits));
+            self.status.permits = Arc::new(permits.collect());
             self.status.permits_until = until;
             self.status.permits_grant = grant.number;
         }
--- a/crates/consensus/src/replica/connection.rs
+++ b/crates/consensus/src/replica/connection.rs
@@ -15,9 +15,9 @@
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Serves one connection until either side ends it. The desk ends it by dropping its sender.
-pub async fn serve_session(conn: u64, frames: Frames, hello: SessionRequest, desk: Notes) {
+pub async fn serve_session(connection: u64, frames: Frames, hello: SessionRequest, service: Notes) {
     let (out, mut outgoing) = mpsc::channel::<Bytes>(OUTPUT_CAPACITY);
-    if desk.send(ServiceMessage::Connected { conn, hello, out }).await.is_err() {
+    if service.send(ServiceMessage::Connected { connection, hello, out }).await.is_err() {
         return;
     }
     let (mut stream, mut sink) = split(frames);
@@ -25,12 +25,12 @@
         tokio::select! {
             frame = timeout(SILENCE_TIMEOUT, stream.next()) => {
                 let Ok(Some(Ok(frame))) = frame else { break };
-                let Some(said) = decode::<SessionRequest>(&frame) else {
-                    tracing::warn!(target: "stagehoist_consensus", event = "session", conn,
+                let Some(request) = decode::<SessionRequest>(&frame) else {
+                    tracing::warn!(target: "stagehoist_consensus", event = "session", connection,
                         "a frame that says nothing");
                     break;
                 };
-                if desk.send(ServiceMessage::Received { conn, request: said }).await.is_err() {
+                if service.send(ServiceMessage::Received { connection, request: request }).await.is_err() {
                     break;
                 }
             }
@@ -44,11 +44,11 @@
                     SinkExt::<Bytes>::flush(&mut sink).await
                 });
                 if !matches!(written.await, Ok(Ok(()))) {
-                    tracing::warn!(target: "stagehoist_consensus", event = "session", conn, "it does not read");
+                    tracing::warn!(target: "stagehoist_consensus", event = "session", connection, "it does not read");
                     break;
                 }
             }
         }
     }
-    let _ = desk.send(ServiceMessage::Disconnected { conn }).await;
+    let _ = service.send(ServiceMessage::Disconnected { connection }).await;
 }
--- a/crates/consensus/src/replica/listener.rs
+++ b/crates/consensus/src/replica/listener.rs
@@ -22,10 +22,10 @@
 const PEER_SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Accepts until it is dropped, and with it all connections.
-pub async fn accept_connections(listener: TcpListener, own: u64, host: PeerHandler, desk: Notes) {
+pub async fn accept_connections(listener: TcpListener, own: u64, host: PeerHandler, service: Notes) {
     let host = Arc::new(host);
     let mut tasks = JoinSet::new();
-    let mut conn = 0;
+    let mut connection = 0;
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
@@ -36,8 +36,8 @@
                     drop(stream);
                 }
                 Ok((stream, _)) => {
-                    conn += 1;
-                    tasks.spawn(greet(stream, conn, own, host.clone(), desk.clone()));
+                    connection += 1;
+                    tasks.spawn(greet(stream, connection, own, host.clone(), service.clone()));
                 }
                 Err(e) => {
                     tracing::warn!(target: "stagehoist_consensus", why = %e, "can't accept");
@@ -49,11 +49,11 @@
     }
 }
 
-async fn greet(stream: TcpStream, conn: u64, own: u64, host: Arc<PeerHandler>, desk: Notes) {
+async fn greet(stream: TcpStream, connection: u64, own: u64, host: Arc<PeerHandler>, service: Notes) {
     let mut frames = frames(stream, MAX_FIRST_FRAME);
     let Ok(Some(Ok(first))) = timeout(FIRST_FRAME_TIMEOUT, frames.next()).await else { return };
     match decode_first(&first) {
-        Some(First::Member(hello)) => serve_session(conn, frames, hello, desk).await,
+        Some(First::Member(hello)) => serve_session(connection, frames, hello, service).await,
         Some(First::Peer { protocol: PEER_PROTOCOL, from, to }) if to == own && from != own => {
             frames.codec_mut().set_max_frame_length(MAX_PEER_FRAME);
             peer(frames, from, &host).await;
@@ -61,7 +61,7 @@
         Some(First::Peer { protocol, from, to }) => {
             tracing::error!(target: "stagehoist_consensus", protocol, from, to, own, "a replica was rejected");
         }
-        None => tracing::warn!(target: "stagehoist_consensus", conn, "a first frame that says nothing"),
+        None => tracing::warn!(target: "stagehoist_consensus", connection, "a first frame that says nothing"),
     }
 }
 
--- a/crates/consensus/src/replica/run.rs
+++ b/crates/consensus/src/replica/run.rs
@@ -68,7 +68,7 @@
     let (notes, noted) = mpsc::channel(NOTES_MOST);
     let (raise, raised) = mpsc::channel(8);
     let host = PeerHandler { raft: raft.clone(), participation: gate.clone(), term_raises: raise };
-    let tools = ServiceContext {
+    let context = ServiceContext {
         number: number,
         raft: raft.clone(),
         participation: gate.clone(),
@@ -80,7 +80,7 @@
     };
     let numbers: BTreeSet<u64> = options.replicas.keys().copied().collect();
     tasks.spawn(accept_connections(listener, number, host, notes));
-    tasks.spawn(run_service(tools, noted));
+    tasks.spawn(run_service(context, noted));
     tasks.spawn(yield_term(raft.clone(), raised));
     tasks.spawn(maintain_membership(raft.clone(), numbers.clone(), peers.clone()));
     tasks.spawn(join_or_form(start, numbers, store, raft.clone(), gate, peers, applied));
--- a/crates/consensus/src/replica/service.rs
+++ b/crates/consensus/src/replica/service.rs
@@ -22,9 +22,9 @@
 
 /// What connections of front ends bring to the session service.
 pub enum ServiceMessage {
-    Connected { conn: u64, hello: SessionRequest, out: mpsc::Sender<Bytes> },
-    Received { conn: u64, request: SessionRequest },
-    Disconnected { conn: u64 },
+    Connected { connection: u64, hello: SessionRequest, out: mpsc::Sender<Bytes> },
+    Received { connection: u64, request: SessionRequest },
+    Disconnected { connection: u64 },
 }
 
 /// What a desk works with.
@@ -40,21 +40,22 @@
 }
 
 /// Runs the desk until every sender of notes is gone.
-pub async fn run_service(tools: ServiceContext, mut notes: mpsc::Receiver<ServiceMessage>) {
-    let mut applied = tools.applied.clone();
-    let mut metrics = tools.raft.metrics();
+pub async fn run_service(context: ServiceContext, mut notes: mpsc::Receiver<ServiceMessage>) {
+    let mut applied = context.applied.clone();
+    let mut metrics = context.raft.metrics();
     let mut fresh = metrics.clone();
     let mut acks = Acks::default();
-    let mut desk = SessionService::new(tools);
+    let mut service = SessionService::new(context);
     let mut batch = Vec::new();
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let mut ticked = false;
-        let pause = desk.next_due().map(|at| at.saturating_sub(desk.now).max(PAUSE_LEAST).unsigned_abs());
+        let pause =
+            service.next_due().map(|at| at.saturating_sub(service.now).max(PAUSE_LEAST).unsigned_abs());
         tokio::select! {
             got = notes.recv_many(&mut batch, NOTES_MOST) => if got == 0 { return },
-            done = desk.agreed() => desk.on_agreed(done),
+            done = service.agreed() => service.on_agreed(done),
             changed = applied.changed() => if changed.is_err() { return },
             // Each answer of a majority shows here; how fine its time is known hangs on the looks between.
             changed = fresh.changed() => if changed.is_err() { return },
@@ -62,19 +63,23 @@
             _ = tick.tick() => ticked = true,
         }
         fresh.mark_unchanged();
-        desk.now = (desk.context.now)();
-        acks.update(&mut metrics, desk.now);
-        desk.acknowledged_at = acks.acknowledged_at;
-        desk.record = applied.borrow_and_update().clone();
-        desk.on_metrics(&metrics.borrow());
+        service.now = (service.context.now)();
+        acks.update(&mut metrics, service.now);
+        service.acknowledged_at = acks.acknowledged_at;
+        service.state = applied.borrow_and_update().clone();
+        service.on_metrics(&metrics.borrow());
         for note in batch.drain(..) {
             match note {
-                ServiceMessage::Connected { conn, hello, out } => desk.on_connected(conn, hello, out),
-                ServiceMessage::Received { conn, request: said } => desk.on_request(conn, said),
-                ServiceMessage::Disconnected { conn } => desk.close(conn, "gone"),
+                ServiceMessage::Connected { connection, hello, out } => {
+                    service.on_connected(connection, hello, out)
+                }
+                ServiceMessage::Received { connection, request: request } => {
+                    service.on_request(connection, request)
+                }
+                ServiceMessage::Disconnected { connection } => service.close(connection, "gone"),
             }
         }
-        desk.finish(ticked);
+        service.finish(ticked);
     }
 }
 
--- a/crates/consensus/src/replica/service_state.rs
+++ b/crates/consensus/src/replica/service_state.rs
@@ -48,7 +48,7 @@
     pub context: ServiceContext,
     pub now: Micros,
     pub acknowledged_at: Micros,
-    pub record: Applied,
+    pub state: Applied,
     term: u64,
     leading: Leading,
     leadership: Option<Leader>,
@@ -67,12 +67,12 @@
 
 impl SessionService {
     /// A service without connections that does not lead.
-    pub fn new(tools: ServiceContext) -> SessionService {
+    pub fn new(context: ServiceContext) -> SessionService {
         SessionService {
-            context: tools,
+            context: context,
             now: 0,
             acknowledged_at: Micros::MIN / 2,
-            record: Applied::default(),
+            state: Applied::default(),
             term: 0,
             leading: Leading::default(),
             leadership: None,
@@ -103,7 +103,7 @@
             && metrics.vote.committed
             && metrics.vote.leader_id.node_id == self.context.number;
         // In one term there is one leader, so that the term tells whose an entry is.
-        let applied = self.record.last.map(|l| (l.leader_id.term, l.index));
+        let applied = self.state.last.map(|l| (l.leader_id.term, l.index));
         let leads = self.leading.may(elected, metrics.vote.leader_id.term, metrics.last_log_index, applied);
         if self.leadership.is_some() && (!leads || term != self.term) {
             self.on_leader(metrics.current_leader);
@@ -134,86 +134,86 @@
         tracing::info!(target: "stagehoist_consensus", event = "following", keeper = self.context.number,
             term = self.term,
             "no longer leading");
-        for conn in self.connections.keys().copied().collect::<Vec<_>>() {
-            self.reject(conn, SessionResponse::Elsewhere { leader });
+        for connection in self.connections.keys().copied().collect::<Vec<_>>() {
+            self.reject(connection, SessionResponse::Elsewhere { leader });
         }
     }
 
     /// A connection's first message.
-    pub fn on_connected(&mut self, conn: u64, hello: SessionRequest, out: mpsc::Sender<Bytes>) {
+    pub fn on_connected(&mut self, connection: u64, hello: SessionRequest, out: mpsc::Sender<Bytes>) {
         self.statistics.messages_received += 1;
         self.connections
-            .insert(conn, ServiceConnection { output: out, member: None, before: None, sent: None });
+            .insert(connection, ServiceConnection { output: out, member: None, before: None, sent: None });
         let SessionRequest::Hello { protocol, name, member, at_least, edition, pools } = hello else {
-            return self.close(conn, "no hello");
+            return self.close(connection, "no hello");
         };
         if protocol != PROTOCOL {
             let why = format!("protocol {protocol}; here it is {PROTOCOL}");
-            return self.reject(conn, SessionResponse::Rejected { reason: why });
+            return self.reject(connection, SessionResponse::Rejected { reason: why });
         }
         if self.leadership.is_none() {
             let leader = self.leader.filter(|l| *l != self.context.number);
-            return self.reject(conn, SessionResponse::Elsewhere { leader });
+            return self.reject(connection, SessionResponse::Elsewhere { leader });
         }
         if !self.admits(&name) {
             let why = "there are as many front ends as the fleet is configured to have".into();
-            return self.reject(conn, SessionResponse::Rejected { reason: why });
+            return self.reject(connection, SessionResponse::Rejected { reason: why });
         }
-        if edition > self.record.record.view.edition {
+        if edition > self.state.state.view.edition {
             self.propose(Proposer::Nobody, Command::Pools { edition, pools });
         }
-        if let Some(at) = self.connections.get_mut(&conn) {
-            at.before = self.record.record.members.get(&name).map(|run| run.incarnation);
+        if let Some(at) = self.connections.get_mut(&connection) {
+            at.before = self.state.state.members.get(&name).map(|run| run.incarnation);
         }
-        match member.filter(|m| m.name == name && self.record.record.is_present(m)) {
-            Some(member) => self.welcome(conn, member),
-            None => self.propose(Proposer::Join(conn), Command::Join { name, at_least }),
+        match member.filter(|m| m.name == name && self.state.state.is_present(m)) {
+            Some(member) => self.welcome(connection, member),
+            None => self.propose(Proposer::Join(connection), Command::Join { name, at_least }),
         }
     }
 
-    fn welcome(&mut self, conn: u64, member: Member) {
-        if let Some(old) = self.by_name.insert(member.name.clone(), conn) {
+    fn welcome(&mut self, connection: u64, member: Member) {
+        if let Some(old) = self.by_name.insert(member.name.clone(), connection) {
             self.close(old, "its front end came anew");
         }
         tracing::info!(target: "stagehoist_consensus", event = "session", name = %member.name,
             incarnation = member.incarnation, "joined");
         let mut before = None;
-        if let Some(at) = self.connections.get_mut(&conn) {
+        if let Some(at) = self.connections.get_mut(&connection) {
             at.member = Some(member.clone());
             before = at.before;
         }
-        self.send(conn, &SessionResponse::Welcome { member, terms: self.context.terms, before });
-        self.send_view(conn);
+        self.send(connection, &SessionResponse::Welcome { member, terms: self.context.terms, before });
+        self.send_view(connection);
     }
 
     /// A front end sent a request.
-    pub fn on_request(&mut self, conn: u64, said: SessionRequest) {
+    pub fn on_request(&mut self, connection: u64, request: SessionRequest) {
         self.statistics.messages_received += 1;
-        let Some(at) = self.connections.get(&conn) else { return };
-        match (said, at.member.clone()) {
-            (SessionRequest::Report(report), Some(member)) => self.report(conn, &member, &report),
-            (SessionRequest::Retire(retirement), Some(_)) => self.retire(conn, retirement),
+        let Some(at) = self.connections.get(&connection) else { return };
+        match (request, at.member.clone()) {
+            (SessionRequest::Report(report), Some(member)) => self.report(connection, &member, &report),
+            (SessionRequest::Retire(retirement), Some(_)) => self.retire(connection, retirement),
             (SessionRequest::Leave, Some(member)) => {
-                self.propose(Proposer::Leave(conn), Command::Leave(member))
+                self.propose(Proposer::Leave(connection), Command::Leave(member))
             }
             (SessionRequest::Inquire { number, round: turn, to, keys }, Some(member)) => {
-                self.on_inquiry(conn, member, (number, turn), &to, keys);
+                self.on_inquiry(connection, member, (number, turn), &to, keys);
             }
             (SessionRequest::Answer { to, number, known }, Some(member)) => {
                 self.forward_answer(member, &to, number, known)
             }
-            (SessionRequest::Hello { .. }, _) | (_, None) => self.close(conn, "out of order"),
+            (SessionRequest::Hello { .. }, _) | (_, None) => self.close(connection, "out of order"),
         }
     }
 
-    fn report(&mut self, conn: u64, member: &Member, report: &Report) {
+    fn report(&mut self, connection: u64, member: &Member, report: &Report) {
         // The view first: the grant is for the newest.
-        self.send_view(conn);
+        self.send_view(connection);
         let Some(lead) = &mut self.leadership else { return };
-        let granted = lead.report(&self.record.record, member, report, self.now, self.acknowledged_at);
+        let granted = lead.report(&self.state.state, member, report, self.now, self.acknowledged_at);
         if let Some(grant) = granted {
             self.statistics.promised += 1;
-            self.send(conn, &SessionResponse::Grant(grant));
+            self.send(connection, &SessionResponse::Grant(grant));
         }
     }
 
@@ -221,14 +221,14 @@
     /// again.
     pub fn next_due(&self) -> Option<Micros> {
         let is_open = self.in_flight.is_none() && self.queue.is_empty();
-        self.leadership.as_ref().filter(|_| is_open)?.next_due(&self.record.record, self.now)
+        self.leadership.as_ref().filter(|_| is_open)?.next_due(&self.state.state, self.now)
     }
 
     /// What follows from all that came in this turn.
     pub fn finish(&mut self, ticked: bool) {
         if let Some(lead) = &mut self.leadership {
             if self.in_flight.is_none() && self.queue.is_empty() {
-                let due = lead.due_commands(&self.record.record, self.now);
+                let due = lead.due_commands(&self.state.state, self.now);
                 self.queue.extend(due.into_iter().map(|c| (Proposer::Nobody, c)).take(MAX_QUEUE));
             }
             if self.in_flight.is_none() && !self.queue.is_empty() {
--- a/crates/consensus/src/replica/service_state/inquiries.rs
+++ b/crates/consensus/src/replica/service_state/inquiries.rs
@@ -24,29 +24,29 @@
     /// can't be told: another may lead by now, or names were forgotten.
     pub(super) fn on_inquiry(
         &mut self,
-        conn: u64,
+        connection: u64,
         from: Member,
         (number, turn): (u64, u32),
         to: &[String],
         keys: Vec<MessageKey>,
     ) {
         if keys.len() > MAX_KEYS {
-            return self.close(conn, "it asks for too much");
+            return self.close(connection, "it asks for too much");
         }
-        let record = &self.record.record;
+        let state = &self.state.state;
         let trusted =
             self.now.saturating_sub(self.acknowledged_at) <= self.context.terms.quorum.min(MAJORITY_TRUSTED);
-        if self.leadership.is_none() || !trusted || record.forgotten > 0 {
+        if self.leadership.is_none() || !trusted || state.forgotten > 0 {
             return;
         }
-        let of: Vec<String> = record.members.keys().filter(|name| **name != from.name).cloned().collect();
+        let of: Vec<String> = state.members.keys().filter(|name| **name != from.name).cloned().collect();
         let asked: Vec<u64> = remaining_members(&of, to)
             .into_iter()
             .filter_map(|name| self.by_name.get(name).copied())
             .collect();
-        self.send(conn, &SessionResponse::InquiryMembers { number, round: turn, members: of });
+        self.send(connection, &SessionResponse::InquiryMembers { number, round: turn, members: of });
         let question = SessionResponse::Inquire { from, number, keys };
-        asked.into_iter().for_each(|conn| self.try_send(conn, &question));
+        asked.into_iter().for_each(|connection| self.try_send(connection, &question));
     }
 
     /// Passes an answer on to the run that asked.
@@ -57,17 +57,17 @@
         number: u64,
         known: Vec<MessageKnowledge>,
     ) {
-        let Some(conn) = self.by_name.get(&to.name).copied() else { return };
-        if self.connections.get(&conn).is_some_and(|c| c.member.as_ref() == Some(to)) {
-            self.try_send(conn, &SessionResponse::Answer { from: from.name, number, known });
+        let Some(connection) = self.by_name.get(&to.name).copied() else { return };
+        if self.connections.get(&connection).is_some_and(|c| c.member.as_ref() == Some(to)) {
+            self.try_send(connection, &SessionResponse::Answer { from: from.name, number, known });
         }
     }
 
     /// Questions never crowd out views and promises; they are asked again. Half the room stays free: one turn of the desk
     /// takes in more answers than there is room, and a view or promise that finds none ends the connection.
-    fn try_send(&mut self, conn: u64, message: &SessionResponse) {
-        if self.connections.get(&conn).is_some_and(|c| c.output.capacity() > OUTPUT_CAPACITY / 2) {
-            self.send(conn, message);
+    fn try_send(&mut self, connection: u64, message: &SessionResponse) {
+        if self.connections.get(&connection).is_some_and(|c| c.output.capacity() > OUTPUT_CAPACITY / 2) {
+            self.send(connection, message);
         }
     }
 }
--- a/crates/consensus/src/replica/service_state/output.rs
+++ b/crates/consensus/src/replica/service_state/output.rs
@@ -7,9 +7,9 @@
 
 impl SessionService {
     /// Sends the newest view, where it was not sent yet.
-    pub(super) fn send_view(&mut self, conn: u64) {
-        let view = &self.record.record.view;
-        let Some(at) = self.connections.get_mut(&conn) else { return };
+    pub(super) fn send_view(&mut self, connection: u64) {
+        let view = &self.state.state.view;
+        let Some(at) = self.connections.get_mut(&connection) else { return };
         if at.sent == Some(view.version) {
             return;
         }
@@ -19,48 +19,52 @@
             self.view = (view.version, frame);
         }
         let frame = self.view.1.clone();
-        self.send_frame(conn, frame);
+        self.send_frame(connection, frame);
     }
 
     /// Sends a view that changed to whoever has joined; who joins later is shown it then.
     pub(super) fn send_views(&mut self) {
-        let newest = self.record.record.view.version;
+        let newest = self.state.state.view.version;
         if self.published == newest {
             return;
         }
         self.published = newest;
-        let joined: Vec<u64> =
-            self.connections.iter().filter(|(_, c)| c.member.is_some()).map(|(conn, _)| *conn).collect();
-        for conn in joined {
-            self.send_view(conn);
+        let joined: Vec<u64> = self
+            .connections
+            .iter()
+            .filter(|(_, c)| c.member.is_some())
+            .map(|(connection, _)| *connection)
+            .collect();
+        for connection in joined {
+            self.send_view(connection);
         }
     }
 
-    pub(super) fn send(&mut self, conn: u64, message: &SessionResponse) {
+    pub(super) fn send(&mut self, connection: u64, message: &SessionResponse) {
         if let Ok(frame) = encode(message) {
-            self.send_frame(conn, frame);
+            self.send_frame(connection, frame);
         }
     }
 
-    pub(super) fn send_frame(&mut self, conn: u64, frame: Bytes) {
-        let Some(at) = self.connections.get(&conn) else { return };
+    pub(super) fn send_frame(&mut self, connection: u64, frame: Bytes) {
+        let Some(at) = self.connections.get(&connection) else { return };
         if at.output.try_send(frame).is_ok() {
             self.statistics.messages_sent += 1;
         } else {
-            self.close(conn, "it does not read");
+            self.close(connection, "it does not read");
         }
     }
 
-    pub(super) fn reject(&mut self, conn: u64, message: SessionResponse) {
-        self.send(conn, &message);
-        self.close(conn, "rejected");
+    pub(super) fn reject(&mut self, connection: u64, message: SessionResponse) {
+        self.send(connection, &message);
+        self.close(connection, "rejected");
     }
 
     /// Ends a connection: what was handed over still goes out.
-    pub fn close(&mut self, conn: u64, why: &str) {
-        let Some(at) = self.connections.remove(&conn) else { return };
+    pub fn close(&mut self, connection: u64, why: &str) {
+        let Some(at) = self.connections.remove(&connection) else { return };
         if let Some(member) = at.member {
-            if self.by_name.get(&member.name) == Some(&conn) {
+            if self.by_name.get(&member.name) == Some(&connection) {
                 self.by_name.remove(&member.name);
             }
             tracing::info!(target: "stagehoist_consensus", event = "session", name = %member.name,
--- a/crates/consensus/src/replica/service_state/proposals.rs
+++ b/crates/consensus/src/replica/service_state/proposals.rs
@@ -18,49 +18,49 @@
     /// Whether a front end of this name has a place where permits are allocated; those whose joining is under way count.
     pub(super) fn admits(&self, name: &str) -> bool {
         let Some(dealer) = self.leadership.as_ref().and_then(Leader::allocator) else { return true };
-        let record = &self.record.record;
+        let state = &self.state.state;
         let flying = self.in_flight.iter().flat_map(|(asked, _)| asked);
         let coming = flying.chain(&self.queue).filter_map(|(_, command)| match command {
             Command::Join { name, .. } => Some(name.as_str()),
             _ => None,
         });
-        let is_present = |n: &str| record.members.get(n).is_some_and(|run| run.left.is_none());
+        let is_present = |n: &str| state.members.get(n).is_some_and(|run| run.left.is_none());
         let coming: BTreeSet<&str> = coming.filter(|n| *n != name && !is_present(n)).collect();
-        dealer.admits_with(record, name, coming.len())
+        dealer.admits_with(state, name, coming.len())
     }
 
     pub(super) fn propose(&mut self, who: Proposer, command: Command) {
         if self.queue.len() < MAX_QUEUE {
             self.queue.push_back((who, command));
-        } else if let Proposer::Join(conn) | Proposer::Leave(conn) = who {
-            self.close(conn, "too much waits");
+        } else if let Proposer::Join(connection) | Proposer::Leave(connection) = who {
+            self.close(connection, "too much waits");
         }
     }
 
     /// The entry under way is agreed on, or it is not known whether it will be.
     pub fn on_agreed(&mut self, done: Agreed) {
         let Some((asked, _)) = self.in_flight.take() else { return };
-        self.record = self.context.applied.borrow().clone();
+        self.state = self.context.applied.borrow().clone();
         let results = done.map(|d| d.0).unwrap_or_default();
         for (at, (who, command)) in asked.into_iter().enumerate() {
             match (who, results.get(at)) {
-                (Proposer::Retire(conn), Some(CommandOutcome::Rejected { reason: why })) => {
+                (Proposer::Retire(connection), Some(CommandOutcome::Rejected { reason: why })) => {
                     if let Command::Retire(asked) = &command {
-                        self.reject_retirement(conn, asked.clone(), why);
+                        self.reject_retirement(connection, asked.clone(), why);
                     }
                 }
                 (Proposer::Retire(_), Some(CommandOutcome::Changed)) => self.is_full = false,
-                (Proposer::Join(conn), Some(CommandOutcome::Joined(member)))
-                    if self.connections.contains_key(&conn) =>
+                (Proposer::Join(connection), Some(CommandOutcome::Joined(member)))
+                    if self.connections.contains_key(&connection) =>
                 {
-                    self.welcome(conn, member.clone());
+                    self.welcome(connection, member.clone());
                 }
-                (Proposer::Join(conn), Some(CommandOutcome::Rejected { reason: why })) => {
-                    self.reject(conn, SessionResponse::Rejected { reason: why.clone() });
+                (Proposer::Join(connection), Some(CommandOutcome::Rejected { reason: why })) => {
+                    self.reject(connection, SessionResponse::Rejected { reason: why.clone() });
                 }
                 // Its front end comes again; a run that was counted in vain is not missed.
-                (Proposer::Join(conn), None) => self.close(conn, "not agreed on"),
-                (Proposer::Leave(conn), _) => self.close(conn, "left"),
+                (Proposer::Join(connection), None) => self.close(connection, "not agreed on"),
+                (Proposer::Leave(connection), _) => self.close(connection, "left"),
                 (Proposer::Nobody, Some(CommandOutcome::Rejected { reason: why })) => {
                     tracing::warn!(target: "stagehoist_consensus", event = "retirement", why,
                         "a change is refused");
--- a/crates/consensus/src/session/exchange.rs
+++ b/crates/consensus/src/session/exchange.rs
@@ -58,12 +58,12 @@
                         Some(SessionResponse::Elsewhere { leader }) => return End::Elsewhere(leader),
                         Some(SessionResponse::Rejected { .. }) => return End::Refused,
                         Some(SessionResponse::InquiryMembers { number, round: turn, members: of }) => {
-                            let heard = self.inquiries.on_members(number, turn, of, (self.client.now)());
-                            self.pass_event(heard);
+                            let event = self.inquiries.on_members(number, turn, of, (self.client.now)());
+                            self.pass_event(event);
                         }
                         Some(SessionResponse::Answer { from, number, known }) => {
-                            let heard = self.inquiries.on_answer(number, from, &known);
-                            self.pass_event(heard);
+                            let event = self.inquiries.on_answer(number, from, &known);
+                            self.pass_event(event);
                         }
                         Some(SessionResponse::Inquire { from, number, keys }) => {
                             self.pass_event(Some(InquiryEvent::Inquired { from, number, keys }));
@@ -75,8 +75,8 @@
                     if changed.is_err() {
                         return End::Stopped;
                     }
-                    let told = self.client.report.borrow_and_update().clone();
-                    if let Some(gap) = self.report_delay(&told) {
+                    let report = self.client.report.borrow_and_update().clone();
+                    if let Some(gap) = self.report_delay(&report) {
                         report_at = report_at.min(reported + gap);
                     }
                 }
@@ -135,17 +135,22 @@
     }
 
     /// A front end that does not listen misses it: whoever asked times out in time.
-    fn pass_event(&self, heard: Option<InquiryEvent>) {
-        if let Some(heard) = heard {
-            let _ = self.client.inquiry_events.try_send(heard);
+    fn pass_event(&self, event: Option<InquiryEvent>) {
+        if let Some(event) = event {
+            let _ = self.client.inquiry_events.try_send(event);
         }
     }
 
     fn report(&mut self) -> Report {
-        let told = self.client.report.borrow_and_update().clone();
+        let report = self.client.report.borrow_and_update().clone();
         let number = self.holder.begin_report((self.client.now)());
-        self.reported = told.clone();
-        Report { number, confirmed: told.confirmed, ready_capacity: told.ready_capacity, demand: told.demand }
+        self.reported = report.clone();
+        Report {
+            number,
+            confirmed: report.confirmed,
+            ready_capacity: report.ready_capacity,
+            demand: report.demand,
+        }
     }
 
     /// A view came: kept on disk first, then shown.
--- a/crates/consensus/src/session/retirements/tests.rs
+++ b/crates/consensus/src/session/retirements/tests.rs
@@ -18,11 +18,11 @@
 }
 
 fn view(functions: &[&str]) -> ClusterView {
-    let mut record = ClusterState::default();
+    let mut state = ClusterState::default();
     for (at, function) in functions.iter().enumerate() {
-        record.apply(at as u64 + 1, &Command::Retire(retirement(function)));
+        state.apply(at as u64 + 1, &Command::Retire(retirement(function)));
     }
-    record.view
+    state.view
 }
 
 #[test]
--- a/crates/consensus/src/store/state_machine.rs
+++ b/crates/consensus/src/store/state_machine.rs
@@ -18,7 +18,7 @@
 pub(super) struct State {
     pub(super) last: Option<LogId>,
     members: Members,
-    pub(super) record: ClusterState,
+    pub(super) state: ClusterState,
 }
 
 /// The replicated state machine, as Raft drives it.
@@ -39,7 +39,7 @@
 
 impl State {
     fn applied(&self) -> Applied {
-        Applied { last: self.last, record: Arc::new(self.record.clone()) }
+        Applied { last: self.last, state: Arc::new(self.state.clone()) }
     }
 
     pub(super) fn apply(&mut self, entry: Entry) -> BatchOutcome {
@@ -49,7 +49,7 @@
             // Each change has a number of its own; nobody sees half an entry.
             EntryPayload::Normal(batch) => {
                 let numbers = entry.log_id.index * MAX_CHANGES..;
-                BatchOutcome(numbers.zip(&batch.0).map(|(n, c)| self.record.apply(n, c)).collect())
+                BatchOutcome(numbers.zip(&batch.0).map(|(n, c)| self.state.apply(n, c)).collect())
             }
             EntryPayload::Membership(members) => {
                 self.members = Members::new(Some(entry.log_id), members);
--- a/crates/consensus/src/store/tests/golden.rs
+++ b/crates/consensus/src/store/tests/golden.rs
@@ -75,10 +75,10 @@
     runtime.block_on(async {
         compare(&mut store).await;
         let (mut machine, applied) = StateMachine::new(store.clone()).unwrap();
-        let record = applied.borrow().record.clone();
-        assert_eq!(record.view.tombstones["free-times"].retirement.generation, 3);
-        assert_eq!(record.members["b/0"].incarnation, 5);
-        assert!(record.members["a/0"].left.is_none() && record.members["b/0"].left.is_some());
+        let state = applied.borrow().state.clone();
+        assert_eq!(state.view.tombstones["free-times"].retirement.generation, 3);
+        assert_eq!(state.members["b/0"].incarnation, 5);
+        assert!(state.members["a/0"].left.is_none() && state.members["b/0"].left.is_some());
         let snapshot = machine.get_current_snapshot().await.unwrap().unwrap();
         let hex: String = snapshot.snapshot.get_ref().iter().map(|byte| format!("{byte:02x}")).collect();
         let expected = include_str!("../../../tests/golden/snapshot.txt").trim();
@@ -86,6 +86,6 @@
         let next = entry(4, vec![Command::Join { name: "b/0".into(), at_least: 0 }]);
         store.append_entries(vec![next.clone()]).unwrap();
         machine.apply([next]).await.unwrap();
-        assert_eq!(applied.borrow().record.members["b/0"].incarnation, 6);
+        assert_eq!(applied.borrow().state.members["b/0"].incarnation, 6);
     });
 }
--- a/crates/consensus/src/store/tests/mod.rs
+++ b/crates/consensus/src/store/tests/mod.rs
@@ -144,7 +144,7 @@
     for entry in entries.values().filter(|e| (from + 1..=model.end()).contains(&e.log_id.index)) {
         state.apply(entry.clone());
     }
-    (model.cutting.is_none() && state.record != whole.record).then(|| "the record differs".into())
+    (model.cutting.is_none() && state.state != whole.state).then(|| "the record differs".into())
 }
 
 /// Deaths after which something was missing, over drawn moments.
--- a/crates/consensus/src/types.rs
+++ b/crates/consensus/src/types.rs
@@ -37,5 +37,5 @@
 #[derive(Clone, Debug, Default)]
 pub struct Applied {
     pub last: Option<LogId>,
-    pub record: Arc<ClusterState>,
+    pub state: Arc<ClusterState>,
 }
--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -30,7 +30,7 @@
     config: Rc<Config>,
     (seed, clock): (u64, Clock),
     marking: Option<InquirySettings>,
-    news: mpsc::Sender<Input>,
+    inputs: mpsc::Sender<Input>,
     mut from_driver: mpsc::UnboundedReceiver<LinkCommand>,
     state: watch::Sender<LinkState>,
 ) {
@@ -71,7 +71,7 @@
                     &mut front,
                     stream,
                     (clock, &mut asks),
-                    &news,
+                    &inputs,
                     &mut from_driver,
                     &state,
                     &mut draining,
@@ -109,7 +109,7 @@
     front: &mut Front,
     mut stream: TcpStream,
     (clock, asks): (Clock, &mut Inquiries),
-    news: &mpsc::Sender<Input>,
+    inputs: &mpsc::Sender<Input>,
     from_driver: &mut mpsc::UnboundedReceiver<LinkCommand>,
     state: &watch::Sender<LinkState>,
     draining: &mut bool,
@@ -132,7 +132,7 @@
         }
         for arrival in front.take_arrivals() {
             // A driver that is behind holds back reading, and so the broker.
-            if news.send(Input::Call(arrival)).await.is_err() {
+            if inputs.send(Input::Call(arrival)).await.is_err() {
                 return Ended::Over;
             }
         }
--- a/crates/gateway/src/discovery/consul.rs
+++ b/crates/gateway/src/discovery/consul.rs
@@ -147,7 +147,7 @@
     pub async fn run(
         mut self,
         clock: Clock,
-        news: mpsc::Sender<Input>,
+        inputs: mpsc::Sender<Input>,
         mut asks: mpsc::UnboundedReceiver<DiscoveryCommand>,
     ) {
         loop {
@@ -196,7 +196,7 @@
                         "the list can't be had; the old one stands"
                     );
                     self.lost = true;
-                    let _ = news.send((self.kind.failed)()).await;
+                    let _ = inputs.send((self.kind.failed)()).await;
                     let part = self.spread.next_fraction();
                     let pause = self.blocking.on_failure(part);
                     tokio::time::sleep_until(clock.instant(clock.now() + pause)).await;
@@ -204,7 +204,7 @@
                 }
             };
             if let Some(told) = told {
-                if news.send(told).await.is_err() {
+                if inputs.send(told).await.is_err() {
                     return;
                 }
                 if self.pause > 0 {
--- a/crates/gateway/src/discovery/file.rs
+++ b/crates/gateway/src/discovery/file.rs
@@ -63,7 +63,7 @@
     path: &str,
     poll: Micros,
     kind: Kind,
-    news: mpsc::Sender<Input>,
+    inputs: mpsc::Sender<Input>,
     mut asks: mpsc::UnboundedReceiver<DiscoveryCommand>,
 ) {
     let mut last: Option<String> = None;
@@ -92,7 +92,7 @@
             }
         };
         if let Some(told) = told {
-            if news.send(told).await.is_err() {
+            if inputs.send(told).await.is_err() {
                 return;
             }
         }
--- a/crates/gateway/src/discovery/front_ends.rs
+++ b/crates/gateway/src/discovery/front_ends.rs
@@ -103,7 +103,7 @@
     config: Rc<Config>,
     seed: u64,
     clock: Clock,
-    news: mpsc::Sender<Input>,
+    inputs: mpsc::Sender<Input>,
     asks: mpsc::UnboundedReceiver<DiscoveryCommand>,
 ) {
     let Some(list) = &config.front_ends_list else { return };
@@ -115,8 +115,8 @@
                 Some(zone) => follower.only_zone(zone),
                 None => follower,
             };
-            follower.run(clock, news, asks).await;
+            follower.run(clock, inputs, asks).await;
         }
-        ListSource::File { path, poll } => file::follow(path, *poll, FRONT_ENDS, news, asks).await,
+        ListSource::File { path, poll } => file::follow(path, *poll, FRONT_ENDS, inputs, asks).await,
     }
 }
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -42,15 +42,15 @@
     config: Rc<Config>,
     seed: u64,
     clock: Clock,
-    news: mpsc::Sender<Input>,
+    inputs: mpsc::Sender<Input>,
     asks: mpsc::UnboundedReceiver<DiscoveryCommand>,
 ) {
     match &config.list {
         ListSource::Consul { address, service, wait } => {
             let watching = !config.list_subscribe;
             let follower = consul::Follower::new(address, service, *wait, seed, watching);
-            follower.run(clock, news, asks).await;
+            follower.run(clock, inputs, asks).await;
         }
-        ListSource::File { path, poll } => file::follow(path, *poll, WORKERS, news, asks).await,
+        ListSource::File { path, poll } => file::follow(path, *poll, WORKERS, inputs, asks).await,
     }
 }
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -116,13 +116,13 @@
                     drain_by = Some(clock.now() - late + drain_most);
                 }
             }
-            standing = next_standing(&mut keepers), if keepers.is_some() => {
+            status = next_standing(&mut keepers), if keepers.is_some() => {
                 // Before calls that came with it: what is retired is not taken any more.
-                if standing.is_none() {
+                if status.is_none() {
                     tracing::warn!("the session with the replicas ended");
                     keepers = None;
                 }
-                batch.extend(standing.map(Input::ClusterStatus));
+                batch.extend(status.map(Input::ClusterStatus));
                 turn = true;
             }
             first = incoming.recv() => {
@@ -162,8 +162,8 @@
             if core.counters.endpoint_lists > 0 && !std::mem::replace(&mut listed, true) {
                 ways.on_endpoints_ready();
             }
-            if let (Some(sender), Some(news)) = (&told, core.session_report()) {
-                publish_report(sender, news);
+            if let (Some(sender), Some(inputs)) = (&told, core.session_report()) {
+                publish_report(sender, inputs);
             }
         }
         if let Some(by) = drain_by {
--- a/crates/gateway/src/fleet/membership.rs
+++ b/crates/gateway/src/fleet/membership.rs
@@ -35,10 +35,10 @@
 
 impl FleetMembership {
     /// A membership that has confirmed no view yet.
-    pub fn new(desk: EgressCheck) -> FleetMembership {
+    pub fn new(egress: EgressCheck) -> FleetMembership {
         let (copies, seen) = (BTreeMap::new(), BTreeMap::new());
         FleetMembership {
-            egress: desk,
+            egress: egress,
             confirmed: 0,
             pending: None,
             check_at: None,
@@ -77,8 +77,8 @@
     pub fn confirm(&mut self, now: Micros, is_open: impl Fn(RequestId) -> bool) -> bool {
         let Some(pending) = self.pending.as_mut() else { return false };
         pending.calls.retain(|call| is_open(*call));
-        let desk = &self.egress;
-        if pending.calls.is_empty() && !desk.is_answering_any(&pending.functions) {
+        let egress = &self.egress;
+        if pending.calls.is_empty() && !egress.is_answering_any(&pending.functions) {
             self.confirmed = pending.version;
             (self.pending, self.check_at) = (None, None);
             return true;
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -65,15 +65,11 @@
 
 /// Waits until the cluster status is here, at most so long: nothing is consumed before. After that functions that are not
 /// strict are served by what is known.
-pub async fn await_first_status(
-    standing: Option<watch::Receiver<ClusterStatus>>,
-    clock: Clock,
-    most: Micros,
-) {
+pub async fn await_first_status(status: Option<watch::Receiver<ClusterStatus>>, clock: Clock, most: Micros) {
     let limit = Duration::from_micros(most.max(0) as u64);
     let word = async {
-        match standing {
-            Some(mut standing) => standing.wait_for(|s| !s.is_stale(clock.now())).await.is_ok(),
+        match status {
+            Some(mut status) => status.wait_for(|s| !s.is_stale(clock.now())).await.is_ok(),
             None => false,
         }
     };
@@ -92,8 +88,8 @@
         if last.confirmed != told.confirmed {
             tracing::info!(version = told.confirmed, "confirmed");
         }
-        let news = *last != told;
+        let inputs = *last != told;
         *last = told;
-        news
+        inputs
     });
 }
--- a/crates/gateway/src/fleet/pool_admission.rs
+++ b/crates/gateway/src/fleet/pool_admission.rs
@@ -78,18 +78,18 @@
     }
 
     /// The cluster status: pools of a newer edition, and permits.
-    pub fn on_cluster_status(&mut self, standing: &ClusterStatus, now: Micros) {
-        let view = &standing.view;
+    pub fn on_cluster_status(&mut self, status: &ClusterStatus, now: Micros) {
+        let view = &status.view;
         if view.edition >= self.edition && view.pools != self.pools {
             self.edition = view.edition;
             self.pools.clone_from(&view.pools);
             self.configure(now);
         }
-        if standing.permits_grant > self.applied {
-            self.applied = standing.permits_grant;
-            let lanes =
-                standing.permits.iter().map(|((pool, tenant), n)| (pool.as_str(), tenant.as_str(), *n));
-            self.permits.apply_grant(standing.permits_grant, standing.permits_until, lanes);
+        if status.permits_grant > self.applied {
+            self.applied = status.permits_grant;
+            let permits =
+                status.permits.iter().map(|((pool, tenant), n)| (pool.as_str(), tenant.as_str(), *n));
+            self.permits.apply_grant(status.permits_grant, status.permits_until, permits);
         }
     }
 
@@ -107,7 +107,7 @@
         let number = |name: &str| tenants.iter().position(|t| t.name == name).map(|n| n as u32);
         let rules = self.pools.iter().map(|pool| {
             let size = match pool.size {
-                PoolSize::Permits(lanes) => lanes,
+                PoolSize::Permits(permits) => permits,
                 PoolSize::ByWorkers => self.ready_capacity,
             };
             let reserved = pool.reservations.iter();
@@ -172,25 +172,25 @@
             self.permits.leave(lane, now);
         }
         self.permits.take_ready(now, &mut self.outcomes);
-        let mut let_in = Vec::with_capacity(self.outcomes.len());
-        for woken in self.outcomes.drain(..) {
-            match woken {
+        let mut decisions = Vec::with_capacity(self.outcomes.len());
+        for outcomes in self.outcomes.drain(..) {
+            match outcomes {
                 WaitOutcome::Granted { call, permit: lane } => {
                     match self.waiting.remove(&(call as RequestId)) {
                         Some((request, deadline)) => {
                             let budget = (deadline - now).max(0);
-                            let_in.push(PoolDecision::Admitted(Request { budget, ..request }, lane));
+                            decisions.push(PoolDecision::Admitted(Request { budget, ..request }, lane));
                         }
                         None => self.freed.push(lane),
                     }
                 }
                 WaitOutcome::Rejected { call, retry_after } => {
                     self.waiting.remove(&(call as RequestId));
-                    let_in.push(PoolDecision::Rejected(call as RequestId, retry_after));
+                    decisions.push(PoolDecision::Rejected(call as RequestId, retry_after));
                 }
             }
         }
-        let_in
+        decisions
     }
 
     /// When [`PoolAdmission::let_in`] is due though nothing came.
@@ -218,7 +218,7 @@
 /// A pool in the cluster state's words.
 fn pool(told: &stagehoist_config::Pool) -> Pool {
     let reservation =
-        |(tenant, lanes): &(String, u32)| Reservation { tenant: tenant.clone(), permits: *lanes };
+        |(tenant, permits): &(String, u32)| Reservation { tenant: tenant.clone(), permits: *permits };
     Pool {
         name: told.name.clone(),
         functions: told.functions.clone(),
--- a/crates/gateway/src/fleet/retirement_gate.rs
+++ b/crates/gateway/src/fleet/retirement_gate.rs
@@ -57,12 +57,12 @@
 impl RetirementGate {
     /// Before any word of the replicas.
     pub fn new(config: Rc<Config>) -> RetirementGate {
-        let standing = ClusterStatus {
+        let status = ClusterStatus {
             fresh_until: Micros::MIN,
             permits_until: Micros::MIN,
             ..ClusterStatus::default()
         };
-        RetirementGate { config, status: standing, last_active: None, must_confirm_until: Micros::MIN }
+        RetirementGate { config, status: status, last_active: None, must_confirm_until: Micros::MIN }
     }
 
     /// The front end runs at this moment. One that did not for long, and whose view ran out meanwhile, was stopped: it asks
@@ -89,12 +89,12 @@
     }
 
     /// The replicas' newest word; whether its view is another. A view older than the one that is known counts for nothing.
-    pub fn update(&mut self, standing: ClusterStatus) -> bool {
-        let (old, new) = (self.status.view.version, standing.view.version);
+    pub fn update(&mut self, status: ClusterStatus) -> bool {
+        let (old, new) = (self.status.view.version, status.view.version);
         if new < old {
             return false;
         }
-        self.status = standing;
+        self.status = status;
         new > old
     }
 
--- a/crates/gateway/src/fleet/retirements.rs
+++ b/crates/gateway/src/fleet/retirements.rs
@@ -164,7 +164,7 @@
 pub async fn follow(
     config: Config,
     path: PathBuf,
-    mut standing: watch::Receiver<ClusterStatus>,
+    mut status: watch::Receiver<ClusterStatus>,
     retire: mpsc::Sender<Retirement>,
 ) {
     let mut proposer = Proposer::default();
@@ -174,7 +174,7 @@
     loop {
         let told = tokio::select! {
             _ = look.tick() => false,
-            changed = standing.changed() => {
+            changed = status.changed() => {
                 if changed.is_err() {
                     return;
                 }
@@ -202,7 +202,7 @@
             Err(_) => {}
         }
         propose(&config, &mut proposer, &retire);
-        let view = standing.borrow_and_update().view.clone();
+        let view = status.borrow_and_update().view.clone();
         if let Err(e) = retirement_states::keep(&path, &view, &proposer.outstanding(&view), now_ms()).await {
             tracing::warn!(file = %path.display(), error = %e, "can't write the states of the retirements");
         }
--- a/crates/gateway/src/intent_recorder.rs
+++ b/crates/gateway/src/intent_recorder.rs
@@ -38,7 +38,7 @@
         clock: Clock,
         marks: IntentLog,
         workers: Rc<Workers>,
-        news: mpsc::Sender<Input>,
+        inputs: mpsc::Sender<Input>,
         limits: Limits,
     ) -> (IntentRecorder, tokio::task::JoinHandle<()>) {
         let (words, told) = mpsc::unbounded_channel();
@@ -49,7 +49,7 @@
             log: marks,
             reply,
         };
-        let task = tokio::task::spawn_local(run(holder, clock, told, done, workers, news));
+        let task = tokio::task::spawn_local(run(holder, clock, told, done, workers, inputs));
         (IntentRecorder { config, messages: words, recorded: HashSet::new() }, task)
     }
 
@@ -170,7 +170,7 @@
     mut words: mpsc::UnboundedReceiver<RecorderMessage>,
     mut done: mpsc::UnboundedReceiver<LogEvent>,
     workers: Rc<Workers>,
-    news: mpsc::Sender<Input>,
+    inputs: mpsc::Sender<Input>,
 ) {
     let mut alarm = Alarm::new(clock);
     let mut out = Vec::new();
@@ -208,7 +208,7 @@
             tracing::warn!(correlation = &*what.correlation, attempt, ?why, "attempt not sent");
             let result = AttemptResult::without_answer(Outcome::Superseded);
             // A driver that is gone needs no inputs.
-            let _ = news.send(Input::AttemptEnded { request, attempt, result }).await;
+            let _ = inputs.send(Input::AttemptEnded { request, attempt, result }).await;
         }
     }
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -65,7 +65,7 @@
             let local = tokio::task::LocalSet::new();
             local.block_on(&runtime, async move {
                 let seed = config.seed.wrapping_add(u64::from(number).wrapping_mul(0x9E37_79B9_7F4A_7C15));
-                let (news, incoming) = mpsc::channel(driver::INPUT_QUEUE_CAPACITY);
+                let (inputs, incoming) = mpsc::channel(driver::INPUT_QUEUE_CAPACITY);
                 let config = Rc::new(config);
                 let mut core = Core::with(decider, CoreSettings::from(&*config), seed, clock.now());
                 core.set_shards(Shards::new(&config));
@@ -74,9 +74,9 @@
                 }
                 let gate = config.fleet.as_ref().map(|_| RetirementGate::new(config.clone()));
                 let fleet = gate.map(|gate| {
-                    let desk = EgressCheck::new(gate, move || clock.now());
-                    core.join_fleet(desk.clone());
-                    (desk, link.as_ref().map(|l| l.status.clone()))
+                    let egress = EgressCheck::new(gate, move || clock.now());
+                    core.join_fleet(egress.clone());
+                    (egress, link.as_ref().map(|l| l.status.clone()))
                 });
                 let marking = marks.map(|marks| InquirySettings { intent_log: marks, peers: others });
                 if marking.is_some() {
@@ -88,7 +88,7 @@
                     let lost = witness.is_unclean();
                     core.set_recovery(FleetRecovery::new(&config, &recover, lost, seed, clock.now()));
                 }
-                let ways = AmqpTransport::start(&config, number, seed, clock, news, fleet, marking);
+                let ways = AmqpTransport::start(&config, number, seed, clock, inputs, fleet, marking);
                 let times = (clock, config.drain_most);
                 driver::run(core, ways, incoming, times, drained, state, link).await;
                 if let Some(witness) = witness {
--- a/crates/gateway/src/state/core/answers.rs
+++ b/crates/gateway/src/state/core/answers.rs
@@ -10,7 +10,7 @@
 impl Core {
     /// Answers every call of the module's that is left, as the process ends before its time does: refused where nothing of
     /// it can have run, else failed, which promises nothing.
-    pub fn answer_remaining(&mut self, now: Micros, out: &mut Vec<Command>) {
+    pub fn answer_remaining(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let mut left: Vec<RequestId> = self.by_ticket.values().copied().collect();
         left.sort_unstable();
         for request in left {
@@ -21,7 +21,7 @@
             } else {
                 Answer::Failed { reason: FRONT_END_ENDS }
             };
-            self.answer(request, answer, now, out);
+            self.answer(request, answer, now, commands);
         }
     }
 
@@ -44,7 +44,13 @@
         }
     }
 
-    pub(super) fn answer(&mut self, request: RequestId, answer: Answer, now: Micros, out: &mut Vec<Command>) {
+    pub(super) fn answer(
+        &mut self,
+        request: RequestId,
+        answer: Answer,
+        now: Micros,
+        commands: &mut Vec<Command>,
+    ) {
         let Some(call) = self.calls.get(&request) else { return };
         if call.answered {
             return;
@@ -57,7 +63,7 @@
         call.span.in_scope(|| {
             tracing::debug!(outcome = word, reason, took_us = now - call.taken, "answered");
         });
-        out.push(Command::Answer { ticket: call.ticket, answer, elapsed: now - call.taken });
+        commands.push(Command::Answer { ticket: call.ticket, answer, elapsed: now - call.taken });
         self.record_call_end(request, now, false);
         self.close_call(request);
     }
--- a/crates/gateway/src/state/core/calls.rs
+++ b/crates/gateway/src/state/core/calls.rs
@@ -8,8 +8,8 @@
 use stagehoist_recovery::phases::Admission;
 
 impl Core {
-    pub(super) fn on_call(&mut self, now: Micros, mut arrival: Arrival, out: &mut Vec<Command>) {
-        if !self.admit(now, &mut arrival, out) {
+    pub(super) fn on_call(&mut self, now: Micros, mut arrival: Arrival, commands: &mut Vec<Command>) {
+        if !self.admit(now, &mut arrival, commands) {
             return;
         }
         let ticket = arrival.ticket;
@@ -32,16 +32,18 @@
                 reason,
                 "rejected"
             );
-            return out.push(Command::Answer { ticket, answer, elapsed: 0 });
+            return commands.push(Command::Answer { ticket, answer, elapsed: 0 });
         }
         let Some(f) = known else { return };
         if arrival.read_at == 0 {
             arrival.read_at = now;
         }
         match self.recovery_admission(now, &arrival) {
-            Admission::Enter => self.enter(now, arrival, f, out),
+            Admission::Enter => self.enter(now, arrival, f, commands),
             Admission::Wait { until } => self.waiting.insert(until, arrival, f),
-            Admission::Refuse { retry_after, .. } => self.reject_in_recovery(now, arrival, retry_after, out),
+            Admission::Refuse { retry_after, .. } => {
+                self.reject_in_recovery(now, arrival, retry_after, commands)
+            }
         }
     }
 
@@ -51,7 +53,7 @@
         now: Micros,
         arrival: Arrival,
         f: FunctionProperties,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         let ticket = arrival.ticket;
         // What the call waited between its socket and this turn is gone from its time.
@@ -74,15 +76,15 @@
         let id = request.id;
         let deadline = now + budget;
         let mut entry = Entry::Free;
-        if let Some(entrance) = self.pool_admission.as_mut() {
-            entry = entrance.enter(&request, &arrival.function, deadline, now);
+        if let Some(pool_admission) = self.pool_admission.as_mut() {
+            entry = pool_admission.enter(&request, &arrival.function, deadline, now);
         }
         if let Entry::Rejected { retry_after } = entry {
             self.counters.rejected_at_intake += 1;
             let retry_after = retry_after.min(self.settings.max_retry_after);
             let answer = Answer::Refused { reason: NO_PERMIT, retry_after };
             tracing::debug!(correlation = &*arrival.correlation, reason = NO_PERMIT, "rejected");
-            return out.push(Command::Answer { ticket, answer, elapsed: 0 });
+            return commands.push(Command::Answer { ticket, answer, elapsed: 0 });
         }
         // Numbers of calls still open are passed over when the count begins anew after 2^32 calls.
         loop {
@@ -105,7 +107,7 @@
             self.new_calls.push(id);
             self.events.push(Event::Request(request));
         }
-        let lane = if let Entry::Admitted(lane) = entry { Some(lane) } else { None };
+        let permit = if let Entry::Admitted(permit) = entry { Some(permit) } else { None };
         self.by_ticket.insert(ticket, id);
         let (attempts, last, answered, ran_since) = (Vec::new(), None, false, None);
         let call = Call {
@@ -118,7 +120,7 @@
             last_outcome: last,
             answered,
             ran_since,
-            permit: lane,
+            permit: permit,
             span,
         };
         self.calls.insert(id, call);
@@ -131,10 +133,10 @@
         self.by_ticket.remove(&call.ticket);
         call.arrival.body = bytes::Bytes::new();
         let is_idle = call.is_idle();
-        if let Some(entrance) = self.pool_admission.as_mut() {
-            entrance.forget(request);
-            if let Some(lane) = call.permit.take_if(|_| is_idle) {
-                entrance.release(lane);
+        if let Some(pool_admission) = self.pool_admission.as_mut() {
+            pool_admission.forget(request);
+            if let Some(permit) = call.permit.take_if(|_| is_idle) {
+                pool_admission.release(permit);
             }
         }
         if is_idle {
@@ -148,25 +150,25 @@
         now: Micros,
         request: RequestId,
         attempt: u16,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         let call = self.calls.get(&request);
         if call.is_some_and(|c| c.attempts.get(attempt as usize).is_some_and(Option::is_some)) {
-            out.push(Command::Abort { request, attempt });
+            commands.push(Command::Abort { request, attempt });
             self.on_attempt_ended(
                 now,
                 request,
                 attempt,
                 AttemptResult::without_answer(Outcome::Cancelled),
-                out,
+                commands,
             );
         }
     }
 
     /// Stops the attempts of a call whose caller left: no one waits for them.
-    pub(super) fn cancel_attempts(&mut self, now: Micros, request: RequestId, out: &mut Vec<Command>) {
+    pub(super) fn cancel_attempts(&mut self, now: Micros, request: RequestId, commands: &mut Vec<Command>) {
         let many = self.calls.get(&request).map_or(0, |c| c.attempts.len());
-        (0..many as u16).for_each(|attempt| self.cancel_attempt(now, request, attempt, out));
+        (0..many as u16).for_each(|attempt| self.cancel_attempt(now, request, attempt, commands));
     }
 
     pub(super) fn on_attempt_ended(
@@ -175,12 +177,12 @@
         request: RequestId,
         attempt: u16,
         result: AttemptResult,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         let Some(call) = self.calls.get_mut(&request) else { return };
         let Some(flight) = call.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
-        if let Some(starting) = self.recovery.as_mut() {
-            starting.attempt(flight.worker, result.outcome, result.copy.state, now);
+        if let Some(recovery) = self.recovery.as_mut() {
+            recovery.attempt(flight.worker, result.outcome, result.copy.state, now);
         }
         self.attempt_deadlines.remove(&(flight.deadline, request, attempt));
         // Not what the answer waited for this process.
@@ -205,7 +207,7 @@
         let (ticket, taken, function) = (call.ticket, call.taken, call.arrival.function.clone());
         let mut concluded = call.answered;
         if !concluded && self.fleet.is_some() && self.ends_as_closed(request, outcome, now) {
-            self.reject_closed(now, request, out);
+            self.reject_closed(now, request, commands);
             concluded = true;
         }
         let serves = outcome == Outcome::Ok && !concluded;
@@ -216,7 +218,7 @@
             self.counters.served += 1;
             self.record_call_end(request, now, true);
             let answer = self.served((&function, flight.worker), result.body, result.content_type);
-            out.push(Command::Answer { ticket, answer, elapsed: now - taken });
+            commands.push(Command::Answer { ticket, answer, elapsed: now - taken });
         }
         concluded |= serves;
         let ended = AttemptEnd {
--- a/crates/gateway/src/state/core/endpoints.rs
+++ b/crates/gateway/src/state/core/endpoints.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    fn emit(&mut self, now: Micros, out: &mut Vec<Command>) {
+    fn emit(&mut self, now: Micros, commands: &mut Vec<Command>) {
         for (worker, state) in std::mem::take(&mut self.changes) {
             let since = match state {
                 State::Serving => None,
@@ -65,13 +65,13 @@
             if state == State::Departed {
                 self.departed.push_back((now, worker));
             }
-            out.push(Command::WorkerDraining { worker, since });
+            commands.push(Command::WorkerDraining { worker, since });
         }
         while self.departed.front().is_some_and(|(at, _)| now - at > GONE_RETENTION) {
             let Some((_, worker)) = self.departed.pop_front() else { return };
             if self.states.get(&worker) == Some(&State::Departed) {
                 self.states.remove(&worker);
-                out.push(Command::WorkerDraining { worker, since: None });
+                commands.push(Command::WorkerDraining { worker, since: None });
             }
         }
     }
@@ -83,9 +83,9 @@
         self.drains = Some(WorkerDrains::default());
     }
 
-    pub(super) fn emit_drains(&mut self, now: Micros, out: &mut Vec<Command>) {
+    pub(super) fn emit_drains(&mut self, now: Micros, commands: &mut Vec<Command>) {
         if let Some(leaving) = self.drains.as_mut() {
-            leaving.emit(now, out);
+            leaving.emit(now, commands);
         }
     }
 
@@ -123,7 +123,7 @@
         &mut self,
         list: Option<Vec<FrontEnd>>,
         now: Micros,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         // One that names nobody, not even this front end, is a source that lost what it knew: all would take all shards.
         let Some(list) = list.filter(|l| !l.is_empty()) else {
@@ -131,7 +131,7 @@
             return;
         };
         let changed = self.shards.as_mut().and_then(|s| s.front_ends(&list, now));
-        self.on_owned_shards(changed, now, out);
+        self.on_owned_shards(changed, now, commands);
     }
 
     /// Other front ends counted, and lists that changed own shards, where one is followed.
@@ -143,17 +143,17 @@
         &mut self,
         changed: Option<(Vec<OwnedShards>, Update)>,
         now: Micros,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         let Some((owned, update)) = changed else { return };
         self.pass_to_policy(update, now);
-        out.push(Command::ServeShards(owned.into()));
+        commands.push(Command::ServeShards(owned.into()));
     }
 
     /// Workers that left own shards are gone after a while, as are shards that were handed over.
-    pub(super) fn expire(&mut self, now: Micros, out: &mut Vec<Command>) {
+    pub(super) fn expire(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let changed = self.shards.as_mut().and_then(|s| s.handed_over(now));
-        self.on_owned_shards(changed, now, out);
+        self.on_owned_shards(changed, now, commands);
         if let Some(update) = self.shards.as_mut().and_then(|s| s.expired(now)) {
             self.pass_to_policy(update, now);
         }
@@ -169,8 +169,8 @@
 
     /// Tells the module of workers, and all who have to know of them.
     fn pass_to_policy(&mut self, update: Update, now: Micros) {
-        if let Some(starting) = self.recovery.as_mut() {
-            starting.roster(&update);
+        if let Some(recovery) = self.recovery.as_mut() {
+            recovery.roster(&update);
         }
         if update.kind != EndpointUpdate::Failed {
             tracing::debug!(rows = update.endpoints.len(), form = ?update.kind, "workers");
--- a/crates/gateway/src/state/core/execute.rs
+++ b/crates/gateway/src/state/core/execute.rs
@@ -23,29 +23,29 @@
         self.endpoints.address(worker).unwrap_or("").into()
     }
 
-    pub(super) fn execute(&mut self, now: Micros, action: Action, out: &mut Vec<Command>) {
+    pub(super) fn execute(&mut self, now: Micros, action: Action, commands: &mut Vec<Command>) {
         match action {
-            Action::Send { request, worker, timeout } => self.send(now, request, worker, timeout, out),
+            Action::Send { request, worker, timeout } => self.send(now, request, worker, timeout, commands),
             Action::Reject { request, retry_after } => {
                 let reason = self.reason(request, now);
                 let retry_after = retry_after.min(self.settings.max_retry_after);
                 let closing = self.answer_if_closed(request, now);
                 let answer = closing.unwrap_or(Answer::Refused { reason, retry_after });
-                self.answer(request, answer, now, out);
+                self.answer(request, answer, now, commands);
             }
             Action::Fail { request } => {
                 let reason = self.reason(request, now);
-                self.answer(request, Answer::Failed { reason }, now, out);
+                self.answer(request, Answer::Failed { reason }, now, commands);
             }
-            Action::Cancel { request, attempt } => self.cancel_attempt(now, request, attempt, out),
+            Action::Cancel { request, attempt } => self.cancel_attempt(now, request, attempt, commands),
             Action::SetTimer { after, token } => {
                 self.timers.insert((now + after.max(1), token));
             }
             Action::HealthCheck { worker } => {
                 self.counters.health_checks += 1;
-                out.push(Command::HealthCheck { worker, address: self.address(worker) });
+                commands.push(Command::HealthCheck { worker, address: self.address(worker) });
             }
-            Action::CloseIdle { worker } => out.push(Command::CloseIdle { worker }),
+            Action::CloseIdle { worker } => commands.push(Command::CloseIdle { worker }),
             Action::Load { worker, function, copies } => {
                 let Some(name) = self.names.name(function) else {
                     // No call of it for so long that its name is gone: as if nothing had been heard.
@@ -67,15 +67,15 @@
                 tracing::debug!(worker = self.endpoints.name(worker), function = &*name, copies, "load");
                 self.load_orders.insert((worker, function), (now, now + self.settings.load_timeout));
                 let address = self.address(worker);
-                out.push(Command::Load { worker, address, function, name, copies });
+                commands.push(Command::Load { worker, address, function, name, copies });
             }
             Action::Unload { worker, function } => {
                 let Some(function) = self.names.name(function) else { return };
                 self.counters.unloads += 1;
-                out.push(Command::Unload { worker, address: self.address(worker), function });
+                commands.push(Command::Unload { worker, address: self.address(worker), function });
             }
-            Action::SubscribeEndpoints { on } => out.push(Command::SubscribeEndpoints(on)),
-            Action::FetchEndpoints => out.push(Command::FetchEndpoints),
+            Action::SubscribeEndpoints { on } => commands.push(Command::SubscribeEndpoints(on)),
+            Action::FetchEndpoints => commands.push(Command::FetchEndpoints),
             // Front ends share nothing, so that there is no one to tell; the settings say so to the module.
             Action::Gossip { .. } => {}
             Action::Log { text } => {
@@ -93,7 +93,7 @@
         request: RequestId,
         worker: WorkerId,
         timeout: Micros,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         let closed = self.is_closed_call(request, now);
         let address = self.address(worker);
@@ -106,7 +106,7 @@
             call.attempts.push(None);
             let mut concluded = call.answered;
             if closed && !concluded && call.is_idle() {
-                self.reject_closed(now, request, out);
+                self.reject_closed(now, request, commands);
                 concluded = true;
             }
             let outcome = if over { Outcome::Superseded } else { Outcome::ConnectFailed };
@@ -131,7 +131,7 @@
         self.counters.retries += u64::from(attempt > 0);
         let name = self.endpoints.name(worker).unwrap_or("?");
         call.span.in_scope(|| tracing::debug!(attempt, worker = name, held_us = now - call.taken, "attempt"));
-        out.push(Command::Attempt(Attempt {
+        commands.push(Command::Attempt(Attempt {
             request,
             attempt,
             worker,
@@ -153,6 +153,6 @@
 /// run. What is chosen in time may be written late; a quarter of the window is for its way.
 fn begin_by(call: &Call, effect: Option<Effect>) -> Micros {
     let Some(Effect::IdempotentWithKey { window, .. }) = effect else { return Micros::MAX };
-    let out = call.attempts.iter().flatten().map(|flight| flight.sent_at);
-    out.chain(call.ran_since).min().map_or(Micros::MAX, |first| first + window - window / 4)
+    let commands = call.attempts.iter().flatten().map(|flight| flight.sent_at);
+    commands.chain(call.ran_since).min().map_or(Micros::MAX, |first| first + window - window / 4)
 }
--- a/crates/gateway/src/state/core/fleet.rs
+++ b/crates/gateway/src/state/core/fleet.rs
@@ -10,23 +10,23 @@
 
 impl Core {
     /// Becomes part of a fleet; before its first call.
-    pub fn join_fleet(&mut self, desk: EgressCheck) {
-        self.fleet = Some(Box::new(FleetMembership::new(desk)));
+    pub fn join_fleet(&mut self, egress: EgressCheck) {
+        self.fleet = Some(Box::new(FleetMembership::new(egress)));
     }
 
     /// Told at least four times a second while the front end runs, before what came is looked at.
     pub fn record_activity(&mut self, now: Micros) {
-        if let Some(part) = &self.fleet {
-            part.egress.gate_mut().record_activity(now);
+        if let Some(membership) = &self.fleet {
+            membership.egress.gate_mut().record_activity(now);
         }
     }
 
     /// What the replicas are to be told; None where there is no fleet.
     pub fn session_report(&self) -> Option<SessionReport> {
-        let part = self.fleet.as_ref()?;
+        let membership = self.fleet.as_ref()?;
         let demand = self.pool_admission.as_ref().map_or_else(Vec::new, |e| e.demand());
         Some(SessionReport {
-            confirmed: part.confirmed(),
+            confirmed: membership.confirmed(),
             ready_capacity: self.endpoints.ready_capacity(),
             demand,
         })
@@ -34,32 +34,37 @@
 
     /// Version of the view, whether it is known to be the newest, and calls answered as retired.
     pub fn fleet_state(&self) -> Option<(u64, bool, u64)> {
-        let part = self.fleet.as_ref()?;
-        let (version, fresh) = part.egress.view_state();
-        Some((version, fresh, part.rejected_calls))
+        let membership = self.fleet.as_ref()?;
+        let (version, fresh) = membership.egress.view_state();
+        Some((version, fresh, membership.rejected_calls))
     }
 
-    pub(super) fn on_cluster_status(&mut self, now: Micros, standing: ClusterStatus, out: &mut Vec<Command>) {
-        let Some(part) = self.fleet.as_mut() else { return };
+    pub(super) fn on_cluster_status(
+        &mut self,
+        now: Micros,
+        status: ClusterStatus,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(membership) = self.fleet.as_mut() else { return };
         if let Some(entrance) = self.pool_admission.as_mut() {
-            entrance.on_cluster_status(&standing, now);
+            entrance.on_cluster_status(&status, now);
         }
-        if !part.egress.gate_mut().update(standing) {
+        if !membership.egress.gate_mut().update(status) {
             return;
         }
-        part.log();
+        membership.log();
         for request in self.retired_calls(|call| !call.answered && call.is_idle()) {
-            self.reject_closed(now, request, out);
+            self.reject_closed(now, request, commands);
         }
-        self.reject_closed_waiting(now, out);
-        self.unload_retired(out);
+        self.reject_closed_waiting(now, commands);
+        self.unload_retired(commands);
         self.apply_view();
     }
 
     /// Calls under tombstones, in their order; answered ones stay while their attempts are out.
     fn retired_calls(&self, which: impl Fn(&super::Call) -> bool) -> Vec<RequestId> {
-        let Some(part) = self.fleet.as_ref() else { return Vec::new() };
-        let gate = part.egress.gate();
+        let Some(membership) = self.fleet.as_ref() else { return Vec::new() };
+        let gate = membership.egress.gate();
         let found = self.calls.iter().filter(|(_, call)| which(call));
         let found = found.filter(|(_, call)| gate.retired(&call.arrival.function).is_some());
         let mut found: Vec<RequestId> = found.map(|(id, _)| *id).collect();
@@ -71,8 +76,8 @@
     fn apply_view(&mut self) {
         let named = |id: RequestId| Some((id, self.calls.get(&id)?.arrival.function.clone()));
         let at_work = self.retired_calls(|_| true).into_iter().filter_map(named).collect();
-        if let Some(part) = self.fleet.as_mut() {
-            part.applied(at_work);
+        if let Some(membership) = self.fleet.as_mut() {
+            membership.applied(at_work);
         }
     }
 
@@ -88,26 +93,26 @@
     }
 
     pub(super) fn has_copy(&mut self, function: FunctionId, worker: WorkerId) {
-        if let (Some(part), Some(name)) = (self.fleet.as_mut(), self.names.name(function)) {
-            part.has_copy(&name, worker);
+        if let (Some(membership), Some(name)) = (self.fleet.as_mut(), self.names.name(function)) {
+            membership.has_copy(&name, worker);
         }
     }
 
-    fn unload_retired(&mut self, out: &mut Vec<Command>) {
+    fn unload_retired(&mut self, commands: &mut Vec<Command>) {
         let unload = self.fleet.as_mut().map(|p| p.to_unload()).unwrap_or_default();
         for (worker, function) in unload {
             let address = self.address(worker);
             if !address.is_empty() {
                 self.counters.unloads += 1;
-                out.push(Command::Unload { worker, address, function });
+                commands.push(Command::Unload { worker, address, function });
             }
         }
     }
 
     /// Whether a call may be taken; its function is named by the generation from here on. What may not is answered.
-    pub(super) fn admit(&mut self, now: Micros, arrival: &mut Arrival, out: &mut Vec<Command>) -> bool {
-        let Some(part) = self.fleet.as_ref() else { return true };
-        let admitted = part.egress.gate().admit(&arrival.function, arrival.generation, now);
+    pub(super) fn admit(&mut self, now: Micros, arrival: &mut Arrival, commands: &mut Vec<Command>) -> bool {
+        let Some(membership) = self.fleet.as_ref() else { return true };
+        let admitted = membership.egress.gate().admit(&arrival.function, arrival.generation, now);
         let closed = match admitted {
             Ok(inner) => {
                 arrival.function = inner;
@@ -119,7 +124,7 @@
         self.counters.rejected_at_intake += 1;
         let (correlation, function) = (&*arrival.correlation, &*arrival.function);
         tracing::info!(correlation, function, reason = answer.reason(), "rejected");
-        out.push(Command::Answer { ticket: arrival.ticket, answer, elapsed: 0 });
+        commands.push(Command::Answer { ticket: arrival.ticket, answer, elapsed: 0 });
         false
     }
 
@@ -127,8 +132,8 @@
     pub(super) fn closed_answer(&mut self, closed: ClosedReason) -> Answer {
         match closed {
             ClosedReason::Retired(retired) => {
-                if let Some(part) = self.fleet.as_mut() {
-                    part.rejected_calls += 1;
+                if let Some(membership) = self.fleet.as_mut() {
+                    membership.rejected_calls += 1;
                 }
                 Answer::Retired(retired)
             }
@@ -144,7 +149,7 @@
 
     /// Why nothing of a function may go to a worker now.
     pub(super) fn closed(&self, inner: &str, now: Micros) -> Option<ClosedReason> {
-        self.fleet.as_ref().and_then(|part| part.egress.gate().closed(inner, now))
+        self.fleet.as_ref().and_then(|membership| membership.egress.gate().closed(inner, now))
     }
 
     /// Whether nothing may be sent for a call now.
@@ -156,9 +161,11 @@
     /// Whether a call ends with an attempt's end, as its function is closed: a call in progress is served where that is still
     /// known to be right, and gets no retry.
     pub(super) fn ends_as_closed(&self, request: RequestId, outcome: Outcome, now: Micros) -> bool {
-        let (Some(part), Some(call)) = (self.fleet.as_ref(), self.calls.get(&request)) else { return false };
+        let (Some(membership), Some(call)) = (self.fleet.as_ref(), self.calls.get(&request)) else {
+            return false;
+        };
         match outcome {
-            Outcome::Ok => part.egress.gate().in_doubt(&call.arrival.function, now),
+            Outcome::Ok => membership.egress.gate().in_doubt(&call.arrival.function, now),
             _ => call.is_idle() && self.closed(&call.arrival.function, now).is_some(),
         }
     }
@@ -182,12 +189,12 @@
     }
 
     /// Answers a call whose function is closed, and takes it from the module.
-    pub(super) fn reject_closed(&mut self, now: Micros, request: RequestId, out: &mut Vec<Command>) {
+    pub(super) fn reject_closed(&mut self, now: Micros, request: RequestId, commands: &mut Vec<Command>) {
         if let Some(answer) = self.answer_if_closed(request, now) {
             if !self.is_waiting(request) {
                 self.events.push(Event::ClientGone { request });
             }
-            self.answer(request, answer, now, out);
+            self.answer(request, answer, now, commands);
         }
     }
 
@@ -200,9 +207,9 @@
     ) -> Answer {
         match &mut self.fleet {
             None => Answer::Served { body, content_type },
-            Some(part) => {
-                part.has_copy(function, worker);
-                let pass = part.egress.permit(function);
+            Some(membership) => {
+                membership.has_copy(function, worker);
+                let pass = membership.egress.permit(function);
                 Answer::Gated(Box::new(CheckedAnswer { body, content_type, permit: pass }))
             }
         }
--- a/crates/gateway/src/state/core/mod.rs
+++ b/crates/gateway/src/state/core/mod.rs
@@ -151,30 +151,30 @@
         let timer = self.timers.first().map(|t| t.0);
         let cut = self.attempt_deadlines.first().map(|c| c.0);
         let order = self.load_orders.values().map(|o| o.1).min();
-        let part = self.fleet.as_ref().and_then(|p| p.due());
+        let membership = self.fleet.as_ref().and_then(|p| p.due());
         let stage = self.recovery.as_ref().and_then(|s| s.due());
         let (lane, subset) = (self.pool_admission.as_ref().and_then(|e| e.due()), self.shards_due());
-        [timer, cut, order, part, stage, self.waiting.due(), lane, subset].into_iter().flatten().min()
+        [timer, cut, order, membership, stage, self.waiting.due(), lane, subset].into_iter().flatten().min()
     }
 
     /// One batch: all inputs since the last, the module's choices, and what they mean for sockets.
-    pub fn process(&mut self, now: Micros, news: &mut Vec<Input>, out: &mut Vec<Command>) {
-        for item in news.drain(..) {
-            self.on_input(now, item, out);
+    pub fn process(&mut self, now: Micros, inputs: &mut Vec<Input>, commands: &mut Vec<Command>) {
+        for item in inputs.drain(..) {
+            self.on_input(now, item, commands);
         }
-        self.advance_recovery(now, out);
-        self.expire(now, out);
+        self.advance_recovery(now, commands);
+        self.expire(now, commands);
         while let Some(&(at, request, attempt)) = self.attempt_deadlines.first() {
             if at > now {
                 break;
             }
-            out.push(Command::Abort { request, attempt });
+            commands.push(Command::Abort { request, attempt });
             self.on_attempt_ended(
                 now,
                 request,
                 attempt,
                 AttemptResult::without_answer(Outcome::Timeout),
-                out,
+                commands,
             );
         }
         self.expire_load_orders(now);
@@ -186,16 +186,16 @@
             self.timers.pop_first();
             self.events.push(Event::Timer { token });
         }
-        self.admit_from_pools(now, out);
+        self.admit_from_pools(now, commands);
         let start = std::time::Instant::now();
         self.policy.handle(now, &self.events, &mut self.actions);
         self.counters.module_ns += start.elapsed().as_nanos() as u64;
         self.counters.batches += 1;
         self.events.clear();
-        self.emit_drains(now, out);
+        self.emit_drains(now, commands);
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
-            self.execute(now, action, out);
+            self.execute(now, action, commands);
         }
         self.actions = actions;
         self.confirm(now);
@@ -208,9 +208,9 @@
         }
     }
 
-    fn on_input(&mut self, now: Micros, news: Input, out: &mut Vec<Command>) {
-        match news {
-            Input::Call(arrival) => self.on_call(now, arrival, out),
+    fn on_input(&mut self, now: Micros, inputs: Input, commands: &mut Vec<Command>) {
+        match inputs {
+            Input::Call(arrival) => self.on_call(now, arrival, commands),
             Input::ClientGone(ticket) => {
                 self.counters.abandoned_calls += u64::from(self.waiting.remove(ticket));
                 if let Some(request) = self.by_ticket.remove(&ticket) {
@@ -220,12 +220,12 @@
                     }
                     self.close_call(request);
                     if self.settings.cancel_abandoned {
-                        self.cancel_attempts(now, request, out);
+                        self.cancel_attempts(now, request, commands);
                     }
                 }
             }
             Input::AttemptEnded { request, attempt, result } => {
-                self.on_attempt_ended(now, request, attempt, result, out);
+                self.on_attempt_ended(now, request, attempt, result, commands);
             }
             Input::HealthChecked { worker, sent, outcome, report, draining } => {
                 self.on_announcement(now, worker, draining);
@@ -253,8 +253,8 @@
                 let update = self.endpoints.apply(form, told, now);
                 self.apply_endpoint_change(update, now);
             }
-            Input::ClusterStatus(standing) => self.on_cluster_status(now, standing, out),
-            Input::FrontEndList(list) => self.on_front_end_list(list, now, out),
+            Input::ClusterStatus(status) => self.on_cluster_status(now, status, commands),
+            Input::FrontEndList(list) => self.on_front_end_list(list, now, commands),
             Input::EndpointListFailed => {
                 let update = self.endpoints.on_list_failure();
                 self.apply_endpoint_change(update, now);
--- a/crates/gateway/src/state/core/pools.rs
+++ b/crates/gateway/src/state/core/pools.rs
@@ -9,8 +9,8 @@
 
 impl Core {
     /// Calls of pools ask for permits from here on; before the first call.
-    pub fn set_pool_admission(&mut self, entrance: PoolAdmission) {
-        self.pool_admission = Some(Box::new(entrance));
+    pub fn set_pool_admission(&mut self, pool_admission: PoolAdmission) {
+        self.pool_admission = Some(Box::new(pool_admission));
     }
 
     /// Whether the module does not know of a call yet.
@@ -19,10 +19,10 @@
     }
 
     /// Lets calls into the module that have a permit now, and refuses those that get none in their time.
-    pub(super) fn admit_from_pools(&mut self, now: Micros, out: &mut Vec<Command>) {
-        let Some(entrance) = self.pool_admission.as_mut() else { return };
-        for let_in in entrance.take_decisions(now) {
-            match let_in {
+    pub(super) fn admit_from_pools(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        let Some(pool_admission) = self.pool_admission.as_mut() else { return };
+        for decision in pool_admission.take_decisions(now) {
+            match decision {
                 PoolDecision::Admitted(request, lane) => {
                     let Some(call) = self.calls.get_mut(&request.id) else { continue };
                     call.permit = Some(lane);
@@ -33,7 +33,7 @@
                 }
                 PoolDecision::Rejected(request, retry_after) => {
                     let retry_after = retry_after.min(self.settings.max_retry_after);
-                    self.answer(request, Answer::Refused { reason: NO_PERMIT, retry_after }, now, out);
+                    self.answer(request, Answer::Refused { reason: NO_PERMIT, retry_after }, now, commands);
                 }
             }
         }
--- a/crates/gateway/src/transport.rs
+++ b/crates/gateway/src/transport.rs
@@ -38,35 +38,35 @@
         number: u32,
         seed: u64,
         clock: Clock,
-        news: mpsc::Sender<Input>,
+        inputs: mpsc::Sender<Input>,
         fleet: Option<(EgressCheck, Option<watch::Receiver<ClusterStatus>>)>,
         marking: Option<InquirySettings>,
     ) -> AmqpTransport {
         let (to_link, from_driver) = mpsc::unbounded_channel();
         let (link_state, link_seen) = watch::channel(LinkState::default());
         let (to_list, asks) = mpsc::unbounded_channel();
-        let desk = fleet.as_ref().map(|(desk, _)| desk.clone());
-        let workers = Rc::new(Workers::new(config.clone(), clock, news.clone(), desk));
+        let egress = fleet.as_ref().map(|(egress, _)| egress.clone());
+        let workers = Rc::new(Workers::new(config.clone(), clock, inputs.clone(), egress));
         let mut tasks = JoinSet::new();
         // Attempts wait for intents where messages are asked about, and only there: one without the other proves nothing.
         let marker = marking.as_ref().map(|marking| {
-            let (marks, workers, news) = (marking.intent_log.clone(), workers.clone(), news.clone());
+            let (marks, workers, inputs) = (marking.intent_log.clone(), workers.clone(), inputs.clone());
             let limits = Limits::default();
-            let (marker, task) = IntentRecorder::start(config.clone(), clock, marks, workers, news, limits);
+            let (marker, task) = IntentRecorder::start(config.clone(), clock, marks, workers, inputs, limits);
             tasks.spawn_local(async move { drop(task.await) });
             marker
         });
-        let link = link::run(config.clone(), (seed, clock), marking, news.clone(), from_driver, link_state);
+        let link = link::run(config.clone(), (seed, clock), marking, inputs.clone(), from_driver, link_state);
         let asking_most = config.fleet.as_ref().map_or(0, |f| f.asking_most);
         tasks.spawn_local(async move {
-            if let Some((_, standing)) = fleet {
-                await_first_status(standing, clock, asking_most).await;
+            if let Some((_, status)) = fleet {
+                await_first_status(status, clock, asking_most).await;
             }
             link.await;
         });
         let (_to_front_ends, ends) = mpsc::unbounded_channel();
-        tasks.spawn_local(discovery::front_ends::follow(config.clone(), seed, clock, news.clone(), ends));
-        tasks.spawn_local(discovery::follow(config.clone(), seed, clock, news, asks));
+        tasks.spawn_local(discovery::front_ends::follow(config.clone(), seed, clock, inputs.clone(), ends));
+        tasks.spawn_local(discovery::follow(config.clone(), seed, clock, inputs, asks));
         let gauges = Gauges::new(number);
         AmqpTransport {
             workers,
--- a/crates/gateway/src/workers/pool.rs
+++ b/crates/gateway/src/workers/pool.rs
@@ -38,11 +38,11 @@
     pub fn new(
         config: Rc<Config>,
         clock: Clock,
-        news: mpsc::Sender<Input>,
-        desk: Option<EgressCheck>,
+        inputs: mpsc::Sender<Input>,
+        egress: Option<EgressCheck>,
     ) -> Workers {
         let (pools, addresses, running) = Default::default();
-        Workers { config, clock, pools, addresses, running, egress: desk, inputs: news }
+        Workers { config, clock, pools, addresses, running, egress: egress, inputs: inputs }
     }
 
     /// Begins an attempt; its end comes as [`Input::Attempt`].
@@ -70,7 +70,7 @@
             }
             plain
         });
-        let (config, pools, news) = (self.config.clone(), self.pools.clone(), self.inputs.clone());
+        let (config, pools, inputs) = (self.config.clone(), self.pools.clone(), self.inputs.clone());
         let (running, may) = (self.running.clone(), self.may(&attempt.function));
         let task = tokio::task::spawn_local(async move {
             let exchanged =
@@ -91,7 +91,7 @@
             };
             running.borrow_mut().remove(&key);
             // A driver that is gone needs no inputs.
-            let _ = news.send(Input::AttemptEnded { request: key.0, attempt: key.1, result }).await;
+            let _ = inputs.send(Input::AttemptEnded { request: key.0, attempt: key.1, result }).await;
             if let Some(connection) = back {
                 put_back(&config, &pools, &attempt.address, connection).await;
             }
@@ -103,8 +103,8 @@
 
     /// Whether something may go to a worker for a function, asked when it goes.
     fn may(&self, function: &Rc<str>) -> impl Fn() -> bool + 'static {
-        let desk = self.egress.clone().map(|desk| (desk, function.clone()));
-        move || desk.as_ref().is_none_or(|(desk, function)| !desk.is_closed(function))
+        let egress = self.egress.clone().map(|egress| (egress, function.clone()));
+        move || egress.as_ref().is_none_or(|(egress, function)| !egress.is_closed(function))
     }
 
     /// Ends an attempt by closing its connection.
@@ -119,7 +119,7 @@
         M: Fn() -> bool + 'static,
         F: FnOnce(Result<(StatusCode, hyper::HeaderMap, Bytes), Outcome>) -> Option<Input> + 'static,
     {
-        let (config, pools, news) = (self.config.clone(), self.pools.clone(), self.inputs.clone());
+        let (config, pools, inputs) = (self.config.clone(), self.pools.clone(), self.inputs.clone());
         tokio::task::spawn_local(async move {
             let exchanged =
                 tokio::time::timeout(limit, exchange((&config, &pools), &address, request, 1 << 16, &may))
@@ -136,7 +136,7 @@
                 Ok(Err(Broken::Closed)) => (Err(Outcome::Timeout), None),
             };
             if let Some(item) = tell(told) {
-                let _ = news.send(item).await;
+                let _ = inputs.send(item).await;
             }
             if let Some(connection) = back {
                 put_back(&config, &pools, &address, connection).await;
--- a/crates/platform/src/clients/accept.rs
+++ b/crates/platform/src/clients/accept.rs
@@ -61,10 +61,11 @@
         self.next_conn.set(id);
         let session = RefCell::new(Session::new(self.shared.clock.now()));
         let [over, silent, dirty] = [false; 3].map(Cell::new);
-        let (news, wake) = (RefCell::default(), Notify::new());
-        let conn = Rc::new(ClientConnection { id, session, stream, inputs: news, wake, over, silent, dirty });
-        self.conns.borrow_mut().insert(id, conn.clone());
-        tokio::task::spawn_local(self.clone().talk(conn));
+        let (inputs, wake) = (RefCell::default(), Notify::new());
+        let connection =
+            Rc::new(ClientConnection { id, session, stream, inputs: inputs, wake, over, silent, dirty });
+        self.conns.borrow_mut().insert(id, connection.clone());
+        tokio::task::spawn_local(self.clone().talk(connection));
         full
     }
 
@@ -92,10 +93,10 @@
     }
 
     fn release_one(&self) -> bool {
-        let Some(conn) = self.victim() else { return false };
+        let Some(connection) = self.victim() else { return false };
         self.count(|c| c.released += 1);
-        conn.over.set(true);
-        conn.wake.notify_one();
+        connection.over.set(true);
+        connection.wake.notify_one();
         true
     }
 }
--- a/crates/platform/src/clients/calls.rs
+++ b/crates/platform/src/clients/calls.rs
@@ -9,28 +9,30 @@
 impl Clients {
     pub(super) fn on_client_events(
         &self,
-        conn: &Rc<ClientConnection>,
-        said: Vec<ClientEvent>,
+        connection: &Rc<ClientConnection>,
+        events: Vec<ClientEvent>,
         (now, late): (Micros, Micros),
     ) -> Vec<Input> {
-        let mut news = Vec::with_capacity(said.len());
-        for said in said {
-            match said {
-                ClientEvent::Call(ticket, asked) => news.extend(self.call(conn, ticket, *asked, (now, late))),
+        let mut inputs = Vec::with_capacity(events.len());
+        for events in events {
+            match events {
+                ClientEvent::Call(ticket, asked) => {
+                    inputs.extend(self.call(connection, ticket, *asked, (now, late)))
+                }
                 ClientEvent::Cancelled(ticket) => {
                     if self.release(ticket).is_some() {
                         self.cancelled.borrow_mut().insert(ticket, now);
-                        news.push(Input::ClientGone(ticket));
+                        inputs.push(Input::ClientGone(ticket));
                     }
                 }
             }
         }
-        news
+        inputs
     }
 
     pub(super) fn call(
         &self,
-        conn: &Rc<ClientConnection>,
+        connection: &Rc<ClientConnection>,
         ticket: Ticket,
         asked: ClientRequest,
         (now, late): (Micros, Micros),
@@ -38,19 +40,19 @@
         let bytes = asked.body.len() + 512;
         if self.references.borrow().contains_key(&asked.reference) {
             // Its answer could be meant for either; the one that is open goes on.
-            conn.session.borrow_mut().reject(ticket);
+            connection.session.borrow_mut().reject(ticket);
             self.count(|c| c.unusable += 1);
             return None;
         }
         if !self.taking.get() || self.held_bytes.get() + bytes > self.bounds.held_bytes {
             let answer = Answer::Refused { reason: "too-many-held", retry_after: 0 };
-            conn.session.borrow_mut().answer(ticket, &answer, now);
+            connection.session.borrow_mut().answer(ticket, &answer, now);
             self.count(|c| c.rejected_at_intake += 1);
             return None;
         }
         self.held_bytes.set(self.held_bytes.get() + bytes);
         self.references.borrow_mut().insert(asked.reference, ticket);
-        let held = AcceptedCall { conn: conn.clone(), reference: asked.reference, bytes };
+        let held = AcceptedCall { connection: connection.clone(), reference: asked.reference, bytes };
         self.calls.borrow_mut().insert(ticket, held);
         let ends = self.ends.get().map_or(Micros::MAX, |at| at - now);
         Some(Input::Call(Arrival {
@@ -62,7 +64,7 @@
             budget: asked.budget.min(ends.saturating_add(late)),
             read_at: now - late,
             is_repeat: false,
-            client_verified: conn.session.borrow().is_known(),
+            client_verified: connection.session.borrow().is_known(),
             body: asked.body,
             content_type: None,
             correlation: asked.id,
@@ -84,10 +86,10 @@
 
     /// The final answer of a call; written at the end of the turn.
     pub fn answer(&self, ticket: Ticket, answer: &Answer) {
-        let Some(AcceptedCall { conn, .. }) = self.release(ticket) else { return };
-        conn.session.borrow_mut().answer(ticket, answer, self.shared.clock.now());
-        if !conn.dirty.replace(true) {
-            self.dirty.borrow_mut().push(conn);
+        let Some(AcceptedCall { connection, .. }) = self.release(ticket) else { return };
+        connection.session.borrow_mut().answer(ticket, answer, self.shared.clock.now());
+        if !connection.dirty.replace(true) {
+            self.dirty.borrow_mut().push(connection);
         }
     }
 }
--- a/crates/platform/src/clients/cancelled.rs
+++ b/crates/platform/src/clients/cancelled.rs
@@ -14,9 +14,11 @@
 
 impl ClientLookup for Clients {
     fn presence(&self, ticket: Ticket) -> ClientPresence {
-        let conn = self.calls.borrow().get(&ticket).map(|held| held.conn.clone());
-        let heard = conn.as_ref().is_none_or(|conn| self.read_pending(conn));
-        if conn.is_some_and(|conn| conn.over.get()) || self.cancelled.borrow().contains_key(&ticket) {
+        let connection = self.calls.borrow().get(&ticket).map(|held| held.connection.clone());
+        let heard = connection.as_ref().is_none_or(|connection| self.read_pending(connection));
+        if connection.is_some_and(|connection| connection.over.get())
+            || self.cancelled.borrow().contains_key(&ticket)
+        {
             return ClientPresence::Disconnected;
         }
         if heard {
@@ -30,21 +32,21 @@
 impl Clients {
     /// Reads what lies in a client's socket now; its own task passes it on, in its order. False where more lies there than
     /// is read at once or from a client that takes no answers: what it cancels may be among it.
-    fn read_pending(&self, conn: &Rc<ClientConnection>) -> bool {
-        if conn.over.get() {
+    fn read_pending(&self, connection: &Rc<ClientConnection>) -> bool {
+        if connection.over.get() {
             return true;
         }
-        let mut news = Vec::new();
-        let more = conn.session.borrow().wants_read();
-        let socket = self.read_all(conn, &mut news);
-        if socket == Socket::Over || (!more && sockets::has_left(&conn.stream)) {
-            conn.over.set(true);
+        let mut inputs = Vec::new();
+        let more = connection.session.borrow().wants_read();
+        let socket = self.read_all(connection, &mut inputs);
+        if socket == Socket::Over || (!more && sockets::has_left(&connection.stream)) {
+            connection.over.set(true);
         }
-        if conn.over.get() || !news.is_empty() || !conn.session.borrow().output().is_empty() {
-            conn.wake.notify_one();
+        if connection.over.get() || !inputs.is_empty() || !connection.session.borrow().output().is_empty() {
+            connection.wake.notify_one();
         }
-        conn.inputs.borrow_mut().extend(news);
-        socket == Socket::Dry && !conn.session.borrow().has_unheard()
+        connection.inputs.borrow_mut().extend(inputs);
+        socket == Socket::Dry && !connection.session.borrow().has_unheard()
     }
 
     /// Forgets what was cancelled long ago.
--- a/crates/platform/src/clients/finish.rs
+++ b/crates/platform/src/clients/finish.rs
@@ -41,10 +41,10 @@
             self.admit(stream);
         }
         self.answer_unread();
-        for conn in self.conns.borrow().values() {
+        for connection in self.conns.borrow().values() {
             // What waits for its client is written first. Nothing is open any more.
-            conn.session.borrow_mut().close(&mut Vec::new());
-            conn.wake.notify_one();
+            connection.session.borrow_mut().close(&mut Vec::new());
+            connection.wake.notify_one();
         }
         let all_closed = async {
             while self.connections() + self.lingering.get() > 0 {
@@ -57,30 +57,30 @@
 
     fn answer_unread(self: &Rc<Self>) {
         let conns: Vec<Rc<ClientConnection>> = self.conns.borrow().values().cloned().collect();
-        for conn in conns.iter().filter(|c| !c.over.get()) {
+        for connection in conns.iter().filter(|c| !c.over.get()) {
             // The driver is over: what is left to say is refused here, and it needs no inputs.
-            if self.read_all(conn, &mut Vec::new()) == Socket::Over || !self.write_all(conn) {
-                conn.over.set(true);
+            if self.read_all(connection, &mut Vec::new()) == Socket::Over || !self.write_all(connection) {
+                connection.over.set(true);
             }
         }
     }
 
     /// Reads what lies in the socket now, as far as it is to be read.
-    pub(super) fn read_all(&self, conn: &Rc<ClientConnection>, news: &mut Vec<Input>) -> Socket {
+    pub(super) fn read_all(&self, connection: &Rc<ClientConnection>, inputs: &mut Vec<Input>) -> Socket {
         for _ in 0..MAX_READS {
-            if !conn.session.borrow().wants_read() {
+            if !connection.session.borrow().wants_read() {
                 break;
             }
             let mut scratch = self.shared.scratch.borrow_mut();
-            match sockets::read(&conn.stream, &mut scratch) {
+            match sockets::read(&connection.stream, &mut scratch) {
                 Ok(0) => return Socket::Over,
-                Ok(n) => news.extend(self.receive(conn, &scratch[..n])),
+                Ok(n) => inputs.extend(self.receive(connection, &scratch[..n])),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Socket::Dry,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return Socket::Over,
             }
         }
-        if sockets::has_unread(&conn.stream) {
+        if sockets::has_unread(&connection.stream) {
             Socket::Unread
         } else {
             Socket::Dry
@@ -88,10 +88,10 @@
     }
 
     /// False once the client is gone.
-    fn write_all(&self, conn: &ClientConnection) -> bool {
-        let mut session = conn.session.borrow_mut();
+    fn write_all(&self, connection: &ClientConnection) -> bool {
+        let mut session = connection.session.borrow_mut();
         while !session.output().is_empty() {
-            match sockets::write(&conn.stream, session.output()) {
+            match sockets::write(&connection.stream, session.output()) {
                 Ok(n) => session.wrote(n, self.shared.clock.now()),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return true,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -33,7 +33,7 @@
 }
 
 struct AcceptedCall {
-    conn: Rc<ClientConnection>,
+    connection: Rc<ClientConnection>,
     reference: u64,
     bytes: usize,
 }
@@ -149,16 +149,16 @@
     pub fn on_tick(&self) {
         self.forget_cancelled();
         let now = self.shared.clock.now();
-        for conn in self.conns.borrow().values() {
+        for connection in self.conns.borrow().values() {
             let (over, stuck) = {
-                let session = conn.session.borrow();
+                let session = connection.session.borrow();
                 (session.is_over(now), session.is_stuck(now))
             };
             if over {
                 // A silent one is read once more before it is closed.
-                let why = if stuck { &conn.over } else { &conn.silent };
+                let why = if stuck { &connection.over } else { &connection.silent };
                 why.set(true);
-                conn.wake.notify_one();
+                connection.wake.notify_one();
             }
         }
     }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -134,7 +134,8 @@
             ("limits", self.limits == new.limits),
         ];
         fields.extend(plain.iter().filter(|f| !f.1).map(|f| f.0.to_string()));
-        let lines = |told: &PlatformSettings| told.lines.lines().map(str::to_string).collect::<BTreeSet<_>>();
+        let lines =
+            |settings: &PlatformSettings| settings.lines.lines().map(str::to_string).collect::<BTreeSet<_>>();
         let (old, new) = (lines(self), lines(new));
         let path = |line: &String| format!("settings.{}", line.split('=').next().unwrap_or_default());
         let changed: BTreeSet<String> = old.symmetric_difference(&new).map(path).collect();
--- a/crates/platform/src/config/tests.rs
+++ b/crates/platform/src/config/tests.rs
@@ -5,8 +5,8 @@
 
 #[test]
 fn a_configuration_says_what_the_simulators_first_message_says() {
-    let told = PlatformSettings::parse(TEXT).unwrap();
-    let s = &told.settings;
+    let settings = PlatformSettings::parse(TEXT).unwrap();
+    let s = &settings.settings;
     assert_eq!((s.front_ends, s.max_attempts, s.tick, s.idle_retention), (3, 3, 1000, 4_000_000));
     assert_eq!(
         (s.classes.len(), s.classes[1].effect, s.classes[0].latency_objective),
@@ -19,9 +19,9 @@
         (ReportChannel::HealthChecks, true, true)
     );
     assert_eq!((s.memory_mb.clone(), s.load_window), (vec![4096.0], 10_000_000));
-    assert_eq!((told.tenants[1].as_str(), told.classes[1].hard_limit), ("other corp", 2_500_000));
-    assert_eq!((told.streams, told.max_calls, told.seed), (32, 2000, 0x8c1f_30d2_7a5b_e964));
-    let (events, last) = &told.known;
+    assert_eq!((settings.tenants[1].as_str(), settings.classes[1].hard_limit), ("other corp", 2_500_000));
+    assert_eq!((settings.streams, settings.max_calls, settings.seed), (32, 2000, 0x8c1f_30d2_7a5b_e964));
+    let (events, last) = &settings.known;
     assert_eq!((events.len(), events[0].number, *last), (2, 1, 2));
     assert_eq!((events[0].endpoints[0].endpoint.zone, events[0].endpoints.len()), (1, 2));
 }
--- a/crates/platform/src/connection/ending.rs
+++ b/crates/platform/src/connection/ending.rs
@@ -38,7 +38,7 @@
     /// Takes back a request that is not written whole and must not begin now. Where nothing of it was written that is notified as
     /// `Full`; else as an error, and the line takes nothing more, as after [`ConnectionState::stop`]. True where the connection is to be
     /// ended.
-    pub fn take_back(&mut self, id: u64, now: Micros, news: &mut Vec<Input>) -> bool {
+    pub fn take_back(&mut self, id: u64, now: Micros, inputs: &mut Vec<Input>) -> bool {
         let tag = Tag::Call(id);
         let Some(open) = self.pending.get(&tag).filter(|open| open.written_at.is_none()) else {
             return false;
@@ -51,7 +51,7 @@
             self.unqueue(tag);
             Outcome::Full
         };
-        self.finish(tag, outcome, now, news);
+        self.finish(tag, outcome, now, inputs);
         self.is_spent()
     }
 
@@ -80,20 +80,20 @@
     }
 
     /// Orders that waited here for longer than they count are not begun any more.
-    pub fn withdraw_overdue(&mut self, now: Micros, order: Micros, news: &mut Vec<Input>) {
+    pub fn withdraw_overdue(&mut self, now: Micros, order: Micros, inputs: &mut Vec<Input>) {
         let over = |o: &PendingExchange| {
             o.started_at.is_none() && matches!(o.exchange, Exchange::Load { sent, .. } if now - sent >= order)
         };
         let tags: Vec<Tag> = self.pending.iter().filter(|(_, o)| over(o)).map(|(t, _)| *t).collect();
         for tag in tags {
             self.unqueue(tag);
-            self.finish(tag, Outcome::Timeout, now, news);
+            self.finish(tag, Outcome::Timeout, now, inputs);
         }
     }
 
     /// Withdraws what was not begun to be written, as the executor or this connection takes nothing new. The latter is this
     /// side's doing and says nothing against the executor.
-    pub fn withdraw(&mut self, now: Micros, news: &mut Vec<Input>) {
+    pub fn withdraw(&mut self, now: Micros, inputs: &mut Vec<Input>) {
         let outcome = if self.is_truncated { Outcome::Full } else { Outcome::ConnectFailed };
         let unbegun = |o: &PendingExchange| {
             o.started_at.is_none() && (self.is_truncated || !matches!(o.exchange, Exchange::Probe { .. }))
@@ -101,16 +101,21 @@
         let tags: Vec<Tag> = self.pending.iter().filter(|(_, o)| unbegun(o)).map(|(t, _)| *t).collect();
         for tag in tags {
             self.unqueue(tag);
-            self.finish(tag, outcome, now, news);
+            self.finish(tag, outcome, now, inputs);
         }
     }
 
-    fn finish(&mut self, tag: Tag, outcome: Outcome, at: Micros, news: &mut Vec<Input>) {
-        self.answered(tag, AttemptResult { read_at: at, ..AttemptResult::without_answer(outcome) }, 0, news);
+    fn finish(&mut self, tag: Tag, outcome: Outcome, at: Micros, inputs: &mut Vec<Input>) {
+        self.answered(
+            tag,
+            AttemptResult { read_at: at, ..AttemptResult::without_answer(outcome) },
+            0,
+            inputs,
+        );
     }
 
     /// The connection ended: each that was open ends, by what is known of it.
-    pub fn end(&mut self, how: Closure, now: Micros, news: &mut Vec<Input>) {
+    pub fn end(&mut self, how: Closure, now: Micros, inputs: &mut Vec<Input>) {
         let mut tags: Vec<(Tag, bool)> =
             self.pending.iter().map(|(t, o)| (*t, o.started_at.is_some())).collect();
         tags.sort_by_key(|(tag, _)| match tag {
@@ -126,7 +131,7 @@
                 Closure::Broken => Outcome::Reset,
                 Closure::ProtocolViolated => Outcome::Error,
             };
-            self.finish(tag, outcome, now, news);
+            self.finish(tag, outcome, now, inputs);
         }
         self.queue.clear();
         self.buffer = BytesMut::new();
@@ -138,7 +143,7 @@
         now: Micros,
         patience: Micros,
         order: Micros,
-        news: &mut Vec<Input>,
+        inputs: &mut Vec<Input>,
     ) -> Result<(), ProtocolViolation> {
         if !self.buffer.is_empty() && now - self.read >= patience {
             return Err(ProtocolViolation::Short);
@@ -148,7 +153,7 @@
             Exchange::Probe { sent, .. } => now - sent >= patience,
             Exchange::Load { sent, .. } => now - sent >= order,
         };
-        self.withdraw_overdue(now, order, news);
+        self.withdraw_overdue(now, order, inputs);
         // An order that counts as lost must not arrive after all: what may still lie on its way goes with the connection.
         // It does where a part of it is not written, whatever came meanwhile, and where nothing came since it was.
         let lies = |o: &PendingExchange| {
@@ -162,7 +167,7 @@
         let tags: Vec<Tag> = self.pending.iter().filter(|(_, o)| over(o)).map(|(t, _)| *t).collect();
         for tag in tags {
             self.unqueue(tag);
-            self.finish(tag, Outcome::Timeout, now, news);
+            self.finish(tag, Outcome::Timeout, now, inputs);
         }
         Ok(())
     }
--- a/crates/platform/src/connection/reading.rs
+++ b/crates/platform/src/connection/reading.rs
@@ -18,7 +18,7 @@
         bytes: &[u8],
         (now, at): (Micros, Micros),
         report: &[String],
-        news: &mut Vec<Input>,
+        inputs: &mut Vec<Input>,
     ) -> Result<(), ProtocolViolation> {
         (self.read, self.active, self.silent) = (now, now, false);
         self.buffer.extend_from_slice(bytes);
@@ -62,7 +62,7 @@
                 if let Some(length) = head.length.filter(|_| result.outcome == Outcome::Ok) {
                     result.body = Bytes::copy_from_slice(&frame[end + 1..end + 1 + length]);
                 }
-                self.answered(tag, result, copies, news);
+                self.answered(tag, result, copies, inputs);
             }
         }
     }
@@ -112,11 +112,11 @@
         Ok(Some((tag, result, copies.unwrap_or(0.0).min(255.0) as u8)))
     }
 
-    pub(super) fn answered(&mut self, tag: Tag, result: AttemptResult, copies: u8, news: &mut Vec<Input>) {
+    pub(super) fn answered(&mut self, tag: Tag, result: AttemptResult, copies: u8, inputs: &mut Vec<Input>) {
         let Some(open) = self.pending.remove(&tag) else { return };
         // What is answered before all of it was written (an executor may refuse early) need not be written on, but what
         // follows on the line must stay whole.
-        news.push(match open.exchange {
+        inputs.push(match open.exchange {
             Exchange::Attempt { request, attempt } => {
                 self.attempts -= 1;
                 Input::AttemptEnded { request, attempt, result }
--- a/crates/platform/src/descriptors.rs
+++ b/crates/platform/src/descriptors.rs
@@ -80,9 +80,9 @@
 
     /// The system refused one: every descriptor that the process may have is open at this instant.
     pub fn refused(&self, whom: Refusal) {
-        let (told, now) = (&self.last_logged[whom as usize], Instant::now());
-        if told.get().is_none_or(|at| now - at >= LOG_INTERVAL) {
-            told.set(Some(now));
+        let (settings, now) = (&self.last_logged[whom as usize], Instant::now());
+        if settings.get().is_none_or(|at| now - at >= LOG_INTERVAL) {
+            settings.set(Some(now));
             tracing::warn!(?whom, most = most(), "the system refuses a descriptor");
         }
     }
--- a/crates/platform/src/endpoint_events.rs
+++ b/crates/platform/src/endpoint_events.rs
@@ -56,8 +56,8 @@
     if !payload.len().is_multiple_of(RECORD) {
         return Err(EndpointEventError::Records(payload.len()));
     }
-    let told = payload.chunks_exact(RECORD).map(record).collect::<Result<Vec<_>, _>>()?;
-    Ok(EndpointEvent { number, kind: whole(kind == 1), endpoints: told })
+    let settings = payload.chunks_exact(RECORD).map(record).collect::<Result<Vec<_>, _>>()?;
+    Ok(EndpointEvent { number, kind: whole(kind == 1), endpoints: settings })
 }
 
 /// What can be read of an event that [`decode`] finds fault with. It is no whole list then: whom it does not name may be in
@@ -144,8 +144,9 @@
 impl InitialEvent {
     /// The event with the places that `kinds` and `zones` give.
     pub fn event(&self, kinds: &[String], zones: &[String]) -> Result<EndpointEvent, EndpointEventError> {
-        let told = self.topology.hosts.iter().map(|h| h.told(kinds, zones)).collect::<Result<Vec<_>, _>>()?;
-        Ok(EndpointEvent { number: self.offset, kind: whole(self.topology.whole), endpoints: told })
+        let settings =
+            self.topology.hosts.iter().map(|h| h.told(kinds, zones)).collect::<Result<Vec<_>, _>>()?;
+        Ok(EndpointEvent { number: self.offset, kind: whole(self.topology.whole), endpoints: settings })
     }
 }
 
--- a/crates/platform/src/executors/commands.rs
+++ b/crates/platform/src/executors/commands.rs
@@ -9,9 +9,9 @@
 use std::rc::Rc;
 
 impl Executors {
-    fn note_unwritten(&self, link: Rc<Connection>) {
-        if !link.dirty.replace(true) {
-            self.dirty.borrow_mut().push(link);
+    fn note_unwritten(&self, connection: Rc<Connection>) {
+        if !connection.dirty.replace(true) {
+            self.dirty.borrow_mut().push(connection);
         }
     }
 
@@ -36,45 +36,54 @@
         if !self.executors.borrow().get(&attempt.worker).is_some_and(|e| e.ready) {
             return Err(Outcome::ConnectFailed);
         }
-        let Some(link) = self.pick(attempt.worker, Some(id)) else { return Err(Outcome::Full) };
+        let Some(connection) = self.pick(attempt.worker, Some(id)) else { return Err(Outcome::Full) };
         let now = self.shared.clock.now();
         let wait = ((attempt.deadline - now) / 1000).max(1);
         let list = format!("class={class},key={},wait={wait}", attempt.function);
         let what = Exchange::Attempt { request: attempt.request, attempt: attempt.attempt };
-        let queued =
-            link.line.borrow_mut().send_request((id, &attempt.correlation), &list, &attempt.body, what, now);
+        let queued = connection.line.borrow_mut().send_request(
+            (id, &attempt.correlation),
+            &list,
+            &attempt.body,
+            what,
+            now,
+        );
         if !queued {
             return Err(Outcome::ConnectFailed);
         }
         let flying = InFlight {
-            link: link.clone(),
+            connection: connection.clone(),
             id: (id, attempt.correlation),
             ticket: attempt.ticket,
             begin_by: attempt.start_by,
         };
         self.in_flight_attempts.borrow_mut().insert((attempt.request, attempt.attempt), flying);
-        self.note_unwritten(link);
+        self.note_unwritten(connection);
         Ok(())
     }
 
     /// Abandons an attempt; nothing more is heard of it.
     pub fn abort(&self, request: RequestId, attempt: u16) {
         let Some(flying) = self.in_flight_attempts.borrow_mut().remove(&(request, attempt)) else { return };
-        let ends = self.stop(&mut flying.link.line.borrow_mut(), (flying.id.0, &flying.id.1));
+        let ends = self.stop(&mut flying.connection.line.borrow_mut(), (flying.id.0, &flying.id.1));
         if ends {
-            return flying.link.end(Closure::ProtocolViolated);
+            return flying.connection.end(Closure::ProtocolViolated);
         }
-        self.note_unwritten(flying.link);
+        self.note_unwritten(flying.connection);
     }
 
     /// Asks an executor for its load; the answer comes as [`Input::Probed`].
     pub fn probe(self: &Rc<Self>, worker: WorkerId) {
         let sent = self.shared.clock.now();
         match self.pick(worker, None) {
-            Some(link) => {
+            Some(connection) => {
                 let report = !self.limits.report.is_empty();
-                link.line.borrow_mut().send_health_check(report, Exchange::Probe { worker, sent }, sent);
-                self.note_unwritten(link);
+                connection.line.borrow_mut().send_health_check(
+                    report,
+                    Exchange::Probe { worker, sent },
+                    sent,
+                );
+                self.note_unwritten(connection);
             }
             None => {
                 // For want of descriptors of its own it speaks against no executor; one that is not listed is gone.
@@ -96,14 +105,14 @@
     pub fn load(self: &Rc<Self>, worker: WorkerId, function: FunctionId, name: &str, copies: u8) {
         let sent = self.shared.clock.now();
         let ready = self.executors.borrow().get(&worker).is_some_and(|e| e.ready);
-        let link = if ready || copies == 0 { self.pick(worker, None) } else { None };
-        match link {
-            Some(link) => {
+        let connection = if ready || copies == 0 { self.pick(worker, None) } else { None };
+        match connection {
+            Some(connection) => {
                 let what = Exchange::Load { worker, function, sent };
-                link.line.borrow_mut().send_load(name, copies, what, sent);
+                connection.line.borrow_mut().send_load(name, copies, what, sent);
                 // Its task sets an alarm for when this counts as lost.
-                link.wake.notify_one();
-                self.note_unwritten(link);
+                connection.wake.notify_one();
+                self.note_unwritten(connection);
             }
             None => {
                 let (outcome, copies) = (Outcome::ConnectFailed, 0);
@@ -120,9 +129,9 @@
 
     /// Has idle copies unloaded; nothing is heard of it.
     pub fn unload(self: &Rc<Self>, worker: WorkerId, name: &str) {
-        if let Some(link) = self.pick(worker, None) {
-            link.line.borrow_mut().send_unload(name, self.shared.clock.now());
-            self.note_unwritten(link);
+        if let Some(connection) = self.pick(worker, None) {
+            connection.line.borrow_mut().send_unload(name, self.shared.clock.now());
+            self.note_unwritten(connection);
         }
     }
 
@@ -136,9 +145,9 @@
     /// Writes what the turn brought, and passes on what arose from it.
     pub fn flush_all(&self) {
         let dirty = std::mem::take(&mut *self.dirty.borrow_mut());
-        for link in dirty {
-            link.dirty.set(false);
-            self.flush(&link);
+        for connection in dirty {
+            connection.dirty.set(false);
+            self.flush(&connection);
         }
         self.pass_on_late();
     }
--- a/crates/platform/src/executors/connection.rs
+++ b/crates/platform/src/executors/connection.rs
@@ -45,12 +45,12 @@
 }
 
 impl Executors {
-    pub(super) async fn talk(self: Rc<Self>, link: Rc<Connection>, address: Rc<str>) {
-        let (stream, wants) = self.handshake(&link, &address).await;
-        match stream.filter(|s| s.set_nodelay(true).is_ok() && link.state.get() == State::Connecting) {
+    pub(super) async fn talk(self: Rc<Self>, connection: Rc<Connection>, address: Rc<str>) {
+        let (stream, wants) = self.handshake(&connection, &address).await;
+        match stream.filter(|s| s.set_nodelay(true).is_ok() && connection.state.get() == State::Connecting) {
             None => {
                 self.count(|c| c.not_up += 1);
-                link.state.set(State::Over(if wants {
+                connection.state.set(State::Over(if wants {
                     Closure::NoDescriptors
                 } else {
                     Closure::NotConnected
@@ -59,59 +59,64 @@
             Some(stream) => {
                 self.count(|c| c.connected += 1);
                 let stream = Rc::new(stream);
-                *link.stream.borrow_mut() = Some(stream.clone());
-                link.state.set(State::Up);
+                *connection.stream.borrow_mut() = Some(stream.clone());
+                connection.state.set(State::Up);
                 self.read_clients_first().await;
-                self.flush(&link);
+                self.flush(&connection);
                 self.pass_on_late();
-                self.exchange(&link, &stream).await;
+                self.exchange(&connection, &stream).await;
             }
         }
-        self.ended(&link).await;
+        self.ended(&connection).await;
     }
 
-    async fn exchange(&self, link: &Rc<Connection>, stream: &TcpStream) {
-        let mut news = Vec::new();
-        while link.state.get() == State::Up {
-            let write = link.line.borrow().wants_write();
-            let due = link.line.borrow().order_due(self.limits.order_timeout);
+    async fn exchange(&self, connection: &Rc<Connection>, stream: &TcpStream) {
+        let mut inputs = Vec::new();
+        while connection.state.get() == State::Up {
+            let write = connection.line.borrow().wants_write();
+            let due = connection.line.borrow().order_due(self.limits.order_timeout);
             let lost_at = self.shared.clock.instant(due.unwrap_or_default());
             let mut writes = false;
             tokio::select! {
                 biased;
-                () = link.wake.notified() => {}
+                () = connection.wake.notified() => {}
                 ready = stream.readable() => match ready {
-                    Ok(()) => self.read(link, stream, &mut news),
-                    Err(_) => link.end(Closure::Broken),
+                    Ok(()) => self.read(connection, stream, &mut inputs),
+                    Err(_) => connection.end(Closure::Broken),
                 },
                 ready = stream.writable(), if write => match ready {
                     Ok(()) => writes = true,
-                    Err(_) => link.end(Closure::Broken),
+                    Err(_) => connection.end(Closure::Broken),
                 },
                 () = tokio::time::sleep_until(lost_at), if due.is_some() => {
-                    self.expire_orders(link, stream, &mut news);
+                    self.expire_orders(connection, stream, &mut inputs);
                 }
             }
             if writes {
                 self.read_clients_first().await;
-                self.flush(link);
+                self.flush(connection);
                 self.pass_on_late();
             }
-            self.pass_on(&mut news).await;
+            self.pass_on(&mut inputs).await;
         }
-        if link.state.get() == State::Over(Closure::Broken) {
+        if connection.state.get() == State::Over(Closure::Broken) {
             // A write may find the end before what was answered ahead of it was read.
-            self.read_remaining(link, stream, &mut news);
-            self.pass_on(&mut news).await;
+            self.read_remaining(connection, stream, &mut inputs);
+            self.pass_on(&mut inputs).await;
         }
     }
 
     /// An order counts as lost in this instant: what lies in the socket is read first, then it is cut or never begun.
-    fn expire_orders(&self, link: &Connection, stream: &TcpStream, news: &mut Vec<Input>) {
-        self.read_remaining(link, stream, news);
+    fn expire_orders(&self, connection: &Connection, stream: &TcpStream, inputs: &mut Vec<Input>) {
+        self.read_remaining(connection, stream, inputs);
         let (now, limits) = (self.shared.clock.now(), &self.limits);
-        if link.line.borrow_mut().expire(now, limits.connect_timeout, limits.order_timeout, news).is_err() {
-            link.end(Closure::ProtocolViolated);
+        if connection
+            .line
+            .borrow_mut()
+            .expire(now, limits.connect_timeout, limits.order_timeout, inputs)
+            .is_err()
+        {
+            connection.end(Closure::ProtocolViolated);
         }
     }
 
@@ -126,62 +131,62 @@
         }
     }
 
-    async fn pass_on(&self, news: &mut Vec<Input>) {
-        self.on_ended(news);
-        for item in news.drain(..) {
+    async fn pass_on(&self, inputs: &mut Vec<Input>) {
+        self.on_ended(inputs);
+        for item in inputs.drain(..) {
             // A driver that ended needs no inputs.
             let _ = self.shared.inputs.send(item).await;
         }
     }
 
-    fn read(&self, link: &Connection, stream: &TcpStream, news: &mut Vec<Input>) {
+    fn read(&self, connection: &Connection, stream: &TcpStream, inputs: &mut Vec<Input>) {
         let mut scratch = self.shared.scratch.borrow_mut();
         match stream.try_read(&mut scratch) {
-            Ok(0) => link.end(Closure::Broken),
+            Ok(0) => connection.end(Closure::Broken),
             Ok(n) => {
-                self.received(link, &scratch[..n], news);
+                self.received(connection, &scratch[..n], inputs);
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            Err(_) => link.end(Closure::Broken),
+            Err(_) => connection.end(Closure::Broken),
         }
     }
 
-    fn received(&self, link: &Connection, bytes: &[u8], news: &mut Vec<Input>) -> bool {
+    fn received(&self, connection: &Connection, bytes: &[u8], inputs: &mut Vec<Input>) -> bool {
         let (now, late) = self.shared.read_time();
-        let mut line = link.line.borrow_mut();
-        let read = line.receive(bytes, (now, now - late), &self.limits.report, news);
+        let mut line = connection.line.borrow_mut();
+        let read = line.receive(bytes, (now, now - late), &self.limits.report, inputs);
         if line.is_spent() {
-            link.end(Closure::ProtocolViolated);
+            connection.end(Closure::ProtocolViolated);
         }
         if let Err(why) = read {
-            tracing::debug!(worker = format!("s-{:08x}", link.worker), %why, "connection abandoned");
-            link.end(Closure::ProtocolViolated);
+            tracing::debug!(worker = format!("s-{:08x}", connection.worker), %why, "connection abandoned");
+            connection.end(Closure::ProtocolViolated);
         }
         read.is_ok()
     }
 
     /// Reads what lies in the socket of a connection that ended, asked of the socket itself: the runtime may not have heard.
-    fn read_remaining(&self, link: &Connection, stream: &TcpStream, news: &mut Vec<Input>) {
+    fn read_remaining(&self, connection: &Connection, stream: &TcpStream, inputs: &mut Vec<Input>) {
         let mut scratch = self.shared.scratch.borrow_mut();
         let mut left = MAX_UNREAD_INPUT;
         while let Ok(n) = (&*SockRef::from(stream)).read(&mut scratch) {
             left = left.saturating_sub(n);
-            if n == 0 || left == 0 || !self.received(link, &scratch[..n], news) {
+            if n == 0 || left == 0 || !self.received(connection, &scratch[..n], inputs) {
                 return;
             }
         }
     }
-    async fn ended(&self, link: &Rc<Connection>) {
-        let how = match link.state.get() {
+    async fn ended(&self, connection: &Rc<Connection>) {
+        let how = match connection.state.get() {
             State::Over(how) => how,
             _ => Closure::Broken,
         };
-        link.state.set(State::Over(how));
-        if let (Closure::ProtocolViolated, Some(stream)) = (how, &*link.stream.borrow()) {
+        connection.state.set(State::Over(how));
+        if let (Closure::ProtocolViolated, Some(stream)) = (how, &*connection.stream.borrow()) {
             // What was written and not read there yet is dropped with it.
             let _ = stream.set_zero_linger();
         }
-        *link.stream.borrow_mut() = None;
+        *connection.stream.borrow_mut() = None;
         if how != Closure::NoDescriptors {
             self.shared.descriptors.freed();
         }
@@ -190,20 +195,20 @@
             Closure::Broken => self.count(|c| c.broken += 1),
             Closure::ProtocolViolated => self.count(|c| c.poisoned += 1),
         }
-        let mut news = Vec::new();
-        link.line.borrow_mut().end(how, self.shared.clock.now(), &mut news);
-        self.on_ended(&news);
+        let mut inputs = Vec::new();
+        connection.line.borrow_mut().end(how, self.shared.clock.now(), &mut inputs);
+        self.on_ended(&inputs);
         {
             let mut executors = self.executors.borrow_mut();
-            if let Some(executor) = executors.get_mut(&link.worker) {
-                executor.links.retain(|l| !Rc::ptr_eq(l, link));
+            if let Some(executor) = executors.get_mut(&connection.worker) {
+                executor.links.retain(|l| !Rc::ptr_eq(l, connection));
                 if !executor.ready && executor.links.is_empty() {
-                    executors.remove(&link.worker);
+                    executors.remove(&connection.worker);
                 }
             }
         }
         self.links.set(self.links.get().saturating_sub(1));
-        for item in news {
+        for item in inputs {
             let _ = self.shared.inputs.send(item).await;
         }
     }
@@ -212,29 +217,29 @@
     pub fn on_tick(&self) {
         let (now, late) = self.shared.read_time();
         let limits = &self.limits;
-        let mut news = Vec::new();
+        let mut inputs = Vec::new();
         for executor in self.executors.borrow().values() {
-            for link in &executor.links {
-                if link.state.get() != State::Up {
+            for connection in &executor.links {
+                if connection.state.get() != State::Up {
                     continue;
                 }
-                let mut line = link.line.borrow_mut();
+                let mut line = connection.line.borrow_mut();
                 // After a gap of this process its sockets are read first.
                 let over = late == 0
-                    && line.expire(now, limits.connect_timeout, limits.order_timeout, &mut news).is_err();
+                    && line.expire(now, limits.connect_timeout, limits.order_timeout, &mut inputs).is_err();
                 let idle = line.is_idle();
                 let unused = now - line.active() >= limits.idle_close - limits.idle_close / 8;
-                let shut = link.moved.get() || line.is_silent() || line.is_truncated();
+                let shut = connection.moved.get() || line.is_silent() || line.is_truncated();
                 let useless = idle && (unused || !executor.ready || shut);
                 drop(line);
                 if over {
-                    link.end(Closure::ProtocolViolated);
+                    connection.end(Closure::ProtocolViolated);
                 } else if useless {
-                    link.end(Closure::Broken);
+                    connection.end(Closure::Broken);
                 }
             }
         }
-        self.late_inputs.borrow_mut().extend(news);
+        self.late_inputs.borrow_mut().extend(inputs);
         self.flush_all();
     }
 }
--- a/crates/platform/src/executors/handshake.rs
+++ b/crates/platform/src/executors/handshake.rs
@@ -10,16 +10,20 @@
 
 impl Executors {
     /// What came up in time, and whether it was the want of a descriptor that kept it down.
-    pub(super) async fn handshake(&self, link: &Connection, address: &str) -> (Option<TcpStream>, bool) {
+    pub(super) async fn handshake(
+        &self,
+        connection: &Connection,
+        address: &str,
+    ) -> (Option<TcpStream>, bool) {
         let limit = Duration::from_micros(self.limits.connect_timeout as u64);
         let wants = Cell::new(false);
-        let connecting = tokio::time::timeout(limit, self.connect(link, address, &wants));
+        let connecting = tokio::time::timeout(limit, self.connect(connection, address, &wants));
         tokio::pin!(connecting);
         loop {
             tokio::select! {
                 done = &mut connecting => return (done.ok().and_then(Result::ok), wants.get()),
-                () = link.wake.notified() => {
-                    if matches!(link.state.get(), State::Over(_)) {
+                () = connection.wake.notified() => {
+                    if matches!(connection.state.get(), State::Over(_)) {
                         return (None, wants.get());
                     }
                 }
@@ -28,7 +32,12 @@
     }
 
     /// Waits for a descriptor where the system has none and another connection is evicted; `wants` tells that it had none.
-    async fn connect(&self, link: &Connection, address: &str, wants: &Cell<bool>) -> io::Result<TcpStream> {
+    async fn connect(
+        &self,
+        connection: &Connection,
+        address: &str,
+        wants: &Cell<bool>,
+    ) -> io::Result<TcpStream> {
         loop {
             wants.set(false);
             match TcpStream::connect(address).await {
@@ -36,7 +45,7 @@
                     wants.set(true);
                     self.shared.descriptors.refused(Refusal::Executor);
                     // One beside others that nothing waits for is worth no one's.
-                    if link.line.borrow().is_idle() || !self.shared.descriptors.release_one() {
+                    if connection.line.borrow().is_idle() || !self.shared.descriptors.release_one() {
                         return Err(error);
                     }
                     self.shared.descriptors.wait_first().await;
--- a/crates/platform/src/executors/mod.rs
+++ b/crates/platform/src/executors/mod.rs
@@ -68,7 +68,7 @@
 }
 
 struct InFlight {
-    link: Rc<Connection>,
+    connection: Rc<Connection>,
     id: (u64, Rc<str>),
     ticket: Ticket,
     begin_by: Micros,
@@ -132,15 +132,15 @@
     }
 
     /// What the event bus told. What waits for an executor that takes nothing new is withdrawn at once.
-    pub fn apply(&self, form: EndpointUpdate, told: &[NumberedEndpoint]) -> Vec<Input> {
+    pub fn apply(&self, form: EndpointUpdate, settings: &[NumberedEndpoint]) -> Vec<Input> {
         let now = self.shared.clock.now();
-        let mut news = Vec::new();
+        let mut inputs = Vec::new();
         let mut executors = self.executors.borrow_mut();
         if form != EndpointUpdate::Delta {
-            let listed: HashSet<WorkerId> = told.iter().map(|t| t.endpoint.worker).collect();
+            let listed: HashSet<WorkerId> = settings.iter().map(|t| t.endpoint.worker).collect();
             executors.iter_mut().filter(|(w, _)| !listed.contains(w)).for_each(|(_, e)| e.ready = false);
         }
-        for t in told {
+        for t in settings {
             let ready = t.endpoint.lifecycle == Lifecycle::Ready;
             let entry = executors.entry(t.endpoint.worker).or_insert_with(|| Executor {
                 address: "".into(),
@@ -155,21 +155,23 @@
             }
         }
         let over = |e: &Executor, l: &Connection| !e.ready || l.moved.get();
-        for link in executors.values().flat_map(|e| e.links.iter().filter(|l| over(e, l))) {
-            link.line.borrow_mut().withdraw(now, &mut news);
-            if link.line.borrow().is_idle() || (link.moved.get() && link.state.get() == State::Connecting) {
-                link.end(Closure::Broken);
+        for connection in executors.values().flat_map(|e| e.links.iter().filter(|l| over(e, l))) {
+            connection.line.borrow_mut().withdraw(now, &mut inputs);
+            if connection.line.borrow().is_idle()
+                || (connection.moved.get() && connection.state.get() == State::Connecting)
+            {
+                connection.end(Closure::Broken);
             }
         }
         executors.retain(|_, e| e.ready || !e.links.is_empty());
-        self.on_ended(&news);
-        news
+        self.on_ended(&inputs);
+        inputs
     }
 
     /// These attempts are over.
-    fn on_ended(&self, news: &[Input]) {
+    fn on_ended(&self, inputs: &[Input]) {
         let mut flying = self.in_flight_attempts.borrow_mut();
-        for item in news {
+        for item in inputs {
             if let Input::AttemptEnded { request, attempt, .. } = item {
                 flying.remove(&(*request, *attempt));
             }
--- a/crates/platform/src/executors/selection.rs
+++ b/crates/platform/src/executors/selection.rs
@@ -23,7 +23,7 @@
         }
         let mut executors = self.executors.borrow_mut();
         let executor = executors.get_mut(&worker)?;
-        let link = Rc::new(Connection {
+        let connection = Rc::new(Connection {
             worker,
             line: RefCell::new(ConnectionState::new(self.shared.clock.now())),
             stream: RefCell::default(),
@@ -32,10 +32,10 @@
             moved: Cell::new(false),
             dirty: Cell::new(false),
         });
-        executor.links.push(link.clone());
+        executor.links.push(connection.clone());
         self.links.set(self.links.get() + 1);
-        tokio::task::spawn_local(self.clone().talk(link.clone(), executor.address.clone()));
-        Some(link)
+        tokio::task::spawn_local(self.clone().talk(connection.clone(), executor.address.clone()));
+        Some(connection)
     }
 
     /// Closes an idle connection, of another executor than this one.
@@ -44,8 +44,8 @@
         let idle = executors.iter().filter(|(w, _)| Some(**w) != but).flat_map(|(_, e)| &e.links);
         let idle = idle.filter(|l| l.state.get() == State::Up && l.line.borrow().is_idle());
         match idle.min_by_key(|l| l.line.borrow().active()) {
-            Some(link) => {
-                link.end(Closure::Broken);
+            Some(connection) => {
+                connection.end(Closure::Broken);
                 true
             }
             None => false,
@@ -68,18 +68,18 @@
                     && !matches!(l.state.get(), State::Over(_))
             };
             let mut idle = None;
-            for link in executor.links.iter().filter(usable) {
-                if link.state.get() != State::Up || !link.line.borrow().is_idle() {
+            for connection in executor.links.iter().filter(usable) {
+                if connection.state.get() != State::Up || !connection.line.borrow().is_idle() {
                     continue;
                 }
                 // Found dead before anything is written.
-                if is_dead(link) {
-                    link.end(Closure::Broken);
+                if is_dead(connection) {
+                    connection.end(Closure::Broken);
                     continue;
                 }
-                let active = link.line.borrow().active();
+                let active = connection.line.borrow().active();
                 if idle.as_ref().is_none_or(|(at, _)| active > *at) {
-                    idle = Some((active, link.clone()));
+                    idle = Some((active, connection.clone()));
                 }
             }
             let least = |state: State| {
@@ -111,8 +111,8 @@
 }
 
 /// Whether the other side closed a connection on which nothing more is to be read: what the socket knows already, asked without waiting.
-pub(super) fn is_dead(link: &Connection) -> bool {
-    let Some(stream) = link.stream.borrow().clone() else { return true };
+pub(super) fn is_dead(connection: &Connection) -> bool {
+    let Some(stream) = connection.stream.borrow().clone() else { return true };
     match SockRef::from(&*stream).peek(&mut [MaybeUninit::uninit(); 1]) {
         Ok(0) => true,
         Ok(_) => false,
--- a/crates/platform/src/executors/writing.rs
+++ b/crates/platform/src/executors/writing.rs
@@ -11,23 +11,23 @@
     /// Writes what the socket takes. What was chosen in an earlier turn, or before this process paused, may
     /// be wanted no more: a request is written only while its client waits by all that lies in that client's
     /// socket now.
-    pub(super) fn flush(&self, link: &Connection) {
-        let Some(stream) = link.stream.borrow().clone() else { return };
-        if link.state.get() != State::Up {
+    pub(super) fn flush(&self, connection: &Connection) {
+        let Some(stream) = connection.stream.borrow().clone() else { return };
+        if connection.state.get() != State::Up {
             return;
         }
-        let mut line = link.line.borrow_mut();
+        let mut line = connection.line.borrow_mut();
         let mut bytes = Vec::new();
-        let mut news = Vec::new();
-        line.withdraw_overdue(self.shared.clock.now(), self.limits.order_timeout, &mut news);
-        self.late_inputs.borrow_mut().extend(news);
-        if line.wants_write() && is_dead(link) {
+        let mut inputs = Vec::new();
+        line.withdraw_overdue(self.shared.clock.now(), self.limits.order_timeout, &mut inputs);
+        self.late_inputs.borrow_mut().extend(inputs);
+        if line.wants_write() && is_dead(connection) {
             // It was closed since it was chosen: what was not begun is known not to have run.
-            return link.end(Closure::Broken);
+            return connection.end(Closure::Broken);
         }
         loop {
             if self.give_up_unwanted(&mut line) {
-                return link.end(Closure::ProtocolViolated);
+                return connection.end(Closure::ProtocolViolated);
             }
             if !line.wants_write() {
                 return;
@@ -36,8 +36,8 @@
             line.fill(&mut bytes);
             match stream.try_write(&bytes) {
                 Ok(n) => line.on_written(n, self.shared.clock.now()),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return link.wake.notify_one(),
-                Err(_) => return link.end(Closure::Broken),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return connection.wake.notify_one(),
+                Err(_) => return connection.end(Closure::Broken),
             }
         }
     }
@@ -72,13 +72,13 @@
     /// hears that there was no room for it. True where the connection is to be ended.
     fn take_back(&self, line: &mut ConnectionState, id: u64, attempt: (RequestId, u16)) -> bool {
         self.in_flight_attempts.borrow_mut().remove(&attempt);
-        let (now, mut news) = (self.shared.clock.now(), Vec::new());
-        let ends = line.take_back(id, now, &mut news);
+        let (now, mut inputs) = (self.shared.clock.now(), Vec::new());
+        let ends = line.take_back(id, now, &mut inputs);
         if line.is_truncated() && !ends {
-            line.withdraw(now, &mut news);
+            line.withdraw(now, &mut inputs);
         }
-        self.on_ended(&news);
-        self.late_inputs.borrow_mut().extend(news);
+        self.on_ended(&inputs);
+        self.late_inputs.borrow_mut().extend(inputs);
         ends
     }
 
@@ -88,10 +88,10 @@
         let now = self.shared.clock.now();
         let ends = line.stop(id, text, now, self.limits.connect_timeout);
         if line.is_truncated() && !ends {
-            let mut news = Vec::new();
-            line.withdraw(now, &mut news);
-            self.on_ended(&news);
-            self.late_inputs.borrow_mut().extend(news);
+            let mut inputs = Vec::new();
+            line.withdraw(now, &mut inputs);
+            self.on_ended(&inputs);
+            self.late_inputs.borrow_mut().extend(inputs);
         }
         ends
     }
--- a/crates/platform/src/reload.rs
+++ b/crates/platform/src/reload.rs
@@ -31,8 +31,8 @@
 
 impl ReloadState {
     /// `told` is what the process goes by.
-    pub fn new(told: PlatformSettings) -> ReloadState {
-        ReloadState { settings: told, reads: 0, error: String::new() }
+    pub fn new(settings: PlatformSettings) -> ReloadState {
+        ReloadState { settings: settings, reads: 0, error: String::new() }
     }
 
     /// A signal came: what was seen before it does not count.
@@ -43,7 +43,9 @@
     /// The file was looked at.
     pub fn on_read(&mut self, read: Result<PlatformSettings, ConfigError>) -> ReloadOutcome {
         match read {
-            Ok(told) => ReloadOutcome::Read { bus: told.bus, not_taken: self.settings.differs(&told) },
+            Ok(settings) => {
+                ReloadOutcome::Read { bus: settings.bus, not_taken: self.settings.differs(&settings) }
+            }
             Err(error) => {
                 let pause = PAUSE.0.saturating_mul(1 << self.reads.min(10)).min(PAUSE.1);
                 self.reads += 1;
@@ -61,8 +63,8 @@
 
 /// Reads at each signal until dropped, and tells `bus` where the event subscription is: also the same address, as that asks for a new
 /// connection.
-pub async fn at_signals(told: PlatformSettings, mut hup: Signal, bus: watch::Sender<SocketAddr>) {
-    let mut reload = ReloadState::new(told);
+pub async fn at_signals(settings: PlatformSettings, mut hup: Signal, bus: watch::Sender<SocketAddr>) {
+    let mut reload = ReloadState::new(settings);
     while hup.recv().await.is_some() {
         reload.signalled();
         loop {
--- a/crates/platform/src/replay.rs
+++ b/crates/platform/src/replay.rs
@@ -70,7 +70,8 @@
         let (form, whole) =
             if self.is_full { (EndpointUpdate::Full, true) } else { (EndpointUpdate::Delta, false) };
         // A whole list names no one that is gone.
-        let told = self.endpoints.into_values().filter(|t| !whole || t.endpoint.lifecycle != Lifecycle::Gone);
-        EndpointEvent { number: self.at, kind: form, endpoints: told.collect() }
+        let settings =
+            self.endpoints.into_values().filter(|t| !whole || t.endpoint.lifecycle != Lifecycle::Gone);
+        EndpointEvent { number: self.at, kind: form, endpoints: settings.collect() }
     }
 }
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -21,11 +21,11 @@
 }
 
 impl From<&PlatformSettings> for Catalog {
-    fn from(told: &PlatformSettings) -> Catalog {
-        let memory_most_mb = told.max_memory_mb;
+    fn from(settings: &PlatformSettings) -> Catalog {
+        let memory_most_mb = settings.max_memory_mb;
         Catalog {
-            classes: told.classes.clone(),
-            tenants: told.tenants.clone(),
+            classes: settings.classes.clone(),
+            tenants: settings.tenants.clone(),
             max_memory_mb: memory_most_mb,
         }
     }
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -51,49 +51,49 @@
 
 /// Runs until SIGTERM or SIGINT and all that was taken is answered.
 pub fn run() -> Result<(), RunError> {
-    let told = PlatformSettings::read()?;
+    let settings = PlatformSettings::read()?;
     let listen = match std::env::var("GW_LISTEN") {
         Ok(text) => text.parse().map_err(|_| RunError::Listen(text))?,
-        Err(_) => told.listen,
+        Err(_) => settings.listen,
     };
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(io("runtime".into()))?;
     let local = LocalSet::new();
-    local.block_on(&runtime, serve(told, listen))
+    local.block_on(&runtime, serve(settings, listen))
 }
 
-async fn serve(told: PlatformSettings, listen: SocketAddr) -> Result<(), RunError> {
+async fn serve(settings: PlatformSettings, listen: SocketAddr) -> Result<(), RunError> {
     let on = |kind: SignalKind| signal(kind).map_err(io("signals".into()));
     let (mut term, mut int, hup) =
         (on(SignalKind::terminate())?, on(SignalKind::interrupt())?, on(SignalKind::hangup())?);
     let listener = TcpListener::bind(listen).await.map_err(io(format!("listen on {listen}")))?;
     let listen = listener.local_addr().map_err(io(format!("listen on {listen}")))?;
     let clock = Clock::new();
-    let (news, incoming) = mpsc::channel(driver::INPUT_QUEUE_CAPACITY);
-    let shared = Rc::new(Shared::new(clock, news.clone()));
-    let bounds = Bounds::new(&told.limits.at_most(descriptors::most()));
-    let clients = Rc::new(Clients::new(shared.clone(), Catalog::from(&told), bounds));
+    let (inputs, incoming) = mpsc::channel(driver::INPUT_QUEUE_CAPACITY);
+    let shared = Rc::new(Shared::new(clock, inputs.clone()));
+    let bounds = Bounds::new(&settings.limits.at_most(descriptors::most()));
+    let clients = Rc::new(Clients::new(shared.clone(), Catalog::from(&settings), bounds));
     let limits = Limits {
-        streams: told.streams,
-        idle_close: told.idle_close,
-        connect_timeout: told.settings.connect_timeout.max(50_000),
-        order_timeout: told.settings.load_delay,
-        report: told.report_fields.clone(),
-        classes: told.classes.iter().map(|c| c.name.clone()).collect(),
+        streams: settings.streams,
+        idle_close: settings.idle_close,
+        connect_timeout: settings.settings.connect_timeout.max(50_000),
+        order_timeout: settings.settings.load_delay,
+        report: settings.report_fields.clone(),
+        classes: settings.classes.iter().map(|c| c.name.clone()).collect(),
     };
     let executors = Rc::new(Executors::new(shared.clone(), clients.clone(), limits, bounds));
     shared.descriptors.add(&clients);
     shared.descriptors.add(&executors);
     // The events of the start come first in the line, so that the module has them before any call.
-    let (events, last) = &told.known;
-    let _ = news.send(Input::EndpointUpdate { kind: EndpointUpdate::Full, endpoints: Vec::new() }).await;
+    let (events, last) = &settings.known;
+    let _ = inputs.send(Input::EndpointUpdate { kind: EndpointUpdate::Full, endpoints: Vec::new() }).await;
     // As one: the line takes only so many before the driver runs, and the first turn has to have them all.
     let known = Replay::all(events);
     executors.apply(known.kind, &known.endpoints);
-    let _ = news.send(Input::EndpointUpdate { kind: known.kind, endpoints: known.endpoints }).await;
-    drop(news);
+    let _ = inputs.send(Input::EndpointUpdate { kind: known.kind, endpoints: known.endpoints }).await;
+    drop(inputs);
     let mut tasks = JoinSet::new();
-    let (bus_address, bus_seen) = watch::channel(told.bus);
+    let (bus_address, bus_seen) = watch::channel(settings.bus);
     tasks.spawn_local(watch_events(
         shared.clone(),
         executors.clone(),
@@ -112,10 +112,10 @@
             }
         }
     });
-    tasks.spawn_local(reload::at_signals(told.clone(), hup, bus_address));
-    let core = Core::new(told.core_settings(), told.seed, clock.now());
-    let drain_most = told.longest_deadline().min(MAX_DEADLINE) + DRAIN_BEYOND;
-    tracing::info!(name = told.name, %listen, bus = %told.bus, workers = events.len(), "front end started");
+    tasks.spawn_local(reload::at_signals(settings.clone(), hup, bus_address));
+    let core = Core::new(settings.core_settings(), settings.seed, clock.now());
+    let drain_most = settings.longest_deadline().min(MAX_DEADLINE) + DRAIN_BEYOND;
+    tracing::info!(name = settings.name, %listen, subscription = %settings.bus, workers = events.len(), "front end started");
     let ways = Platform {
         shared,
         clients,
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -72,7 +72,7 @@
         now: Micros,
         (catalog, serving): (&Catalog, bool),
         next_ticket: &mut Ticket,
-        said: &mut Vec<ClientEvent>,
+        events: &mut Vec<ClientEvent>,
     ) {
         if self.closing {
             return;
@@ -81,16 +81,16 @@
         self.decoder.feed(bytes);
         while self.wants_read() {
             if let Some(words) = self.can_resume().then(|| self.deferred.pop()).flatten() {
-                self.take(words, (catalog, serving), next_ticket, said);
+                self.take(words, (catalog, serving), next_ticket, events);
                 continue;
             }
             match self.decoder.take() {
                 Ok(Some(words)) => {
                     self.partial_since = None;
                     if self.output.len() < MAX_OUTPUT {
-                        self.take(words, (catalog, serving), next_ticket, said);
+                        self.take(words, (catalog, serving), next_ticket, events);
                     } else {
-                        self.defer(words, said);
+                        self.defer(words, events);
                     }
                 }
                 Ok(None) => {
@@ -98,34 +98,34 @@
                     self.partial_since = partial.then(|| self.partial_since.unwrap_or(now));
                     return;
                 }
-                Err(_) => return self.unreadable(said),
+                Err(_) => return self.unreadable(events),
             }
         }
     }
 
     /// Keeps what comes while the client takes no answers, and hears what it cancels.
-    fn defer(&mut self, words: Words, said: &mut Vec<ClientEvent>) {
+    fn defer(&mut self, words: Words, events: &mut Vec<ClientEvent>) {
         let number = words.get(1).and_then(|tag| tag_number(tag));
         if let (Some(b"ABORT"), Some(number)) = (words.first().map(Vec::as_slice), number) {
             self.deferred.cancel(number);
-            said.extend(self.open.remove(&number).map(ClientEvent::Cancelled));
+            events.extend(self.open.remove(&number).map(ClientEvent::Cancelled));
             return;
         }
         self.deferred.push(number, words);
     }
 
-    fn unreadable(&mut self, said: &mut Vec<ClientEvent>) {
+    fn unreadable(&mut self, events: &mut Vec<ClientEvent>) {
         self.error(b"0");
-        self.close(said);
+        self.close(events);
     }
 
     /// Ends the connection once what waits is written; open requests are the client's loss.
-    pub fn close(&mut self, said: &mut Vec<ClientEvent>) {
+    pub fn close(&mut self, events: &mut Vec<ClientEvent>) {
         self.closing = true;
         self.decoder = Decoder::default();
         self.deferred = DeferredRequests::default();
         self.partial_since = None;
-        said.extend(std::mem::take(&mut self.open).into_values().map(ClientEvent::Cancelled));
+        events.extend(std::mem::take(&mut self.open).into_values().map(ClientEvent::Cancelled));
     }
 
     fn error(&mut self, tag: &[u8]) {
@@ -137,7 +137,7 @@
         words: Words,
         (catalog, serving): (&Catalog, bool),
         next_ticket: &mut Ticket,
-        said: &mut Vec<ClientEvent>,
+        events: &mut Vec<ClientEvent>,
     ) {
         let word = |n: usize| words.get(n).map(Vec::as_slice).unwrap_or_default();
         let tag = word(1);
@@ -145,7 +145,7 @@
         let known = matches!(word(0), b"REQ" | b"ABORT" | b"HEALTH");
         let Some(number) = number.filter(|_| known) else {
             // Without a verb and a number nothing can be said of this request alone.
-            return self.unreadable(said);
+            return self.unreadable(events);
         };
         match word(0) {
             b"HEALTH" => {
@@ -155,13 +155,13 @@
             }
             b"ABORT" => {
                 if let Some(ticket) = self.open.remove(&number) {
-                    said.push(ClientEvent::Cancelled(ticket));
+                    events.push(ClientEvent::Cancelled(ticket));
                 }
             }
             _ if self.open.contains_key(&number) => {
                 // Two requests under one number: an answer could be meant for either.
                 self.error(tag);
-                self.close(said);
+                self.close(events);
             }
             _ if self.open.len() >= MAX_OPEN_REQUESTS => encode(&mut self.output, &[tag, REFUSED]),
             _ => match parse_request(&words, catalog) {
@@ -169,7 +169,7 @@
                     self.has_requested = true;
                     *next_ticket += 1;
                     self.open.insert(number, *next_ticket);
-                    said.push(ClientEvent::Call(*next_ticket, Box::new(parse_request)));
+                    events.push(ClientEvent::Call(*next_ticket, Box::new(parse_request)));
                 }
                 Err(why) => {
                     self.unusable = Some(why);
--- a/crates/platform/src/subscription.rs
+++ b/crates/platform/src/subscription.rs
@@ -118,7 +118,7 @@
         &mut self,
         bytes: &[u8],
         now: Micros,
-        news: &mut Vec<EndpointEvent>,
+        inputs: &mut Vec<EndpointEvent>,
     ) -> Result<(), SubscriptionError> {
         self.buffer.extend_from_slice(bytes);
         loop {
@@ -136,7 +136,7 @@
             let (number, kind) = (frame.get_u64(), frame.get_u8());
             (self.received_at, self.failures) = (now, 0);
             if self.replay.is_some() {
-                self.replayed(number, kind, &frame, news)?;
+                self.replayed(number, kind, &frame, inputs)?;
                 continue;
             }
             if kind == 0 {
@@ -153,15 +153,15 @@
                 self.replay = Some(Replay::until(number));
                 return Err(SubscriptionError::Gap { expected, got: number });
             }
-            self.on_event(event, news);
+            self.on_event(event, inputs);
         }
     }
 
-    fn on_event(&mut self, event: EndpointEvent, news: &mut Vec<EndpointEvent>) {
+    fn on_event(&mut self, event: EndpointEvent, inputs: &mut Vec<EndpointEvent>) {
         self.last = event.number;
         self.unreadable = self.unreadable.split_off(&(self.last + 1));
         (self.opened, self.short_sessions) = (None, 0);
-        news.push(event);
+        inputs.push(event);
     }
 
     /// An event that can't be read is asked for once more, as it may have been spoilt on its way; what can be read of it
@@ -197,7 +197,7 @@
         number: u64,
         kind: u8,
         payload: &[u8],
-        news: &mut Vec<EndpointEvent>,
+        inputs: &mut Vec<EndpointEvent>,
     ) -> Result<(), SubscriptionError> {
         let event = if kind == 0 { None } else { Some(self.read(number, kind, payload)?) };
         let Some(mut replay) = self.replay.take() else { return Ok(()) };
@@ -215,7 +215,7 @@
         if replay.is_done() || ended {
             let event = replay.event();
             tracing::info!(number = event.number, form = ?event.kind, "the endpoint list was sent again");
-            self.on_event(event, news);
+            self.on_event(event, inputs);
         } else {
             self.replay = Some(replay);
         }
