--- a/crates/platform/src/subscription/tests.rs
+++ b/crates/platform/src/subscription/tests.rs
@@ -8,13 +8,13 @@
     b
 }
 
-fn numbers(news: &[EndpointEvent]) -> Vec<u64> {
-    news.iter().map(|e| e.number).collect()
+fn numbers(inputs: &[EndpointEvent]) -> Vec<u64> {
+    inputs.iter().map(|e| e.number).collect()
 }
 
 #[test]
 fn numbers_decide_what_is_news() {
-    let (mut bus, mut news) = (EventSubscription::new(3, 0), Vec::new());
+    let (mut bus, mut inputs) = (EventSubscription::new(3, 0), Vec::new());
     assert_eq!(bus.connected(0), 3u64.to_be_bytes());
     let mut bytes = frame(3, 2, &[]);
     bytes.extend(frame(4, 2, &[0; 27]));
@@ -22,29 +22,29 @@
     bytes.extend(frame(4, 0, &[]));
     bytes.extend(frame(5, 1, &[]));
     for piece in bytes.chunks(5) {
-        bus.feed(piece, 10, &mut news).unwrap();
+        bus.feed(piece, 10, &mut inputs).unwrap();
     }
-    assert_eq!((numbers(&news), bus.last(), bus.silent_at()), (vec![4, 5], 5, 10 + SILENCE));
+    assert_eq!((numbers(&inputs), bus.last(), bus.silent_at()), (vec![4, 5], 5, 10 + SILENCE));
 }
 
 #[test]
 fn a_frame_cut_off_is_dropped_whole_and_told_again() {
-    let (mut bus, mut news) = (EventSubscription::new(0, 0), Vec::new());
+    let (mut bus, mut inputs) = (EventSubscription::new(0, 0), Vec::new());
     let bytes = frame(1, 1, &[0; 54]);
-    bus.feed(&bytes[..40], 0, &mut news).unwrap();
+    bus.feed(&bytes[..40], 0, &mut inputs).unwrap();
     assert_eq!(bus.connected(1), 0u64.to_be_bytes());
-    bus.feed(&bytes, 2, &mut news).unwrap();
-    assert_eq!(numbers(&news), [1]);
+    bus.feed(&bytes, 2, &mut inputs).unwrap();
+    assert_eq!(numbers(&inputs), [1]);
 }
 
 #[test]
 fn a_gap_is_asked_for_once_and_then_taken_as_it_is() {
-    let (mut bus, mut news) = (EventSubscription::new(1, 0), Vec::new());
+    let (mut bus, mut inputs) = (EventSubscription::new(1, 0), Vec::new());
     let gap = Err(SubscriptionError::Gap { expected: 2, got: 4 });
-    assert_eq!(bus.feed(&frame(4, 2, &[]), 0, &mut news), gap);
+    assert_eq!(bus.feed(&frame(4, 2, &[]), 0, &mut inputs), gap);
     bus.connected(1);
-    bus.feed(&frame(4, 2, &[]), 1, &mut news).unwrap();
-    assert_eq!(numbers(&news), [4]);
+    bus.feed(&frame(4, 2, &[]), 1, &mut inputs).unwrap();
+    assert_eq!(numbers(&inputs), [4]);
 }
 
 #[test]
@@ -81,12 +81,12 @@
 
 #[test]
 fn after_a_gap_all_events_are_told_anew_and_count_as_one_list() {
-    let (mut bus, mut news) = (EventSubscription::new(1, 0), Vec::new());
-    bus.feed(&frame(2, 2, &row(1, 1)), 0, &mut news).unwrap();
+    let (mut bus, mut inputs) = (EventSubscription::new(1, 0), Vec::new());
+    bus.feed(&frame(2, 2, &row(1, 1)), 0, &mut inputs).unwrap();
     // Event 3, a drain, is missing.
     let gap = Err(SubscriptionError::Gap { expected: 3, got: 4 });
-    assert_eq!(bus.feed(&frame(4, 2, &row(3, 2)), 0, &mut news), gap);
-    assert_eq!((bus.connected(1), numbers(&news)), (0u64.to_be_bytes(), vec![2]));
+    assert_eq!(bus.feed(&frame(4, 2, &row(3, 2)), 0, &mut inputs), gap);
+    assert_eq!((bus.connected(1), numbers(&inputs)), (0u64.to_be_bytes(), vec![2]));
     let whole = [row(1, 0), row(2, 0), row(3, 0)].concat();
     let events = [
         frame(1, 1, &whole),
@@ -95,22 +95,22 @@
         frame(4, 2, &row(3, 2)),
         frame(5, 2, &row(4, 0)),
     ];
-    news.clear();
+    inputs.clear();
     // The connection ends on the way: nothing of it counts, as executor 1 would seem ready once more.
-    bus.feed(&events[..2].concat(), 1, &mut news).unwrap();
-    assert_eq!((news.len(), bus.connected(2)), (0, 0u64.to_be_bytes()));
+    bus.feed(&events[..2].concat(), 1, &mut inputs).unwrap();
+    assert_eq!((inputs.len(), bus.connected(2)), (0, 0u64.to_be_bytes()));
     for piece in events.concat().chunks(7) {
-        bus.feed(piece, 2, &mut news).unwrap();
+        bus.feed(piece, 2, &mut inputs).unwrap();
     }
-    assert_eq!((numbers(&news), bus.last()), (vec![4, 5], 5));
-    assert_eq!((news[0].kind, states(&news[0])), (EndpointUpdate::Full, vec![(1, 1), (2, 1)]));
-    assert_eq!((news[1].kind, states(&news[1])), (EndpointUpdate::Delta, vec![(4, 0)]));
+    assert_eq!((numbers(&inputs), bus.last()), (vec![4, 5], 5));
+    assert_eq!((inputs[0].kind, states(&inputs[0])), (EndpointUpdate::Full, vec![(1, 1), (2, 1)]));
+    assert_eq!((inputs[1].kind, states(&inputs[1])), (EndpointUpdate::Delta, vec![(4, 0)]));
     assert_eq!(bus.connected(3), 5u64.to_be_bytes());
 }
 
 #[test]
 fn an_event_that_cannot_be_read_is_asked_for_once_more_and_holds_up_nothing() {
-    let (mut bus, mut news) = (EventSubscription::new(1, 0), Vec::new());
+    let (mut bus, mut inputs) = (EventSubscription::new(1, 0), Vec::new());
     let bad = [row(1, 1), row(2, 9)].concat();
     let all = [frame(2, 2, &bad), frame(3, 9, &[1, 2]), frame(4, 1, &bad[..40]), frame(5, 2, &row(4, 1))];
     let mut ends = 0;
@@ -118,49 +118,49 @@
         assert!(ends < 4, "asked again and again for {:?}", bus.connected(0));
         let next = (bus.last() - 1) as usize;
         bus.connected(0);
-        if bus.feed(&all[next..].concat(), 0, &mut news).is_err() {
+        if bus.feed(&all[next..].concat(), 0, &mut inputs).is_err() {
             ends += 1;
         }
     }
-    assert_eq!((ends, numbers(&news)), (3, vec![2, 3, 4, 5]));
-    let told: Vec<_> = news.iter().map(|e| (e.kind, states(e))).collect();
+    assert_eq!((ends, numbers(&inputs)), (3, vec![2, 3, 4, 5]));
+    let settings: Vec<_> = inputs.iter().map(|e| (e.kind, states(e))).collect();
     let changes = |rows: &[(u32, u8)]| (EndpointUpdate::Delta, rows.to_vec());
     // What is left of a whole list makes no one gone.
-    assert_eq!(told, [changes(&[(1, 1)]), changes(&[]), changes(&[(1, 1)]), changes(&[(4, 1)])]);
+    assert_eq!(settings, [changes(&[(1, 1)]), changes(&[]), changes(&[(1, 1)]), changes(&[(4, 1)])]);
 }
 
 #[test]
 fn a_bus_that_lost_its_events_is_followed_from_its_first_one() {
-    let (mut bus, mut news) = (EventSubscription::new(40, 0), Vec::new());
-    bus.feed(&frame(40, 0, &[]), 0, &mut news).unwrap();
+    let (mut bus, mut inputs) = (EventSubscription::new(40, 0), Vec::new());
+    bus.feed(&frame(40, 0, &[]), 0, &mut inputs).unwrap();
     let back = Err(SubscriptionError::Regressed { last: 40, got: 2 });
-    assert_eq!(bus.feed(&frame(2, 0, &[]), 1, &mut news), back);
+    assert_eq!(bus.feed(&frame(2, 0, &[]), 1, &mut inputs), back);
     assert_eq!(bus.connected(2), 0u64.to_be_bytes());
     let events =
         [frame(1, 1, &row(1, 0)), frame(2, 2, &row(1, 1)), frame(2, 0, &[]), frame(3, 2, &row(2, 0))];
-    bus.feed(&events.concat(), 2, &mut news).unwrap();
-    assert_eq!((numbers(&news), bus.last()), (vec![2, 3], 3));
-    assert_eq!((news[0].kind, states(&news[0])), (EndpointUpdate::Full, vec![(1, 1)]));
+    bus.feed(&events.concat(), 2, &mut inputs).unwrap();
+    assert_eq!((numbers(&inputs), bus.last()), (vec![2, 3], 3));
+    assert_eq!((inputs[0].kind, states(&inputs[0])), (EndpointUpdate::Full, vec![(1, 1)]));
 }
 
 #[test]
 fn empty_frames_with_other_numbers_cost_one_connection_at_most() {
     // Never with the number of the last event: they say nothing.
-    let (mut bus, mut news) = (EventSubscription::new(40, 0), Vec::new());
+    let (mut bus, mut inputs) = (EventSubscription::new(40, 0), Vec::new());
     for number in [0, 1, 39, 41, 7] {
-        bus.feed(&frame(number, 0, &[]), 0, &mut news).unwrap();
+        bus.feed(&frame(number, 0, &[]), 0, &mut inputs).unwrap();
     }
     // Once with it, by chance: all events are still there.
-    bus.feed(&[frame(40, 0, &[]), frame(41, 2, &row(1, 1))].concat(), 0, &mut news).unwrap();
-    assert!(bus.feed(&frame(40, 0, &[]), 0, &mut news).is_err());
+    bus.feed(&[frame(40, 0, &[]), frame(41, 2, &row(1, 1))].concat(), 0, &mut inputs).unwrap();
+    assert!(bus.feed(&frame(40, 0, &[]), 0, &mut inputs).is_err());
     bus.connected(1);
-    news.clear();
+    inputs.clear();
     let all: Vec<u8> =
         (1..=41).flat_map(|n| frame(n, if n == 1 { 1 } else { 2 }, &row(1, u8::from(n > 40)))).collect();
-    bus.feed(&all, 1, &mut news).unwrap();
-    assert_eq!((numbers(&news), states(&news[0])), (vec![41], vec![(1, 1)]));
+    bus.feed(&all, 1, &mut inputs).unwrap();
+    assert_eq!((numbers(&inputs), states(&inputs[0])), (vec![41], vec![(1, 1)]));
     for number in [40, 1, 0] {
-        bus.feed(&frame(number, 0, &[]), 2, &mut news).unwrap();
+        bus.feed(&frame(number, 0, &[]), 2, &mut inputs).unwrap();
     }
     assert_eq!(bus.connected(3), 41u64.to_be_bytes());
 }
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -20,7 +20,7 @@
 pub async fn watch_events(
     shared: Rc<Shared>,
     executors: Rc<Executors>,
-    mut bus: EventSubscription,
+    mut subscription: EventSubscription,
     mut address: watch::Receiver<SocketAddr>,
 ) {
     // Read and not yet handed to the driver. It outlives the connection: the next one is asked for later events only.
@@ -39,7 +39,7 @@
         if !hand_over(&shared.inputs, &mut waiting).await {
             return;
         }
-        let pause = Duration::from_micros(bus.pause() as u64);
+        let pause = Duration::from_micros(subscription.pause() as u64);
         let connecting = async {
             tokio::time::sleep(pause).await;
             tokio::time::timeout(CONNECT, socket?.connect(to)).await?
@@ -52,15 +52,15 @@
             },
         };
         let Some(stream) = stream else { continue };
-        let asks = bus.connected(shared.clock.now());
+        let asks = subscription.connected(shared.clock.now());
         let why = tokio::select! {
-            why = listen(&shared, &executors, &mut bus, &mut waiting, &stream, &asks) => why,
+            why = listen(&shared, &executors, &mut subscription, &mut waiting, &stream, &asks) => why,
             changed = address.changed() => match changed {
                 Ok(()) => "told anew where it is".to_string(),
                 Err(_) => return,
             },
         };
-        tracing::info!(bus = %to, last = bus.last(), why, "connecting to the event bus again");
+        tracing::info!(subscription = %to, last = subscription.last(), why, "connecting to the event bus again");
     }
 }
 
@@ -74,9 +74,9 @@
 
 /// Gives the driver what waits for it; false once there is no driver. Dropped at any time it loses nothing, as nothing is
 /// awaited between taking an item and handing it over.
-async fn hand_over(news: &mpsc::Sender<Input>, waiting: &mut VecDeque<Input>) -> bool {
+async fn hand_over(inputs: &mpsc::Sender<Input>, waiting: &mut VecDeque<Input>) -> bool {
     while !waiting.is_empty() {
-        let Ok(permit) = news.reserve().await else { return false };
+        let Ok(permit) = inputs.reserve().await else { return false };
         if let Some(item) = waiting.pop_front() {
             permit.send(item);
         }
@@ -87,7 +87,7 @@
 async fn listen(
     shared: &Shared,
     executors: &Rc<Executors>,
-    bus: &mut EventSubscription,
+    subscription: &mut EventSubscription,
     waiting: &mut VecDeque<Input>,
     stream: &TcpStream,
     asks: &[u8],
@@ -105,14 +105,14 @@
     }
     let mut events = Vec::new();
     loop {
-        let silent = shared.clock.instant(bus.silent_at());
+        let silent = shared.clock.instant(subscription.silent_at());
         let ready = tokio::time::timeout_at(silent, stream.readable()).await;
         let fed = {
             let mut scratch = shared.scratch.borrow_mut();
             // Also after the time ran out: this process itself may have been late.
             match stream.try_read(&mut scratch) {
                 Ok(0) => return "closed".into(),
-                Ok(n) => bus.feed(&scratch[..n], shared.clock.now(), &mut events),
+                Ok(n) => subscription.feed(&scratch[..n], shared.clock.now(), &mut events),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock && ready.is_err() => return "silent".into(),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(()),
                 Err(e) => return e.to_string(),
--- a/crates/platform/src/watch/tests.rs
+++ b/crates/platform/src/watch/tests.rs
@@ -33,8 +33,8 @@
 }
 
 fn stage(room: usize) -> (Rc<Shared>, Rc<Executors>, mpsc::Receiver<Input>) {
-    let (news, incoming) = mpsc::channel(room);
-    let shared = Rc::new(Shared::new(Clock::new(), news));
+    let (inputs, incoming) = mpsc::channel(room);
+    let shared = Rc::new(Shared::new(Clock::new(), inputs));
     let bounds = Bounds::new(&Limits { cores: 1.0, memory_mb: 64.0, sockets: 256 });
     let limits = executors::Limits {
         streams: 1,
@@ -87,12 +87,12 @@
         let mut drained = Vec::new();
         while drained.len() < 3 {
             match incoming.recv().await.unwrap() {
-                Input::EndpointUpdate { kind: form, endpoints: told } => {
+                Input::EndpointUpdate { kind: form, endpoints: settings } => {
                     assert_eq!(
-                        (form, told[0].endpoint.lifecycle),
+                        (form, settings[0].endpoint.lifecycle),
                         (EndpointUpdate::Delta, Lifecycle::Draining)
                     );
-                    drained.push(told[0].endpoint.worker);
+                    drained.push(settings[0].endpoint.worker);
                 }
                 other => assert!(matches!(other, Input::ClientGone(0)), "{other:?}"),
             }
@@ -101,10 +101,10 @@
         let (mut stream, last) = asked(&new).await;
         assert_eq!(last, 4);
         stream.write_all(&drains(5, 10)).await.unwrap();
-        let Input::EndpointUpdate { endpoints: told, .. } = incoming.recv().await.unwrap() else {
+        let Input::EndpointUpdate { endpoints: settings, .. } = incoming.recv().await.unwrap() else {
             panic!("no event")
         };
-        assert_eq!(told[0].endpoint.worker, 10);
+        assert_eq!(settings[0].endpoint.worker, 10);
         following.abort();
     });
     let done = runtime.block_on(async { tokio::time::timeout(LIMIT, test).await });
