--- a/crates/admission/src/permits/mod.rs
+++ b/crates/admission/src/permits/mod.rs
@@ -32,7 +32,7 @@
 #[must_use]
 pub enum PermitDecision {
     Granted(Permit),
-    /// Until [`PermitPools::ready`] names it.
+    /// Until [`PermitPools::take_ready`] names it.
     Wait,
     /// With the reason [`NO_PERMIT`], and how long the caller had better stay away.
     Rejected {
@@ -198,7 +198,7 @@
         }
     }
 
-    /// When [`PermitPools::ready`] has something though nothing changes.
+    /// When [`PermitPools::take_ready`] has something though nothing changes.
     pub fn next(&self, now: Micros) -> Option<Micros> {
         let deadline = self.deadlines.first().map(|(latest, _)| *latest);
         let rested = Some(self.quiet_until).filter(|t| *t > now && !self.waiting.is_empty());
--- a/crates/cluster-state/src/allocation/mod.rs
+++ b/crates/cluster-state/src/allocation/mod.rs
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Counts and shares out anew, at most once in [`AllocationLimits::every`].
+    /// Counts and shares out anew, at most once in [`AllocationLimits::interval`].
     fn recompute(&mut self, state: &ClusterState, now: Micros) {
         if self.round.as_ref().is_some_and(|(at, _)| now - at < self.limits.interval) {
             return;
@@ -185,10 +185,7 @@
             let permits = self.size(pool, now, false).saturating_sub(all);
             let members: Vec<_> = self.fresh(now).map(|(m, a)| (m, a.wanted(&pool.name))).collect();
             let targets = Targets::reckon(permits, &pool.reservations, &members);
-            pools.insert(
-                pool.name.clone(),
-                AllocationRound { permits: permits, guaranteed: guaranteed, outstanding: 0, targets },
-            );
+            pools.insert(pool.name.clone(), AllocationRound { permits, guaranteed, outstanding: 0, targets });
         }
         let (lease, longest) = (self.terms.grantor_span(), self.longest());
         for account in self.accounts.values_mut() {
--- a/crates/cluster-state/src/inquiry.rs
+++ b/crates/cluster-state/src/inquiry.rs
@@ -93,7 +93,7 @@
         true
     }
 
-    /// When [`InquiryRounds::next`] has something.
+    /// When [`InquiryRounds::next_request`] has something.
     pub fn next_due(&self) -> Option<Micros> {
         self.open.values().map(|o| o.sent_at + RETRY_INTERVAL).min()
     }
--- a/crates/cluster-state/src/leader.rs
+++ b/crates/cluster-state/src/leader.rs
@@ -1,6 +1,6 @@
 //! What the leader knows beside the cluster state: who confirmed what, which promises stand. It is forgotten
 //! with the leadership; a new leader counts every promise that it does not know of as standing for
-//! [`LeaseTerms::silence`].
+//! [`LeaseTerms::takeover_wait`].
 
 mod commands;
 
--- a/crates/cluster-state/src/leader/commands.rs
+++ b/crates/cluster-state/src/leader/commands.rs
@@ -22,7 +22,7 @@
 }
 
 impl Leader {
-    /// When [`Leader::due`] may next have something: `now` where something changed since it was last asked,
+    /// When [`Leader::due_commands`] may next have something: `now` where something changed since it was last asked,
     /// else by time alone. None: only a report or a change of the cluster state can bring something.
     pub fn next_due(&self, state: &ClusterState, now: Micros) -> Option<Micros> {
         if self.evaluated == Some(state.version) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Changes of the cluster state that are due. Nothing is looked at before [`Leader::next`]; then every run and
+    /// Changes of the cluster state that are due. Nothing is looked at before [`Leader::next_due`]; then every run and
     /// tombstone once.
     pub fn due_commands(&mut self, state: &ClusterState, now: Micros) -> Vec<Command> {
         if self.next_due(state, now).is_none_or(|next| next > now) {
--- a/crates/cluster-state/src/lib.rs
+++ b/crates/cluster-state/src/lib.rs
@@ -12,7 +12,7 @@
 //!
 //! Times are microseconds of the monotonic clock of whoever is called. Two processes' clocks never agree: a
 //! promise is counted by its holder from when it asked, and by its giver from when it gave, with
-//! [`LeaseTerms::drift`] between. The clock must go on while its process is stopped.
+//! the drift of [`LeaseTerms::drift_ppm`] between. The clock must go on while its process is stopped.
 #![forbid(unsafe_code)]
 
 pub mod allocation;
--- a/crates/cluster-state/src/wire.rs
+++ b/crates/cluster-state/src/wire.rs
@@ -61,7 +61,7 @@
     pub in_use: u32,
     /// Calls that wait for a permit.
     pub waiting: u32,
-    /// The grant that the front end went by when it counted these ([`crate::ClusterStatus::lanes_of`]); 0: none
+    /// The grant that the front end went by when it counted these ([`crate::ClusterStatus::permits_grant`]); 0: none
     /// yet, or runs of an earlier run under its name may go on.
     pub applied: u64,
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Three or five processes keep the cluster state: openraft over a log and snapshots in redb. Tasks own their
 //! sockets and state and
-//! talk by messages, on a thread of their own ([`start`]); a front end's driver reads [`Session::standing`]
+//! talk by messages, on a thread of their own ([`start`]); a front end's driver reads [`Session::status`]
 //! and never waits.
 //!
 //! What a replica acknowledged is on its disk. One that lost its store, or finds it older than a file beside
--- a/crates/consensus/src/replica/connection.rs
+++ b/crates/consensus/src/replica/connection.rs
@@ -30,7 +30,7 @@
                         "a frame that says nothing");
                     break;
                 };
-                if service.send(ServiceMessage::Received { connection, request: request }).await.is_err() {
+                if service.send(ServiceMessage::Received { connection, request }).await.is_err() {
                     break;
                 }
             }
--- a/crates/consensus/src/replica/run.rs
+++ b/crates/consensus/src/replica/run.rs
@@ -69,7 +69,7 @@
     let (raise, raised) = mpsc::channel(8);
     let host = PeerHandler { raft: raft.clone(), participation: gate.clone(), term_raises: raise };
     let context = ServiceContext {
-        number: number,
+        number,
         raft: raft.clone(),
         participation: gate.clone(),
         applied: applied.clone(),
--- a/crates/consensus/src/replica/service.rs
+++ b/crates/consensus/src/replica/service.rs
@@ -73,9 +73,7 @@
                 ServiceMessage::Connected { connection, hello, out } => {
                     service.on_connected(connection, hello, out)
                 }
-                ServiceMessage::Received { connection, request: request } => {
-                    service.on_request(connection, request)
-                }
+                ServiceMessage::Received { connection, request } => service.on_request(connection, request),
                 ServiceMessage::Disconnected { connection } => service.close(connection, "gone"),
             }
         }
--- a/crates/consensus/src/replica/service_state.rs
+++ b/crates/consensus/src/replica/service_state.rs
@@ -69,7 +69,7 @@
     /// A service without connections that does not lead.
     pub fn new(context: ServiceContext) -> SessionService {
         SessionService {
-            context: context,
+            context,
             now: 0,
             acknowledged_at: Micros::MIN / 2,
             state: Applied::default(),
--- a/crates/consensus/src/session/retirements.rs
+++ b/crates/consensus/src/session/retirements.rs
@@ -51,7 +51,7 @@
         self.open.len() < MAX_RETIREMENTS
     }
 
-    /// When [`RetirementQueue::again`] is due.
+    /// When [`RetirementQueue::next_due`] is due.
     pub(super) fn due(&self) -> Option<Instant> {
         (!self.open.is_empty()).then_some(self.at)
     }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -16,7 +16,7 @@
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle, Micros, WorkerId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Most workers kept where nothing else is notified ([`EndpointSet::at_most`]); entries beyond are left out, the last by name first.
+/// Most workers kept where nothing else is notified ([`EndpointSet::with_max_workers`]); entries beyond are left out, the last by name first.
 pub const MAX_WORKERS: usize = 10_000;
 
 /// How long a worker that was notified gone is kept, in microseconds: until its last attempts have ended.
--- a/crates/gateway/src/amqp/front/inquiries.rs
+++ b/crates/gateway/src/amqp/front/inquiries.rs
@@ -58,7 +58,7 @@
         self.deliveries.get(&ticket)?.key.as_ref()
     }
 
-    /// Another member asks; see [`Memory::asked`].
+    /// Another member asks; see [`DeliveryCache::combine`].
     pub fn on_peer_inquiry(&mut self, key: &Key, marks: AttemptKnowledge, now: Micros) -> AttemptKnowledge {
         self.memory.combine(key, marks, now)
     }
--- a/crates/gateway/src/amqp/front/start.rs
+++ b/crates/gateway/src/amqp/front/start.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 impl Front {
-    /// Consumes nothing before [`Front::listed`], or before this time where no list comes. Is called before
+    /// Consumes nothing before [`Front::on_endpoints_ready`], or before this time where no list comes. Is called before
     /// the first connection.
     pub fn await_endpoints(&mut self, until: Micros) {
         self.list_by = Some(until);
--- a/crates/gateway/src/fleet/membership.rs
+++ b/crates/gateway/src/fleet/membership.rs
@@ -38,7 +38,7 @@
     pub fn new(egress: EgressCheck) -> FleetMembership {
         let (copies, seen) = (BTreeMap::new(), BTreeMap::new());
         FleetMembership {
-            egress: egress,
+            egress,
             confirmed: 0,
             pending: None,
             check_at: None,
--- a/crates/gateway/src/fleet/pool_admission.rs
+++ b/crates/gateway/src/fleet/pool_admission.rs
@@ -193,7 +193,7 @@
         decisions
     }
 
-    /// When [`PoolAdmission::let_in`] is due though nothing came.
+    /// When [`PoolAdmission::take_decisions`] is due though nothing came.
     pub fn due(&self) -> Option<Micros> {
         if self.freed.is_empty() {
             self.permits.next(self.checked_at)
--- a/crates/gateway/src/fleet/retirement_gate.rs
+++ b/crates/gateway/src/fleet/retirement_gate.rs
@@ -62,7 +62,7 @@
             permits_until: Micros::MIN,
             ..ClusterStatus::default()
         };
-        RetirementGate { config, status: status, last_active: None, must_confirm_until: Micros::MIN }
+        RetirementGate { config, status, last_active: None, must_confirm_until: Micros::MIN }
     }
 
     /// The front end runs at this moment. One that did not for long, and whose view ran out meanwhile, was stopped: it asks
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`fleet`]: what a front end knows of retired functions, where its configuration has a fleet.
 //! - [`intent_recorder`]: attempts that wait for their call's intent on disk.
 //! - [`shards`]: one front end's part of a divided fleet.
-//! - [`serve`]: front ends started, watched and drained.
+//! - [`serve()`]: front ends started, watched and drained.
 //!
 //! Nothing here decides about a call: that is the module's, in the `stagehoist` package.
 #![forbid(unsafe_code)]
--- a/crates/gateway/src/state/core/calls.rs
+++ b/crates/gateway/src/state/core/calls.rs
@@ -120,7 +120,7 @@
             last_outcome: last,
             answered,
             ran_since,
-            permit: permit,
+            permit,
             span,
         };
         self.calls.insert(id, call);
--- a/crates/gateway/src/state/core/mod.rs
+++ b/crates/gateway/src/state/core/mod.rs
@@ -142,7 +142,7 @@
         self.endpoints.ready_count()
     }
 
-    /// When [`Core::turn`] is due though nothing came.
+    /// When [`Core::process`] is due though nothing came.
     pub fn due(&self) -> Option<Micros> {
         if !self.events.is_empty() {
             // Something ended while the last batch's choices were executed.
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -99,7 +99,7 @@
     pub read_at: Micros,
     /// The caller recorded it as a repeat, or the broker delivers it again.
     pub is_repeat: bool,
-    /// Something speaks for its caller: see [`stagehoist::Request::known`].
+    /// Something speaks for its caller: see [`stagehoist::Request::client_verified`].
     pub client_verified: bool,
     pub body: Bytes,
     pub content_type: Option<String>,
--- a/crates/gateway/src/workers/pool.rs
+++ b/crates/gateway/src/workers/pool.rs
@@ -42,10 +42,10 @@
         egress: Option<EgressCheck>,
     ) -> Workers {
         let (pools, addresses, running) = Default::default();
-        Workers { config, clock, pools, addresses, running, egress: egress, inputs: inputs }
+        Workers { config, clock, pools, addresses, running, egress, inputs }
     }
 
-    /// Begins an attempt; its end comes as [`Input::Attempt`].
+    /// Begins an attempt; its end comes as [`Input::AttemptEnded`].
     pub fn attempt(&self, attempt: Attempt) {
         self.addresses.borrow_mut().insert(attempt.worker, attempt.address.clone());
         let key = (attempt.request, attempt.attempt);
@@ -144,7 +144,7 @@
         });
     }
 
-    /// Asks a worker for its load; the answer comes as [`Input::Probed`].
+    /// Asks a worker for its load; the answer comes as [`Input::HealthChecked`].
     pub fn probe(&self, worker: WorkerId, address: Rc<str>) {
         let sent = self.clock.now();
         let mut request = get("/v2/health/ready".into(), &address);
--- a/crates/harness/src/retired.rs
+++ b/crates/harness/src/retired.rs
@@ -23,7 +23,7 @@
     pub proposed: Option<Micros>,
     /// When it was first read to be in force.
     pub in_force: Option<Micros>,
-    /// Front ends that it was in force but for at first: from when each was left out no more; [`NEVER`] while it is named.
+    /// Front ends that it was in force but for at first: from when each was left out no more; `NEVER` while it is named.
     pub confirmed_from: BTreeMap<u32, Micros>,
 }
 
--- a/crates/intent-log/src/store.rs
+++ b/crates/intent-log/src/store.rs
@@ -139,7 +139,7 @@
     /// run before; without one nothing of former runs is proven.
     ///
     /// # Errors
-    /// [`IntentLogError::RunGone`] where the file knows this run or a later one: an older count than the store's.
+    /// [`IntentLogError::RunSuperseded`] where the file knows this run or a later one: an older count than the store's.
     pub fn begin(&mut self, run: u64, last_run: Option<LastRun>, now: Micros) -> Result<(), IntentLogError> {
         self.reopen(now)?;
         let database = self.database.as_ref().ok_or(IntentLogError::NotStarted)?;
--- a/crates/intent-log/src/thread.rs
+++ b/crates/intent-log/src/thread.rs
@@ -32,7 +32,7 @@
 pub enum LogEvent {
     /// The intent is on disk, or (false) not as far as is known.
     Recorded(Intent, bool),
-    /// To [`IntentLog::ask`] under this number.
+    /// To [`IntentLog::query`] under this number.
     Answered(u64, AttemptKnowledge),
 }
 
@@ -64,7 +64,7 @@
         let _ = self.requests.try_send(LogRequest::Ended(mark));
     }
 
-    /// Asks what is known of a message; all intents asked for before are looked at. False as with [`IntentLog::mark`].
+    /// Asks what is known of a message; all intents asked for before are looked at. False as with [`IntentLog::record`].
     pub fn query(&self, number: u64, identity: Identity, reply: &EventSender) -> bool {
         self.requests.try_send(LogRequest::Query(number, identity, reply.clone())).is_ok()
     }
--- a/crates/platform/src/clients/accept.rs
+++ b/crates/platform/src/clients/accept.rs
@@ -62,8 +62,7 @@
         let session = RefCell::new(Session::new(self.shared.clock.now()));
         let [over, silent, dirty] = [false; 3].map(Cell::new);
         let (inputs, wake) = (RefCell::default(), Notify::new());
-        let connection =
-            Rc::new(ClientConnection { id, session, stream, inputs: inputs, wake, over, silent, dirty });
+        let connection = Rc::new(ClientConnection { id, session, stream, inputs, wake, over, silent, dirty });
         self.conns.borrow_mut().insert(id, connection.clone());
         tokio::task::spawn_local(self.clone().talk(connection));
         full
--- a/crates/platform/src/connection/ending.rs
+++ b/crates/platform/src/connection/ending.rs
@@ -8,7 +8,7 @@
 impl ConnectionState {
     /// Abandons a request. Nothing is written where none of it was; the line counts as silent where nothing
     /// came since it was written `patience` ago or longer. Where a part of it was written the rest never is,
-    /// as that would have it begin: the line takes nothing more ([`ConnectionState::is_cut`]), and what waits on it is
+    /// as that would have it begin: the line takes nothing more ([`ConnectionState::is_truncated`]), and what waits on it is
     /// to be withdrawn. True where the connection is to be ended, as nothing that began is left on such a
     /// line.
     pub fn stop(&mut self, id: u64, text: &str, now: Micros, patience: Micros) -> bool {
--- a/crates/platform/src/descriptors.rs
+++ b/crates/platform/src/descriptors.rs
@@ -1,6 +1,6 @@
 //! Descriptors that the system refuses. Whoever holds more, clients or executors, is evicted with an idle connection; what is
 //! let go of goes to executors' connections before a client is accepted. The event bus keeps a socket of its own
-//! ([`crate::follow`]) and never waits for one.
+//! ([`mod@crate::watch`]) and never waits for one.
 
 use rustix::io::Errno;
 use rustix::process::{getrlimit, Resource};
--- a/crates/platform/src/executors/commands.rs
+++ b/crates/platform/src/executors/commands.rs
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Begins an attempt; its end comes as [`Input::Attempt`].
+    /// Begins an attempt; its end comes as [`Input::AttemptEnded`].
     pub fn attempt(self: &Rc<Self>, attempt: Attempt) {
         let (request, number) = (attempt.request, attempt.attempt);
         if let Err(outcome) = self.begin(attempt) {
@@ -72,7 +72,7 @@
         self.note_unwritten(flying.connection);
     }
 
-    /// Asks an executor for its load; the answer comes as [`Input::Probed`].
+    /// Asks an executor for its load; the answer comes as [`Input::HealthChecked`].
     pub fn probe(self: &Rc<Self>, worker: WorkerId) {
         let sent = self.shared.clock.now();
         match self.pick(worker, None) {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`stalls`]: for how long this process itself did not run.
 //! - [`reload`]: a configuration read again at a signal, until it can be read.
 //!
-//! With sockets, thin: [`shared`], [`descriptors`], [`clients`], [`executors`], [`watch`], [`run`].
+//! With sockets, thin: [`shared`], [`descriptors`], [`clients`], [`executors`], [`watch`], [`run()`].
 //!
 //! Nothing here decides about a call: that is the module's, in the `stagehoist` package.
 #![forbid(unsafe_code)]
--- a/crates/platform/src/reload.rs
+++ b/crates/platform/src/reload.rs
@@ -32,7 +32,7 @@
 impl ReloadState {
     /// `told` is what the process goes by.
     pub fn new(settings: PlatformSettings) -> ReloadState {
-        ReloadState { settings: settings, reads: 0, error: String::new() }
+        ReloadState { settings, reads: 0, error: String::new() }
     }
 
     /// A signal came: what was seen before it does not count.
--- a/crates/recovery/src/delivery_cache.rs
+++ b/crates/recovery/src/delivery_cache.rs
@@ -28,7 +28,7 @@
     /// Its answer arrived, or may have: acknowledge it, send nothing, run nothing.
     Settle { doubtful: bool },
     /// It was delivered before and nothing is known of it here: whoever may have held it is asked, and until then it waits
-    /// as if it were in progress under its number. Given only after [`DeliveryCache::asks`].
+    /// as if it were in progress under its number. Given only after [`DeliveryCache::inquires`].
     Inquire,
     /// It was delivered before and nothing is known of it: answer `failed`, run nothing.
     Fail,
@@ -200,7 +200,7 @@
         }
     }
 
-    /// A message's call has its answer; what becomes of the reply is notified by [`DeliveryCache::sent`].
+    /// A message's call has its answer; what becomes of the reply is notified by [`DeliveryCache::on_reply_state`].
     pub fn on_answer(&mut self, key: &Key, ticket: u64, answer: A, sent: ReplyState) {
         if let Some(entry) = self.entries.get_mut(key) {
             if matches!(entry.known, Known::Running(t) | Known::Failing(t) if t == ticket) {
--- a/crates/recovery/src/inquiry.rs
+++ b/crates/recovery/src/inquiry.rs
@@ -1,7 +1,7 @@
 //! Messages that wait while former holders are asked whether an attempt for them may have left.
 //!
 //! A message runs only if each one asked says [`AttemptKnowledge::None`], in time. That word is a promise too: who gives it takes the
-//! message up no more (see [`crate::DeliveryCache::asked`]), though a delivery of it may still lie in its socket. One that is out of
+//! message up no more (see [`crate::DeliveryCache::combine`]), though a delivery of it may still lie in its socket. One that is out of
 //! reach, or does not know, makes the message fail as if none had been asked.
 
 use crate::Identity;
@@ -139,7 +139,7 @@
         }
     }
 
-    /// When [`Inquiries::expired`] is due.
+    /// When [`Inquiries::take_expired`] is due.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.deadlines.first().map(|(at, _)| *at)
     }
--- a/crates/recovery/src/intent_gate.rs
+++ b/crates/recovery/src/intent_gate.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    /// When [`IntentGate::late`] is due.
+    /// When [`IntentGate::take_late`] is due.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.deadlines.first().map(|(at, _)| *at)
     }
--- a/crates/recovery/src/phases.rs
+++ b/crates/recovery/src/phases.rs
@@ -172,7 +172,7 @@
         }
     }
 
-    /// When [`RecoveryPhases::see`] is due though nothing changed.
+    /// When [`RecoveryPhases::observe`] is due though nothing changed.
     pub fn due(&self) -> Option<Micros> {
         match self.phase {
             RecoveryPhase::OpeningStorage => Some(self.since + self.limits.opening_storage),
--- a/crates/scale-tests/src/front_end/hall.rs
+++ b/crates/scale-tests/src/front_end/hall.rs
@@ -14,7 +14,7 @@
 
 /// What a call meets at its worker.
 pub struct Met {
-    /// As [`stagehoist::CopyReport::copy`] has it.
+    /// As [`stagehoist::CopyReport::state`] has it.
     pub copy: u8,
     /// Until its run begins.
     pub wait: Micros,
--- a/crates/scale-tests/src/lanes.rs
+++ b/crates/scale-tests/src/lanes.rs
@@ -46,7 +46,7 @@
 /// The row of a line; curve and intent come from the points again.
 ///
 /// # Errors
-/// The line is none of [`line`]'s.
+/// The line is none of [`line()`]'s.
 pub fn row(line: &str) -> Result<Row, ScaleError> {
     let sent: Sent = serde_json::from_str(line).map_err(|e| wrong("a lane", &e.to_string()))?;
     // A run has some tens of rows, and ends after the last.
