--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -1,29 +1,34 @@
-//! The loop of one front end: it gathers what came since the last turn into one batch, lets the module choose once, and
-//! executes the choices. It holds the only reference to the module; sockets talk to it by channels. What the sockets
-//! speak is behind [`Transport`].
+//! The driver loop of one front end: it gathers the inputs since the last turn into one batch, has the decision module
+//! decide once, and executes the commands. It holds the only reference to the module; sockets talk to it by channels. The
+//! protocols of the sockets are behind [`Transport`].
 
 use crate::clock::{Alarm, Clock};
-use crate::fleet::{publish_report, SessionHandle};
+use crate::fleet::{publish_report, SessionHandle, SessionReport};
 use crate::state::{Command, Core, Input};
 use stagehoist::Micros;
 use stagehoist_cluster_state::ClusterStatus;
 use std::future::Future;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
+use tokio::time::Interval;
 
-/// News that wait for the driver; a full line holds back reading from sockets.
+/// Inputs that wait for the driver; a full queue holds back reading from sockets.
 pub const INPUT_QUEUE_CAPACITY: usize = 16_384;
-/// News in one batch at most, so that answers are not kept back behind a flood.
+/// Inputs in one batch at most, so that answers are not kept back behind a flood.
 const MAX_BATCH: usize = 4096;
 /// A timer that rings later than this means that this process did not run: what lies in the sockets is read first.
 const MAX_OVERSLEEP: Micros = 20_000;
+/// How often [`Transport::on_tick`] is called.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// The longest time for which the alarm is set.
+const MAX_ALARM: Micros = 60_000_000;
 
 /// The protocols around a front end: its callers, its workers and the source of its endpoint list.
 pub trait Transport {
     /// Executes one command.
     fn execute(&mut self, command: Command);
 
-    /// All choices of a turn were executed.
+    /// All commands of a turn were executed.
     fn flush(&mut self) {}
 
     /// The first endpoint list came, and the turn that took it is done.
@@ -32,8 +37,8 @@
     /// Called four times a second.
     fn on_tick(&mut self, core: &Core);
 
-    /// Takes no more calls as soon as its callers allow; what is held is answered. Gives for how long the word to drain may
-    /// have waited because this process did not run: who sent it counts from then.
+    /// Takes no more calls as soon as its callers allow; accepted calls are answered. Returns for how long the order to drain
+    /// may have waited because this process did not run: who sent it counts from then.
     fn drain(&mut self) -> Micros;
 
     /// Takes no more calls and has passed on all answers.
@@ -47,7 +52,7 @@
         false
     }
 
-    /// Whether sockets are read before attempts are cut when this process did not run for a while: only where what is read
+    /// Whether sockets are read before attempts time out when this process did not run for a while: only where what is read
     /// carries its age, which a link that dates messages by its queue does not give.
     fn reads_before_timeouts(&self) -> bool {
         false
@@ -71,130 +76,223 @@
 /// What a front end shows of itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FrontEndState {
+    /// Callers are served.
     pub consuming: bool,
-    /// All stands, but nothing is consumed before the first endpoint list.
+    /// All is connected, but nothing is consumed before the first endpoint list.
     pub awaits_endpoints: bool,
+    /// Workers that take requests.
     pub ready_workers: usize,
+    /// Calls accepted and not answered.
     pub unanswered: usize,
+    /// It has ended.
     pub drained: bool,
 }
 
-/// Runs one front end on the current thread until it is ordered to drain and has, or `drain_most` ran out. Must be called
-/// inside a `LocalSet`.
-pub async fn run<W: Transport>(
-    mut core: Core,
-    mut ways: W,
-    mut incoming: mpsc::Receiver<Input>,
-    (clock, drain_most): (Clock, Micros),
-    mut drain: watch::Receiver<bool>,
+/// What a front end is run with.
+pub struct FrontEndParts<T> {
+    /// Its state.
+    pub core: Core,
+    /// Its sockets.
+    pub transport: T,
+    /// What its sockets bring.
+    pub inputs: mpsc::Receiver<Input>,
+    /// The clock of its decisions.
+    pub clock: Clock,
+    /// Longest time from the order to drain to the end.
+    pub max_drain: Micros,
+    /// The order to drain.
+    pub drain: watch::Receiver<bool>,
+    /// What it shows of itself.
+    pub state: watch::Sender<FrontEndState>,
+    /// Its session with the replicas; `None` where it shares nothing.
+    pub session: Option<SessionHandle>,
+}
+
+/// Runs one front end on the current thread until it is ordered to drain and has, or the time for that ran out. Must be
+/// called inside a `LocalSet`.
+pub async fn run<T: Transport>(parts: FrontEndParts<T>) {
+    let mut driver = Driver::new(parts);
+    loop {
+        let has_work = driver.wait().await;
+        if driver.report.is_some() {
+            driver.core.record_activity(driver.clock.now());
+        }
+        if has_work {
+            driver.process_batch();
+        }
+        if driver.is_drain_over() {
+            driver.finish().await;
+            return;
+        }
+    }
+}
+
+/// The state of a driver loop.
+struct Driver<T> {
+    core: Core,
+    transport: T,
+    inputs: mpsc::Receiver<Input>,
+    clock: Clock,
+    max_drain: Micros,
+    drain: watch::Receiver<bool>,
     state: watch::Sender<FrontEndState>,
-    link: Option<SessionHandle>,
-) {
-    let mut batch: Vec<Input> = Vec::new();
-    let mut commands: Vec<Command> = Vec::new();
-    let mut housekeeping = tokio::time::interval(Duration::from_millis(250));
-    let mut drain_by: Option<Micros> = None;
-    let mut alarm = Alarm::new(clock);
-    let (mut told, mut keepers) = (None, link);
-    let mut listed = false;
-    if let Some(link) = keepers.as_mut() {
-        // What is known already is inputs to the front end.
-        link.status.mark_changed();
-        told = Some(link.report.clone());
+    session: Option<SessionHandle>,
+    /// To the session; kept when the session ends.
+    report: Option<watch::Sender<SessionReport>>,
+    ticks: Interval,
+    alarm: Alarm,
+    /// When the drain is over at the latest, once it has begun.
+    drain_by: Option<Micros>,
+    /// The first endpoint list came.
+    endpoints_ready: bool,
+    batch: Vec<Input>,
+    commands: Vec<Command>,
+}
+
+impl<T: Transport> Driver<T> {
+    fn new(parts: FrontEndParts<T>) -> Driver<T> {
+        let mut session = parts.session;
+        if let Some(session) = session.as_mut() {
+            // The status that is known already is an input to the front end.
+            session.status.mark_changed();
+        }
+        Driver {
+            core: parts.core,
+            transport: parts.transport,
+            inputs: parts.inputs,
+            clock: parts.clock,
+            max_drain: parts.max_drain,
+            drain: parts.drain,
+            state: parts.state,
+            report: session.as_ref().map(|session| session.report.clone()),
+            session,
+            ticks: tokio::time::interval(TICK_INTERVAL),
+            alarm: Alarm::new(parts.clock),
+            drain_by: None,
+            endpoints_ready: false,
+            batch: Vec::new(),
+            commands: Vec::new(),
+        }
     }
-    loop {
+
+    /// Waits for an input or a time that is due; whether a batch is to be processed.
+    async fn wait(&mut self) -> bool {
         // The end of a drain is a time to wake up for like any other.
-        let due = core.due().into_iter().chain(drain_by).min();
-        alarm.set(due.unwrap_or(Micros::MAX / 2).max(0).min(clock.now() + 60_000_000));
-        let mut turn = false;
+        let due = self.core.due().into_iter().chain(self.drain_by).min();
+        let latest = self.clock.now() + MAX_ALARM;
+        self.alarm.set(due.unwrap_or(latest).max(0).min(latest));
         tokio::select! {
             biased;
-            changed = drain.changed(), if drain_by.is_none() => {
-                if changed.is_err() || *drain.borrow() {
-                    tracing::info!(unanswered = core.unanswered(), "draining");
-                    let late = ways.drain();
-                    drain_by = Some(clock.now() - late + drain_most);
+            changed = self.drain.changed(), if self.drain_by.is_none() => {
+                if changed.is_err() || *self.drain.borrow() {
+                    self.begin_drain();
                 }
+                false
             }
-            status = next_standing(&mut keepers), if keepers.is_some() => {
-                // Before calls that came with it: what is retired is not taken any more.
+            status = next_status(&mut self.session), if self.session.is_some() => {
+                // Before calls that came with it: what is retired is not accepted any more.
                 if status.is_none() {
                     tracing::warn!("the session with the replicas ended");
-                    keepers = None;
+                    self.session = None;
                 }
-                batch.extend(status.map(Input::ClusterStatus));
-                turn = true;
+                self.batch.extend(status.map(Input::ClusterStatus));
+                true
             }
-            first = incoming.recv() => {
-                batch.extend(first);
-                gather(&mut incoming, &mut batch);
-                turn = true;
+            first = self.inputs.recv() => {
+                self.batch.extend(first);
+                self.gather();
+                true
             }
-            () = alarm.rings(), if due.is_some() => {
-                if ways.reads_before_timeouts() && due.is_some_and(|d| d > 0 && clock.now() - d > MAX_OVERSLEEP) {
-                    // Yielding lets the sockets be read: answers that came meanwhile are no time-outs.
-                    tokio::task::yield_now().await;
-                    gather(&mut incoming, &mut batch);
-                }
-                turn = true;
+            () = self.alarm.rings(), if due.is_some() => {
+                self.gather_after_stall(due).await;
+                true
             }
-            _ = housekeeping.tick() => {
-                ways.on_tick(&core);
-                state.send_replace(FrontEndState {
-                    consuming: ways.is_serving(),
-                    awaits_endpoints: ways.awaits_endpoints(),
-                    ready_workers: core.ready_workers(),
-                    unanswered: core.unanswered(),
-                    drained: false,
-                });
+            _ = self.ticks.tick() => {
+                self.on_tick();
+                false
             }
-            () = ways.changed(), if drain_by.is_some() => {}
+            () = self.transport.changed(), if self.drain_by.is_some() => false,
         }
-        if told.is_some() {
-            core.record_activity(clock.now());
-        }
-        if turn {
-            core.process(clock.now(), &mut batch, &mut commands);
-            for command in commands.drain(..) {
-                ways.execute(command);
-            }
-            ways.flush();
-            if core.counters.endpoint_lists > 0 && !std::mem::replace(&mut listed, true) {
-                ways.on_endpoints_ready();
-            }
-            if let (Some(sender), Some(inputs)) = (&told, core.session_report()) {
-                publish_report(sender, inputs);
+    }
+
+    fn begin_drain(&mut self) {
+        tracing::info!(unanswered = self.core.unanswered(), "draining");
+        let delay = self.transport.drain();
+        self.drain_by = Some(self.clock.now() - delay + self.max_drain);
+    }
+
+    /// Takes the inputs that are here.
+    fn gather(&mut self) {
+        while self.batch.len() < MAX_BATCH {
+            match self.inputs.try_recv() {
+                Ok(input) => self.batch.push(input),
+                Err(_) => return,
             }
         }
-        if let Some(by) = drain_by {
-            let done = ways.is_drained() && core.unanswered() == 0;
-            if done || clock.now() >= by {
-                if !done {
-                    tracing::warn!(unanswered = core.unanswered(), "drain ran out of time");
-                    if ways.answers_remaining() {
-                        core.answer_remaining(clock.now(), &mut commands);
-                        commands.drain(..).for_each(|command| ways.execute(command));
-                        ways.flush();
-                    }
-                }
-                ways.finish().await;
-                ways.on_tick(&core);
-                state.send_replace(FrontEndState { drained: true, ..Default::default() });
-                return;
-            }
+    }
+
+    /// Where this process did not run while a time came, the sockets are read first: answers that came meanwhile are no
+    /// time-outs.
+    async fn gather_after_stall(&mut self, due: Option<Micros>) {
+        let overslept = due.is_some_and(|due| due > 0 && self.clock.now() - due > MAX_OVERSLEEP);
+        if self.transport.reads_before_timeouts() && overslept {
+            tokio::task::yield_now().await;
+            self.gather();
         }
     }
-}
 
-async fn next_standing(link: &mut Option<SessionHandle>) -> Option<ClusterStatus> {
-    link.as_mut()?.next().await
-}
+    fn on_tick(&mut self) {
+        self.transport.on_tick(&self.core);
+        self.state.send_replace(FrontEndState {
+            consuming: self.transport.is_serving(),
+            awaits_endpoints: self.transport.awaits_endpoints(),
+            ready_workers: self.core.ready_workers(),
+            unanswered: self.core.unanswered(),
+            drained: false,
+        });
+    }
 
-fn gather(incoming: &mut mpsc::Receiver<Input>, batch: &mut Vec<Input>) {
-    while batch.len() < MAX_BATCH {
-        match incoming.try_recv() {
-            Ok(item) => batch.push(item),
-            Err(_) => return,
+    fn process_batch(&mut self) {
+        self.core.process(self.clock.now(), &mut self.batch, &mut self.commands);
+        self.execute_commands();
+        if self.core.counters.endpoint_lists > 0 && !self.endpoints_ready {
+            self.endpoints_ready = true;
+            self.transport.on_endpoints_ready();
+        }
+        if let (Some(sender), Some(report)) = (&self.report, self.core.session_report()) {
+            publish_report(sender, report);
         }
     }
+
+    fn execute_commands(&mut self) {
+        for command in self.commands.drain(..) {
+            self.transport.execute(command);
+        }
+        self.transport.flush();
+    }
+
+    /// Whether the front end is to end: it has drained, or the time for that ran out.
+    fn is_drain_over(&mut self) -> bool {
+        let Some(drain_by) = self.drain_by else { return false };
+        let is_done = self.transport.is_drained() && self.core.unanswered() == 0;
+        let is_late = self.clock.now() >= drain_by;
+        if is_late && !is_done {
+            tracing::warn!(unanswered = self.core.unanswered(), "drain ran out of time");
+            if self.transport.answers_remaining() {
+                self.core.answer_remaining(self.clock.now(), &mut self.commands);
+                self.execute_commands();
+            }
+        }
+        is_done || is_late
+    }
+
+    async fn finish(&mut self) {
+        self.transport.finish().await;
+        self.transport.on_tick(&self.core);
+        self.state.send_replace(FrontEndState { drained: true, ..Default::default() });
+    }
+}
+
+async fn next_status(session: &mut Option<SessionHandle>) -> Option<ClusterStatus> {
+    session.as_mut()?.next().await
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::amqp::InquirySettings;
 use crate::clock::Clock;
-use crate::driver::{self, FrontEndState};
+use crate::driver::{self, FrontEndParts, FrontEndState};
 use crate::error::GatewayError;
 use crate::fleet::{
     EgressCheck, FleetRecovery, PoolAdmission, RetirementGate, SessionHandle, ShutdownMarker,
@@ -88,9 +88,18 @@
                     let lost = witness.is_unclean();
                     core.set_recovery(FleetRecovery::new(&config, &recover, lost, seed, clock.now()));
                 }
-                let ways = AmqpTransport::start(&config, number, seed, clock, inputs, fleet, marking);
-                let times = (clock, config.drain_most);
-                driver::run(core, ways, incoming, times, drained, state, link).await;
+                let transport = AmqpTransport::start(&config, number, seed, clock, inputs, fleet, marking);
+                let parts = FrontEndParts {
+                    core,
+                    transport,
+                    inputs: incoming,
+                    clock,
+                    max_drain: config.drain_most,
+                    drain: drained,
+                    state,
+                    session: link,
+                };
+                driver::run(parts).await;
                 if let Some(witness) = witness {
                     witness.remove();
                 }
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -12,7 +12,7 @@
 use crate::watch::watch_events;
 use stagehoist::{EndpointUpdate, Micros};
 use stagehoist_gateway::clock::Clock;
-use stagehoist_gateway::driver::{self, FrontEndState, Transport};
+use stagehoist_gateway::driver::{self, FrontEndParts, FrontEndState, Transport};
 use stagehoist_gateway::state::{Command, Core, Input};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -116,7 +116,7 @@
     let core = Core::new(settings.core_settings(), settings.seed, clock.now());
     let drain_most = settings.longest_deadline().min(MAX_DEADLINE) + DRAIN_BEYOND;
     tracing::info!(name = settings.name, %listen, subscription = %settings.bus, workers = events.len(), "front end started");
-    let ways = Platform {
+    let transport = Platform {
         shared,
         clients,
         executors,
@@ -128,7 +128,17 @@
         logged: Default::default(),
     };
     let (state, _) = watch::channel(FrontEndState::default());
-    driver::run(core, ways, incoming, (clock, drain_most), draining, state, None).await;
+    let parts = FrontEndParts {
+        core,
+        transport,
+        inputs: incoming,
+        clock,
+        max_drain: drain_most,
+        drain: draining,
+        state,
+        session: None,
+    };
+    driver::run(parts).await;
     tasks.shutdown().await;
     tracing::info!("front end ended");
     Ok(())
