--- a/crates/cluster-state/src/leader.rs
+++ b/crates/cluster-state/src/leader.rs
@@ -16,6 +16,14 @@
     promised_until: Micros,
 }
 
+/// A command for a tombstone that was handed out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Proposal {
+    at: Micros,
+    /// Members that it excepted.
+    excepted: usize,
+}
+
 /// How far a tombstone has come with this leader; by the change that proposed it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct RetirementProgress {
@@ -23,7 +31,7 @@
     /// Since when it is in force at every member.
     confirmed_since: Option<Micros>,
     /// When the last command for it was handed out, and how many members that excepted.
-    proposed: Option<(Micros, usize)>,
+    proposed: Option<Proposal>,
 }
 
 /// The state of a leadership.
@@ -47,18 +55,16 @@
     /// A leadership begins. To be called once this replica's record has come as far as the first entry of its
     /// own term: before, a promise could vouch for a view that was overtaken under an earlier leader.
     pub fn new(terms: LeaseTerms, now: Micros) -> Leader {
-        let (sessions, courses) = (BTreeMap::new(), BTreeMap::new());
-        let (let_leave, judged, wake, dealer) = (None, None, None, None);
         Leader {
             terms,
             began: now,
-            sessions,
-            progress: courses,
-            last_leave_check: let_leave,
-            evaluated: judged,
-            wake,
+            sessions: BTreeMap::new(),
+            progress: BTreeMap::new(),
+            last_leave_check: None,
+            evaluated: None,
+            wake: None,
             is_waiting: false,
-            allocator: dealer,
+            allocator: None,
         }
     }
 
--- a/crates/cluster-state/src/leader/commands.rs
+++ b/crates/cluster-state/src/leader/commands.rs
@@ -1,6 +1,6 @@
 //! When retirements come in force and are forgotten, and when runs that ended without a word leave.
 
-use super::{Leader, RetirementProgress};
+use super::{Leader, Proposal, RetirementProgress};
 use crate::{ClusterState, Command, Member, Micros, RetirementMode, Tombstone, TombstoneState, Version};
 use std::collections::BTreeSet;
 
@@ -75,78 +75,105 @@
         commands
     }
 
-    /// What is due for one tombstone.
+    /// The command that is due for one tombstone: it comes into force, excepts fewer members, or is forgotten.
     fn evaluate(
         &mut self,
         state: &ClusterState,
         function: &str,
         tombstone: &Tombstone,
         progress: &mut RetirementProgress,
-        found: &TombstoneEvidence,
+        evidence: &TombstoneEvidence,
         now: Micros,
     ) -> Option<Command> {
+        let but_for = self.excepted_members(state, tombstone, progress, evidence, now)?;
+        let excepted = but_for.len();
+        let is_unchanged = tombstone.state == TombstoneState::InForce { but_for: but_for.clone() };
+        if is_unchanged && !self.may_forget(progress, evidence, now) {
+            return None;
+        }
+        if !self.may_propose(progress, excepted, now) {
+            return None;
+        }
+        progress.proposed = Some(Proposal { at: now, excepted });
+        self.wake_at(now + self.retry_interval());
         let (function, generation) = (function.to_string(), tombstone.retirement.generation);
-        let but_for: BTreeSet<Member> = match (&tombstone.state, tombstone.retirement.mode) {
+        Some(if is_unchanged {
+            Command::Forget { function, generation }
+        } else {
+            Command::InForce { function, generation, but_for }
+        })
+    }
+
+    /// The members at which a tombstone is not in force yet, where it is at all others; `None` where it has to wait.
+    fn excepted_members(
+        &mut self,
+        state: &ClusterState,
+        tombstone: &Tombstone,
+        progress: &RetirementProgress,
+        evidence: &TombstoneEvidence,
+        now: Micros,
+    ) -> Option<BTreeSet<Member>> {
+        let lease_end = progress.observed_at + self.terms.grantor_span();
+        match (&tombstone.state, tombstone.retirement.mode) {
             // A strict front end stops by itself once its lease has run out.
-            (TombstoneState::Proposed, RetirementMode::Strict) if found.has_relying_run => {
+            (TombstoneState::Proposed, RetirementMode::Strict) if evidence.has_relying_run => {
                 self.is_waiting = true;
-                return None;
+                None
             }
-            (TombstoneState::Proposed, RetirementMode::Strict) => BTreeSet::new(),
+            (TombstoneState::Proposed, RetirementMode::Strict) => Some(BTreeSet::new()),
             // An available one goes on until it confirmed. Whoever can be reached is notified within a lease,
             // several reports long; who has not confirmed by then is named, so that one long call in progress
             // holds up nobody's state.
             (TombstoneState::Proposed, RetirementMode::Available)
-                if found.has_relying_run && now < progress.observed_at + self.terms.grantor_span() =>
+                if evidence.has_relying_run && now < lease_end =>
             {
                 self.is_waiting = true;
-                self.wake_at(progress.observed_at + self.terms.grantor_span());
-                return None;
+                self.wake_at(lease_end);
+                None
             }
             (TombstoneState::Proposed, RetirementMode::Available) => {
-                let open = found.lagging.iter().filter(|run| run.joined < tombstone.proposed);
-                open.map(|run| run.member.clone()).collect()
+                let earlier = evidence.lagging.iter().filter(|run| run.joined < tombstone.proposed);
+                Some(earlier.map(|run| run.member.clone()).collect())
             }
             // It only shrinks: a run that confirmed to an earlier leader has confirmed for good.
             (TombstoneState::InForce { but_for }, _) => {
-                let open = |m: &&Member| {
-                    !self.has_confirmed(m, tombstone.proposed)
-                        && (state.is_present(m) || state.replaced.contains_key(m))
+                let is_excepted = |member: &&Member| {
+                    !self.has_confirmed(member, tombstone.proposed)
+                        && (state.is_present(member) || state.replaced.contains_key(*member))
                 };
-                but_for.iter().filter(open).cloned().collect()
-            }
-        };
-        let excepted = but_for.len();
-        let state = TombstoneState::InForce { but_for };
-        let forget = tombstone.state == state;
-        if forget {
-            if found.has_earlier_run {
-                progress.confirmed_since = None;
-                return None;
-            }
-            let due = *progress.confirmed_since.get_or_insert(now) + self.terms.tombstone_retention;
-            if now < due {
-                self.wake_at(due);
-                return None;
+                Some(but_for.iter().filter(is_excepted).cloned().collect())
             }
         }
-        // What was handed out is being agreed on. Each change sends the view to all, so names go from it
-        // together.
-        let pause = self.retry_interval();
-        if let Some((at, last)) = progress.proposed {
-            if now < at + pause && (excepted > 0 || last == 0) {
-                self.wake_at(at + pause);
-                return None;
-            }
+    }
+
+    /// Whether a tombstone that is in force everywhere has been retained for long enough.
+    fn may_forget(
+        &mut self,
+        progress: &mut RetirementProgress,
+        evidence: &TombstoneEvidence,
+        now: Micros,
+    ) -> bool {
+        if evidence.has_earlier_run {
+            progress.confirmed_since = None;
+            return false;
         }
-        progress.proposed = Some((now, excepted));
-        self.wake_at(now + pause);
-        Some(match state {
-            TombstoneState::InForce { but_for } if !forget => {
-                Command::InForce { function, generation, but_for }
-            }
-            _ => Command::Forget { function, generation },
-        })
+        let due = *progress.confirmed_since.get_or_insert(now) + self.terms.tombstone_retention;
+        if now < due {
+            self.wake_at(due);
+        }
+        now >= due
+    }
+
+    /// Whether the last command for a tombstone has had its time to be agreed on. Each change sends the view to all, so
+    /// names go from it together.
+    fn may_propose(&mut self, progress: &RetirementProgress, excepted: usize, now: Micros) -> bool {
+        let Some(last) = progress.proposed else { return true };
+        let again_at = last.at + self.retry_interval();
+        if now < again_at && (excepted > 0 || last.excepted == 0) {
+            self.wake_at(again_at);
+            return false;
+        }
+        true
     }
 
     /// Runs in whose place another joined and to which no promise stands any more leave.
