--- a/crates/gateway/src/amqp/front/deliveries.rs
+++ b/crates/gateway/src/amqp/front/deliveries.rs
@@ -1,7 +1,9 @@
-//! What becomes of a delivery.
+//! Deliveries: what is read of one, whether it was delivered before, and whether it becomes a call.
 
 use super::queues::QueueState;
 use super::*;
+use crate::amqp::message::CallRequest;
+use bytes::Bytes;
 use stagehoist_sharding::FunctionPlacement;
 
 /// The reason of a call that came over the queue of a shard that is not its function's.
@@ -34,46 +36,29 @@
     }
 
     pub(super) fn take_delivery(&mut self, message: Message, now: Micros) {
-        let AMQPClass::Basic(basic::AMQPMethod::Deliver(deliver)) = message.method else { return };
-        self.counters.delivered += 1;
-        self.acks.delivered(deliver.delivery_tag);
-        if let Some(window) = self.window.as_mut() {
-            window.delivered();
-        }
+        let Message { method, properties, body, size } = message;
+        let AMQPClass::Basic(basic::AMQPMethod::Deliver(deliver)) = method else { return };
+        self.count_delivery(&deliver);
         let queue = self.queue_of(deliver.consumer_tag.as_str()).unwrap_or(0);
         if self.queues.get(queue).is_some_and(|q| q.hold == QueueState::Released) {
             return self.return_delivery(deliver.delivery_tag);
         }
-        let stamp = stamp(&message.properties);
-        let mut waited = self.ages.get_mut(queue).map_or(0, |a| a.taken(stamp, deliver.redelivered, now));
-        if stamp.is_none() && self.ages.get(queue).is_some_and(Age::is_doubted) {
-            waited = waited.max(now - self.blind_from);
-        }
+        let waited = self.waited(queue, &properties, deliver.redelivered, now);
         self.counters.redelivered += u64::from(deliver.redelivered);
-        let properties = &message.properties;
-        let text = |value: &Option<stagehoist_amqp::ShortString>| {
-            value.as_ref().map_or(String::new(), |v| v.as_str().to_string())
-        };
         let (reply_to, correlation) = (text(properties.reply_to()), text(properties.correlation_id()));
         let message_id = text(properties.message_id());
-        let tag = deliver.delivery_tag;
         if reply_to.is_empty() {
             let key = deliver.routing_key.as_str();
-            tracing::warn!(
-                correlation,
-                message_id,
-                key,
-                reason = "no-reply-to",
-                "rejected to the dead letters"
-            );
-            return self.reject(tag);
+            let reason = "no-reply-to";
+            tracing::warn!(correlation, message_id, key, reason, "rejected to the dead letters");
+            return self.reject(deliver.delivery_tag);
         }
         let key = Key::new(&reply_to, &correlation, &message_id);
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         let delivery = Delivery {
             generation: self.generation,
-            tag,
+            tag: deliver.delivery_tag,
             reply_to: reply_to.into(),
             correlation: correlation.into(),
             key: key.clone(),
@@ -84,42 +69,98 @@
             home: None,
         };
         let routing_key = deliver.routing_key.as_str();
-        let asked = self.reader.read(properties, routing_key, message.size, waited);
-        let known =
-            asked.as_ref().ok().and_then(|a| FunctionProperties::configured(&self.config, &a.function));
-        let effect_of = |k: (FunctionProperties, Micros)| self.config.classes[usize::from(k.0.class)].effect;
-        let effect = match &asked {
+        let request = self.reader.read(&properties, routing_key, size, waited);
+        let function = request.as_ref().ok().map(|request| &*request.function);
+        let configured = function.and_then(|name| FunctionProperties::configured(&self.config, name));
+        let effect = self.effect(&request, configured, &properties, routing_key);
+        let received = Received {
+            queue,
+            ticket,
+            redelivered: deliver.redelivered,
+            routing_key,
+            properties,
+            body,
+            size,
+            request,
+            configured,
+            effect,
+        };
+        // One that can't be accepted is remembered too: its rejection is not given twice.
+        let verdict = self.memory.on_delivery(key.as_ref(), deliver.redelivered, effect, ticket, now);
+        self.on_verdict(verdict, received, delivery, now);
+    }
+
+    fn count_delivery(&mut self, deliver: &basic::Deliver) {
+        self.counters.delivered += 1;
+        self.acks.delivered(deliver.delivery_tag);
+        if let Some(window) = self.window.as_mut() {
+            window.delivered();
+        }
+    }
+
+    /// How long a message waited at the broker, as far as is known.
+    fn waited(
+        &mut self,
+        queue: usize,
+        properties: &BasicProperties,
+        redelivered: bool,
+        now: Micros,
+    ) -> Micros {
+        let stamp = stamp(properties);
+        let waited = self.ages.get_mut(queue).map_or(0, |age| age.taken(stamp, redelivered, now));
+        if stamp.is_none() && self.ages.get(queue).is_some_and(Age::is_doubted) {
+            return waited.max(now - self.blind_from);
+        }
+        waited
+    }
+
+    /// Whether the call may be repeated, by its function's class.
+    fn effect(
+        &self,
+        request: &Result<CallRequest, Unusable>,
+        configured: Option<(FunctionProperties, Micros)>,
+        properties: &BasicProperties,
+        routing_key: &str,
+    ) -> Effect {
+        let configured = match request {
             // It may have run in time where it was before: that it is too late now does not tell that it did not.
             Err(Unusable::TooLate) => Reader::function(properties, routing_key)
                 .ok()
-                .and_then(|f| FunctionProperties::configured(&self.config, &f))
-                .map_or(Effect::Idempotent, effect_of),
-            _ => known.map_or(Effect::Idempotent, effect_of),
+                .and_then(|name| FunctionProperties::configured(&self.config, &name)),
+            _ => configured,
         };
-        // One that can't be taken is remembered too: its refusal is not given twice.
-        let verdict = self.memory.on_delivery(key.as_ref(), deliver.redelivered, effect, ticket, now);
+        let class = configured.map(|(function, _)| usize::from(function.class));
+        class.map_or(Effect::Idempotent, |class| self.config.classes[class].effect)
+    }
+
+    fn on_verdict(
+        &mut self,
+        verdict: Verdict<Answer>,
+        received: Received<'_>,
+        delivery: Delivery,
+        now: Micros,
+    ) {
+        let ticket = received.ticket;
         match verdict {
-            Verdict::Join(at_work) => {
+            Verdict::Join(in_progress) => {
                 self.counters.joined += 1;
-                if let Some(old) = self.deliveries.get_mut(&at_work) {
-                    (old.generation, old.tag) = (self.generation, tag);
+                if let Some(old) = self.deliveries.get_mut(&in_progress) {
+                    old.generation = self.generation;
+                    old.tag = delivery.tag;
                 }
             }
             Verdict::Resend(answer) => {
                 self.counters.from_memory += 1;
-                let elsewhere = answer.reason() == OTHER_SHARD;
-                let home = elsewhere.then(|| self.home(queue, properties, routing_key, ticket)).flatten();
+                let is_elsewhere = answer.reason() == OTHER_SHARD;
+                let home = is_elsewhere.then(|| self.home_of(&received)).flatten();
                 self.deliveries.insert(ticket, Delivery { answer: Some(answer), home, ..delivery });
                 self.publish(ticket, now);
             }
             Verdict::Settle { doubtful } => {
                 self.counters.withheld += u64::from(doubtful);
-                tracing::info!(
-                    correlation = &*delivery.correlation,
-                    doubtful,
-                    "delivered again after its reply left"
-                );
-                self.ack(tag);
+                let correlation = &*delivery.correlation;
+                tracing::info!(correlation, doubtful, "delivered again after its reply left");
+                self.ack(delivery.tag);
             }
             Verdict::Fail => {
                 self.counters.failed_unknown += 1;
@@ -129,85 +170,118 @@
                 self.deliveries.insert(ticket, delivery);
                 self.answer(ticket, Answer::Failed { reason: "delivered-before" }, now);
             }
-            Verdict::Run | Verdict::Inquire => {
-                let asks = matches!(verdict, Verdict::Inquire);
-                let correlation = delivery.correlation.clone();
-                self.deliveries.insert(ticket, delivery);
-                let asked = match asked {
-                    Ok(_) if !asks && effect != Effect::Idempotent && self.is_unknown() => {
-                        let retry_after = self.config.retry_after_most;
-                        let answer = Answer::Refused { reason: "marks-not-ready", retry_after };
-                        return self.answer(ticket, answer, now);
-                    }
-                    Ok(asked) => match self.places.as_ref().map(|p| p.over(queue, &asked.function)) {
-                        // It may have run where it was before, and has no workers of its group here.
-                        Some(FunctionPlacement::Elsewhere(_)) if asks => {
-                            return self.fail_unknown(ticket, now)
-                        }
-                        Some(FunctionPlacement::Elsewhere(_)) => {
-                            self.counters.other_shard += 1;
-                            let home = self.home(queue, properties, routing_key, ticket);
-                            self.deliveries.entry(ticket).and_modify(|d| d.home = home);
-                            tracing::info!(
-                                correlation = &*correlation,
-                                ?home,
-                                reason = OTHER_SHARD,
-                                "not taken"
-                            );
-                            let answer = Answer::Refused { reason: OTHER_SHARD, retry_after: 0 };
-                            return self.answer(ticket, answer, now);
-                        }
-                        place => {
-                            self.counters.leaving_shard +=
-                                u64::from(place == Some(FunctionPlacement::Leaving));
-                            asked
-                        }
-                    },
-                    // It may have run before, which is what its caller has to know.
-                    Err(_) if asks => return self.fail_unknown(ticket, now),
-                    Err(wrong) => {
-                        self.counters.answered_unusable += 1;
-                        tracing::info!(correlation = &*correlation, reason = wrong.reason(), %wrong, "not taken");
-                        let answer = Answer::Refused { reason: wrong.reason(), retry_after: 0 };
-                        return self.answer(ticket, answer, now);
-                    }
-                };
-                match self.intake.admit((queue as u32, asked.tenant), message.size) {
-                    Ok(held) => {
-                        self.deliveries.entry(ticket).and_modify(|d| d.held = Some(held));
-                    }
-                    Err(_) if asks => return self.fail_unknown(ticket, now),
-                    Err(why) => {
-                        self.counters.rejected_at_intake += 1;
-                        let retry_after = self.advice.retry_after(self.intake.calls());
-                        let reason = why.reason();
-                        return self.answer(ticket, Answer::Refused { reason, retry_after }, now);
-                    }
-                }
-                let content_type = properties.content_type().as_ref().map(|c| c.as_str().to_string());
-                let identity = self.inquiries.as_ref().and_then(|_| Some(key.as_ref()?.identity()));
-                let arrival = Arrival {
-                    ticket,
-                    function: asked.function,
-                    properties: known.map(|k| k.0),
-                    tenant: asked.tenant,
-                    budget: known.map_or(asked.budget, |k| asked.budget.min(k.1)),
-                    // The driver may come to it later, after a stop above all; its time runs from here.
-                    read_at: now,
-                    is_repeat: deliver.redelivered,
-                    // Whoever may publish to the queue is a caller.
-                    client_verified: true,
-                    body: message.body,
-                    content_type,
-                    correlation,
-                    generation: asked.generation,
-                    identity,
-                };
-                match verdict {
-                    Verdict::Inquire => self.inquire(arrival, now),
-                    _ => self.arrivals.push(arrival),
-                }
+            Verdict::Run => self.accept(received, delivery, false, now),
+            Verdict::Inquire => self.accept(received, delivery, true, now),
+        }
+    }
+
+    /// Makes a call of a delivery, or answers why not. `may_have_run`: others are to be asked whether it ran; what its
+    /// caller has to know is then that it may have.
+    fn accept(&mut self, received: Received<'_>, delivery: Delivery, may_have_run: bool, now: Micros) {
+        let ticket = received.ticket;
+        let (correlation, key) = (delivery.correlation.clone(), delivery.key.clone());
+        self.deliveries.insert(ticket, delivery);
+        let rejection = self.rejection(&received, &correlation, may_have_run);
+        let request = match (received.request, rejection) {
+            (Ok(request), None) => request,
+            (_, Some(_)) | (Err(_), None) if may_have_run => return self.fail_unknown(ticket, now),
+            (_, Some(answer)) => return self.answer(ticket, answer, now),
+            (Err(_), None) => return,
+        };
+        match self.intake.admit((received.queue as u32, request.tenant), received.size) {
+            Ok(held) => {
+                self.deliveries.entry(ticket).and_modify(|delivery| delivery.held = Some(held));
             }
+            Err(_) if may_have_run => return self.fail_unknown(ticket, now),
+            Err(refusal) => {
+                self.counters.rejected_at_intake += 1;
+                let retry_after = self.advice.retry_after(self.intake.calls());
+                return self.answer(ticket, Answer::Refused { reason: refusal.reason(), retry_after }, now);
+            }
+        }
+        let content_type = received.properties.content_type().as_ref().map(|c| c.as_str().to_string());
+        let configured = received.configured;
+        let arrival = Arrival {
+            ticket,
+            function: request.function,
+            properties: configured.map(|(function, _)| function),
+            tenant: request.tenant,
+            budget: configured.map_or(request.budget, |(_, give_up)| request.budget.min(give_up)),
+            // The driver may come to it later, after a stop above all; its time runs from here.
+            read_at: now,
+            is_repeat: received.redelivered,
+            // Whoever may publish to the queue is a caller.
+            client_verified: true,
+            body: received.body,
+            content_type,
+            correlation,
+            generation: request.generation,
+            identity: self.inquiries.as_ref().and_then(|_| Some(key.as_ref()?.identity())),
+        };
+        if may_have_run {
+            self.inquire(arrival, now);
+        } else {
+            self.arrivals.push(arrival);
         }
     }
+
+    /// Why a delivery can't become a call; `None` where it can.
+    fn rejection(
+        &mut self,
+        received: &Received<'_>,
+        correlation: &str,
+        may_have_run: bool,
+    ) -> Option<Answer> {
+        let request = match &received.request {
+            Ok(request) => request,
+            Err(_) if may_have_run => return Some(Answer::Refused { reason: "", retry_after: 0 }),
+            Err(unusable) => {
+                self.counters.answered_unusable += 1;
+                let reason = unusable.reason();
+                tracing::info!(correlation, reason, wrong = %unusable, "not taken");
+                return Some(Answer::Refused { reason, retry_after: 0 });
+            }
+        };
+        if !may_have_run && received.effect != Effect::Idempotent && self.is_unknown() {
+            let retry_after = self.config.retry_after_most;
+            return Some(Answer::Refused { reason: "marks-not-ready", retry_after });
+        }
+        let place = self.places.as_ref().map(|places| places.over(received.queue, &request.function));
+        if !matches!(place, Some(FunctionPlacement::Elsewhere(_))) {
+            self.counters.leaving_shard += u64::from(place == Some(FunctionPlacement::Leaving));
+            return None;
+        }
+        if !may_have_run {
+            self.counters.other_shard += 1;
+            let home = self.home_of(received);
+            self.deliveries.entry(received.ticket).and_modify(|delivery| delivery.home = home);
+            tracing::info!(correlation, ?home, reason = OTHER_SHARD, "not taken");
+        }
+        Some(Answer::Refused { reason: OTHER_SHARD, retry_after: 0 })
+    }
+
+    fn home_of(&self, received: &Received<'_>) -> Option<(u32, Shard)> {
+        self.home(received.queue, &received.properties, received.routing_key, received.ticket)
+    }
+}
+
+/// A delivery as far as it was read.
+struct Received<'a> {
+    /// Index of its queue.
+    queue: usize,
+    ticket: Ticket,
+    redelivered: bool,
+    routing_key: &'a str,
+    properties: BasicProperties,
+    body: Bytes,
+    /// Size of the body, also where that was left out.
+    size: u64,
+    request: Result<CallRequest, Unusable>,
+    /// What is configured of its function, with its class's time until callers time out.
+    configured: Option<(FunctionProperties, Micros)>,
+    effect: Effect,
+}
+
+fn text(value: &Option<stagehoist_amqp::ShortString>) -> String {
+    value.as_ref().map_or(String::new(), |value| value.as_str().to_string())
 }
