--- a/crates/core/src/policy/maintenance.rs
+++ b/crates/core/src/policy/maintenance.rs
@@ -63,7 +63,7 @@
         sum / ready.count().max(1) as f64
     }
 
-    /// Ends what is over at a worker, and intents it as changed where it may take requests again.
+    /// Ends what is over at a worker, and marks it as changed where it may take requests again.
     fn refresh_worker(&mut self, index: usize, now: Micros) {
         let settings = &self.settings;
         let last_sweep = self.sweep.at;
--- a/crates/gateway/src/state/core/calls.rs
+++ b/crates/gateway/src/state/core/calls.rs
@@ -3,7 +3,8 @@
 use super::super::{Answer, Arrival, AttemptResult, Command, FunctionProperties};
 use super::{Call, Core};
 use crate::fleet::pool_admission::Entry;
-use stagehoist::{AttemptEnd, Event, Micros, Outcome, Request, RequestId};
+use bytes::Bytes;
+use stagehoist::{AttemptEnd, Event, Micros, Outcome, Request, RequestId, WorkerId};
 use stagehoist_admission::permits::NO_PERMIT;
 use stagehoist_recovery::phases::Admission;
 
@@ -56,25 +57,8 @@
         commands: &mut Vec<Command>,
     ) {
         let ticket = arrival.ticket;
-        // What the call waited between its socket and this turn is gone from its time.
-        let taken = if arrival.read_at > 0 { arrival.read_at.min(now) } else { now };
-        let budget = (arrival.budget - (now - taken)).max(0);
-        let request = Request {
-            id: self.next_request,
-            class: f.class,
-            tenant: arrival.tenant,
-            function: f.id,
-            budget,
-            work: f.work,
-            memory_mb: f.memory_mb,
-            concurrency: f.concurrency,
-            load_time: f.load_time,
-            is_repeat: arrival.is_repeat,
-            accepted_at: taken,
-            client_verified: arrival.client_verified,
-        };
-        let id = request.id;
-        let deadline = now + budget;
+        let request = self.request(&arrival, f, now);
+        let (id, taken, deadline) = (request.id, request.accepted_at, now + request.budget);
         let mut entry = Entry::Free;
         if let Some(pool_admission) = self.pool_admission.as_mut() {
             entry = pool_admission.enter(&request, &arrival.function, deadline, now);
@@ -86,19 +70,13 @@
             tracing::debug!(correlation = &*arrival.correlation, reason = NO_PERMIT, "rejected");
             return commands.push(Command::Answer { ticket, answer, elapsed: 0 });
         }
-        // Numbers of calls still open are passed over when the count begins anew after 2^32 calls.
-        loop {
-            self.next_request = self.next_request.wrapping_add(1);
-            if !self.calls.contains_key(&self.next_request) {
-                break;
-            }
-        }
+        self.advance_next_request();
         let span = tracing::debug_span!(
             "call",
             correlation = &*arrival.correlation,
             request = id,
             function = &*arrival.function,
-            budget_ms = budget / 1000,
+            budget_ms = request.budget / 1000,
             work_ms = f.work.map(|w| w / 1000)
         );
         span.in_scope(|| tracing::debug!(repeat = arrival.is_repeat, "accepted"));
@@ -109,24 +87,53 @@
         }
         let permit = if let Entry::Admitted(permit) = entry { Some(permit) } else { None };
         self.by_ticket.insert(ticket, id);
-        let (attempts, last, answered, ran_since) = (Vec::new(), None, false, None);
         let call = Call {
             ticket,
             arrival,
             class: f.class,
             taken,
             deadline,
-            attempts,
-            last_outcome: last,
-            answered,
-            ran_since,
+            attempts: Vec::new(),
+            last_outcome: None,
+            answered: false,
+            ran_since: None,
             permit,
             span,
         };
         self.calls.insert(id, call);
     }
 
-    /// Intents a call as answered; it stays while attempts are out, as each owes the module its end.
+    /// The request that the module sees of a call.
+    fn request(&self, arrival: &Arrival, function: FunctionProperties, now: Micros) -> Request {
+        // What the call waited between its socket and this turn is gone from its time.
+        let accepted_at = if arrival.read_at > 0 { arrival.read_at.min(now) } else { now };
+        Request {
+            id: self.next_request,
+            class: function.class,
+            tenant: arrival.tenant,
+            function: function.id,
+            budget: (arrival.budget - (now - accepted_at)).max(0),
+            work: function.work,
+            memory_mb: function.memory_mb,
+            concurrency: function.concurrency,
+            load_time: function.load_time,
+            is_repeat: arrival.is_repeat,
+            accepted_at,
+            client_verified: arrival.client_verified,
+        }
+    }
+
+    /// Numbers of calls still open are passed over when the count begins anew after 2^32 calls.
+    fn advance_next_request(&mut self) {
+        loop {
+            self.next_request = self.next_request.wrapping_add(1);
+            if !self.calls.contains_key(&self.next_request) {
+                return;
+            }
+        }
+    }
+
+    /// Notes that a call is answered; it stays while attempts are out, as each owes the module its end.
     pub(super) fn close_call(&mut self, request: RequestId) {
         let Some(call) = self.calls.get_mut(&request) else { return };
         call.answered = true;
@@ -204,7 +211,6 @@
         if !matches!(outcome, Outcome::ConnectFailed | Outcome::Miss | Outcome::Full | Outcome::Superseded) {
             call.ran_since = Some(call.ran_since.unwrap_or(flight.sent_at).min(flight.sent_at));
         }
-        let (ticket, taken, function) = (call.ticket, call.taken, call.arrival.function.clone());
         let mut concluded = call.answered;
         if !concluded && self.fleet.is_some() && self.ends_as_closed(request, outcome, now) {
             self.reject_closed(now, request, commands);
@@ -212,13 +218,8 @@
         }
         let serves = outcome == Outcome::Ok && !concluded;
         if serves {
-            if let Some(call) = self.calls.get(&request) {
-                call.span.in_scope(|| tracing::debug!(outcome = "served", took_us = now - taken, "answered"));
-            }
-            self.counters.served += 1;
-            self.record_call_end(request, now, true);
-            let answer = self.served((&function, flight.worker), result.body, result.content_type);
-            commands.push(Command::Answer { ticket, answer, elapsed: now - taken });
+            let answer = (result.body, result.content_type);
+            self.answer_served(now, request, flight.worker, answer, commands);
         }
         concluded |= serves;
         let ended = AttemptEnd {
@@ -238,4 +239,22 @@
         self.on_announcement(now, flight.worker, result.draining);
         self.events.push(Event::AttemptEnded(ended));
     }
+
+    /// Answers a call with what a worker answered.
+    fn answer_served(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        worker: WorkerId,
+        (body, content_type): (Bytes, Option<String>),
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(call) = self.calls.get(&request) else { return };
+        let (ticket, elapsed, function) = (call.ticket, now - call.taken, call.arrival.function.clone());
+        call.span.in_scope(|| tracing::debug!(outcome = "served", took_us = elapsed, "answered"));
+        self.counters.served += 1;
+        self.record_call_end(request, now, true);
+        let answer = self.served((&function, worker), body, content_type);
+        commands.push(Command::Answer { ticket, answer, elapsed });
+    }
 }
--- a/crates/gateway/src/state/core/execute.rs
+++ b/crates/gateway/src/state/core/execute.rs
@@ -2,7 +2,7 @@
 
 use super::super::{Answer, Attempt, Command};
 use super::{AttemptInFlight, Call, Core};
-use stagehoist::{Action, AttemptEnd, Effect, Event, Micros, Outcome, RequestId, WorkerId};
+use stagehoist::{Action, AttemptEnd, CopyReport, Effect, Event, Micros, Outcome, RequestId, WorkerId};
 use std::rc::Rc;
 
 impl Core {
@@ -102,7 +102,7 @@
         let late = now >= call.deadline || u32::from(attempt) >= self.settings.settings.max_attempts;
         let over = call.answered || late || closed;
         if over || address.is_empty() {
-            // The interface's `Superseded`: not sent, and said so in the next batch.
+            // Not sent, and said so in the next batch.
             call.attempts.push(None);
             let mut concluded = call.answered;
             if closed && !concluded && call.is_idle() {
@@ -110,16 +110,7 @@
                 concluded = true;
             }
             let outcome = if over { Outcome::Superseded } else { Outcome::ConnectFailed };
-            self.events.push(Event::AttemptEnded(AttemptEnd {
-                request,
-                attempt,
-                worker,
-                concluded,
-                outcome,
-                copy: Default::default(),
-                elapsed: 0,
-                report: None,
-            }));
+            self.events.push(Event::AttemptEnded(unsent(request, attempt, worker, concluded, outcome)));
             return;
         }
         let due = if timeout > 0 { call.deadline.min(now + timeout) } else { call.deadline };
@@ -153,6 +144,18 @@
 /// run. What is chosen in time may be written late; a quarter of the window is for its way.
 fn begin_by(call: &Call, effect: Option<Effect>) -> Micros {
     let Some(Effect::IdempotentWithKey { window, .. }) = effect else { return Micros::MAX };
-    let commands = call.attempts.iter().flatten().map(|flight| flight.sent_at);
-    commands.chain(call.ran_since).min().map_or(Micros::MAX, |first| first + window - window / 4)
+    let sent = call.attempts.iter().flatten().map(|flight| flight.sent_at);
+    sent.chain(call.ran_since).min().map_or(Micros::MAX, |first| first + window - window / 4)
+}
+
+/// The end of an attempt of which nothing was sent.
+fn unsent(
+    request: RequestId,
+    attempt: u16,
+    worker: WorkerId,
+    concluded: bool,
+    outcome: Outcome,
+) -> AttemptEnd {
+    let copy = CopyReport::default();
+    AttemptEnd { request, attempt, worker, concluded, outcome, copy, elapsed: 0, report: None }
 }
--- a/crates/gateway/src/state/core/mod.rs
+++ b/crates/gateway/src/state/core/mod.rs
@@ -164,41 +164,59 @@
         }
         self.advance_recovery(now, commands);
         self.expire(now, commands);
+        self.expire_attempts(now, commands);
+        self.expire_load_orders(now);
+        self.names.purge(now);
+        self.fire_timers(now);
+        self.admit_from_pools(now, commands);
+        self.decide(now);
+        self.emit_drains(now, commands);
+        self.execute_actions(now, commands);
+        self.confirm(now);
+        self.log_queued();
+    }
+
+    /// Ends the attempts whose time is over.
+    fn expire_attempts(&mut self, now: Micros, commands: &mut Vec<Command>) {
         while let Some(&(at, request, attempt)) = self.attempt_deadlines.first() {
             if at > now {
-                break;
+                return;
             }
             commands.push(Command::Abort { request, attempt });
-            self.on_attempt_ended(
-                now,
-                request,
-                attempt,
-                AttemptResult::without_answer(Outcome::Timeout),
-                commands,
-            );
+            let result = AttemptResult::without_answer(Outcome::Timeout);
+            self.on_attempt_ended(now, request, attempt, result, commands);
         }
-        self.expire_load_orders(now);
-        self.names.purge(now);
+    }
+
+    fn fire_timers(&mut self, now: Micros) {
         while let Some(&(at, token)) = self.timers.first() {
             if at > now {
-                break;
+                return;
             }
             self.timers.pop_first();
             self.events.push(Event::Timer { token });
         }
-        self.admit_from_pools(now, commands);
+    }
+
+    /// Has the decision module decide once on all events since the last batch.
+    fn decide(&mut self, now: Micros) {
         let start = std::time::Instant::now();
         self.policy.handle(now, &self.events, &mut self.actions);
         self.counters.module_ns += start.elapsed().as_nanos() as u64;
         self.counters.batches += 1;
         self.events.clear();
-        self.emit_drains(now, commands);
+    }
+
+    fn execute_actions(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             self.execute(now, action, commands);
         }
         self.actions = actions;
-        self.confirm(now);
+    }
+
+    /// Logs the new calls that the module queued.
+    fn log_queued(&mut self) {
         for request in std::mem::take(&mut self.new_calls) {
             let Some(call) = self.calls.get(&request).filter(|c| c.attempts.is_empty() && !c.answered) else {
                 continue;
@@ -208,22 +226,24 @@
         }
     }
 
-    fn on_input(&mut self, now: Micros, inputs: Input, commands: &mut Vec<Command>) {
-        match inputs {
+    /// The client of a call left.
+    fn on_client_gone(&mut self, now: Micros, ticket: Ticket, commands: &mut Vec<Command>) {
+        self.counters.abandoned_calls += u64::from(self.waiting.remove(ticket));
+        let Some(request) = self.by_ticket.remove(&ticket) else { return };
+        self.counters.abandoned_calls += 1;
+        if !self.is_waiting(request) {
+            self.events.push(Event::ClientGone { request });
+        }
+        self.close_call(request);
+        if self.settings.cancel_abandoned {
+            self.cancel_attempts(now, request, commands);
+        }
+    }
+
+    fn on_input(&mut self, now: Micros, input: Input, commands: &mut Vec<Command>) {
+        match input {
             Input::Call(arrival) => self.on_call(now, arrival, commands),
-            Input::ClientGone(ticket) => {
-                self.counters.abandoned_calls += u64::from(self.waiting.remove(ticket));
-                if let Some(request) = self.by_ticket.remove(&ticket) {
-                    self.counters.abandoned_calls += 1;
-                    if !self.is_waiting(request) {
-                        self.events.push(Event::ClientGone { request });
-                    }
-                    self.close_call(request);
-                    if self.settings.cancel_abandoned {
-                        self.cancel_attempts(now, request, commands);
-                    }
-                }
-            }
+            Input::ClientGone(ticket) => self.on_client_gone(now, ticket, commands),
             Input::AttemptEnded { request, attempt, result } => {
                 self.on_attempt_ended(now, request, attempt, result, commands);
             }
@@ -239,18 +259,13 @@
                     if copies > 0 {
                         self.has_copy(function, worker);
                     }
-                    self.events.push(Event::Loaded {
-                        worker,
-                        function,
-                        outcome,
-                        elapsed: now - sent,
-                        copies,
-                    });
+                    let elapsed = now - sent;
+                    self.events.push(Event::Loaded { worker, function, outcome, elapsed, copies });
                 }
             }
             Input::EndpointList(entries) => self.on_endpoint_list(entries, now),
-            Input::EndpointUpdate { kind: form, endpoints: told } => {
-                let update = self.endpoints.apply(form, told, now);
+            Input::EndpointUpdate { kind, endpoints } => {
+                let update = self.endpoints.apply(kind, endpoints, now);
                 self.apply_endpoint_change(update, now);
             }
             Input::ClusterStatus(status) => self.on_cluster_status(now, status, commands),
