--- a/crates/cluster-state/src/allocation/account.rs
+++ b/crates/cluster-state/src/allocation/account.rs
@@ -1,7 +1,7 @@
 //! What the allocator knows of one run of a front end.
 
 use super::Guards;
-use crate::{Micros, Report, Version};
+use crate::{Micros, PermitGrant, Report, Version};
 use std::collections::BTreeMap;
 
 /// Grants whose end is not yet known; beyond them the two oldest are counted as one.
@@ -63,10 +63,10 @@
     }
 
     /// A grant goes out.
-    pub fn on_grant(&mut self, number: u64, now: Micros, permits: &[(String, String, u32)]) {
+    pub fn on_grant(&mut self, number: u64, now: Micros, permits: &[PermitGrant]) {
         let mut given = OutstandingGrant { number, given_at: now, permits: BTreeMap::new() };
-        for (pool, _, n) in permits {
-            *given.permits.entry(pool.clone()).or_default() += n;
+        for grant in permits {
+            *given.permits.entry(grant.pool.clone()).or_default() += grant.permits;
         }
         self.given.push(given);
         if self.given.len() > MAX_OUTSTANDING_GRANTS {
--- a/crates/cluster-state/src/allocation/mod.rs
+++ b/crates/cluster-state/src/allocation/mod.rs
@@ -8,36 +8,18 @@
 //! given only what is left of the pool after all guaranteed minimums and what the others have out.
 
 mod account;
+mod guards;
 mod limits;
 mod targets;
 
+pub use guards::Guards;
 pub use limits::{guaranteed_permits, AllocationLimits, GUARANTEED_SHARE};
 
-use crate::{ClusterState, LeaseTerms, Member, Micros, Pool, PoolSize, Report, Version};
+use crate::{ClusterState, LeaseTerms, Member, Micros, PermitGrant, Pool, PoolSize, Report, Version};
 use account::Account;
 use std::collections::{BTreeMap, BTreeSet};
 use targets::Targets;
 
-/// Rules that a test takes out one at a time; all stand in use.
-#[doc(hidden)]
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Guards {
-    /// Promises of earlier leaders are waited for.
-    pub takeover_wait: bool,
-    /// Runs count after the lease that they began under.
-    pub runs: bool,
-    /// Guaranteed minimums are never allocated.
-    pub guarantees: bool,
-    /// A grant stands until the member says that it goes by a later one.
-    pub applied: bool,
-}
-
-impl Default for Guards {
-    fn default() -> Guards {
-        Guards { takeover_wait: true, runs: true, guarantees: true, applied: true }
-    }
-}
-
 /// Allocates the permits of every pool; forgotten with the leadership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PermitAllocator {
@@ -51,16 +33,32 @@
     pools: Vec<Pool>,
     /// Guaranteed minimums by pool of earlier editions, and the change that ended each, until every member has applied
     /// that.
-    earlier_guarantees: Vec<(Version, BTreeMap<String, u32>)>,
+    earlier_guarantees: Vec<EditionGuarantees>,
     has_observed: bool,
     /// No promise of an earlier leader stands any more.
     may_allocate_all: bool,
-    round: Option<(Micros, BTreeMap<String, AllocationRound>)>,
+    round: Option<AllocationRound>,
 }
 
-/// What was reckoned of a pool; within a round only the member that reports is counted anew.
+/// Guaranteed minimums of an edition of the pools.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct EditionGuarantees {
+    /// The change that ended the edition.
+    ended_by: Version,
+    /// By pool.
+    guaranteed: BTreeMap<String, u32>,
+}
+
+/// What was computed of all pools at a time; within a round only the member that reports is counted anew.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct AllocationRound {
+    computed_at: Micros,
+    pools: BTreeMap<String, PoolAllocation>,
+}
+
+/// What was computed of a pool.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+struct PoolAllocation {
     permits: u32,
     guaranteed: u32,
     outstanding: u32,
@@ -110,7 +108,7 @@
         member: &Member,
         report: &Report,
         now: Micros,
-    ) -> Vec<(String, String, u32)> {
+    ) -> Vec<PermitGrant> {
         self.observe(state, now);
         let account = self.accounts.entry(member.clone()).or_default();
         if !account.on_report(report, now, self.guards) {
@@ -139,7 +137,7 @@
     /// Permits of a pool that are counted as out beyond the guaranteed minimums, as last reckoned; and those that may be
     /// allocated.
     pub fn outstanding(&self, pool: &str) -> (u32, u32) {
-        let round = self.round.as_ref().and_then(|(_, pools)| pools.get(pool));
+        let round = self.round.as_ref().and_then(|round| round.pools.get(pool));
         round.map_or((0, 0), |r| (r.outstanding, r.permits))
     }
 
@@ -155,7 +153,8 @@
         if self.pools != state.view.pools {
             let guarantees =
                 self.pools.iter().map(|p| (p.name.clone(), self.guaranteed(&p.name, now))).collect();
-            self.earlier_guarantees.push((state.view.version, guarantees));
+            self.earlier_guarantees
+                .push(EditionGuarantees { ended_by: state.view.version, guaranteed: guarantees });
             self.pools = state.view.pools.clone();
             self.round = None;
         }
@@ -163,7 +162,7 @@
 
     /// Counts and shares out anew, at most once in [`AllocationLimits::interval`].
     fn recompute(&mut self, state: &ClusterState, now: Micros) {
-        if self.round.as_ref().is_some_and(|(at, _)| now - at < self.limits.interval) {
+        if self.round.as_ref().is_some_and(|round| now - round.computed_at < self.limits.interval) {
             return;
         }
         let span = self.terms.grantor_span() + self.longest();
@@ -176,7 +175,7 @@
         let accounts = &self.accounts;
         let applied =
             |v: Version| state.present().all(|m| accounts.get(&m).is_some_and(|a| a.confirmed() >= v));
-        self.earlier_guarantees.retain(|(version, _)| !applied(*version));
+        self.earlier_guarantees.retain(|edition| !applied(edition.ended_by));
         let mut pools = BTreeMap::new();
         for pool in &self.pools {
             let guaranteed = self.guaranteed(&pool.name, now);
@@ -185,7 +184,7 @@
             let permits = self.size(pool, now, false).saturating_sub(all);
             let members: Vec<_> = self.fresh(now).map(|(m, a)| (m, a.wanted(&pool.name))).collect();
             let targets = Targets::reckon(permits, &pool.reservations, &members);
-            pools.insert(pool.name.clone(), AllocationRound { permits, guaranteed, outstanding: 0, targets });
+            pools.insert(pool.name.clone(), PoolAllocation { permits, guaranteed, outstanding: 0, targets });
         }
         let (lease, longest) = (self.terms.grantor_span(), self.longest());
         for account in self.accounts.values_mut() {
@@ -195,30 +194,30 @@
                     .saturating_add(account.count(pool, round.guaranteed, now, lease, longest).1);
             }
         }
-        self.round = Some((now, pools));
+        self.round = Some(AllocationRound { computed_at: now, pools });
     }
 
     /// Counts one member anew.
     fn count(&mut self, member: &Member, now: Micros) {
         let (lease, longest) = (self.terms.grantor_span(), self.longest());
-        let Some((account, (_, pools))) = self.accounts.get_mut(member).zip(self.round.as_mut()) else {
+        let Some((account, round)) = self.accounts.get_mut(member).zip(self.round.as_mut()) else {
             return;
         };
-        for (pool, round) in pools {
+        for (pool, round) in &mut round.pools {
             let (before, after) = account.count(pool, round.guaranteed, now, lease, longest);
             round.outstanding = round.outstanding.saturating_sub(before).saturating_add(after);
         }
     }
 
-    fn allocate(&self, member: &Member) -> Vec<(String, String, u32)> {
-        let Some((account, (_, pools))) = self.accounts.get(member).zip(self.round.as_ref()) else {
+    fn allocate(&self, member: &Member) -> Vec<PermitGrant> {
+        let Some((account, round)) = self.accounts.get(member).zip(self.round.as_ref()) else {
             return Vec::new();
         };
         let mut permits = Vec::new();
-        for (pool, round) in pools {
+        for (pool, round) in &round.pools {
             let others = round.outstanding.saturating_sub(account.counted(pool));
             let of = round.targets.of(member, round.permits.saturating_sub(others)).into_iter();
-            permits.extend(of.map(|(tenant, n)| (pool.clone(), tenant, n)));
+            permits.extend(of.map(|(tenant, permits)| PermitGrant { pool: pool.clone(), tenant, permits }));
         }
         permits
     }
@@ -254,7 +253,7 @@
     fn guaranteed(&self, pool: &str, now: Micros) -> u32 {
         let of = self.pools.iter().find(|p| p.name == pool);
         let new = of.map_or(0, |p| guaranteed_permits(self.size(p, now, true), &self.limits));
-        let old = self.earlier_guarantees.iter().filter_map(|(_, guarantees)| guarantees.get(pool)).copied();
+        let old = self.earlier_guarantees.iter().filter_map(|edition| edition.guaranteed.get(pool)).copied();
         old.fold(new, u32::max)
     }
 }
--- a/crates/cluster-state/src/lease.rs
+++ b/crates/cluster-state/src/lease.rs
@@ -28,11 +28,18 @@
     }
 }
 
-/// Counts promises from when they were asked for.
+/// A report whose answer is waited for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct SentReport {
+    number: u64,
+    sent_at: Micros,
+}
+
+/// Counts leases from when they were requested.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     terms: LeaseTerms,
-    sent: VecDeque<(u64, Micros)>,
+    sent: VecDeque<SentReport>,
     next: u64,
     status: ClusterStatus,
 }
@@ -48,8 +55,8 @@
         LeaseHolder { terms, sent: VecDeque::new(), next: 1, status: standing }
     }
 
-    /// A connection was lost: answers to what was sent on it will not come. A lease stands until it
-    /// runs out.
+    /// A connection was lost: answers to what was sent on it will not come. A lease lasts until it
+    /// expires.
     pub fn on_connection_lost(&mut self) {
         self.sent.clear();
     }
@@ -61,7 +68,7 @@
         }
         let number = self.next;
         self.next += 1;
-        self.sent.push_back((number, now));
+        self.sent.push_back(SentReport { number, sent_at: now });
         number
     }
 
@@ -76,16 +83,18 @@
 
     /// An answer came to a report.
     pub fn on_grant(&mut self, grant: Grant) -> bool {
-        let Some(place) = self.sent.iter().position(|(n, _)| *n == grant.number) else { return false };
-        let asked = self.sent[place].1;
+        let Some(place) = self.sent.iter().position(|report| report.number == grant.number) else {
+            return false;
+        };
+        let sent_at = self.sent[place].sent_at;
         self.sent.drain(..=place);
         let lease = self.terms.lease.min(grant.lease);
-        let until = asked + LeaseTerms { lease, ..self.terms }.holder_span();
+        let until = sent_at + LeaseTerms { lease, ..self.terms }.holder_span();
         if grant.version == self.status.view.version {
             self.status.fresh_until = self.status.fresh_until.max(until);
         }
         if until >= self.status.permits_until {
-            let permits = grant.permits.into_iter().map(|(pool, tenant, permits)| ((pool, tenant), permits));
+            let permits = grant.permits.into_iter().map(|grant| ((grant.pool, grant.tenant), grant.permits));
             self.status.permits = Arc::new(permits.collect());
             self.status.permits_until = until;
             self.status.permits_grant = grant.number;
--- a/crates/cluster-state/src/lib.rs
+++ b/crates/cluster-state/src/lib.rs
@@ -32,7 +32,7 @@
     ClusterState, ClusterView, Command, CommandOutcome, Member, MemberRun, Pool, PoolSize, Reservation,
     Retirement, RetirementMode, Tombstone, TombstoneState,
 };
-pub use wire::{Demand, Grant, Report, SessionRequest, SessionResponse, PROTOCOL};
+pub use wire::{Demand, Grant, PermitGrant, Report, SessionRequest, SessionResponse, PROTOCOL};
 
 /// Microseconds of somebody's monotonic clock, or of a span.
 pub type Micros = i64;
--- a/crates/cluster-state/src/wire.rs
+++ b/crates/cluster-state/src/wire.rs
@@ -119,6 +119,17 @@
     /// The newest view; the lease vouches for no older one.
     pub version: Version,
     pub lease: Micros,
-    /// By pool and tenant (empty: those without a reservation), beside the guaranteed minimum.
-    pub permits: Vec<(String, String, u32)>,
+    /// Beside the guaranteed minimum.
+    pub permits: Vec<PermitGrant>,
+}
+
+/// Permits of a pool for one tenant. On the wire as a tuple of its fields in their order.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct PermitGrant {
+    /// The pool.
+    pub pool: String,
+    /// The tenant; empty: those without a reservation.
+    pub tenant: String,
+    /// Permits.
+    pub permits: u32,
 }
--- a/crates/cluster-state/tests/deal_model.rs
+++ b/crates/cluster-state/tests/allocation_model.rs
@@ -1,11 +1,11 @@
 //! Permits by lease, checked over every order of what may happen, on small numbers, with the allocator and holder
 //! as they are. Each guard is shown to matter: without it some order breaks the pool.
 
-mod deal_model {
+mod allocation_model {
     pub mod world;
 }
 
-use deal_model::world::{Bounds, World};
+use allocation_model::world::{Bounds, World};
 use stagehoist_cluster_state::allocation::Guards;
 use stateright::{Checker, Model};
 
--- a/crates/cluster-state/tests/deal_model/world.rs
+++ b/crates/cluster-state/tests/allocation_model/world.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 const POOL: &str = "p";
-const LANES: u32 = 4;
+const PERMITS: u32 = 4;
 /// What a clock that is right, and one that is slow, gains in a tick.
 const TICK: Micros = 100;
 const SLOW: Micros = 60;
@@ -121,7 +121,8 @@
     fn may_start(&self, now: Micros) -> bool {
         let standing = self.holder.status();
         let lanes = if now < standing.permits_until { standing.permits.values().sum() } else { 0 };
-        let guaranteed_permits = if now < self.rests_until { 0 } else { guaranteed_permits(LANES, &LIMITS) };
+        let guaranteed_permits =
+            if now < self.rests_until { 0 } else { guaranteed_permits(PERMITS, &LIMITS) };
         self.own() < lanes + guaranteed_permits
     }
 
@@ -145,7 +146,7 @@
     fn report(&mut self, leader: u8, wants: bool, now: Micros) {
         let number = self.holder.begin_report(now);
         let applied = if now < self.rests_until { 0 } else { self.holder.status().permits_grant };
-        let waiting = if wants { LANES } else { 0 };
+        let waiting = if wants { PERMITS } else { 0 };
         let (pool, tenant) = (POOL.into(), String::new());
         let demand = vec![Demand { pool, tenant, in_use: self.own(), waiting, applied }];
         self.report = Some((leader, Report { number, demand, ..Report::default() }));
@@ -204,7 +205,7 @@
 
     fn init_states(&self) -> Vec<State> {
         let mut record = ClusterState::default();
-        let size = PoolSize::Permits(LANES);
+        let size = PoolSize::Permits(PERMITS);
         record.view.pools = vec![Pool { name: POOL.into(), functions: vec![], size, reservations: vec![] }];
         for (n, name) in (1..).zip(["a", "b"]) {
             record.apply(n, &Command::Join { name: name.into(), at_least: 0 });
@@ -312,7 +313,7 @@
 
     fn properties(&self) -> Vec<Property<World>> {
         vec![Property::always("runs stay within the pool", |_, state: &State| {
-            state.fronts.iter().map(|f| f.runs.len()).sum::<usize>() <= LANES as usize
+            state.fronts.iter().map(|f| f.runs.len()).sum::<usize>() <= PERMITS as usize
         })]
     }
 }
--- a/crates/cluster-state/tests/deal_world/mod.rs
+++ b/crates/cluster-state/tests/allocation_world/mod.rs
@@ -22,7 +22,7 @@
 
 /// Troubles: chances in a thousand for each message or step.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
+pub struct Faults {
     pub lost: u32,
     pub doubled: u32,
     pub late: u32,
@@ -51,7 +51,7 @@
 pub struct World {
     pub now: Micros,
     random: ChaCha8Rng,
-    trouble: Trouble,
+    faults: Faults,
     pub record: ClusterState,
     fronts: Vec<Front>,
     leaders: Vec<(PermitAllocator, Micros, f64)>,
@@ -74,11 +74,11 @@
 }
 
 impl World {
-    pub fn new(seed: u64, members: usize, lanes: u32, reserved: u32, trouble: Trouble) -> World {
+    pub fn new(seed: u64, members: usize, lanes: u32, reserved: u32, faults: Faults) -> World {
         let mut world = World {
             now: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
-            trouble,
+            faults,
             record: ClusterState::default(),
             fronts: Vec::new(),
             leaders: Vec::new(),
@@ -155,12 +155,12 @@
     }
 
     fn send(&mut self, message: impl Fn() -> Message) {
-        if self.chance(self.trouble.lost) {
+        if self.chance(self.faults.lost) {
             return;
         }
-        let copies = 1 + usize::from(self.chance(self.trouble.doubled));
+        let copies = 1 + usize::from(self.chance(self.faults.doubled));
         for _ in 0..copies {
-            let late = if self.chance(self.trouble.late) { 600 } else { 5 };
+            let late = if self.chance(self.faults.late) { 600 } else { 5 };
             let at = self.now + MS + self.draw(late) as Micros * MS;
             self.links.push((at, message()));
         }
@@ -168,7 +168,7 @@
 
     pub fn step(&mut self) {
         self.now += STEP;
-        if self.chance(self.trouble.elect) {
+        if self.chance(self.faults.elect) {
             self.elect();
         }
         let due: Vec<_> = self.links.extract_if(.., |(at, _)| *at <= self.now).collect();
@@ -177,7 +177,7 @@
         }
         self.orphans.retain(|end| *end > self.now);
         for n in 0..self.fronts.len() {
-            if self.chance(self.trouble.restart) {
+            if self.chance(self.faults.restart) {
                 let (name, load) = (self.fronts[n].member.name.clone(), self.fronts[n].load);
                 let front = self.front(&name, true);
                 let gone = std::mem::replace(&mut self.fronts[n], front);
--- a/crates/cluster-state/tests/fleet/mod.rs
+++ b/crates/cluster-state/tests/fleet/mod.rs
@@ -24,7 +24,7 @@
     /// A leader promises only while a majority follows it.
     Quorum,
     /// A grant vouches for its own version only.
-    OwnVersion,
+    LocalVersion,
     /// A run serves nothing before its first word.
     FirstWord,
     /// A run in whose place another joined still counts.
@@ -60,7 +60,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Keeper {
+pub struct Replica {
     pub rate: Micros,
     pub acked: Micros,
     pub lead: Leader,
@@ -70,7 +70,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    Report { run: usize, keeper: usize, number: u64, confirmed: Version, deliveries: u8 },
+    Report { run: usize, replica: usize, number: u64, confirmed: Version, deliveries: u8 },
     Grant { run: usize, number: u64, version: Version },
     View { run: usize, applied: usize },
 }
@@ -80,7 +80,7 @@
     pub time: Micros,
     pub runs: Vec<Process>,
     /// The last one leads; one before it does not know that.
-    pub keepers: Vec<Keeper>,
+    pub replicas: Vec<Replica>,
     /// The cluster state after each agreed change.
     pub history: Vec<Arc<ClusterState>>,
     pub network: BTreeSet<Message>,
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     Tick,
-    Ask { run: usize, keeper: usize },
+    Ask { run: usize, replica: usize },
     Deliver(Message),
     Retire,
     Restart { run: usize },
@@ -116,11 +116,11 @@
         // Its first leader has led for long and has promised nothing.
         let terms = self.terms();
         let lead = Leader::new(terms, -terms.takeover_wait());
-        let first = Keeper { rate: rates[0], acked: 0, lead, applied: 0 };
+        let first = Replica { rate: rates[0], acked: 0, lead, applied: 0 };
         let mut world = World {
             time: 0,
             runs: Vec::new(),
-            keepers: vec![first],
+            replicas: vec![first],
             history: vec![Arc::default()],
             network: BTreeSet::new(),
             pending: Vec::new(),
@@ -184,8 +184,8 @@
         &self.history[self.history.len() - 1]
     }
 
-    pub fn leader(&mut self) -> &mut Keeper {
-        self.keepers.last_mut().expect("one leads")
+    pub fn leader(&mut self) -> &mut Replica {
+        self.replicas.last_mut().expect("one leads")
     }
 
     pub fn tombstone(&self) -> Option<&TombstoneState> {
--- a/crates/cluster-state/tests/fleet/step.rs
+++ b/crates/cluster-state/tests/fleet/step.rs
@@ -1,6 +1,6 @@
 //! What can happen in the model, and what comes of it.
 
-use super::{Action, Fleet, Guard, Keeper, Message, World, FUNCTION};
+use super::{Action, Fleet, Guard, Message, Replica, World, FUNCTION};
 use stagehoist_cluster_state::{Command, Grant, Leader, Micros, Report, Retirement};
 
 impl Fleet {
@@ -10,7 +10,7 @@
         }
         for (run, process) in world.runs.iter().enumerate() {
             if world.asks < self.asks {
-                actions.extend((0..world.keepers.len()).map(|keeper| Action::Ask { run, keeper }));
+                actions.extend((0..world.replicas.len()).map(|replica| Action::Ask { run, replica }));
             }
             let last = world.committed().is_present(&process.member);
             if last && world.restarts < self.restarts {
@@ -22,7 +22,7 @@
             actions.push(Action::Retire);
         }
         actions.extend([Action::CatchUp, Action::Commit]);
-        if world.keepers.len() <= self.elections {
+        if world.replicas.len() <= self.elections {
             let lags = if self.off == Some(Guard::CaughtUp) { 0..3 } else { 0..1 };
             actions.extend(lags.map(|lag| Action::Elect { lag }));
         }
@@ -30,8 +30,8 @@
 
     pub fn step(&self, world: &mut World, action: Action) {
         let newest = world.history.len() - 1;
-        let leader = world.keepers.len() - 1;
-        let caught_up = world.keepers[leader].applied == newest;
+        let leader = world.replicas.len() - 1;
+        let caught_up = world.replicas[leader].applied == newest;
         match action {
             Action::Tick => {
                 world.time += 1;
@@ -40,12 +40,12 @@
                 // A majority answers the one that leads, to the last.
                 leader.acked = leader.rate * time;
             }
-            Action::Ask { run, keeper } => {
+            Action::Ask { run, replica } => {
                 let now = world.runs[run].now(world);
                 let process = &mut world.runs[run];
                 let (number, confirmed) = (process.holder.begin_report(now), process.holder.version());
                 world.asks += 1;
-                let report = Message::Report { run, keeper, number, confirmed, deliveries: 0 };
+                let report = Message::Report { run, replica, number, confirmed, deliveries: 0 };
                 world.network.insert(report);
             }
             Action::Deliver(message) => self.deliver(world, message),
@@ -98,20 +98,20 @@
         let began = if self.off == Some(Guard::Silence) { now - terms.takeover_wait() } else { now };
         let applied = (world.history.len() - 1).saturating_sub(lag);
         let lead = Leader::new(terms, began);
-        world.keepers.push(Keeper { rate, acked: now, lead, applied });
+        world.replicas.push(Replica { rate, acked: now, lead, applied });
     }
 
     fn deliver(&self, world: &mut World, message: Message) {
         match message {
-            Message::Report { run, keeper, number, confirmed, deliveries } => {
+            Message::Report { run, replica, number, confirmed, deliveries } => {
                 world.network.remove(&message);
                 let deliveries = deliveries + 1;
                 if deliveries < self.deliveries {
-                    world.network.insert(Message::Report { run, keeper, number, confirmed, deliveries });
+                    world.network.insert(Message::Report { run, replica, number, confirmed, deliveries });
                 }
                 let member = world.runs[run].member.clone();
                 let time = world.time;
-                let Keeper { rate, acked, lead, applied, .. } = &mut world.keepers[keeper];
+                let Replica { rate, acked, lead, applied, .. } = &mut world.replicas[replica];
                 let now = *rate * time;
                 let acked = if self.off == Some(Guard::Quorum) { now } else { *acked };
                 let report = Report { number, confirmed, ..Report::default() };
@@ -123,7 +123,7 @@
             }
             Message::Grant { run, number, version } => {
                 let holder = &mut world.runs[run].holder;
-                let version = if self.off == Some(Guard::OwnVersion) { holder.version() } else { version };
+                let version = if self.off == Some(Guard::LocalVersion) { holder.version() } else { version };
                 let lease = self.terms().lease;
                 holder.on_grant(Grant { number, version, lease, permits: Vec::new() });
             }
--- a/crates/cluster-state/tests/golden.rs
+++ b/crates/cluster-state/tests/golden.rs
@@ -107,10 +107,10 @@
     golden.add("response-elsewhere", &SessionResponse::Elsewhere { leader: Some(3) });
     golden.add("response-welcome", &SessionResponse::Welcome { member: member(1), terms, before: Some(6) });
     golden.add("response-view", &SessionResponse::View(view()));
-    let lanes = vec![("calls".to_string(), "clinics".to_string(), 9)];
+    let permits = vec![PermitGrant { pool: "calls".into(), tenant: "clinics".into(), permits: 9 }];
     golden.add(
         "response-grant",
-        &SessionResponse::Grant(Grant { number: 300, version: 12, lease: 2_000_000, permits: lanes }),
+        &SessionResponse::Grant(Grant { number: 300, version: 12, lease: 2_000_000, permits }),
     );
     golden.add("response-refused", &SessionResponse::Rejected { reason: "full".into() });
     let not_retired =
--- a/crates/cluster-state/tests/holder.rs
+++ b/crates/cluster-state/tests/lease.rs
@@ -20,7 +20,7 @@
 
 /// Plays the steps; false where a promise was relied on for longer than its giver counted, or where a
 /// function in force was still taken for served.
-fn kept(terms: LeaseTerms, (slow, fast): (Micros, Micros), steps: &[Step]) -> bool {
+fn holds(terms: LeaseTerms, (slow, fast): (Micros, Micros), steps: &[Step]) -> bool {
     let (mut record, mut version) = (ClusterState::default(), 1);
     let CommandOutcome::Joined(member) = record.apply(1, &Command::Join { name: "m".into(), at_least: 0 })
     else {
@@ -100,7 +100,7 @@
     let rng = proptest::test_runner::TestRng::deterministic_rng(config.rng_algorithm);
     let drawn = (-24_000..24_000i64, -24_000..24_000i64, steps());
     let result = TestRunner::new_with_rng(config, rng).run(&drawn, |(slow, fast, steps)| {
-        prop_assert!(kept(TERMS, (slow, fast), &steps));
+        prop_assert!(holds(TERMS, (slow, fast), &steps));
         Ok(())
     });
     result.unwrap();
@@ -110,8 +110,8 @@
 fn without_the_drift_taken_off_some_course_outlives_it() {
     let careless = LeaseTerms { drift_ppm: 0, ..TERMS };
     let course = [(0, 0, 0, false), (1, 0, 0, false), (2, 0, 0, false)];
-    assert!(!kept(careless, (-24_000, 24_000), &course));
-    assert!(kept(TERMS, (-24_000, 24_000), &course));
+    assert!(!holds(careless, (-24_000, 24_000), &course));
+    assert!(holds(TERMS, (-24_000, 24_000), &course));
 }
 
 #[test]
--- a/crates/cluster-state/tests/retire_model.rs
+++ b/crates/cluster-state/tests/retire_model.rs
@@ -99,7 +99,7 @@
 
 #[test]
 fn vouching_for_no_older_view_matters() {
-    matters(Guard::OwnVersion, Fleet { asks: 1, restarts: 1, ..ALONE });
+    matters(Guard::LocalVersion, Fleet { asks: 1, restarts: 1, ..ALONE });
 }
 
 #[test]
--- a/crates/core/tests/ration.rs
+++ b/crates/core/tests/load_budget.rs
@@ -25,23 +25,23 @@
     given: Micros,
     /// None: it never arrives.
     arrives: Option<Micros>,
-    told: Micros,
+    notified_at: Micros,
     outcome: Outcome,
-    judged: bool,
+    is_checked: bool,
 }
 
 /// What a day showed: orders given, arrivals, the most that one arrival used of its ration.
 #[derive(Default, Debug)]
-struct Seen {
+struct Observed {
     given: usize,
     arrived: usize,
     most: f64,
     after_drain: usize,
 }
 
-/// Plays a day; `doctor` changes what the module is notified, `vouched` tells it that every caller counts: what the checker must
+/// Plays a day; `doctor` changes what the module is notified, `verified` tells it that every caller counts: what the checker must
 /// find.
-fn play(seed: u64, vouched: bool, doctor: impl Fn(&mut Settings)) -> Seen {
+fn run(seed: u64, verified: bool, doctor: impl Fn(&mut Settings)) -> Observed {
     let mut r = Draw(seed);
     let text = format!(
         "balancers={}\nclasses.count=1\nclasses.0.aim=800\nclasses.0.effect=idempotent\nlimits.most_tries=3\n\
@@ -55,9 +55,9 @@
         r.one_of(&["1", "2.5", "6"]),
         r.one_of(&["0", "0.1", "0.3"]),
     );
-    let told = wire::parse_settings(&text).unwrap();
-    let told = Settings { load_delay: told.load_timeout, ..told };
-    let mut s = told.clone();
+    let notified_at = wire::parse_settings(&text).unwrap();
+    let notified_at = Settings { load_delay: notified_at.load_timeout, ..notified_at };
+    let mut s = notified_at.clone();
     doctor(&mut s);
     let (mut now, mut id) = (1_000_000 * MS, 0);
     let mut front_end = FrontEnd::new(s, seed, now);
@@ -69,7 +69,7 @@
     let mut answers: Vec<(Micros, Event)> = Vec::new();
     let mut ready = vec![true; workers as usize];
     let mut withdrawn: Vec<RequestId> = Vec::new();
-    let mut seen = Seen::default();
+    let mut seen = Observed::default();
     // Links are cut for a while, and what waits behind them comes at once.
     let (mut cut_until, mut rate) = (0, 2);
     for step in 0..5000 {
@@ -95,7 +95,7 @@
                 load_time: 500 * MS,
                 is_repeat: false,
                 accepted_at: now,
-                client_verified: known || vouched,
+                client_verified: known || verified,
             }));
             if crowd {
                 withdrawn.push(id);
@@ -116,25 +116,26 @@
             });
         }
         // The checker: an order counts once it has arrived, against the orders and the calls of the window.
-        for o in orders.iter_mut().filter(|o| !o.judged && o.arrives.is_some_and(|at| at <= now)) {
-            o.judged = true;
+        for o in orders.iter_mut().filter(|o| !o.is_checked && o.arrives.is_some_and(|at| at <= now)) {
+            o.is_checked = true;
             let at = o.arrives.unwrap();
             arrived.push(at);
-            let within =
-                |list: &[Micros]| list.iter().filter(|t| **t > at - told.load_window && **t <= at).count();
+            let within = |list: &[Micros]| {
+                list.iter().filter(|t| **t > at - notified_at.load_window && **t <= at).count()
+            };
             let (many, calls) = (within(&arrived) as f64, within(&taken) as f64);
             // The widening that the protocol tells covers a part of an order.
-            let ration = (told.load_free + told.load_share * calls).max(1.0);
+            let ration = (notified_at.load_free + notified_at.load_share * calls).max(1.0);
             seen.arrived += 1;
             seen.most = seen.most.max(many / ration);
         }
         orders.retain(|o| {
-            if o.told <= now {
+            if o.notified_at <= now {
                 let (worker, function, outcome) = (o.worker, o.function, o.outcome);
                 let (took, copies) = (now - o.given, u8::from(outcome == Outcome::Ok));
                 events.push(Event::Loaded { worker, function, outcome, elapsed: took, copies });
             }
-            o.told > now
+            o.notified_at > now
         });
         answers.retain(|(at, event)| {
             if *at <= now {
@@ -172,7 +173,7 @@
                 Action::Load { worker, function, .. } => {
                     seen.given += 1;
                     seen.after_drain += usize::from(!ready[worker as usize]);
-                    let span = told.load_timeout;
+                    let span = notified_at.load_timeout;
                     let late = if cut_until > now { cut_until - now } else { 0 };
                     let spread = r.one_of(&[2, 300, (span / MS) as u64]);
                     let late = (late + r.below(spread) as Micros * MS).min(span);
@@ -189,9 +190,9 @@
                         function,
                         given: now,
                         arrives,
-                        told: told_at.max(now + STEP),
+                        notified_at: told_at.max(now + STEP),
                         outcome,
-                        judged: false,
+                        is_checked: false,
                     });
                 }
                 _ => {}
@@ -206,7 +207,7 @@
 fn however_late_orders_arrive_they_are_inside_the_ration() {
     let (mut given, mut near) = (0, 0);
     for seed in 0..60 {
-        let seen = play(seed, false, |_| {});
+        let seen = run(seed, false, |_| {});
         assert!(seen.most <= 1.0, "seed {seed}: {seen:?}");
         assert_eq!(seen.after_drain, 0, "seed {seed}");
         given += seen.given;
@@ -219,14 +220,14 @@
 /// The checker does find it where orders count when they are given.
 #[test]
 fn orders_counted_when_given_break_the_ration() {
-    let broken = (0..60).filter(|&seed| play(seed, false, |s| s.load_delay = 0).most > 1.0).count();
+    let broken = (0..60).filter(|&seed| run(seed, false, |s| s.load_delay = 0).most > 1.0).count();
     assert!(broken >= 3, "{broken}");
 }
 
 /// And where requests count that came by hundreds and were withdrawn.
 #[test]
 fn requests_that_nothing_speaks_for_would_break_the_ration() {
-    let broken = (0..60).filter(|&seed| play(seed, true, |s| s.load_delay = 0).most > 1.2).count();
-    let apart = (0..60).filter(|&seed| play(seed, false, |s| s.load_delay = 0).most > 1.2).count();
+    let broken = (0..60).filter(|&seed| run(seed, true, |s| s.load_delay = 0).most > 1.2).count();
+    let apart = (0..60).filter(|&seed| run(seed, false, |s| s.load_delay = 0).most > 1.2).count();
     assert!(broken > apart, "{broken} {apart}");
 }
--- a/crates/core/tests/only_attempt.rs
+++ b/crates/core/tests/only_attempt.rs
@@ -30,7 +30,7 @@
 }
 
 /// Front ends before workers that they share.
-struct Stage {
+struct Fixture {
     front_ends: Vec<FrontEnd>,
     now: Micros,
     copies: BTreeSet<(WorkerId, FunctionId)>,
@@ -41,12 +41,12 @@
     ends: BTreeMap<RequestId, End>,
 }
 
-impl Stage {
-    fn new(front_ends: u64, settings: Settings) -> Stage {
+impl Fixture {
+    fn new(front_ends: u64, settings: Settings) -> Fixture {
         let now = 1000 * MS;
         let new = |seed| FrontEnd::new(settings.clone(), seed, now);
         let (orders, sends, ends) = Default::default();
-        let mut stage = Stage {
+        let mut stage = Fixture {
             front_ends: (0..front_ends).map(new).collect(),
             now,
             copies: BTreeSet::new(),
@@ -158,7 +158,7 @@
 
 #[test]
 fn a_miss_of_the_only_attempt_orders_a_load_there_and_later_calls_are_served_from_it() {
-    let mut stage = Stage::new(1, settings(""));
+    let mut stage = Fixture::new(1, settings(""));
     stage.call(0, 1);
     stage.pass(10 * MS);
     let Some(&End::Missed(home)) = stage.ends.get(&1) else { panic!("{:?}", stage.ends) };
@@ -178,7 +178,7 @@
 
 #[test]
 fn a_front_end_that_knows_nothing_finds_the_copy_that_another_had_loaded() {
-    let mut stage = Stage::new(6, settings("balancers=6\n"));
+    let mut stage = Fixture::new(6, settings("balancers=6\n"));
     stage.call(0, 1);
     stage.pass(10 * MS + LOAD);
     let Some(&End::Missed(home)) = stage.ends.get(&1) else { panic!("{:?}", stage.ends) };
@@ -193,7 +193,7 @@
 #[test]
 fn nothing_is_ordered_beyond_the_ration_or_where_orders_are_not_allowed() {
     for more in ["specifics.load_free=0\nspecifics.load_part=0\n", "specifics.placement_calls=false\n"] {
-        let mut stage = Stage::new(1, settings(more));
+        let mut stage = Fixture::new(1, settings(more));
         (1..20).for_each(|id| {
             stage.call(0, id);
             stage.pass(2000 * MS);
@@ -207,7 +207,7 @@
 #[test]
 fn an_order_that_may_yet_arrive_is_not_given_again() {
     let told = settings("specifics.load_wait=1000\n");
-    let mut stage = Stage::new(1, Settings { load_delay: 9000 * MS, ..told });
+    let mut stage = Fixture::new(1, Settings { load_delay: 9000 * MS, ..told });
     for id in 1..40 {
         stage.call(0, id);
         stage.pass(200 * MS);
--- a/crates/core/tests/recording/main.rs
+++ b/crates/core/tests/recording/main.rs
@@ -141,7 +141,7 @@
 }
 
 /// Plays one day; tells its digest and what it was made of.
-fn play(day: &Day, seed: u64) -> (u64, Counts) {
+fn run_day(day: &Day, seed: u64) -> (u64, Counts) {
     let Day { settings, quiet, front_ends, .. } = day;
     let mut world = World::new(settings, seed, *front_ends, *quiet);
     let mut fronts: Vec<FrontEnd> =
@@ -167,7 +167,7 @@
         let TableSizes { workers, functions } = front.table_sizes();
         digest.add(&format!("({workers}, {functions})\n"));
     }
-    for (name, n) in &world.seen {
+    for (name, n) in &world.observed {
         *counts.kinds.entry(name).or_default() += n;
     }
     (digest.0, counts)
@@ -198,7 +198,7 @@
     let mut all: BTreeMap<&str, usize> = BTreeMap::new();
     let mut batches = 0;
     for (at, day) in table().iter().enumerate() {
-        let (digest, counts) = play(day, 7919 + at as u64);
+        let (digest, counts) = run_day(day, 7919 + at as u64);
         let kinds: Vec<String> = counts.kinds.iter().map(|(kind, n)| format!("{kind} {n}")).collect();
         let (played, events) = (counts.batches, counts.events);
         writeln!(
@@ -220,6 +220,6 @@
 #[test]
 fn another_seed_gives_another_digest() {
     let day = &table()[0];
-    assert_eq!(play(day, 1).0, play(day, 1).0);
-    assert_ne!(play(day, 1).0, play(day, 2).0);
+    assert_eq!(run_day(day, 1).0, run_day(day, 1).0);
+    assert_ne!(run_day(day, 1).0, run_day(day, 2).0);
 }
--- a/crates/core/tests/recording/outcomes.rs
+++ b/crates/core/tests/recording/outcomes.rs
@@ -1,6 +1,6 @@
 //! How attempts and orders to load end in the world.
 
-use super::worker::{load, run, Mood};
+use super::worker::{load, run, Condition};
 use super::World;
 use crate::MS;
 use stagehoist::*;
@@ -21,21 +21,21 @@
             ("sent to a cold worker", cold),
         ];
         for (name, _) in follows.iter().filter(|x| x.1) {
-            *self.seen.entry(name).or_default() += 1;
+            *self.observed.entry(name).or_default() += 1;
         }
         let (gap, drawn, long) = (300 + self.random.below(MS), self.random.below(100), self.random.below(20));
         let share = 60 + self.random.below(80) + if long == 0 { 300 } else { 0 };
-        let store = 100 + self.orders_under_way() * 10;
+        let store = 100 + self.loads_in_progress() * 10;
         let w = self.workers.get_mut(&worker).expect("a worker of the list");
         let crowd = w.running.len() as f64 / w.row.capacity;
-        let pace = if w.mood.0 == Mood::Slow { 4.0 } else { 1.0 } * crowd.max(1.0);
+        let pace = if w.condition.0 == Condition::Slow { 4.0 } else { 1.0 } * crowd.max(1.0);
         let took = (run(function) * share / 100) as f64 * pace;
         let stands = w.copies.get(&function).map(|c| c.0);
-        let gone = w.row.lifecycle == Lifecycle::Gone || w.mood.0 == Mood::Dead;
-        let failing = w.mood.0 == Mood::Failing && drawn < 70;
+        let gone = w.row.lifecycle == Lifecycle::Gone || w.condition.0 == Condition::Dead;
+        let failing = w.condition.0 == Condition::Failing && drawn < 70;
         let outcome = match drawn {
             _ if gone => Outcome::ConnectFailed,
-            _ if w.mood.0 == Mood::Silent => Outcome::Timeout,
+            _ if w.condition.0 == Condition::Silent => Outcome::Timeout,
             _ if crowd > 3.0 => Outcome::Full,
             _ if failing => Outcome::Error,
             97 => Outcome::Superseded,
@@ -96,7 +96,7 @@
         self.send(front, sent + took, Event::AttemptEnded(ended));
     }
 
-    fn orders_under_way(&self) -> Micros {
+    fn loads_in_progress(&self) -> Micros {
         let loads = self.workers.values().flat_map(|w| w.copies.values());
         loads.filter(|c| c.0 > self.now).count() as Micros
     }
@@ -104,12 +104,12 @@
     pub(super) fn order(&mut self, front: usize, worker: WorkerId, function: FunctionId) {
         let late = self.random.below(self.settings.load_delay.max(1));
         let (drawn, share) = (self.random.below(30), 80 + self.random.below(60));
-        let took = late + load(function) * (share + 10 * self.orders_under_way()) / 100;
+        let took = late + load(function) * (share + 10 * self.loads_in_progress()) / 100;
         let w = self.workers.get_mut(&worker).expect("a worker of the list");
-        let gone = w.row.lifecycle == Lifecycle::Gone || w.mood.0 == Mood::Dead;
+        let gone = w.row.lifecycle == Lifecycle::Gone || w.condition.0 == Condition::Dead;
         let (outcome, took, copies) = match drawn {
             _ if gone => (Outcome::ConnectFailed, MS, 0),
-            _ if w.mood.0 == Mood::Silent => (Outcome::Timeout, self.settings.load_timeout, 0),
+            _ if w.condition.0 == Condition::Silent => (Outcome::Timeout, self.settings.load_timeout, 0),
             0 => (Outcome::Full, late + MS, 0),
             1 => (Outcome::Error, took, 0),
             _ => (Outcome::Ok, took, 1),
--- a/crates/core/tests/recording/worker.rs
+++ b/crates/core/tests/recording/worker.rs
@@ -1,11 +1,11 @@
-//! A worker of the world: what it holds loaded, what runs there, and the mood that it is in.
+//! A worker of the world: what it holds loaded, what runs there, and the condition that it is in.
 
 use crate::MS;
 use stagehoist::*;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Mood {
+pub enum Condition {
     Well,
     /// Takes calls and says nothing.
     Silent,
@@ -21,7 +21,7 @@
     /// Since the last list.
     pub changed: bool,
     /// Until when.
-    pub mood: (Mood, Micros),
+    pub condition: (Condition, Micros),
     /// Loaded copies by function: since when each stands (a load under way: when it will), and its last use.
     pub copies: BTreeMap<FunctionId, (Micros, Micros)>,
     /// By call and number; one that is lost in a restart breaks off.
@@ -34,7 +34,7 @@
         let capacity = 2.0 + f64::from(worker % 3);
         let row = Endpoint { worker, kind, lifecycle: Lifecycle::Ready, zone, started, cell, capacity };
         let (copies, running) = Default::default();
-        Worker { row, changed: true, mood: (Mood::Well, 0), copies, running }
+        Worker { row, changed: true, condition: (Condition::Well, 0), copies, running }
     }
 
     pub fn turn(&mut self, to: Lifecycle) {
@@ -50,8 +50,8 @@
 
     /// Moods pass, and copies go that were not used for long.
     pub fn age(&mut self, now: Micros, keep: Micros) {
-        if self.mood.1 <= now {
-            self.mood = (Mood::Well, Micros::MAX);
+        if self.condition.1 <= now {
+            self.condition = (Condition::Well, Micros::MAX);
         }
         self.copies.retain(|_, (since, used)| now < (*since).max(*used) + keep + keep / 4);
     }
--- a/crates/core/tests/recording/world.rs
+++ b/crates/core/tests/recording/world.rs
@@ -11,7 +11,7 @@
 #[path = "worker.rs"]
 mod worker;
 
-use worker::{Mood, Worker};
+use worker::{Condition, Worker};
 
 pub struct Random(u64);
 
@@ -40,7 +40,7 @@
 pub struct World {
     pub now: Micros,
     /// What followed from actions, by kind.
-    pub seen: BTreeMap<&'static str, usize>,
+    pub observed: BTreeMap<&'static str, usize>,
     settings: Settings,
     /// No surges come, and no worker is slow; more fall silent.
     quiet: bool,
@@ -58,10 +58,21 @@
     pub fn new(settings: &Settings, seed: u64, fronts: usize, quiet: bool) -> World {
         let now = 5_000 * MS;
         let workers = (0..6).map(|w| (w, Worker::new(w, 0))).collect();
-        let (seen, coming, calls) = Default::default();
+        let (observed, coming, calls) = Default::default();
         let (settings, random) = (settings.clone(), Random(seed | 1 << 40));
-        let mut world =
-            World { now, seen, settings, quiet, random, fronts, workers, calls, next: 0, coming, made: 0 };
+        let mut world = World {
+            now,
+            observed,
+            settings,
+            quiet,
+            random,
+            fronts,
+            workers,
+            calls,
+            next: 0,
+            coming,
+            made: 0,
+        };
         world.list(EndpointUpdate::Cached, 0);
         world
     }
@@ -94,7 +105,7 @@
             self.call();
         }
         if self.random.one_in(25) {
-            self.trouble();
+            self.inject_fault();
         }
         if self.random.one_in(12) {
             let form = match self.random.below(12) {
@@ -149,7 +160,7 @@
     }
 
     /// A worker restarts, drains, goes, comes back, is new, falls silent, fails, or is slow.
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let at = self.random.below(self.workers.len() as i64) as usize;
         let until = self.now + 500 * MS + self.random.below(3000 * MS);
         let standing = self.workers.values().filter(|w| w.row.lifecycle == Lifecycle::Ready).count();
@@ -162,11 +173,11 @@
             3 | 11 if ready && standing > 3 => w.turn(Lifecycle::Gone),
             2 | 3 if !gone => w.restart(self.now),
             4 | 12 if standing < 7 => drop(self.workers.insert(new, Worker::new(new, self.now))),
-            5 | 6 => w.mood = (Mood::Silent, until),
-            7 => w.mood = (Mood::Failing, until),
-            8 => w.mood = (Mood::Dead, until),
-            _ if self.quiet => w.mood = (Mood::Silent, until),
-            _ => w.mood = (Mood::Slow, until),
+            5 | 6 => w.condition = (Condition::Silent, until),
+            7 => w.condition = (Condition::Failing, until),
+            8 => w.condition = (Condition::Dead, until),
+            _ if self.quiet => w.condition = (Condition::Silent, until),
+            _ => w.condition = (Condition::Slow, until),
         }
         let front = self.random.below(self.fronts as i64) as usize;
         self.send(front, self.now, Event::Gossip { from: 1, bytes: vec![0xff; 16] });
@@ -219,7 +230,7 @@
             }
             Action::SetTimer { after, token } => self.send(front, self.now + after, Event::Timer { token }),
             Action::HealthCheck { worker } => {
-                let dead = self.workers[&worker].mood.0 == Mood::Dead;
+                let dead = self.workers[&worker].condition.0 == Condition::Dead;
                 let outcome = if dead { Outcome::ConnectFailed } else { Outcome::Ok };
                 let took = MS + self.random.below(3 * MS);
                 let probed = Event::HealthChecked { worker, outcome, elapsed: took, report: None };
--- a/crates/core/tests/rules/drawn.rs
+++ b/crates/core/tests/rules/drawn.rs
@@ -29,7 +29,7 @@
 }
 
 /// Draws legal events, checks every action against the five rules, and returns all actions.
-pub fn play(s: &Settings, seed: u64, steps: usize, beside: bool) -> Vec<Action> {
+pub fn run(s: &Settings, seed: u64, steps: usize, beside: bool) -> Vec<Action> {
     let mut r = Random(seed);
     let mut now = 5_000_000;
     let mut front_end = FrontEnd::new(s.clone(), seed, now);
@@ -262,7 +262,7 @@
 fn the_rules_hold_under_drawn_events() {
     for (i, s) in table().iter().enumerate() {
         for seed in 1..3 {
-            let all = play(s, seed * 7919 + i as u64, 3000, false);
+            let all = run(s, seed * 7919 + i as u64, 3000, false);
             let sent = sends(&all).len();
             // The drawn failures and the ration leave some settings with few chances; none may stand still.
             assert!(sent > 50, "settings {i}, seed {seed}: {sent} sent");
@@ -273,8 +273,8 @@
 #[test]
 fn identical_events_give_identical_actions() {
     for s in table().iter().take(4) {
-        let first = play(s, 31, 1500, false);
-        assert_eq!(first, play(s, 31, 1500, false));
-        assert_eq!(first, play(s, 31, 1500, true));
+        let first = run(s, 31, 1500, false);
+        assert_eq!(first, run(s, 31, 1500, false));
+        assert_eq!(first, run(s, 31, 1500, true));
     }
 }
--- a/crates/core/tests/rules/five_rules.rs
+++ b/crates/core/tests/rules/five_rules.rs
@@ -4,7 +4,7 @@
 use stagehoist::*;
 
 #[test]
-fn a_warm_worker_is_kept_to() {
+fn a_worker_with_a_copy_is_preferred() {
     let mut b = Bench::new("", &[1, 2, 3, 4]);
     let first = sends(&b.step(MS, vec![request(1, 0, 9)]))[0].1;
     b.step(600 * MS, vec![ended(1, 0, first, Outcome::Ok)]);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn rule_2_an_unsafe_call_that_may_have_run_fails() {
+fn rule_2_a_non_idempotent_call_that_may_have_run_fails() {
     let mut b = Bench::new("", &[1, 2]);
     let (_, w) = sends(&b.step(0, vec![request(1, 1, 9)]))[0];
     let out = b.step(50 * MS, vec![ended(1, 0, w, Outcome::Error)]);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn rule_2_a_safe_call_is_sent_again_after_an_error() {
+fn rule_2_an_idempotent_call_is_sent_again_after_an_error() {
     let mut b = Bench::new("", &[1, 2]);
     let (_, w) = sends(&b.step(0, vec![request(1, 0, 9)]))[0];
     let again = sends(&b.step(5 * MS, vec![ended(1, 0, w, Outcome::Error)]));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn rule_4_a_cold_worker_gets_its_share_only() {
+fn rule_4_a_warming_worker_gets_its_share_only() {
     let mut b = Bench::new("", &[1, 2]);
     let mut id = 0;
     let mut to_cold = |b: &mut Bench, rounds: usize| {
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn rule_4_many_front_ends_together_spare_a_cold_worker() {
+fn rule_4_many_front_ends_together_spare_a_warming_worker() {
     // Found with 87 front ends: one call a window from each knocked a cold worker over.
     let more = "balancers=100\ninvariants.start_capacity=0.25\ninvariants.overload_factor=2\n";
     let established = || [1, 2].iter().map(|&w| row(w, Lifecycle::Ready, 0)).collect::<Vec<_>>();
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn rule_5_orders_stay_inside_the_ration() {
+fn rule_5_load_orders_stay_inside_the_budget() {
     let more = "specifics.if_cold=miss\nspecifics.placement_calls=true\nspecifics.loads_within=10000\n\
         specifics.load_free=3\nspecifics.load_part=0.1\n";
     let mut b = Bench::new(more, &[1, 2, 3, 4, 5, 6, 7, 8]);
--- a/crates/core/tests/rules/learning.rs
+++ b/crates/core/tests/rules/learning.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_silent_worker_is_left_and_its_safe_calls_go_elsewhere() {
+fn a_silent_worker_is_left_and_its_idempotent_calls_go_elsewhere() {
     let mut b = Bench::new("classes.0.aim=1500\n", &[1]);
     b.step(0, vec![request(9, 0, 9)]);
     b.step(100 * MS, vec![ended(9, 0, 1, Outcome::Ok)]);
--- a/crates/core/tests/rules/placement.rs
+++ b/crates/core/tests/rules/placement.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn orders_are_bounded_when_many_functions_are_held() {
+fn orders_are_bounded_when_many_functions_are_queued() {
     // Found in a surge of once-only functions: hundreds held, each weighed on every worker in every batch. No
     // clock here, so what is checked is what each batch may still do: one order a worker, and one answer each.
     let more = "specifics.if_cold=miss\nspecifics.placement_calls=true\n";
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn the_last_attempt_is_kept_for_a_copy_only_while_an_order_may_bring_one() {
+fn the_last_attempt_is_reserved_for_a_copy_only_while_an_order_may_bring_one() {
     // Found on full-fleet days: after two misses within 6 ms a call sat for 0.8 s beside its last attempt, with no order in
     // the ration, and was refused.
     let miss = "specifics.if_cold=miss\nspecifics.placement_calls=true\nspecifics.loads_within=10000\n";
--- a/crates/core/tests/rules/queueing.rs
+++ b/crates/core/tests/rules/queueing.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn calls_held_before_any_worker_is_listed_go_out_when_one_is() {
+fn calls_queued_before_any_worker_is_listed_go_out_when_one_is() {
     // Found with the list late: the order of workers for a function was made at a call's arrival only.
     let mut b = Bench::new("", &[]);
     assert!(sends(&b.step(0, vec![request(1, 0, 9)])).is_empty());
@@ -68,7 +68,7 @@
 /// Guards against calls that go behind others of equal worth because the run time learned for them rose a little since: they
 /// would be served late, 10 to 14% of messages on sockets. Also covers functions of one class that differ a little.
 #[test]
-fn calls_of_about_equal_worth_are_not_turned_aside() {
+fn calls_of_about_equal_worth_are_not_deferred() {
     let mut with = settings("limits.second_copies=false\n");
     (with.front_ends, with.classes[0].late_value) = (1, 0.1);
     let (mut sent, mut late) = (0, 0);
@@ -90,7 +90,7 @@
 /// Guards against trouble that multiplies load: a function whose calls all fail goes on with first attempts and a told share
 /// of further ones; what it may not try again waits and is answered by its aim. Also covers a worker that all turn to.
 #[test]
-fn further_attempts_stay_inside_the_told_budget_of_function_and_worker() {
+fn retries_stay_inside_the_budget_of_function_and_worker() {
     let run = |window| {
         let retry_budget = RetryBudget { window, free: 2.0, share: 0.25 };
         let with = Settings { retry_budget, ..settings("limits.second_copies=false\n") };
@@ -128,7 +128,7 @@
 
 /// Found with thousands of callers refused at once: told no time, they all came back at once.
 #[test]
-fn refusals_advise_by_the_drain_and_spread_returns() {
+fn rejections_advise_by_the_drain_and_spread_returns() {
     let mut b = Bench::new("limits.retry_after=true\nlimits.max_retry_after=1000\n", &[]);
     let calls = (1..200).map(|id| request(id, 0, 9)).collect();
     b.step(0, calls);
@@ -160,7 +160,7 @@
 
 /// Found on an overloaded day: hedged requests of calls that were overdue for want of room took more of it.
 #[test]
-fn overdue_calls_are_tried_again_only_while_nothing_is_held() {
+fn overdue_calls_are_tried_again_only_while_nothing_is_queued() {
     for held in [false, true] {
         let mut b = Bench::new("classes.0.aim=1500\nclasses.1.aim=2400\n", &[1]);
         b.step(0, vec![request(9, 0, 9)]);
@@ -187,7 +187,7 @@
 /// Found with three front ends on one fleet: calls about to be late were tried first, failed, and kept back those of
 /// their kind that could still be in time, until these were late too: 23% of the capacity served in time.
 #[test]
-fn calls_about_to_be_late_make_way_for_others_of_their_kind() {
+fn calls_about_to_be_late_yield_to_others_of_their_group() {
     let mut b = Bench::new("classes.0.late_worth=0.1\n", &[1]);
     // Runs of 300 ms on one worker of two permits.
     for id in 1..8 {
--- a/crates/core/tests/cold_ramp/judge.rs
+++ b/crates/core/tests/slow_start/overload_checker.rs
@@ -11,38 +11,38 @@
     pub at: Micros,
     /// In requests of mean work.
     pub work: f64,
-    /// From a front end that had been told of the start.
-    pub told: bool,
+    /// From a front end that had been notified of the start.
+    pub notified: bool,
 }
 
-/// The window that came nearest to a fall, or went furthest beyond it.
+/// The window that arrived nearest to a fall, or went furthest beyond it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Worst {
     /// Of the bound, N + 2 roots of N + 2.
     pub of_bound: f64,
-    /// What came, and N.
-    pub came: f64,
+    /// What arrived, and N.
+    pub arrived: f64,
     pub allowed: f64,
     /// When it ended, in seconds after the start.
     pub after: f64,
 }
 
-pub struct Judge {
+pub struct OverloadChecker {
     window: Micros,
     warm_up: Micros,
     share: Box<dyn Fn(Micros) -> f64>,
     /// Requests of mean work that the settings allow in one window to a worker that is warm.
     full: f64,
-    /// By cold worker: the arrivals of the last window, their work, and that of those told.
+    /// By cold worker: the arrivals of the last window, their work, and that of those notified.
     recent: BTreeMap<WorkerId, (VecDeque<Arrival>, f64, f64)>,
     pub worst: Worst,
     /// Work that reached cold workers, and what could have by the settings.
-    pub came: f64,
+    pub arrived: f64,
     pub could: f64,
 }
 
-impl Judge {
-    pub fn new(s: &Scenario) -> Judge {
+impl OverloadChecker {
+    pub fn new(s: &Scenario) -> OverloadChecker {
         let (least, over) = (s.start_share, s.warm_up);
         let share = move |age: Micros| least + (1.0 - least) * (age as f64 / over as f64).clamp(0.0, 1.0);
         let full = s.multiple * s.rate() * s.window as f64 / S as f64;
@@ -50,7 +50,7 @@
         let could = s.cold as f64 * full * warm as f64 / s.window as f64 * (share(0) + share(warm)) / 2.0;
         let (recent, worst) = Default::default();
         let (window, warm_up) = (s.window, s.warm_up);
-        Judge { window, warm_up, share: Box::new(share), full, recent, worst, came: 0.0, could }
+        OverloadChecker { window, warm_up, share: Box::new(share), full, recent, worst, arrived: 0.0, could }
     }
 
     pub fn arrived(&mut self, worker: WorkerId, arrival: Arrival) {
@@ -58,21 +58,21 @@
         if age >= self.warm_up {
             return;
         }
-        self.came += arrival.work;
-        let (list, sum, told) = self.recent.entry(worker).or_default();
+        self.arrived += arrival.work;
+        let (list, sum, notified) = self.recent.entry(worker).or_default();
         list.push_back(arrival);
         *sum += arrival.work;
-        *told += if arrival.told { arrival.work } else { 0.0 };
+        *notified += if arrival.notified { arrival.work } else { 0.0 };
         while list.front().is_some_and(|a| a.at <= arrival.at - self.window) {
             let old = list.pop_front().expect("looked at");
             *sum -= old.work;
-            *told -= if old.told { old.work } else { 0.0 };
+            *notified -= if old.notified { old.work } else { 0.0 };
         }
         // Present capacity, on the mean of the window.
         let allowed = self.full * (self.share)((age - self.window / 2).max(0));
         let of_bound = *sum / (allowed + 2.0 * allowed.sqrt() + 2.0);
-        if of_bound > self.worst.of_bound && *told * 3.0 > *sum * 2.0 {
-            self.worst = Worst { of_bound, came: *sum, allowed, after: age as f64 / S as f64 };
+        if of_bound > self.worst.of_bound && *notified * 3.0 > *sum * 2.0 {
+            self.worst = Worst { of_bound, arrived: *sum, allowed, after: age as f64 / S as f64 };
         }
     }
 }
--- a/crates/core/tests/cold_ramp/scenario.rs
+++ b/crates/core/tests/slow_start/scenario.rs
@@ -43,8 +43,8 @@
 pub struct Scenario {
     pub seed: u64,
     pub fronts: usize,
-    /// Of those that there are so many are told.
-    pub told_of: f64,
+    /// Of those that there are so many are notified.
+    pub notified_at: f64,
     pub established: WorkerId,
     pub cold: WorkerId,
     /// The cold ones were established before they started anew; else they are new.
@@ -56,7 +56,7 @@
     pub multiple: f64,
     pub start_share: f64,
     pub warm_up: Micros,
-    pub keep: Micros,
+    pub retention: Micros,
     /// Traffic, of what the workers that stand before the start can serve.
     pub load: f64,
     pub traffic: Traffic,
@@ -81,7 +81,7 @@
         Scenario {
             seed: 1,
             fronts: 150,
-            told_of: 1.0,
+            notified_at: 1.0,
             established: 3,
             cold: 1,
             returning: false,
@@ -91,7 +91,7 @@
             multiple: 2.5,
             start_share: 0.25,
             warm_up: 17 * S,
-            keep: 9 * S,
+            retention: 9 * S,
             load: 2.0,
             traffic: Traffic::Steady,
             unequal: false,
@@ -113,7 +113,7 @@
         Scenario {
             seed,
             fronts: of(&[8.0, 12.0, 24.0, 60.0, 150.0, 300.0, 350.0]) as usize,
-            told_of: of(&[0.5, 1.0, 2.0]),
+            notified_at: of(&[0.5, 1.0, 2.0]),
             established,
             cold: of(&[1.0, 1.0, 3.0, 5.0]) as WorkerId,
             returning: of(&[0.0, 1.0]) > 0.0 || established == 0,
@@ -123,7 +123,7 @@
             multiple: of(&[2.0, 2.5, 3.0]),
             start_share: of(&[0.1, 0.25, 0.3]),
             warm_up: of(&[10.0, 17.0]) as Micros * S,
-            keep: of(&[2.0, 9.0]) as Micros * S,
+            retention: of(&[2.0, 9.0]) as Micros * S,
             load: of(&[0.9, 1.3, 2.0, 3.0]),
             traffic: match of(&[0.0, 1.0, 2.0, 3.0]) as i64 {
                 0 => Traffic::Steady,
@@ -169,8 +169,8 @@
         }
     }
 
-    /// What front ends are told.
-    pub fn told(&self) -> Settings {
+    /// What front ends are notified.
+    pub fn settings(&self) -> Settings {
         let ms = |span: Micros| span / MS;
         let text = format!(
             "balancers={}\nclasses.count=2\nclasses.0.aim=800\nclasses.0.effect=idempotent\n\
@@ -179,12 +179,12 @@
              invariants.start_capacity={}\ninvariants.warm_up={}\nlimits.most_tries=3\n\
              limits.connect_timeout=1500\nspecifics.idle_life={}\nspecifics.if_cold=load\n\
              specifics.ram_mb_by_kind=16000\n",
-            ((self.fronts as f64 * self.told_of) as usize).max(1),
+            ((self.fronts as f64 * self.notified_at) as usize).max(1),
             ms(self.window),
             self.multiple * self.doctored,
             self.start_share,
             ms(self.warm_up),
-            ms(self.keep),
+            ms(self.retention),
         );
         wire::parse_settings(&text).unwrap()
     }
--- a/crates/core/tests/cold_ramp/world.rs
+++ b/crates/core/tests/slow_start/world.rs
@@ -1,7 +1,7 @@
 //! A small seeded world in simulated time around real front ends: callers, established workers that serve
 //! what they can, workers that start cold, connections that come up late.
 
-use crate::judge::{Arrival, Judge};
+use crate::overload_checker::{Arrival, OverloadChecker};
 use crate::scenario::{Draw, Late, Scenario, Traffic};
 use crate::{MS, S};
 use stagehoist::*;
@@ -45,7 +45,7 @@
     next: RequestId,
     /// Traffic of the front ends, summed up.
     parts: Vec<f64>,
-    pub judge: Judge,
+    pub checker: OverloadChecker,
 }
 
 fn class_of(id: RequestId) -> u16 {
@@ -81,10 +81,10 @@
             made: 0,
             next: 0,
             parts,
-            judge: Judge::new(s),
+            checker: OverloadChecker::new(s),
         };
         for k in 0..s.fronts {
-            let front_end = world.born(k as u64);
+            let front_end = world.start_front_end(k as u64);
             let (connected, attempts) = Default::default();
             world.fronts.push(Front { front_end, life: 0, on_inquiry_answer: false, connected, attempts });
             world.list(k, S);
@@ -92,8 +92,8 @@
         world
     }
 
-    fn born(&mut self, seed: u64) -> FrontEnd {
-        FrontEnd::new(self.s.told(), seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ self.s.seed, self.now)
+    fn start_front_end(&mut self, seed: u64) -> FrontEnd {
+        FrontEnd::new(self.s.settings(), seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ self.s.seed, self.now)
     }
 
     fn tell(&mut self, k: usize, at: Micros, event: Event) {
@@ -108,7 +108,7 @@
         self.tell(k, at, Event::Endpoints { update: EndpointUpdate::Full, endpoints: rows });
     }
 
-    pub fn play(&mut self) {
+    pub fn run(&mut self) {
         let mut owed = 0.0;
         let before = self.workers.iter().filter(|w| w.row.lifecycle == Lifecycle::Ready).count();
         let size = before as f64 * self.s.rate();
@@ -138,7 +138,7 @@
         }
         for k in 0..self.s.fronts {
             if self.s.restarted && self.draw.below(10) < 7 {
-                self.fronts[k].front_end = self.born(1000 + k as u64);
+                self.fronts[k].front_end = self.start_front_end(1000 + k as u64);
                 let f = &mut self.fronts[k];
                 (f.life, f.connected, f.attempts) = (f.life + 1, BTreeMap::new(), BTreeMap::new());
             }
@@ -216,12 +216,12 @@
     /// What has arrived at workers by now is served, or rejected where too much waits.
     fn land(&mut self) {
         while let Some((&key, _)) = self.flying.first_key_value().filter(|(key, _)| key.0 <= self.now) {
-            let (k, life, id, attempt, worker, told) = self.flying.remove(&key).unwrap();
+            let (k, life, id, attempt, worker, notified) = self.flying.remove(&key).unwrap();
             let (at, w) = (key.0, &mut self.workers[worker as usize]);
             let (usual, mut share) = (self.s.run[class_of(id) as usize] as f64, 1.0);
             if w.row.started > 0 {
                 share = self.s.share(at - w.row.started);
-                self.judge.arrived(worker, Arrival { at, work: usual / self.s.mean_run(), told });
+                self.checker.arrived(worker, Arrival { at, work: usual / self.s.mean_run(), notified });
             }
             let slot = w.free.iter_mut().min().expect("a slot");
             let from = (*slot).max(at);
