--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -14,12 +14,16 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use stagehoist_config::Config;
 use stagehoist_intent_log::{IntentLog, LogLocation, Options};
+use std::future::Future;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::thread::JoinHandle;
 use tokio::sync::{mpsc, watch};
 
+/// Distance between the seeds of two front ends.
+const SEED_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
+
 /// A gateway that runs.
 pub struct Running {
     drain: watch::Sender<bool>,
@@ -36,103 +40,131 @@
     serve_with(module, config, metrics, Clock::new(), Vec::new())
 }
 
-/// The same with another policy than the module, to measure against, and with each front end's link to the replicas, whose
-/// times are on `clock`; without a link, one that is part of a fleet knows nothing of the cluster state.
+/// The same with another policy than the module, to measure against, and with each front end's session with the replicas,
+/// whose times are on `clock`; without a session, one that is part of a fleet knows nothing of the cluster state.
 pub fn serve_with(
-    decider: PolicyFactory,
+    policy: PolicyFactory,
     config: &Config,
     metrics: Option<PrometheusHandle>,
     clock: Clock,
-    links: Vec<Option<SessionHandle>>,
+    sessions: Vec<Option<SessionHandle>>,
 ) -> Result<Running, GatewayError> {
     let (drain, drained) = watch::channel(false);
     let mut running =
         Running { drain, threads: Vec::new(), stores: Vec::new(), states: Vec::new(), metrics: None };
-    let mut links = links.into_iter();
+    let mut sessions = sessions.into_iter();
     for number in 0..config.front_ends {
         let config = shards::own(config.clone(), number);
-        let (drained, mut link) = (drained.clone(), links.next().flatten());
-        let others = link.as_mut().and_then(|l| l.inquiry.take());
-        let marks = marks(&config, number)?.map(|(marks, store)| {
+        let mut session = sessions.next().flatten();
+        let peers = session.as_mut().and_then(|session| session.inquiry.take());
+        let log = open_intent_log(&config, number)?.map(|(log, store)| {
             running.stores.push(store);
-            marks
+            log
         });
+        let inquiries = log.map(|intent_log| InquirySettings { intent_log, peers });
         let (state, seen) = watch::channel(FrontEndState::default());
-        let thread = std::thread::Builder::new().name(format!("front-end-{number}"));
-        let spawned = thread.spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            let Ok(runtime) = runtime else { return };
-            let local = tokio::task::LocalSet::new();
-            local.block_on(&runtime, async move {
-                let seed = config.seed.wrapping_add(u64::from(number).wrapping_mul(0x9E37_79B9_7F4A_7C15));
-                let (inputs, incoming) = mpsc::channel(driver::INPUT_QUEUE_CAPACITY);
-                let config = Rc::new(config);
-                let mut core = Core::with(decider, CoreSettings::from(&*config), seed, clock.now());
-                core.set_shards(Shards::new(&config));
-                if let Some(entrance) = PoolAdmission::new(&config, seed, clock.now()) {
-                    core.set_pool_admission(entrance);
-                }
-                let gate = config.fleet.as_ref().map(|_| RetirementGate::new(config.clone()));
-                let fleet = gate.map(|gate| {
-                    let egress = EgressCheck::new(gate, move || clock.now());
-                    core.join_fleet(egress.clone());
-                    (egress, link.as_ref().map(|l| l.status.clone()))
-                });
-                let marking = marks.map(|marks| InquirySettings { intent_log: marks, peers: others });
-                if marking.is_some() {
-                    core.report_drains();
-                }
-                let witness = ShutdownMarker::begin(&config, number);
-                let recover = config.fleet.as_ref().and_then(|f| f.recover);
-                if let (Some(recover), Some(witness)) = (recover, &witness) {
-                    let lost = witness.is_unclean();
-                    core.set_recovery(FleetRecovery::new(&config, &recover, lost, seed, clock.now()));
-                }
-                let transport = AmqpTransport::start(&config, number, seed, clock, inputs, fleet, marking);
-                let parts = FrontEndParts {
-                    core,
-                    transport,
-                    inputs: incoming,
-                    clock,
-                    max_drain: config.drain_most,
-                    drain: drained,
-                    state,
-                    session: link,
-                };
-                driver::run(parts).await;
-                if let Some(witness) = witness {
-                    witness.remove();
-                }
-            });
-        });
-        running.threads.push(spawned.map_err(GatewayError::Start)?);
+        let drain = drained.clone();
+        let start = FrontEndStart { policy, config, number, clock, session, inquiries, drain, state };
+        let name = format!("front-end-{number}");
+        running.threads.push(spawn_runtime(name, move || start.run())?);
         running.states.push(seen);
     }
     if let (Some(listen), Some(handle)) = (config.listen.first(), metrics) {
-        let fail = |source| GatewayError::Listen { address: listen.address.clone(), source };
-        let listener = std::net::TcpListener::bind(&listen.address).map_err(fail)?;
-        listener.set_nonblocking(true).map_err(fail)?;
-        running.metrics = listener.local_addr().ok();
-        let mut drained = drained.clone();
-        let thread = std::thread::Builder::new().name("metrics".into());
-        let spawned = thread.spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            let Ok(runtime) = runtime else { return };
-            runtime.block_on(async move {
-                let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
-                tokio::select! {
-                    () = metrics::serve(listener, handle) => {}
-                    _ = drained.wait_for(|d| *d) => {}
-                }
-            });
-        });
-        running.threads.push(spawned.map_err(GatewayError::Start)?);
+        let (address, thread) = serve_metrics(&listen.address, handle, drained)?;
+        running.metrics = address;
+        running.threads.push(thread);
     }
     Ok(running)
 }
 
+/// Runs a future on a runtime of its own, on a thread with this name.
+fn spawn_runtime<F: Future<Output = ()>>(
+    name: String,
+    make: impl FnOnce() -> F + Send + 'static,
+) -> Result<JoinHandle<()>, GatewayError> {
+    let thread = std::thread::Builder::new().name(name);
+    let spawned = thread.spawn(move || {
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let Ok(runtime) = runtime else { return };
+        tokio::task::LocalSet::new().block_on(&runtime, make());
+    });
+    spawned.map_err(GatewayError::Start)
+}
+
+/// What a front end's thread starts with.
+struct FrontEndStart {
+    policy: PolicyFactory,
+    config: Config,
+    number: u32,
+    clock: Clock,
+    session: Option<SessionHandle>,
+    /// Where attempts are recorded.
+    inquiries: Option<InquirySettings>,
+    drain: watch::Receiver<bool>,
+    state: watch::Sender<FrontEndState>,
+}
+
+impl FrontEndStart {
+    /// Runs the front end until it is drained.
+    async fn run(self) {
+        let FrontEndStart { policy, config, number, clock, session, inquiries, drain, state } = self;
+        let seed = config.seed.wrapping_add(u64::from(number).wrapping_mul(SEED_STEP));
+        let (sender, inputs) = mpsc::channel(driver::INPUT_QUEUE_CAPACITY);
+        let config = Rc::new(config);
+        let mut core = Core::with(policy, CoreSettings::from(&*config), seed, clock.now());
+        core.set_shards(Shards::new(&config));
+        if let Some(pool_admission) = PoolAdmission::new(&config, seed, clock.now()) {
+            core.set_pool_admission(pool_admission);
+        }
+        let gate = config.fleet.as_ref().map(|_| RetirementGate::new(config.clone()));
+        let fleet = gate.map(|gate| {
+            let egress = EgressCheck::new(gate, move || clock.now());
+            core.join_fleet(egress.clone());
+            (egress, session.as_ref().map(|session| session.status.clone()))
+        });
+        if inquiries.is_some() {
+            core.report_drains();
+        }
+        let marker = ShutdownMarker::begin(&config, number);
+        let recover = config.fleet.as_ref().and_then(|fleet| fleet.recover);
+        if let (Some(recover), Some(marker)) = (recover, &marker) {
+            let is_unclean = marker.is_unclean();
+            core.set_recovery(FleetRecovery::new(&config, &recover, is_unclean, seed, clock.now()));
+        }
+        let transport = AmqpTransport::start(&config, number, seed, clock, sender, fleet, inquiries);
+        let max_drain = config.drain_most;
+        driver::run(FrontEndParts { core, transport, inputs, clock, max_drain, drain, state, session }).await;
+        if let Some(marker) = marker {
+            marker.remove();
+        }
+    }
+}
+
+/// Serves the page of the metrics until the front ends are drained; its address, and its thread.
+fn serve_metrics(
+    address: &str,
+    handle: PrometheusHandle,
+    mut drained: watch::Receiver<bool>,
+) -> Result<(Option<SocketAddr>, JoinHandle<()>), GatewayError> {
+    let fail = |source| GatewayError::Listen { address: address.to_string(), source };
+    let listener = std::net::TcpListener::bind(address).map_err(fail)?;
+    listener.set_nonblocking(true).map_err(fail)?;
+    let bound = listener.local_addr().ok();
+    let serve = move || async move {
+        let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
+        tokio::select! {
+            () = metrics::serve(listener, handle) => {}
+            _ = drained.wait_for(|drained| *drained) => {}
+        }
+    };
+    Ok((bound, spawn_runtime("metrics".into(), serve)?))
+}
+
 /// Opens a front end's intents, where attempts are to be recorded. With replicas the run is notified by its session.
-fn marks(config: &Config, number: u32) -> Result<Option<(IntentLog, JoinHandle<()>)>, GatewayError> {
+fn open_intent_log(
+    config: &Config,
+    number: u32,
+) -> Result<Option<(IntentLog, JoinHandle<()>)>, GatewayError> {
     let Some(told) = &config.marks else { return Ok(None) };
     let fleet = config.fleet.as_ref();
     let name = fleet.map_or(format!("front-end-{number}"), |f| format!("{}/{number}", f.member));
