--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -19,19 +19,21 @@
 /// stopped, and that what it reads next may have waited so long.
 const POLL_INTERVAL: Micros = 100_000;
 const MAX_UNOBSERVED: Micros = 200_000;
+/// Bytes read at once.
+const READ_BUFFER: usize = 64 << 10;
 /// A socket that was waited on for longer had nothing to read until then.
 const BATCH_WAIT: Micros = 1000;
 /// Longest time for a connection to stand, and for a broker to take bytes.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs until the driver lets go of its sender, or until all is answered after [`LinkCommand::Drain`]. `marking` is there
-/// where attempts are recorded.
+/// Runs until the driver drops its sender, or until all is answered after [`LinkCommand::Drain`]. `inquiry` is there where
+/// attempts are recorded.
 pub async fn run(
     config: Rc<Config>,
     (seed, clock): (u64, Clock),
-    marking: Option<InquirySettings>,
+    inquiry: Option<InquirySettings>,
     inputs: mpsc::Sender<Input>,
-    mut from_driver: mpsc::UnboundedReceiver<LinkCommand>,
+    from_driver: mpsc::UnboundedReceiver<LinkCommand>,
     state: watch::Sender<LinkState>,
 ) {
     let mut front = Front::new(config.clone(), seed, clock.now());
@@ -39,202 +41,289 @@
     if config.list_initial_wait > 0 && !config.list_subscribe {
         front.await_endpoints(clock.now() + config.list_initial_wait);
     }
-    let mut asks = Inquiries::new(marking, &mut front);
-    let mut turn = 0usize;
-    let mut draining = false;
-    loop {
-        if draining && front.at_work() == 0 {
-            return publish_state(&front, &state, true);
-        }
-        let broker = &config.brokers[turn % config.brokers.len()];
-        turn += 1;
-        let connecting = tokio::time::timeout(HANDSHAKE_TIMEOUT, TcpStream::connect(&broker.address));
+    let inquiries = Inquiries::new(inquiry, &mut front);
+    let link = Link { config, clock, front, inquiries, inputs, from_driver, state, draining: false };
+    link.run().await;
+}
+
+/// Why a connection ended.
+enum Ended {
+    /// In order, or the driver is gone.
+    Over,
+    Lost(String),
+}
+
+/// A front and its connections to the brokers, one at a time.
+struct Link {
+    config: Rc<Config>,
+    clock: Clock,
+    front: Front,
+    inquiries: Inquiries,
+    inputs: mpsc::Sender<Input>,
+    from_driver: mpsc::UnboundedReceiver<LinkCommand>,
+    state: watch::Sender<LinkState>,
+    draining: bool,
+}
+
+impl Link {
+    async fn run(mut self) {
+        let config = self.config.clone();
+        for broker in config.brokers.iter().cycle() {
+            if self.draining && self.front.at_work() == 0 {
+                return publish_state(&self.front, &self.state, true);
+            }
+            let Some(stream) = self.connect(&broker.address).await else { return };
+            match stream {
+                Ok(stream) => {
+                    tracing::info!(broker = broker.address, "connected");
+                    self.front.connected(broker, self.clock.now());
+                    if self.draining {
+                        self.front.drain();
+                    }
+                    let ended = self.talk(stream).await;
+                    self.front.lost(self.clock.now());
+                    match ended {
+                        Ended::Over => return publish_state(&self.front, &self.state, true),
+                        Ended::Lost(why) => tracing::warn!(broker = broker.address, why, "connection lost"),
+                    }
+                }
+                Err(error) => tracing::warn!(broker = broker.address, %error, "can't connect"),
+            }
+            publish_state(&self.front, &self.state, false);
+            let pause = self.front.pause();
+            if !self.wait(pause).await {
+                return;
+            }
+        }
+    }
+
+    /// Connects to a broker; `None` where the driver is gone.
+    async fn connect(&mut self, address: &str) -> Option<io::Result<TcpStream>> {
+        let connecting = tokio::time::timeout(HANDSHAKE_TIMEOUT, TcpStream::connect(address));
         tokio::pin!(connecting);
-        let stream = loop {
+        loop {
             tokio::select! {
-                came = asks.next(), if asks.are_on() => asks.take(came, &mut front, clock),
-                done = &mut connecting => break done.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())),
-                said = from_driver.recv() => match said {
-                    None => return,
-                    Some(said) => draining |= said.take(&mut front, clock.now()),
-                },
-            }
-        };
-        match stream {
-            Ok(stream) => {
-                tracing::info!(broker = broker.address, "connected");
-                front.connected(broker, clock.now());
-                if draining {
-                    front.drain();
+                input = self.inquiries.next(), if self.inquiries.are_on() => {
+                    self.inquiries.take(input, &mut self.front, self.clock);
                 }
-                let ended = talk(
-                    &mut front,
-                    stream,
-                    (clock, &mut asks),
-                    &inputs,
-                    &mut from_driver,
-                    &state,
-                    &mut draining,
-                )
-                .await;
-                front.lost(clock.now());
-                match ended {
-                    Ended::Over => return publish_state(&front, &state, true),
-                    Ended::Lost(why) => tracing::warn!(broker = broker.address, why, "connection lost"),
+                done = &mut connecting => {
+                    return Some(done.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())));
                 }
+                command = self.from_driver.recv() => self.on_command(command?),
             }
-            Err(e) => tracing::warn!(broker = broker.address, error = %e, "can't connect"),
         }
-        publish_state(&front, &state, false);
-        let until = clock.instant(clock.now() + front.pause());
+    }
+
+    /// Waits without a connection; false where the driver is gone.
+    async fn wait(&mut self, pause: Micros) -> bool {
+        let until = self.clock.instant(self.clock.now() + pause);
         loop {
             tokio::select! {
-                _ = tokio::time::sleep_until(until) => break,
-                came = asks.next(), if asks.are_on() => asks.take(came, &mut front, clock),
-                said = from_driver.recv() => match said {
-                    None => return,
-                    Some(said) => draining |= said.take(&mut front, clock.now()),
+                _ = tokio::time::sleep_until(until) => return true,
+                input = self.inquiries.next(), if self.inquiries.are_on() => {
+                    self.inquiries.take(input, &mut self.front, self.clock);
+                }
+                command = self.from_driver.recv() => match command {
+                    None => return false,
+                    Some(command) => self.on_command(command),
                 },
             }
         }
     }
-}
 
-enum Ended {
-    Over,
-    Lost(String),
-}
-
-async fn talk(
-    front: &mut Front,
-    mut stream: TcpStream,
-    (clock, asks): (Clock, &mut Inquiries),
-    inputs: &mpsc::Sender<Input>,
-    from_driver: &mut mpsc::UnboundedReceiver<LinkCommand>,
-    state: &watch::Sender<LinkState>,
-    draining: &mut bool,
-) -> Ended {
-    if let Err(e) = stream.set_nodelay(true) {
-        return Ended::Lost(e.to_string());
+    fn on_command(&mut self, command: LinkCommand) {
+        self.draining |= command.take(&mut self.front, self.clock.now());
     }
-    let mut buffer = vec![0u8; 64 << 10];
-    let mut closing = false;
-    let mut looked = clock.now();
-    let mut shown = 0;
-    let mut blind = 0;
-    let mut stuck_since: Option<Micros> = None;
-    // Until the connection stands, and again from its close on, no heartbeat need tell that nobody is there.
-    let mut closed_since: Option<Micros> = None;
-    let mut alarm = Alarm::new(clock);
-    loop {
-        if asks.are_on() {
-            asks.put(front, clock);
-        }
-        for arrival in front.take_arrivals() {
-            // A driver that is behind holds back reading, and so the broker.
-            if inputs.send(Input::Call(arrival)).await.is_err() {
-                return Ended::Over;
-            }
+
+    /// Exchanges bytes with a broker until the connection ends.
+    async fn talk(&mut self, stream: TcpStream) -> Ended {
+        if let Err(error) = stream.set_nodelay(true) {
+            return Ended::Lost(error.to_string());
         }
-        // Counting takes a look at every delivery: not in every turn.
-        if *draining || clock.now() - shown >= POLL_INTERVAL {
-            shown = clock.now();
-            publish_state(front, state, false);
-        }
-        if *draining && !closing && front.is_drained() {
-            front.close(clock.now());
-            closing = true;
-        }
-        // Write what there is, as far as the socket takes it.
-        let now = clock.now();
-        front.flush(now);
-        let Some(client) = front.client() else { return Ended::Lost("no client".into()) };
-        let since = if client.is_open() { None } else { Some(closed_since.unwrap_or(now)) };
-        closed_since = since;
-        if since.is_some_and(|since| now - since > HANDSHAKE_TIMEOUT.as_micros() as Micros) {
-            return Ended::Lost("the broker does not say what it has to".into());
-        }
-        let mut wants_write = !client.output().is_empty();
-        if wants_write {
-            match stream.try_write(client.output()) {
-                Ok(n) => {
-                    let _ = client.output().split_to(n);
-                    client.wrote(n, now);
-                    wants_write = !client.output().is_empty();
-                    stuck_since = None;
-                }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    let since = *stuck_since.get_or_insert(now);
-                    if now - since > HANDSHAKE_TIMEOUT.as_micros() as Micros {
-                        return Ended::Lost("the broker reads nothing".into());
-                    }
+        let mut socket = Socket::new(stream, self.clock);
+        loop {
+            if self.inquiries.are_on() {
+                self.inquiries.put(&mut self.front, self.clock);
+            }
+            for arrival in self.front.take_arrivals() {
+                // A driver that is behind holds back reading, and so the broker.
+                if self.inputs.send(Input::Call(arrival)).await.is_err() {
+                    return Ended::Over;
                 }
-                Err(e) => return Ended::Lost(e.to_string()),
             }
-        }
-        if front.is_over() && !wants_write {
-            let _ = stream.shutdown().await;
-            return if closing { Ended::Over } else { Ended::Lost("closed".into()) };
-        }
-        let due = front.due().unwrap_or(Micros::MAX).min(looked + POLL_INTERVAL);
-        alarm.set(due);
-        let waits_from = clock.now();
-        tokio::select! {
-            biased;
-            said = from_driver.recv() => match said {
-                None => return Ended::Over,
-                Some(first) => {
-                    // All that is there, so that replies of one batch go out in one write.
-                    let mut next = Some(first);
-                    while let Some(said) = next {
-                        if said.take(front, clock.now()) {
-                            *draining = true;
-                            front.drain();
-                        }
-                        next = from_driver.try_recv().ok();
+            self.update_state(&mut socket);
+            let wants_write = match self.write(&mut socket) {
+                Ok(wants_write) => wants_write,
+                Err(ended) => return ended,
+            };
+            if self.front.is_over() && !wants_write {
+                let _ = socket.stream.shutdown().await;
+                return if socket.closing { Ended::Over } else { Ended::Lost("closed".into()) };
+            }
+            let due = self.front.due().unwrap_or(Micros::MAX).min(socket.observed_at + POLL_INTERVAL);
+            socket.alarm.set(due);
+            let waits_from = self.clock.now();
+            tokio::select! {
+                biased;
+                command = self.from_driver.recv() => match command {
+                    None => return Ended::Over,
+                    Some(command) => self.on_commands(command),
+                },
+                ready = socket.stream.readable() => {
+                    if let Err(error) = ready {
+                        return Ended::Lost(error.to_string());
+                    }
+                    if let Err(ended) = self.read(&mut socket, waits_from) {
+                        return ended;
                     }
                 }
-            },
-            ready = stream.readable() => {
-                if let Err(e) = ready {
-                    return Ended::Lost(e.to_string());
+                _ = socket.stream.writable(), if wants_write => {}
+                input = self.inquiries.next(), if self.inquiries.are_on() => {
+                    self.inquiries.take(input, &mut self.front, self.clock);
                 }
-                let now = clock.now();
-                if now - looked > POLL_INTERVAL + MAX_UNOBSERVED {
-                    blind = now - looked;
-                    tracing::warn!(ms = blind / 1000, "this process did not run; messages read now count as waiting so long");
+                () = socket.alarm.rings() => {
+                    let now = self.clock.now();
+                    socket.observe(now);
+                    self.front.tick(now);
                 }
-                looked = now;
-                if blind == 0 && now - waits_from > BATCH_WAIT {
-                    // The socket was empty until this moment, and so the queue.
-                    front.on_socket_drained(now);
+            }
+        }
+    }
+
+    /// Publishes the state, and closes the connection in order once the front is drained.
+    fn update_state(&mut self, socket: &mut Socket) {
+        // Counting looks at every delivery: not in every turn.
+        if self.draining || self.clock.now() - socket.published_at >= POLL_INTERVAL {
+            socket.published_at = self.clock.now();
+            publish_state(&self.front, &self.state, false);
+        }
+        if self.draining && !socket.closing && self.front.is_drained() {
+            self.front.close(self.clock.now());
+            socket.closing = true;
+        }
+    }
+
+    /// All commands that are there, so that replies of one batch go out in one write.
+    fn on_commands(&mut self, first: LinkCommand) {
+        let mut next = Some(first);
+        while let Some(command) = next {
+            if command.take(&mut self.front, self.clock.now()) {
+                self.draining = true;
+                self.front.drain();
+            }
+            next = self.from_driver.try_recv().ok();
+        }
+    }
+
+    /// Writes what there is, as far as the socket takes it; whether some is left.
+    fn write(&mut self, socket: &mut Socket) -> Result<bool, Ended> {
+        let now = self.clock.now();
+        self.front.flush(now);
+        let Some(client) = self.front.client() else { return Err(Ended::Lost("no client".into())) };
+        let closed_since = if client.is_open() { None } else { Some(socket.closed_since.unwrap_or(now)) };
+        socket.closed_since = closed_since;
+        if is_past_handshake(closed_since, now) {
+            return Err(Ended::Lost("the broker does not say what it has to".into()));
+        }
+        if client.output().is_empty() {
+            return Ok(false);
+        }
+        match socket.stream.try_write(client.output()) {
+            Ok(written) => {
+                let _ = client.output().split_to(written);
+                client.wrote(written, now);
+                socket.stuck_since = None;
+                Ok(!client.output().is_empty())
+            }
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                socket.stuck_since.get_or_insert(now);
+                if is_past_handshake(socket.stuck_since, now) {
+                    return Err(Ended::Lost("the broker reads nothing".into()));
                 }
-                match stream.try_read(&mut buffer) {
-                    Ok(0) => return Ended::Lost("closed by the broker".into()),
-                    Ok(n) => {
-                        front.receive(&buffer[..n], now, std::mem::take(&mut blind));
-                        if n < buffer.len() {
-                            front.on_socket_drained(now);
-                        }
-                    }
-                    Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                        if blind == 0 {
-                            front.on_socket_drained(now);
-                        }
-                    }
-                    Err(e) => return Ended::Lost(e.to_string()),
+                Ok(true)
+            }
+            Err(error) => Err(Ended::Lost(error.to_string())),
+        }
+    }
+
+    /// Reads what there is; `waits_from` is when the socket began to be waited on.
+    fn read(&mut self, socket: &mut Socket, waits_from: Micros) -> Result<(), Ended> {
+        let now = self.clock.now();
+        if socket.observe(now) {
+            let ms = socket.unobserved / 1000;
+            tracing::warn!(ms, "this process did not run; messages read now count as waiting so long");
+        }
+        if socket.unobserved == 0 && now - waits_from > BATCH_WAIT {
+            // The socket was empty until this moment, and so the queue.
+            self.front.on_socket_drained(now);
+        }
+        match socket.stream.try_read(&mut socket.buffer) {
+            Ok(0) => return Err(Ended::Lost("closed by the broker".into())),
+            Ok(read) => {
+                let unobserved = std::mem::take(&mut socket.unobserved);
+                self.front.receive(&socket.buffer[..read], now, unobserved);
+                if read < socket.buffer.len() {
+                    self.front.on_socket_drained(now);
                 }
             }
-            _ = stream.writable(), if wants_write => {}
-            came = asks.next(), if asks.are_on() => asks.take(came, front, clock),
-            () = alarm.rings() => {
-                let now = clock.now();
-                if now - looked > POLL_INTERVAL + MAX_UNOBSERVED {
-                    blind = now - looked;
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                if socket.unobserved == 0 {
+                    self.front.on_socket_drained(now);
                 }
-                looked = now;
-                front.tick(now);
             }
+            Err(error) => return Err(Ended::Lost(error.to_string())),
+        }
+        Ok(())
+    }
+}
+
+/// Whether something has lasted for longer than a broker may take.
+fn is_past_handshake(since: Option<Micros>, now: Micros) -> bool {
+    since.is_some_and(|since| now - since > HANDSHAKE_TIMEOUT.as_micros() as Micros)
+}
+
+/// A connection's socket, and when what happened on it.
+struct Socket {
+    stream: TcpStream,
+    buffer: Vec<u8>,
+    alarm: Alarm,
+    /// The connection is being closed in order.
+    closing: bool,
+    /// When the state was last published.
+    published_at: Micros,
+    /// When the socket was last looked at.
+    observed_at: Micros,
+    /// For how long this process did not run before what is read next.
+    unobserved: Micros,
+    /// Since when the broker takes no bytes.
+    stuck_since: Option<Micros>,
+    /// Until the connection stands, and again from its close on, no heartbeat need tell that nobody is there.
+    closed_since: Option<Micros>,
+}
+
+impl Socket {
+    fn new(stream: TcpStream, clock: Clock) -> Socket {
+        Socket {
+            stream,
+            buffer: vec![0u8; READ_BUFFER],
+            alarm: Alarm::new(clock),
+            closing: false,
+            published_at: 0,
+            observed_at: clock.now(),
+            unobserved: 0,
+            stuck_since: None,
+            closed_since: None,
+        }
+    }
+
+    /// The socket is looked at; whether this process did not run for long before.
+    fn observe(&mut self, now: Micros) -> bool {
+        let gap = now - self.observed_at;
+        self.observed_at = now;
+        let is_stall = gap > POLL_INTERVAL + MAX_UNOBSERVED;
+        if is_stall {
+            self.unobserved = gap;
         }
+        is_stall
     }
 }
