--- a/crates/admission/src/age.rs
+++ b/crates/admission/src/age.rs
@@ -7,6 +7,13 @@
 
 use stagehoist::Micros;
 
+/// Messages that had come into the queue by a moment, since it was empty or first looked at.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Arrivals {
+    at: Micros,
+    messages: f64,
+}
+
 /// What is known of one queue, seen from one consumer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Age {
@@ -16,9 +23,9 @@
     taken: u64,
     /// Consumers that share the queue.
     consumers: u64,
-    /// The first and the last depth told since `empty`: when, and all messages that had come in by then.
-    first: Option<(Micros, f64)>,
-    last: Option<(Micros, f64)>,
+    /// The first and the last depth that the broker gave since `empty`.
+    first: Option<Arrivals>,
+    last: Option<Arrivals>,
     /// This process did not run for a while: silence tells nothing until the broker has answered.
     is_doubtful: bool,
 }
@@ -39,7 +46,7 @@
     /// between two parts of a long backlog a broker pauses too.
     pub fn dry(&mut self, now: Micros) {
         let known = (self.empty.is_some() || self.last.is_some()) && !self.is_doubtful;
-        let left = self.last.is_some_and(|l| ((self.taken * self.consumers) as f64) < l.1);
+        let left = self.last.is_some_and(|l| ((self.taken * self.consumers) as f64) < l.messages);
         if known && !left {
             self.empty(now);
         }
@@ -54,8 +61,9 @@
         }
         // Where several take in turn, each has had an equal part.
         let came = (self.taken * self.consumers + depth) as f64;
-        self.first = self.first.or(Some((now, came)));
-        self.last = Some((now, came));
+        let arrivals = Arrivals { at: now, messages: came };
+        self.first = self.first.or(Some(arrivals));
+        self.last = Some(arrivals);
     }
 
     /// The connection was lost or is new: what was taken may come again, the moment of emptiness stands.
@@ -87,34 +95,50 @@
             // It was out at another consumer, so that its place tells nothing.
             return stamp.map_or(0, |s| (now - s).max(0));
         }
-        let (least, guess, most) = self.bounds(now);
-        let age = stamp.map_or(guess, |s| now - s);
-        age.clamp(least, most.max(least))
+        let bounds = self.bounds(now);
+        let age = stamp.map_or(bounds.likely, |published| now - published);
+        age.clamp(bounds.least, bounds.greatest.max(bounds.least))
     }
 
-    /// The least, likely and greatest age of the message taken last.
-    fn bounds(&self, now: Micros) -> (Micros, Micros, Micros) {
+    /// The age of the message taken last.
+    fn bounds(&self, now: Micros) -> AgeBounds {
         let place = (self.taken * self.consumers) as f64;
-        let most = self.empty.map_or(Micros::MAX / 4, |t| now - t);
-        let Some((at, came)) = self.last else {
-            // No depth told yet: it came at some time since the queue was empty.
-            return (0, self.empty.map_or(0, |t| (now - t) / 2), most);
+        let greatest = self.empty.map_or(Micros::MAX / 4, |empty| now - empty);
+        let Some(last) = self.last else {
+            // No depth known yet: it came at some time since the queue was empty.
+            let likely = self.empty.map_or(0, |empty| (now - empty) / 2);
+            return AgeBounds { least: 0, likely, greatest };
         };
-        if place > came {
+        if place > last.messages {
             // It came after the last look.
-            return (0, (now - at) / 2, most.min(now - at).max(0));
+            let since_last = now - last.at;
+            return AgeBounds { least: 0, likely: since_last / 2, greatest: greatest.min(since_last).max(0) };
         }
-        // Where the queue was empty once, the way from there to the last look; else the pace between two looks.
-        let came_at = match (self.empty, self.first) {
-            (Some(t), _) => t + ((at - t) as f64 * place / came) as Micros,
-            (None, Some((from, at_first))) if at > from && came > at_first => {
-                let pace = (came - at_first) / (at - from) as f64;
-                at - ((came - place) / pace) as Micros
-            }
-            _ => self.first.map_or(at, |f| f.0),
-        };
+        let arrived_at = self.arrival_time(place, last);
         // With others taking in turn the place is a guess; that it was there at the first look is surer.
-        let seen = self.first.filter(|f| place <= f.1 && self.consumers == 1).map_or(0, |f| now - f.0);
-        (seen, (now - came_at).max(seen), most)
+        let was_there = |first: &Arrivals| place <= first.messages && self.consumers == 1;
+        let least = self.first.filter(was_there).map_or(0, |first| now - first.at);
+        AgeBounds { least, likely: (now - arrived_at).max(least), greatest }
+    }
+
+    /// When the message at this place came in, by the pace of arrivals: since the queue was empty where it was seen
+    /// so, else between the first look and the last.
+    fn arrival_time(&self, place: f64, last: Arrivals) -> Micros {
+        if let Some(empty) = self.empty {
+            return empty + ((last.at - empty) as f64 * place / last.messages) as Micros;
+        }
+        let Some(first) = self.first else { return last.at };
+        if last.at <= first.at || last.messages <= first.messages {
+            return first.at;
+        }
+        let pace = (last.messages - first.messages) / (last.at - first.at) as f64;
+        last.at - ((last.messages - place) / pace) as Micros
     }
 }
+
+/// The least, likely and greatest age of a message, in microseconds.
+struct AgeBounds {
+    least: Micros,
+    likely: Micros,
+    greatest: Micros,
+}
--- a/crates/admission/src/intake.rs
+++ b/crates/admission/src/intake.rs
@@ -13,7 +13,9 @@
 /// Bounds on what is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
+    /// Calls held at most.
     pub calls: u64,
+    /// Bytes of all their messages at most.
     pub bytes: u64,
 }
 
@@ -23,8 +25,10 @@
 /// Why a call is not held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
+    /// As many calls are held as may be.
     #[error("more calls are held than may be")]
     Calls,
+    /// As many bytes are held as may be.
     #[error("more bytes are held than may be")]
     Bytes,
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -4,6 +4,7 @@
 //! in a pool that front ends share ([`permits::PermitPools`]).
 //!
 //! What happens to a call once taken is the module's matter alone.
+#![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
 mod advice;
--- a/crates/admission/src/permits/class.rs
+++ b/crates/admission/src/permits/class.rs
@@ -14,6 +14,7 @@
 /// A pool as a front end is notified of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolRules {
+    /// Name in the configuration.
     pub name: String,
     /// Permits that this front end may always use.
     pub guaranteed: u32,
@@ -24,12 +25,15 @@
 /// A line of the report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolDemand<'a> {
+    /// The pool's name.
     pub pool: &'a str,
     /// Empty: all who have no reservation.
     pub tenant: &'a str,
+    /// Calls that hold a permit.
     pub in_use: u32,
+    /// Calls that wait for one.
     pub waiting: u32,
-    /// The grant gone by.
+    /// Number of the grant that is applied.
     pub applied: u64,
 }
 
@@ -38,11 +42,11 @@
     name: String,
     in_use: u32,
     permits: u32,
-    turns: TenantQueue,
+    queue: TenantQueue,
     /// Since when calls wait.
     waiting_since: Option<Micros>,
-    /// When the last call left, and the smoothed interval between two.
-    last_leave: Option<Micros>,
+    /// When the last call ended, and the smoothed interval between two ends, in microseconds.
+    last_departure: Option<Micros>,
     mean_interval: Option<f64>,
     advice: Option<Advice>,
 }
@@ -139,7 +143,7 @@
     /// Whether a call that comes now may start, ahead of nobody who waits for the same permit.
     pub fn may_pass(&self, class: usize, floored: bool) -> bool {
         let of = &self.classes[class];
-        let first = of.turns.len() == 0 && (of.in_use < of.permits || self.waiting == 0);
+        let first = of.queue.len() == 0 && (of.in_use < of.permits || self.waiting == 0);
         first && self.may_start(class, floored)
     }
 
@@ -157,12 +161,12 @@
         self.excess -= u32::from(of.in_use > of.permits);
         of.in_use = of.in_use.saturating_sub(1);
         self.in_use = self.in_use.saturating_sub(1);
-        if let Some(left) = of.last_leave.replace(now) {
+        if let Some(left) = of.last_departure.replace(now) {
             let gap = (now - left) as f64;
             of.mean_interval = Some(of.mean_interval.map_or(gap, |g| g + GAIN * (gap - g)));
         }
         if let Some(advice) = &mut of.advice {
-            advice.last_leave(now);
+            advice.on_departure(now);
         }
     }
 
@@ -170,13 +174,13 @@
     pub fn wait(&mut self, class: usize, tenant: u32, place: u64, call: u64, now: Micros) {
         let of = &mut self.classes[class];
         of.waiting_since.get_or_insert(now);
-        of.turns.push(tenant, place, call);
+        of.queue.push(tenant, place, call);
         self.waiting += 1;
     }
 
     /// A call of this class waits no longer.
     pub fn cancel_wait(&mut self, class: usize, tenant: u32, place: u64) {
-        self.classes[class].turns.remove(tenant, place);
+        self.classes[class].queue.remove(tenant, place);
         self.wait_ended(class);
     }
 
@@ -184,14 +188,14 @@
     pub fn is_hopeless(&self, class: usize, latest: Micros, now: Micros) -> bool {
         let of = &self.classes[class];
         let settled = of.waiting_since.is_some_and(|since| now - since >= STABLE_AFTER);
-        let waits = of.mean_interval.map_or(0.0, |gap| gap * (of.turns.len() + 1) as f64);
+        let waits = of.mean_interval.map_or(0.0, |gap| gap * (of.queue.len() + 1) as f64);
         settled && waits > (latest - now) as f64
     }
 
     /// Advice on when to send a rejected call again, by the rate at which calls of the class end.
     pub fn retry_after(&mut self, class: usize) -> Micros {
         let of = &mut self.classes[class];
-        let held = u64::from(of.in_use) + of.turns.len() as u64;
+        let held = u64::from(of.in_use) + of.queue.len() as u64;
         of.advice.as_mut().map_or(0, |a| a.retry_after(held))
     }
 
@@ -202,8 +206,8 @@
         }
         let order = (1..self.classes.len()).chain([0]);
         let class =
-            order.into_iter().find(|c| self.classes[*c].turns.len() > 0 && self.may_start(*c, floored))?;
-        let call = self.classes[class].turns.pop()?;
+            order.into_iter().find(|c| self.classes[*c].queue.len() > 0 && self.may_start(*c, floored))?;
+        let call = self.classes[class].queue.pop()?;
         self.wait_ended(class);
         self.start(class);
         Some((class, call))
@@ -215,14 +219,14 @@
             pool: &self.name,
             tenant: &class.name,
             in_use: class.in_use,
-            waiting: u32::try_from(class.turns.len()).unwrap_or(u32::MAX),
+            waiting: u32::try_from(class.queue.len()).unwrap_or(u32::MAX),
             applied,
         })
     }
 
     fn wait_ended(&mut self, class: usize) {
         self.waiting -= 1;
-        if self.classes[class].turns.len() == 0 {
+        if self.classes[class].queue.len() == 0 {
             self.classes[class].waiting_since = None;
         }
     }
--- a/crates/admission/src/permits/mod.rs
+++ b/crates/admission/src/permits/mod.rs
@@ -31,11 +31,13 @@
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub enum PermitDecision {
+    /// It starts now.
     Granted(Permit),
     /// Until [`PermitPools::take_ready`] names it.
     Wait,
-    /// With the reason [`NO_PERMIT`], and how long the caller had better stay away.
+    /// With the reason [`NO_PERMIT`].
     Rejected {
+        /// How long the caller had better stay away, in microseconds.
         retry_after: Micros,
     },
 }
@@ -43,8 +45,20 @@
 /// A call that waits no longer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum WaitOutcome {
-    Granted { call: u64, permit: Permit },
-    Rejected { call: u64, retry_after: Micros },
+    /// It starts now.
+    Granted {
+        /// The call.
+        call: u64,
+        /// Its permit.
+        permit: Permit,
+    },
+    /// With the reason [`NO_PERMIT`].
+    Rejected {
+        /// The call.
+        call: u64,
+        /// How long the caller had better stay away, in microseconds.
+        retry_after: Micros,
+    },
 }
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/admission/src/permits/tenant_queue.rs
+++ b/crates/admission/src/permits/tenant_queue.rs
@@ -2,16 +2,31 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Turns that are void before they are swept out.
-const VOID_MOST: usize = 16;
+/// Void turns kept at most before they are swept out.
+const MAX_VOID_TURNS: usize = 16;
+
+/// A tenant with calls that wait.
+#[derive(Debug)]
+struct WaitingTenant {
+    /// Tells its turn from those that it left before.
+    stamp: u64,
+    /// Calls by place.
+    calls: BTreeMap<u64, u64>,
+}
+
+/// A tenant's place in the rotation; void where the tenant has another stamp by now, or none.
+#[derive(Clone, Copy, Debug)]
+struct Turn {
+    stamp: u64,
+    tenant: u32,
+}
 
 /// Calls in order of their places, tenants in turn. Each step takes O(log n), sweeping apart, which each step
 /// pays a part of.
 #[derive(Debug, Default)]
 pub(super) struct TenantQueue {
-    /// A tenant's stamp tells its turn from those that it left before.
-    tenants: HashMap<u32, (u64, BTreeMap<u64, u64>)>,
-    turns: VecDeque<(u64, u32)>,
+    tenants: HashMap<u32, WaitingTenant>,
+    turns: VecDeque<Turn>,
     calls: usize,
 }
 
@@ -24,27 +39,26 @@
     /// Adds a call of a tenant.
     pub fn push(&mut self, tenant: u32, place: u64, call: u64) {
         let turns = &mut self.turns;
-        let (_, calls) = self.tenants.entry(tenant).or_insert_with(|| {
-            turns.push_back((place, tenant));
-            (place, BTreeMap::new())
+        let waiting = self.tenants.entry(tenant).or_insert_with(|| {
+            turns.push_back(Turn { stamp: place, tenant });
+            WaitingTenant { stamp: place, calls: BTreeMap::new() }
         });
-        calls.insert(place, call);
+        waiting.calls.insert(place, call);
         self.calls += 1;
     }
 
     /// Takes the next call, tenants in turn.
     pub fn pop(&mut self) -> Option<u64> {
         loop {
-            let (stamp, tenant) = self.turns.pop_front()?;
-            let Some((_, calls)) = self.tenants.get_mut(&tenant).filter(|(s, _)| *s == stamp) else {
-                continue;
-            };
-            let Some((_, call)) = calls.pop_first() else { continue };
+            let turn = self.turns.pop_front()?;
+            let waiting = self.tenants.get_mut(&turn.tenant).filter(|waiting| waiting.stamp == turn.stamp);
+            let Some(waiting) = waiting else { continue };
+            let Some((_, call)) = waiting.calls.pop_first() else { continue };
             self.calls -= 1;
-            if calls.is_empty() {
-                self.tenants.remove(&tenant);
+            if waiting.calls.is_empty() {
+                self.tenants.remove(&turn.tenant);
             } else {
-                self.turns.push_back((stamp, tenant));
+                self.turns.push_back(turn);
             }
             return Some(call);
         }
@@ -52,14 +66,14 @@
 
     /// Removes a call wherever it waits.
     pub fn remove(&mut self, tenant: u32, place: u64) {
-        let Some((_, calls)) = self.tenants.get_mut(&tenant) else { return };
-        self.calls -= usize::from(calls.remove(&place).is_some());
-        if calls.is_empty() {
+        let Some(waiting) = self.tenants.get_mut(&tenant) else { return };
+        self.calls -= usize::from(waiting.calls.remove(&place).is_some());
+        if waiting.calls.is_empty() {
             self.tenants.remove(&tenant);
         }
-        if self.turns.len() > 2 * self.tenants.len() + VOID_MOST {
+        if self.turns.len() > 2 * self.tenants.len() + MAX_VOID_TURNS {
             let tenants = &self.tenants;
-            self.turns.retain(|(stamp, tenant)| tenants.get(tenant).is_some_and(|(s, _)| s == stamp));
+            self.turns.retain(|turn| tenants.get(&turn.tenant).is_some_and(|t| t.stamp == turn.stamp));
         }
     }
 }
--- a/crates/admission/src/window.rs
+++ b/crates/admission/src/window.rs
@@ -6,10 +6,11 @@
 
 use stagehoist::Micros;
 
-/// Slack at the least, and the longest window that a broker can be asked for.
-const LEAST: u32 = 64;
-const MOST: u32 = 65_535;
-/// The slack takes what came within this time, twice.
+/// Smallest slack, in messages.
+const MIN_SLACK: u32 = 64;
+/// Longest window that a broker can be asked for (a 16-bit prefetch count), in messages.
+const MAX_WINDOW: u32 = 65_535;
+/// The slack takes twice what came within this time, in microseconds.
 const CHECK_INTERVAL: Micros = 100_000;
 
 /// The window of one channel.
@@ -17,14 +18,15 @@
 pub struct Window {
     requested: u32,
     slack: u32,
-    /// Deliveries in the present interval, and when it began.
-    arrivals: (u32, Micros),
+    /// Deliveries in the present interval.
+    arrivals: u32,
+    interval_start: Micros,
 }
 
 impl Window {
     /// A window as it is asked for first.
     pub fn new(now: Micros) -> Window {
-        Window { requested: 4 * LEAST, slack: 2 * LEAST, arrivals: (0, now) }
+        Window { requested: 4 * MIN_SLACK, slack: 2 * MIN_SLACK, arrivals: 0, interval_start: now }
     }
 
     /// The prefetch count that the broker was last asked for.
@@ -39,7 +41,7 @@
 
     /// A message was delivered.
     pub fn delivered(&mut self) {
-        self.arrivals.0 = self.arrivals.0.saturating_add(1);
+        self.arrivals = self.arrivals.saturating_add(1);
     }
 
     /// What to ask the broker for now, where that differs from what it was asked for.
@@ -47,24 +49,25 @@
     /// Widened as soon as half the slack is used up; narrowed only when four times too wide, as each change is a round
     /// trip to the broker.
     pub fn next_request(&mut self, unsettled: usize, now: Micros) -> Option<u16> {
-        let passed = now - self.arrivals.1;
+        let passed = now - self.interval_start;
         if passed >= CHECK_INTERVAL {
-            let in_a_look = f64::from(self.arrivals.0) * CHECK_INTERVAL as f64 / passed as f64;
-            let wanted = ((2.0 * in_a_look) as u32).clamp(LEAST, MOST / 4);
+            let per_interval = f64::from(self.arrivals) * CHECK_INTERVAL as f64 / passed as f64;
+            let wanted = ((2.0 * per_interval) as u32).clamp(MIN_SLACK, MAX_WINDOW / 4);
             // Grows at once, shrinks slowly: bursts come again.
-            self.slack = wanted.max(self.slack - self.slack / 8).max(LEAST);
-            self.arrivals = (0, now);
-        } else if self.arrivals.0 > self.slack {
-            self.slack = (2 * self.arrivals.0).min(MOST / 4);
+            self.slack = wanted.max(self.slack - self.slack / 8).max(MIN_SLACK);
+            self.arrivals = 0;
+            self.interval_start = now;
+        } else if self.arrivals > self.slack {
+            self.slack = (2 * self.arrivals).min(MAX_WINDOW / 4);
         }
-        let unsettled = u32::try_from(unsettled).unwrap_or(MOST).min(MOST);
-        let fit = (unsettled + self.slack).min(MOST);
-        let narrow = self.requested < MOST && self.requested < unsettled + self.slack / 2;
+        let unsettled = u32::try_from(unsettled).unwrap_or(MAX_WINDOW).min(MAX_WINDOW);
+        let fit = (unsettled + self.slack).min(MAX_WINDOW);
+        let narrow = self.requested < MAX_WINDOW && self.requested < unsettled + self.slack / 2;
         let wide = self.requested > 4 * fit;
         if !narrow && !wide {
             return None;
         }
-        self.requested = if narrow { (unsettled + 2 * self.slack).min(MOST) } else { fit };
+        self.requested = if narrow { (unsettled + 2 * self.slack).min(MAX_WINDOW) } else { fit };
         Some(self.requested as u16)
     }
 }
--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -169,7 +169,7 @@
     // Nothing left yet: away for long.
     assert!((0..50).all(|_| advice.retry_after(10) > S));
     // 100 a second leave, 50 are held: half a second.
-    (0..400).for_each(|n| advice.last_leave(n * 10 * MS));
+    (0..400).for_each(|n| advice.on_departure(n * 10 * MS));
     let told: Vec<i64> = (0..400).map(|_| advice.retry_after(50)).collect();
     assert!(told.iter().all(|t| (240 * MS..=760 * MS).contains(t)));
     let in_a_tenth = |from: i64| told.iter().filter(|t| (from..from + 50 * MS).contains(*t)).count();
--- a/crates/endpoints/src/entry.rs
+++ b/crates/endpoints/src/entry.rs
@@ -9,14 +9,17 @@
     pub name: String,
     /// `host:port`.
     pub address: String,
+    /// It finishes what it has and gets nothing new.
     pub draining: bool,
+    /// Hardware kind, by the name that the configuration uses; empty where the list has none.
     pub kind: String,
+    /// Zone, by the name that the configuration uses; empty where the list has none.
     pub zone: String,
-    /// Number of the group that shares its memory of keys; 0 where none is notified.
+    /// Number of the group that shares its memory of keys; 0 where none is configured.
     pub cell: u16,
-    /// Size for comparison with other workers; 1 where none is notified.
+    /// Size for comparison with other workers; 1 where none is configured.
     pub capacity: f64,
-    /// Last start, microseconds since 1970; 0 where none is notified.
+    /// Last start, microseconds since 1970; 0 where none is configured.
     pub started: Micros,
 }
 
@@ -39,15 +42,19 @@
 /// A worker as a source tells it that numbers workers itself and tells changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NumberedEndpoint {
+    /// Name, for logs.
     pub name: String,
     /// `host:port`.
     pub address: String,
+    /// The worker as the decision module sees it.
     pub endpoint: Endpoint,
 }
 
 /// What to tell the module.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update {
+    /// Whether the rows are all workers, those that changed, or none as the list failed.
     pub kind: EndpointUpdate,
+    /// The rows.
     pub endpoints: Vec<Endpoint>,
 }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,9 +1,10 @@
 //! Which workers there are: what lists say and what workers announce of themselves, put together to the rows that the
-//! decision module is notified. Pure: entries and the time go in, rows come out.
+//! decision module is given. Pure: entries and the time go in, rows come out.
 //!
 //! Lists are late, so a worker's own word that it drains counts until the list has caught up: until it shows the worker
 //! draining, gone or started anew, until the worker says otherwise, or until a stated time has passed, as a list that
 //! goes on saying "ready" for so long is right.
+#![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
 pub mod blocking_query;
@@ -16,10 +17,10 @@
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle, Micros, WorkerId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Most workers kept where nothing else is notified ([`EndpointSet::with_max_workers`]); entries beyond are left out, the last by name first.
+/// Most workers kept where nothing else is configured ([`EndpointSet::with_max_workers`]); entries beyond are left out, the last by name first.
 pub const MAX_WORKERS: usize = 10_000;
 
-/// How long a worker that was notified gone is kept, in microseconds: until its last attempts have ended.
+/// How long a worker that was reported gone is kept, in microseconds: until its last attempts have ended.
 pub const GONE_RETENTION: Micros = 30_000_000;
 
 #[derive(Clone, Debug)]
@@ -28,12 +29,27 @@
     address: String,
     endpoint: Endpoint,
     listed: Lifecycle,
-    /// When the worker itself said that it drains, and which start said so.
-    announced: Option<(Micros, Micros)>,
-    /// When it was notified gone, where it is.
+    /// The worker itself said that it drains.
+    announced: Option<DrainAnnouncement>,
+    /// When it was reported gone, where it is.
     departed_at: Option<Micros>,
 }
 
+/// A worker's own word that it drains.
+#[derive(Clone, Copy, Debug)]
+struct DrainAnnouncement {
+    at: Micros,
+    /// Which start of the worker announced it.
+    started: Micros,
+}
+
+/// A worker was reported gone.
+#[derive(Clone, Copy, Debug)]
+struct Departure {
+    at: Micros,
+    worker: WorkerId,
+}
+
 /// The workers known to one front end.
 #[derive(Debug)]
 pub struct EndpointSet {
@@ -42,13 +58,13 @@
     announcement_retention: Micros,
     /// Most workers kept.
     max_workers: usize,
-    /// Entries of the last whole list that were left out as over that, and whether it was notified.
+    /// Entries of the last whole list that were left out as over that, and whether it was reported.
     omitted: usize,
     omission_reported: bool,
     workers: BTreeMap<WorkerId, Known>,
     ids: BTreeMap<String, WorkerId>,
     /// Told gone, in order of time.
-    departed: VecDeque<(Micros, WorkerId)>,
+    departed: VecDeque<Departure>,
 }
 
 impl EndpointSet {
@@ -95,48 +111,71 @@
         self.workers.values().filter(|k| k.endpoint.lifecycle == Lifecycle::Ready).count()
     }
 
-    /// Workers known by their own numbers: the whole list, or what changed. The gone are forgotten after [`GONE_RETENTION`].
-    pub fn apply(&mut self, form: EndpointUpdate, told: Vec<NumberedEndpoint>, now: Micros) -> Update {
-        if form != EndpointUpdate::Delta {
-            let listed: BTreeSet<WorkerId> = told.iter().map(|t| t.endpoint.worker).collect();
-            let left = |(id, k): &(&WorkerId, &mut Known)| {
-                !listed.contains(id) && k.endpoint.lifecycle != Lifecycle::Gone
-            };
-            for (id, known) in self.workers.iter_mut().filter(left) {
-                (known.listed, known.endpoint.lifecycle) = (Lifecycle::Gone, Lifecycle::Gone);
-                known.departed_at = Some(now);
-                self.departed.push_back((now, *id));
+    /// Workers known by their own numbers: the whole list, or what changed. The gone are forgotten after
+    /// [`GONE_RETENTION`].
+    pub fn apply(&mut self, kind: EndpointUpdate, workers: Vec<NumberedEndpoint>, now: Micros) -> Update {
+        if kind != EndpointUpdate::Delta {
+            self.mark_unlisted_gone(&workers, now);
+        }
+        let mut endpoints = Vec::with_capacity(workers.len());
+        for worker in workers {
+            if let Some(endpoint) = self.insert_numbered(worker, now) {
+                endpoints.push(endpoint);
             }
         }
-        let mut rows = Vec::with_capacity(told.len());
-        for NumberedEndpoint { name, address, endpoint: row } in told {
-            let id = row.worker;
-            if !self.workers.contains_key(&id) && self.workers.len() >= 2 * self.max_workers {
+        self.forget_expired(now);
+        Update { kind, endpoints }
+    }
+
+    /// Workers that a whole list does not name are gone.
+    fn mark_unlisted_gone(&mut self, workers: &[NumberedEndpoint], now: Micros) {
+        let listed: BTreeSet<WorkerId> = workers.iter().map(|worker| worker.endpoint.worker).collect();
+        for (id, known) in &mut self.workers {
+            if listed.contains(id) || known.endpoint.lifecycle == Lifecycle::Gone {
                 continue;
             }
-            let mut gone = None;
-            if row.lifecycle == Lifecycle::Gone {
-                // Told again it stays gone since it first was.
-                gone = self.workers.get(&id).and_then(|k| k.departed_at).or(Some(now));
-                if gone == Some(now) {
-                    self.departed.push_back((now, id));
-                }
-            }
-            rows.push(row.clone());
-            let listed = row.lifecycle;
-            self.workers.insert(
-                id,
-                Known { name, address, endpoint: row, listed, announced: None, departed_at: gone },
-            );
+            known.listed = Lifecycle::Gone;
+            known.endpoint.lifecycle = Lifecycle::Gone;
+            known.departed_at = Some(now);
+            self.departed.push_back(Departure { at: now, worker: *id });
+        }
+    }
+
+    /// Takes a worker by its own number, unless there is no room for another.
+    fn insert_numbered(&mut self, worker: NumberedEndpoint, now: Micros) -> Option<Endpoint> {
+        let NumberedEndpoint { name, address, endpoint } = worker;
+        let id = endpoint.worker;
+        if !self.workers.contains_key(&id) && self.workers.len() >= 2 * self.max_workers {
+            return None;
         }
-        while self.departed.front().is_some_and(|g| now - g.0 >= GONE_RETENTION) {
-            let Some((at, id)) = self.departed.pop_front() else { break };
+        let listed = endpoint.lifecycle;
+        let departed_at = (listed == Lifecycle::Gone).then(|| self.departure(id, now));
+        let known = Known { name, address, endpoint: endpoint.clone(), listed, announced: None, departed_at };
+        self.workers.insert(id, known);
+        Some(endpoint)
+    }
+
+    /// Since when a worker that is reported gone is gone: reported again, it stays gone since it first was.
+    fn departure(&mut self, id: WorkerId, now: Micros) -> Micros {
+        let at = self.workers.get(&id).and_then(|known| known.departed_at).unwrap_or(now);
+        if at == now {
+            self.departed.push_back(Departure { at: now, worker: id });
+        }
+        at
+    }
+
+    fn forget_expired(&mut self, now: Micros) {
+        while let Some(departure) = self.departed.front().copied() {
+            if now - departure.at < GONE_RETENTION {
+                return;
+            }
+            self.departed.pop_front();
             // One that came back and went again is kept from then on.
-            if self.workers.get(&id).is_some_and(|k| k.departed_at == Some(at)) {
-                self.workers.remove(&id);
+            let known = self.workers.get(&departure.worker);
+            if known.is_some_and(|known| known.departed_at == Some(departure.at)) {
+                self.workers.remove(&departure.worker);
             }
         }
-        Update { kind: form, endpoints: rows }
     }
 
     /// A worker said in an answer whether it drains. Gives what the module must be told, if that is inputs.
@@ -145,7 +184,7 @@
         if known.listed != Lifecycle::Ready || known.announced.is_some() == draining {
             return None;
         }
-        known.announced = draining.then_some((now, known.endpoint.started));
+        known.announced = draining.then_some(DrainAnnouncement { at: now, started: known.endpoint.started });
         known.endpoint.lifecycle = if draining { Lifecycle::Draining } else { Lifecycle::Ready };
         Some(Update { kind: EndpointUpdate::Delta, endpoints: vec![known.endpoint.clone()] })
     }
--- a/crates/endpoints/src/list.rs
+++ b/crates/endpoints/src/list.rs
@@ -1,6 +1,6 @@
 //! Whole lists of workers by name.
 
-use super::{EndpointSet, Known, ListedWorker, Update};
+use super::{DrainAnnouncement, EndpointSet, Known, ListedWorker, Update};
 use fnv::FnvHasher;
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle, Micros, WorkerId};
 use std::collections::BTreeSet;
@@ -38,47 +38,53 @@
         for entry in entries {
             let id = self.id(&entry.name);
             seen.insert(id);
-            let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
-            let listed = if entry.draining { Lifecycle::Draining } else { Lifecycle::Ready };
-            let row = Endpoint {
-                worker: id,
-                kind: place(&self.kinds, &entry.kind).map_or(u16::MAX, |i| i as u16),
-                lifecycle: listed,
-                zone: place(&self.zones, &entry.zone).map_or(u8::MAX, |i| i as u8),
-                started: entry.started,
-                cell: entry.cell,
-                capacity: if entry.capacity > 0.0 { entry.capacity } else { 1.0 },
-            };
-            let before = self.workers.get(&id);
-            let announced = before.and_then(|k| k.announced).filter(|&(at, start)| {
-                listed == Lifecycle::Ready
-                    && before.is_some_and(|k| k.listed == Lifecycle::Ready)
-                    && row.started <= start
-                    && now - at < self.announcement_retention
-            });
-            let mut row = row;
-            if announced.is_some() {
-                row.lifecycle = Lifecycle::Draining;
-            }
-            let known = Known {
-                name: entry.name,
-                address: entry.address,
-                endpoint: row,
-                listed,
-                announced,
-                departed_at: None,
-            };
+            let known = self.listed_worker(id, entry, now);
             self.workers.insert(id, known);
         }
         self.forget_departed(&seen);
         Update { kind: EndpointUpdate::Full, endpoints: self.endpoints() }
     }
 
+    /// A worker as the list has it, and its own announcement where that still counts.
+    fn listed_worker(&self, id: WorkerId, entry: ListedWorker, now: Micros) -> Known {
+        let position = |names: &[String], name: &str| names.iter().position(|known| known == name);
+        let listed = if entry.draining { Lifecycle::Draining } else { Lifecycle::Ready };
+        let announced = self.standing_announcement(id, listed, entry.started, now);
+        let endpoint = Endpoint {
+            worker: id,
+            kind: position(&self.kinds, &entry.kind).map_or(u16::MAX, |index| index as u16),
+            lifecycle: if announced.is_some() { Lifecycle::Draining } else { listed },
+            zone: position(&self.zones, &entry.zone).map_or(u8::MAX, |index| index as u8),
+            started: entry.started,
+            cell: entry.cell,
+            capacity: if entry.capacity > 0.0 { entry.capacity } else { 1.0 },
+        };
+        Known { name: entry.name, address: entry.address, endpoint, listed, announced, departed_at: None }
+    }
+
+    /// The worker's announcement, as long as the list has it ready throughout, it did not start anew, and the list
+    /// may still be behind.
+    fn standing_announcement(
+        &self,
+        id: WorkerId,
+        listed: Lifecycle,
+        started: Micros,
+        now: Micros,
+    ) -> Option<DrainAnnouncement> {
+        let before = self.workers.get(&id)?;
+        let announced = before.announced?;
+        let stays_ready = listed == Lifecycle::Ready && before.listed == Lifecycle::Ready;
+        let same_start = started <= announced.started;
+        let is_recent = now - announced.at < self.announcement_retention;
+        (stays_ready && same_start && is_recent).then_some(announced)
+    }
+
     fn forget_departed(&mut self, seen: &BTreeSet<WorkerId>) {
         for (id, known) in &mut self.workers {
             if !seen.contains(id) {
-                (known.listed, known.endpoint.lifecycle, known.announced) =
-                    (Lifecycle::Gone, Lifecycle::Gone, None);
+                known.listed = Lifecycle::Gone;
+                known.endpoint.lifecycle = Lifecycle::Gone;
+                known.announced = None;
             }
         }
         // The gone are kept so that their numbers and addresses stay, up to a bound.
--- a/crates/gateway/src/amqp/front/replies.rs
+++ b/crates/gateway/src/amqp/front/replies.rs
@@ -43,7 +43,7 @@
         let Some(delivery) = self.deliveries.get_mut(&ticket) else { return };
         if let Some(held) = delivery.held.take() {
             self.intake.release(held);
-            self.advice.last_leave(now);
+            self.advice.on_departure(now);
         }
         if let Some(key) = &delivery.key {
             self.memory.on_answer(key, ticket, answer.clone(), ReplyState::Never);
--- a/crates/intent-log/src/error.rs
+++ b/crates/intent-log/src/error.rs
@@ -5,14 +5,24 @@
 /// Intents that were to be written are then not on disk, as far as is known; intents acknowledged before still are.
 #[derive(Debug, thiserror::Error)]
 pub enum IntentLogError {
+    /// [`crate::IntentStore::begin`] was not called yet.
     #[error("no run of this store has begun")]
     NotStarted,
+    /// The store has seen a later run than the one that is to begin.
     #[error("run {requested} is not after run {last}, which is in the store")]
-    RunSuperseded { requested: u64, last: u64 },
+    RunSuperseded {
+        /// The run that was to begin.
+        requested: u64,
+        /// The last run in the store.
+        last: u64,
+    },
+    /// The file can't be what was written.
     #[error("the store is damaged: {0}")]
     Damaged(String),
+    /// The database refuses a read or a write.
     #[error("the store can't be read or written: {0}")]
     Unavailable(String),
+    /// The folder can't be made or written.
     #[error("can't use the folder of the marks: {0}")]
     Folder(#[from] io::Error),
 }
--- a/crates/intent-log/src/lib.rs
+++ b/crates/intent-log/src/lib.rs
@@ -14,6 +14,7 @@
 //! What that leaves open: a copy taken in the midst of the last run, after the commit that the witness names, is not told from
 //! the store itself. A witness is as good as it is new. And a message that is delivered again later than `keep` after its
 //! intent may run twice: `keep` is to exceed the age of any message that a broker may still deliver.
+#![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
 mod commit;
--- a/crates/intent-log/src/store.rs
+++ b/crates/intent-log/src/store.rs
@@ -9,25 +9,34 @@
 
 pub(crate) type Micros = i64;
 
+/// Identity, run and number: the key of an intent on disk.
+pub(crate) type IntentRow = (Identity, u64, u64);
+/// Before every row.
+const FIRST_ROW: IntentRow = (0, 0, 0);
+
 /// By identity, run and number: a message whose id is used twice has two intents.
-pub(crate) const MARKS: TableDefinition<(Identity, u64, u64), ()> = TableDefinition::new("marks");
+pub(crate) const INTENTS: TableDefinition<IntentRow, ()> = TableDefinition::new("marks");
 /// Runs that began, with the commits of each.
 pub(crate) const RUNS: TableDefinition<u64, u64> = TableDefinition::new("runs");
-/// [`BLIND`]: intents are missing that may be asked for, until `keep` has passed in one run.
+/// [`BLIND`]: intents are missing that may be asked for, until [`Options::retention`] has passed in one run.
 pub(crate) const STATE: TableDefinition<&str, u64> = TableDefinition::new("state");
 pub(crate) const BLIND: &str = "blind";
 /// Runs that are remembered.
 const RUNS_MOST: u64 = 1024;
+
 /// An intent: the message, and the number of its call, unique within the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Intent {
+    /// The message.
     pub identity: Identity,
+    /// The call, unique within the run.
     pub number: u64,
 }
 
 /// What is known elsewhere of the run before the present one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LastRun {
+    /// Its number.
     pub run: u64,
     /// Commits that it is known to have made at least.
     pub commits: u64,
@@ -37,28 +46,36 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// How long an intent is kept, in microseconds; to exceed the age of any message that may still be delivered again.
-    pub replica: Micros,
-    /// How long an intent is kept that is ordered to have ended.
+    pub retention: Micros,
+    /// How long an intent is kept once its message is known to have ended.
     pub ended_retention: Micros,
-    /// Intents held; the oldest go before their time where there are more, and nothing is proven for `keep` after that. A
+    /// Intents held; the oldest go before their time where there are more, and nothing is proven for `retention` after that. An
     /// intent takes some 70 bytes on disk.
     pub most: u64,
 }
 
 impl Default for Options {
     fn default() -> Options {
-        Options { replica: 3_600_000_000, ended_retention: 60_000_000, most: 1_000_000 }
+        Options { retention: 3_600_000_000, ended_retention: 60_000_000, most: 1_000_000 }
     }
 }
 
 /// What goes into one commit.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
+    /// Intents to write.
     pub intents: Vec<Intent>,
     /// Intents of this run whose message can't come again.
     pub ended: Vec<Intent>,
 }
 
+/// An intent on disk, and when it is dropped.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Expiring {
+    pub(crate) at: Micros,
+    pub(crate) intent: Intent,
+}
+
 /// Opens the database; called anew after an error that it does not recover from.
 pub type Opener = Box<dyn FnMut() -> Result<Database, IntentLogError> + Send>;
 
@@ -72,15 +89,15 @@
     pub(crate) current_number: u64,
     pub(crate) commits: u64,
     /// The last run before this one in the file, and its commits.
-    before: Option<(u64, u64)>,
+    before: Option<LastRun>,
     /// The run before is whole in the file.
     is_complete: bool,
     /// None: they are gone.
     pub(crate) former: Option<Former>,
     pub(crate) unproven_until: Option<Micros>,
     /// Intents of this run by when they go. What ended goes by a shorter line and is then missing in the longer one.
-    pub(crate) expiring: VecDeque<(Micros, Intent)>,
-    pub(crate) ended_expiring: VecDeque<(Micros, Intent)>,
+    pub(crate) expiring: VecDeque<Expiring>,
+    pub(crate) ended_expiring: VecDeque<Expiring>,
 }
 
 impl IntentStore {
@@ -96,7 +113,7 @@
             commits: 0,
             before: None,
             is_complete: false,
-            former: Some(Former { due: now + options.replica, from: (0, 0, 0) }),
+            former: Some(Former { due: now + options.retention, from: FIRST_ROW }),
             unproven_until: None,
             expiring: VecDeque::new(),
             ended_expiring: VecDeque::new(),
@@ -109,7 +126,7 @@
     fn adopt(&mut self, database: Database, now: Micros) -> Result<(), IntentLogError> {
         let transaction = write(&database)?;
         let new = {
-            transaction.open_table(MARKS)?;
+            transaction.open_table(INTENTS)?;
             let runs = transaction.open_table(RUNS)?;
             let mut state = transaction.open_table(STATE)?;
             let new = runs.is_empty()?;
@@ -121,7 +138,7 @@
         transaction.commit()?;
         if new {
             self.is_complete = false;
-            self.unproven_until = Some(now + self.options.replica);
+            self.unproven_until = Some(now + self.options.retention);
         }
         self.database = Some(database);
         Ok(())
@@ -135,8 +152,8 @@
         Ok(last)
     }
 
-    /// A run begins under this number, which is on disk when this returns; it may be told a higher one later. `last_run` is what is known from elsewhere of the
-    /// run before; without one nothing of former runs is proven.
+    /// A run begins under this number, which is on disk when this returns; it may be given a higher one later.
+    /// `last_run` is what is known from elsewhere of the run before; without one nothing of former runs is proven.
     ///
     /// # Errors
     /// [`IntentLogError::RunSuperseded`] where the file knows this run or a later one: an older count than the store's.
@@ -146,9 +163,10 @@
         let transaction = write(database)?;
         let before = {
             let mut runs = transaction.open_table(RUNS)?;
-            let last = runs.last()?.map(|(run, commits)| (run.value(), commits.value()));
-            if let Some((last, _)) = last.filter(|(last, _)| *last >= run) {
-                return Err(IntentLogError::RunSuperseded { requested: run, last });
+            let last = runs.last()?;
+            let last = last.map(|(run, commits)| LastRun { run: run.value(), commits: commits.value() });
+            if let Some(last) = last.filter(|last| last.run >= run) {
+                return Err(IntentLogError::RunSuperseded { requested: run, last: last.run });
             }
             runs.insert(run, self.commits)?;
             while runs.len()? > RUNS_MOST {
@@ -158,9 +176,11 @@
             self.run.map_or(last, |_| self.before)
         };
         transaction.commit()?;
-        self.is_complete =
-            matches!((before, last_run), (Some((r, c)), Some(w)) if r == w.run && c >= w.commits);
-        (self.before, self.current_number) = (before, run);
+        self.is_complete = before.zip(last_run).is_some_and(|(before, expected)| {
+            before.run == expected.run && before.commits >= expected.commits
+        });
+        self.before = before;
+        self.current_number = run;
         self.run.get_or_insert(run);
         Ok(())
     }
@@ -172,10 +192,11 @@
 
     /// Whether a commit would only drop what is no longer needed.
     pub fn is_due(&self, now: Micros) -> bool {
-        let first = |line: &VecDeque<(Micros, Intent)>| line.front().is_some_and(|(at, _)| *at <= now);
+        let is_first_due =
+            |queue: &VecDeque<Expiring>| queue.front().is_some_and(|expiring| expiring.at <= now);
         self.database.is_none()
-            || first(&self.expiring)
-            || first(&self.ended_expiring)
+            || is_first_due(&self.expiring)
+            || is_first_due(&self.ended_expiring)
             || self.former.is_some_and(|f| f.due <= now)
             || self.unproven_until.is_some_and(|at| at <= now)
     }
@@ -238,10 +259,9 @@
 
     fn contains(&self, identity: Identity) -> Result<bool, IntentLogError> {
         let database = self.database.as_ref().ok_or(IntentLogError::NotStarted)?;
-        let marks = database.begin_read()?.open_table(MARKS)?;
-        let found =
-            marks.range((identity, 0, 0)..=(identity, u64::MAX, u64::MAX))?.next().transpose()?.is_some();
-        Ok(found)
+        let intents = database.begin_read()?.open_table(INTENTS)?;
+        let mut found = intents.range((identity, 0, 0)..=(identity, u64::MAX, u64::MAX))?;
+        Ok(found.next().transpose()?.is_some())
     }
 }
 
--- a/crates/intent-log/tests/store.rs
+++ b/crates/intent-log/tests/store.rs
@@ -10,7 +10,7 @@
 use stagehoist_recovery::AttemptKnowledge;
 
 const KEEP: i64 = 1_000_000;
-const OPTIONS: Options = Options { replica: KEEP, ended_retention: KEEP / 10, most: 1000 };
+const OPTIONS: Options = Options { retention: KEEP, ended_retention: KEEP / 10, most: 1000 };
 
 fn open(disk: &Disk, now: i64) -> Result<IntentStore, IntentLogError> {
     open_with(disk, OPTIONS, now)
@@ -234,7 +234,7 @@
 
 /// Starts, intents, and ends a run; what it could tell of another message.
 fn run(place: &LogLocation, n: u64) -> AttemptKnowledge {
-    let (marks, thread) = start(place, Options { replica: 0, ..OPTIONS }).unwrap();
+    let (marks, thread) = start(place, Options { retention: 0, ..OPTIONS }).unwrap();
     let (reply, mut done) = tokio::sync::mpsc::unbounded_channel();
     assert!(marks.query(1, 999, &reply));
     let Some(LogEvent::Answered(1, told)) = done.blocking_recv() else { panic!("no answer") };
--- a/crates/recovery/src/delivery_cache.rs
+++ b/crates/recovery/src/delivery_cache.rs
@@ -26,7 +26,10 @@
     /// Its answer is known and did not arrive: send it, run nothing.
     Resend(A),
     /// Its answer arrived, or may have: acknowledge it, send nothing, run nothing.
-    Settle { doubtful: bool },
+    Settle {
+        /// Whether the answer arrived is not known.
+        doubtful: bool,
+    },
     /// It was delivered before and nothing is known of it here: whoever may have held it is asked, and until then it waits
     /// as if it were in progress under its number. Given only after [`DeliveryCache::inquires`].
     Inquire,
@@ -40,7 +43,7 @@
     Answered(A, ReplyState),
     /// Nothing is known but that it is being answered `failed` under this number.
     Failing(u64),
-    /// Another member was notified that no attempt leaves from here.
+    /// Another member was informed that no attempt leaves from here.
     Ceded,
 }
 
@@ -50,6 +53,32 @@
     created_at: Micros,
 }
 
+impl<A: Clone> Entry<A> {
+    /// What a second delivery of a message in progress, or answered, becomes; None for the others.
+    fn on_redelivery(&mut self, resend_doubtful: bool) -> Option<Verdict<A>> {
+        match &mut self.known {
+            Known::Running(ticket) => Some(Verdict::Join(*ticket)),
+            Known::Answered(_, ReplyState::Confirmed) => Some(Verdict::Settle { doubtful: false }),
+            Known::Answered(_, ReplyState::Doubtful) if !resend_doubtful => {
+                Some(Verdict::Settle { doubtful: true })
+            }
+            Known::Answered(answer, reply_state) => {
+                // Sent anew, it is out of our hands until told otherwise.
+                *reply_state = ReplyState::Doubtful;
+                Some(Verdict::Resend(answer.clone()))
+            }
+            Known::Failing(_) | Known::Ceded => None,
+        }
+    }
+}
+
+/// When a message became known.
+#[derive(Clone, Debug)]
+struct Created {
+    at: Micros,
+    key: Key,
+}
+
 /// The messages of late, bounded in number and age.
 #[derive(Clone, Debug)]
 pub struct DeliveryCache<A> {
@@ -57,8 +86,8 @@
     retention: Micros,
     resend_doubtful: bool,
     entries: HashMap<Key, Entry<A>>,
-    /// Birth order; an entry that was replaced leaves a stale line, known by its time.
-    order: VecDeque<(Micros, Key)>,
+    /// In order of creation; an entry that was replaced leaves a stale one, known by its time.
+    order: VecDeque<Created>,
     inquires: bool,
     /// A message in progress was forgotten: what is not known may be in progress here, until then.
     unproven_until: Micros,
@@ -79,7 +108,7 @@
         }
     }
 
-    /// Messages of which nothing is known are asked about from now on: attempts of calls that is not idempotent
+    /// Messages of which nothing is known are asked about from now on: attempts of calls that are not idempotent
     /// are recorded on disk, and somebody can tell.
     pub fn inquires(&mut self, asks: bool) {
         self.inquires = asks;
@@ -99,7 +128,7 @@
     ///
     /// A delivery that is not recorded as redelivered is a message of its own, even where a caller uses an id twice. One
     /// that is and of which nothing is known was with another front end, or with this one before a restart: it may have
-    /// run there, so that only what is idempotent runs.
+    /// run there, so that only idempotent calls run.
     pub fn on_delivery(
         &mut self,
         key: Option<&Key>,
@@ -111,37 +140,19 @@
         self.expire(now);
         let entry = key.and_then(|key| self.entries.get_mut(key));
         let ceded = matches!(entry, Some(Entry { known: Known::Ceded, .. }));
-        match entry.filter(|_| redelivered) {
-            Some(Entry { known: Known::Running(at_work), .. }) => return Verdict::Join(*at_work),
-            Some(Entry { known: Known::Answered(answer, sent), .. }) => {
-                let again = match sent {
-                    ReplyState::Never => true,
-                    ReplyState::Doubtful => self.resend_doubtful,
-                    ReplyState::Confirmed => false,
-                };
-                if !again {
-                    return Verdict::Settle { doubtful: *sent == ReplyState::Doubtful };
-                }
-                // Sent anew, it is out of our hands until told otherwise.
-                *sent = ReplyState::Doubtful;
-                return Verdict::Resend(answer.clone());
-            }
-            _ => {}
+        if let Some(verdict) =
+            entry.filter(|_| redelivered).and_then(|e| e.on_redelivery(self.resend_doubtful))
+        {
+            return verdict;
         }
-        let verdict = if effect == Effect::Idempotent {
-            Verdict::Run
-        } else if redelivered {
-            let asks = self.inquires && key.is_some() && now >= self.unproven_until;
-            if asks {
-                Verdict::Inquire
-            } else {
-                Verdict::Fail
-            }
-        } else if ceded {
-            // It lay in the socket while another member was notified that nothing leaves from here.
-            Verdict::Fail
-        } else {
-            Verdict::Run
+        let can_inquire = self.inquires && key.is_some() && now >= self.unproven_until;
+        let verdict = match effect {
+            Effect::Idempotent => Verdict::Run,
+            _ if redelivered && can_inquire => Verdict::Inquire,
+            _ if redelivered => Verdict::Fail,
+            // It lay in the socket while another member was informed that nothing leaves from here.
+            _ if ceded => Verdict::Fail,
+            _ => Verdict::Run,
         };
         if let (Some(key), Verdict::Run | Verdict::Inquire) = (key, &verdict) {
             self.insert(key, Known::Running(ticket), now);
@@ -176,23 +187,23 @@
 
     fn insert(&mut self, key: &Key, known: Known<A>, now: Micros) {
         while self.entries.len() >= self.max_entries.max(1) {
-            let Some((born, old)) = self.order.pop_front() else { break };
-            self.forget(born, &old, now);
+            let Some(oldest) = self.order.pop_front() else { break };
+            self.forget(&oldest, now);
         }
-        self.order.push_back((now, key.clone()));
+        self.order.push_back(Created { at: now, key: key.clone() });
         self.entries.insert(key.clone(), Entry { known, created_at: now });
     }
 
     fn expire(&mut self, now: Micros) {
-        while self.order.front().is_some_and(|(born, _)| now - born > self.retention) {
-            let Some((born, key)) = self.order.pop_front() else { break };
-            self.forget(born, &key, now);
+        while self.order.front().is_some_and(|created| now - created.at > self.retention) {
+            let Some(oldest) = self.order.pop_front() else { break };
+            self.forget(&oldest, now);
         }
     }
 
-    fn forget(&mut self, born: Micros, key: &Key, now: Micros) {
-        if self.entries.get(key).is_some_and(|e| e.created_at == born) {
-            let gone = self.entries.remove(key);
+    fn forget(&mut self, created: &Created, now: Micros) {
+        if self.entries.get(&created.key).is_some_and(|entry| entry.created_at == created.at) {
+            let gone = self.entries.remove(&created.key);
             if gone.is_some_and(|e| matches!(e.known, Known::Running(_))) {
                 // It may still have its first attempt before it, and no intent yet.
                 self.unproven_until = now + self.retention;
@@ -200,7 +211,7 @@
         }
     }
 
-    /// A message's call has its answer; what becomes of the reply is notified by [`DeliveryCache::on_reply_state`].
+    /// A message's call has its answer; what becomes of the reply is reported by [`DeliveryCache::on_reply_state`].
     pub fn on_answer(&mut self, key: &Key, ticket: u64, answer: A, sent: ReplyState) {
         if let Some(entry) = self.entries.get_mut(key) {
             if matches!(entry.known, Known::Running(t) | Known::Failing(t) if t == ticket) {
--- a/crates/recovery/src/inquiry.rs
+++ b/crates/recovery/src/inquiry.rs
@@ -24,6 +24,7 @@
 pub enum Outcome {
     /// It is known not to have run.
     Run,
+    /// It may have run, or nobody can tell: its caller is answered `failed`.
     Fail,
 }
 
--- a/crates/recovery/src/intent_gate.rs
+++ b/crates/recovery/src/intent_gate.rs
@@ -26,8 +26,11 @@
 pub enum GateDecision<A> {
     /// It leaves now: the intent of its call is on disk, or it needs none.
     Send(A),
-    /// It waits; the intent is to be asked for where told.
-    Wait { record: bool },
+    /// It waits for the intent of its call.
+    Wait {
+        /// The intent is to be asked for.
+        record: bool,
+    },
     /// It never left, which is known: nothing ran. `why` is for people.
     Unsent(A, UnsentReason),
 }
@@ -65,6 +68,13 @@
     by: Micros,
 }
 
+/// When an attempt has waited too long.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Deadline {
+    at: Micros,
+    attempt: AttemptId,
+}
+
 /// The attempts of one front end that wait, and the calls whose intents are on disk. A call's number is never used twice in a
 /// run, as its request's may be.
 pub struct IntentGate<A> {
@@ -73,7 +83,7 @@
     /// Calls in the order in which they came.
     order: VecDeque<u64>,
     waiting: HashMap<AttemptId, Waiting<A>>,
-    deadlines: BTreeSet<(Micros, AttemptId)>,
+    deadlines: BTreeSet<Deadline>,
     /// Workers that drain, since when, and (`Micros::MIN`) those that are gone.
     leaving: HashMap<WorkerId, Micros>,
 }
@@ -118,7 +128,7 @@
             self.order.push_back(number);
         }
         let by = due.min(now + self.limits.longest);
-        self.deadlines.insert((by, id));
+        self.deadlines.insert(Deadline { at: by, attempt: id });
         self.waiting.insert(id, Waiting { attempt: what, number, worker, due, by });
         self.calls.entry(number).or_default().waiting.push(id);
         GateDecision::Wait { record: ask }
@@ -151,7 +161,7 @@
         }
         let steps = ids.into_iter().filter_map(|id| {
             let held = self.take(id)?;
-            let step = match (on_disk, self.still_allowed(&held, now)) {
+            let step = match (on_disk, self.revocation(&held, now)) {
                 (false, _) => GateDecision::Unsent(held.attempt, UnsentReason::NoIntent),
                 (true, Some(why)) => GateDecision::Unsent(held.attempt, why),
                 (true, None) => GateDecision::Send(held.attempt),
@@ -161,8 +171,8 @@
         steps.collect()
     }
 
-    /// Why an attempt may not leave any more.
-    fn still_allowed(&self, held: &Waiting<A>, now: Micros) -> Option<UnsentReason> {
+    /// Why an attempt may no longer be sent; None where it may.
+    fn revocation(&self, held: &Waiting<A>, now: Micros) -> Option<UnsentReason> {
         if now >= held.due {
             return Some(UnsentReason::TooLate);
         }
@@ -191,27 +201,24 @@
 
     /// When [`IntentGate::take_late`] is due.
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.deadlines.first().map(|(at, _)| *at)
+        self.deadlines.first().map(|deadline| deadline.at)
     }
 
     /// Attempts that waited too long. An intent that comes later serves the call's next attempt.
     pub fn take_late(&mut self, now: Micros) -> Vec<(AttemptId, A, UnsentReason)> {
-        let ids: Vec<AttemptId> =
-            self.deadlines.range(..=(now, (RequestId::MAX, u16::MAX))).map(|b| b.1).collect();
+        let due = self.deadlines.iter().take_while(|deadline| deadline.at <= now);
+        let ids: Vec<AttemptId> = due.map(|deadline| deadline.attempt).collect();
         let late = ids.into_iter().filter_map(|id| {
             let held = self.take(id)?;
-            Some((
-                id,
-                held.attempt,
-                if now >= held.due { UnsentReason::TooLate } else { UnsentReason::NoIntent },
-            ))
+            let why = if now >= held.due { UnsentReason::TooLate } else { UnsentReason::NoIntent };
+            Some((id, held.attempt, why))
         });
         late.collect()
     }
 
     fn take(&mut self, id: AttemptId) -> Option<Waiting<A>> {
         let held = self.waiting.remove(&id)?;
-        self.deadlines.remove(&(held.by, id));
+        self.deadlines.remove(&Deadline { at: held.by, attempt: id });
         if let Some(call) = self.calls.get_mut(&held.number) {
             call.waiting.retain(|w| *w != id);
         }
--- a/crates/recovery/src/key.rs
+++ b/crates/recovery/src/key.rs
@@ -11,8 +11,11 @@
 /// What identifies a message over deliveries: its reply queue, correlation id and message id.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key {
+    /// The queue that the caller takes its answers from.
     pub reply_to: String,
+    /// The caller's correlation id.
     pub correlation: String,
+    /// The message id; empty where the message has none.
     pub message: String,
 }
 
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -5,6 +5,7 @@
 //! - [`DeliveryCache`]: messages of late; [`Inquiries`]: those that wait for the word of whoever may have held them.
 //! - [`IntentGate`]: attempts that wait until their call's intent is on disk.
 //! - [`RecoveryPhases`]: waking, asking, reserved, open.
+#![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
 mod backoff;
--- a/crates/recovery/src/phases.rs
+++ b/crates/recovery/src/phases.rs
@@ -26,9 +26,13 @@
 /// How far this front end has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecoveryPhase {
+    /// The own store is not open yet, or the cluster state has not been read.
     OpeningStorage,
+    /// Former members are asked about messages that were delivered before.
     ResolvingInDoubt,
+    /// A growing part of the calls is admitted, those inside reservations first.
     Ramping,
+    /// Every call is admitted.
     Serving,
 }
 
@@ -47,7 +51,9 @@
 /// Times and shares, told.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
+    /// Longest time in `waking`, in microseconds.
     pub opening_storage: Micros,
+    /// Longest time in `asking`, in microseconds.
     pub resolving_in_doubt: Micros,
     /// After this long in `reserved` the part admitted grows by time too, over as long again.
     pub ramping: Micros,
@@ -84,11 +90,13 @@
     pub record: bool,
     /// Former members that are still to say what they know of messages delivered again.
     pub open_inquiries: u32,
-    /// Calls admitted that ended, and those of them served in time.
+    /// Admitted calls that ended.
     pub ended: u32,
+    /// Those served in time.
     pub in_time: u32,
-    /// Workers that are ready, and those of them with a warm copy of something.
+    /// Ready workers.
     pub workers: u32,
+    /// Those with a warm copy of something.
     pub warm_workers: u32,
     /// Room for cold workers, loads under the ration, that stands unused, as a part of all of it; 1 where nothing is cold.
     pub unused_capacity: f64,
@@ -113,13 +121,18 @@
 /// What is decided about a call that comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
+    /// It is admitted.
     Enter,
-    /// It waits for a change of stage, and is asked for again then, or at this time.
+    /// It waits for a change of phase.
     Wait {
+        /// When to ask again where no change came.
         until: Micros,
     },
+    /// It is rejected.
     Refuse {
+        /// The reason in the answer.
         reason: &'static str,
+        /// How long the caller had better stay away, in microseconds.
         retry_after: Micros,
     },
 }
@@ -140,7 +153,7 @@
 const STEP: Micros = 500_000;
 
 impl RecoveryPhases {
-    /// A front end starts. One that is notified no fleet at all is open from the start.
+    /// A front end starts. One with no fleet configured serves from the start.
     pub fn new(limits: Limits, seed: u64, now: Micros) -> RecoveryPhases {
         let random = Backoff::new(1, 1, seed);
         RecoveryPhases {
