--- a/crates/checker/src/rules/charter.rs
+++ b/crates/checker/src/rules/charter.rs
@@ -73,7 +73,7 @@
     pub starts: Vec<WorkerStart>,
     /// Front ends that were stopped: from, to.
     pub frozen: Vec<(u32, Micros, Micros)>,
-    /// Front ends whose process started anew: when. A new process knows nothing of what the old one was notified.
+    /// Front ends whose process started anew: when. A new process knows nothing of what the old one was given.
     pub begun: Vec<(u32, Micros)>,
     pub retired: Vec<Retired>,
     pub pools: Vec<PoolRule>,
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -21,7 +21,7 @@
     format!("{}/{number}", fleet.member)
 }
 
-/// What the replica's part is notified.
+/// What the replica's part is given.
 pub fn options(config: &Config, fleet: &Fleet) -> Options {
     let pool = |pool: &stagehoist_config::Pool| Pool {
         name: pool.name.clone(),
@@ -109,7 +109,7 @@
             demand,
         });
     }
-    // The session's ends are kept until the members leave: what was notified last stands.
+    // The session's ends are kept until the members leave: what was given last stands.
     std::future::pending::<()>().await;
 }
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -72,7 +72,7 @@
         #[command(subcommand)]
         what: load::Load,
     },
-    /// A emulator for an outside system.
+    /// An emulator for an outside system.
     Standin {
         #[command(subcommand)]
         what: standin::Standin,
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -75,7 +75,7 @@
     },
 }
 
-/// Runs a emulator until it is ordered to end.
+/// Runs an emulator until it is ordered to end.
 pub fn run(what: Standin) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
--- a/crates/cli/tests/platform/descriptors.rs
+++ b/crates/cli/tests/platform/descriptors.rs
@@ -38,7 +38,7 @@
         idle
     }
 
-    /// A newcomer that is notified `serving`.
+    /// A newcomer to which `serving` is answered.
     async fn newcomer(&self) -> Client {
         let mut client = self.client().await;
         client.raw(&array(HEALTH)).await.unwrap();
--- a/crates/cluster-state/src/allocation/limits.rs
+++ b/crates/cluster-state/src/allocation/limits.rs
@@ -1,4 +1,4 @@
-//! What is notified of the allocation, and the guaranteed minimum that each front end has in a pool.
+//! What is known of the allocation, and the guaranteed minimum that each front end has in a pool.
 
 use crate::Micros;
 
--- a/crates/cluster-state/src/leader/commands.rs
+++ b/crates/cluster-state/src/leader/commands.rs
@@ -121,7 +121,7 @@
                 None
             }
             (TombstoneState::Proposed, RetirementMode::Strict) => Some(BTreeSet::new()),
-            // An available one goes on until it confirmed. Whoever can be reached is notified within a lease,
+            // An available one goes on until it confirmed. Whoever can be reached is informed within a lease,
             // several reports long; who has not confirmed by then is named, so that one long call in progress
             // holds up nobody's state.
             (TombstoneState::Proposed, RetirementMode::Available)
--- a/crates/cluster-state/src/lease.rs
+++ b/crates/cluster-state/src/lease.rs
@@ -1,4 +1,4 @@
-//! A front end's side of its session: what it was notified, and until when it may rely on it by its own clock.
+//! A front end's side of its session: what it was given, and until when it may rely on it by its own clock.
 
 use crate::{ClusterView, Grant, LeaseTerms, Micros, Version};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/cluster-state/tests/allocation.rs
+++ b/crates/cluster-state/tests/allocation.rs
@@ -10,7 +10,7 @@
 const PERMITS: u32 = 100;
 const RESERVED: u32 = 40;
 /// Four rounds of report and answer (the owner asks, borrowers are told less, their runs end and they tell
-/// so, the owner is notified more), and the longest run.
+/// so, the owner is given more), and the longest run.
 const BACK: i64 = 4 * (50 + 12 + 10) * MS + LIMITS.longest_run;
 
 fn faults() -> impl Strategy<Value = Faults> {
--- a/crates/cluster-state/tests/allocation_world/mod.rs
+++ b/crates/cluster-state/tests/allocation_world/mod.rs
@@ -255,7 +255,7 @@
             }
         }
         for (owner, lane) in started {
-            // By this front end's clock a run takes no longer than was notified.
+            // By this front end's clock a run takes no longer than is configured.
             let longest = (LIMITS.longest_run as f64 / self.fronts[n].rate) as usize;
             let run = (10 * MS as usize) + self.draw(longest - 10 * MS as usize);
             self.fronts[n].runs.push((self.now + run as Micros, owner, lane));
--- a/crates/config/src/list_source.rs
+++ b/crates/config/src/list_source.rs
@@ -5,7 +5,7 @@
 use crate::model::ListSource;
 use crate::Position;
 
-/// The source that a directive names; `service` is Consul's where none is notified, `consul_only` the keys that mean nothing with
+/// The source that a directive names; `service` is Consul's where none is configured, `consul_only` the keys that mean nothing with
 /// a file. What is wrong goes to `stray`.
 pub fn list_source(
     line: &Line,
--- a/crates/config/src/marks.rs
+++ b/crates/config/src/marks.rs
@@ -5,7 +5,7 @@
 use crate::source::Source;
 use crate::Position;
 
-/// Where attempts of calls that is not idempotent are recorded before they leave.
+/// Where attempts of calls that are not idempotent are recorded before they leave.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IntentLogSettings {
     pub folder: String,
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,10 +1,10 @@
-//! What the module is notified, and what is looked up in a configuration.
+//! What the module is given, and what is looked up in a configuration.
 
 use crate::model::{Class, Config, Function};
 use stagehoist::{ClassSettings, ReportField, Settings};
 
 impl Config {
-    /// What the module is notified at its start.
+    /// What the module is given at its start.
     pub fn settings(&self) -> Settings {
         let class = |c: &Class| ClassSettings {
             latency_objective: c.aim,
--- a/crates/config/src/sharding.rs
+++ b/crates/config/src/sharding.rs
@@ -9,7 +9,7 @@
 use stagehoist_sharding::{MAX_SHARDS, MAX_SHARD_WEIGHT};
 use std::collections::BTreeMap;
 
-/// Most shards that one front end may have to serve by what is notified.
+/// Most shards that one front end may have to serve by the configuration.
 const SHARDS_EACH: u32 = 16;
 const PHASES: &[&str] = &["announced", "both", "closing"];
 const SHARDS: Kind = Kind::Count(1, MAX_SHARDS as u64);
@@ -43,7 +43,7 @@
     },
 ];
 
-/// What is notified of the division.
+/// What is known of the division.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sharding {
     pub divisions: Divisions,
--- a/crates/consensus/src/frames.rs
+++ b/crates/consensus/src/frames.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::{Framed, FramedParts, FramedWrite, LengthDelimitedCodec};
 
-/// Longest frames in bytes: a connection's first, what a front end says then, what it is notified, between
+/// Longest frames in bytes: a connection's first, what a front end says then, what it is given, between
 /// replicas.
 pub const MAX_FIRST_FRAME: usize = 1 << 20;
 pub const MAX_REQUEST: usize = 256 << 10;
@@ -45,7 +45,7 @@
     Framed::new(stream, LengthDelimitedCodec::builder().max_frame_length(most).new_codec())
 }
 
-/// A front end's connection at a replica, in two: what it says is shorter than what it is notified.
+/// A front end's connection at a replica, in two: what it says is shorter than what it is given.
 pub fn split(frames: Frames) -> (Reading, Writing) {
     let parts = frames.into_parts();
     let (read, write) = parts.io.into_split();
--- a/crates/consensus/src/session/permits.rs
+++ b/crates/consensus/src/session/permits.rs
@@ -38,7 +38,7 @@
     /// How soon after the last report this inputs goes out; None: with the next one.
     pub(super) fn report_delay(&mut self, report: &SessionReport) -> Option<Duration> {
         let last = &self.reported;
-        // The leader allocates what was given back once it is notified that the smaller grant is gone by.
+        // The leader allocates what was given back once it is informed that the smaller grant is applied.
         let gone_by = |n: u64| report.demand.iter().any(|d| d.applied >= n);
         let gave_back = self.released_grant.take_if(|n| gone_by(*n)).is_some();
         if gave_back || (last.confirmed, last.ready_capacity) != (report.confirmed, report.ready_capacity) {
--- a/crates/consensus/src/session/retirements.rs
+++ b/crates/consensus/src/session/retirements.rs
@@ -25,7 +25,7 @@
     tombstones: usize,
     /// Some were proposed again.
     is_waiting: bool,
-    /// Whether it was notified that these wait.
+    /// Whether it was reported that these wait.
     is_reported: bool,
 }
 
--- a/crates/consensus/src/session_file.rs
+++ b/crates/consensus/src/session_file.rs
@@ -91,7 +91,7 @@
     Ok(aside)
 }
 
-/// A name that is a file's wherever: what is no letter, digit or dash is notified by its bytes.
+/// A name that is a file's wherever: what is no letter, digit or dash is written as its bytes.
 fn file_name(member: &str) -> String {
     let mut name = String::new();
     for byte in member.bytes() {
--- a/crates/consensus/src/store/fingerprint.rs
+++ b/crates/consensus/src/store/fingerprint.rs
@@ -1,4 +1,4 @@
-//! A few bytes beside the store, by which a store that was lost or set back is notified.
+//! A few bytes beside the store, by which a store that was lost or set back is recognized.
 //!
 //! A replica that forgot its vote or the end of its log could vote twice in a term, or let a leader be
 //! elected that lacks what
--- a/crates/consensus/src/store/log.rs
+++ b/crates/consensus/src/store/log.rs
@@ -97,7 +97,7 @@
     }
 
     async fn save_committed(&mut self, committed: Option<LogId>) -> Result<(), RaftStorageError> {
-        // For a quick start only: what was committed is notified anew by the leader.
+        // For a quick start only: what was committed is sent anew by the leader.
         self.run_blocking(move |store| store.write(Durability::None, |w| w.put(key::COMMITTED, &committed)))
             .await
     }
--- a/crates/core/tests/load_budget.rs
+++ b/crates/core/tests/load_budget.rs
@@ -39,7 +39,7 @@
     after_drain: usize,
 }
 
-/// Plays a day; `doctor` changes what the module is notified, `verified` tells it that every caller counts: what the checker must
+/// Plays a day; `doctor` changes what the module is given, `verified` tells it that every caller counts: what the checker must
 /// find.
 fn run(seed: u64, verified: bool, doctor: impl Fn(&mut Settings)) -> Observed {
     let mut r = Draw(seed);
--- a/crates/core/tests/slow_start/main.rs
+++ b/crates/core/tests/slow_start/main.rs
@@ -124,7 +124,7 @@
     assert_kept("in turns", &Scenario { traffic: Traffic::Turns(500 * MS), unequal: true, ..s });
 }
 
-/// The checker does find it where front ends are notified three times the multiple.
+/// The checker does find it where front ends are given three times the multiple.
 #[test]
 fn a_budget_three_times_too_large_breaks_the_rule() {
     let s = Scenario { doctored: 3.0, ..Scenario::plain() };
--- a/crates/core/tests/slow_start/scenario.rs
+++ b/crates/core/tests/slow_start/scenario.rs
@@ -43,7 +43,7 @@
 pub struct Scenario {
     pub seed: u64,
     pub fronts: usize,
-    /// Of those that there are so many are notified.
+    /// Of those that exist so many are listed.
     pub notified_at: f64,
     pub established: WorkerId,
     pub cold: WorkerId,
@@ -169,7 +169,7 @@
         }
     }
 
-    /// What front ends are notified.
+    /// What front ends are given.
     pub fn settings(&self) -> Settings {
         let ms = |span: Micros| span / MS;
         let text = format!(
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -1,4 +1,4 @@
-//! A emulator for Consul's health API: `GET /v1/health/service/NAME` with blocking queries, an index that may go backwards,
+//! An emulator for Consul's health API: `GET /v1/health/service/NAME` with blocking queries, an index that may go backwards,
 //! and lists that lag, fail and flap on command. Each listening socket shows the workers by addresses of its own, so that
 //! what each front end reaches can be recorded apart.
 
--- a/crates/emulator/tests/worker.rs
+++ b/crates/emulator/tests/worker.rs
@@ -1,4 +1,4 @@
-//! What a emulator worker holds and does, by time alone.
+//! What an emulator worker holds and does, by time alone.
 
 use stagehoist_emulator::worker::model::{Found, Model, Refusal, Step};
 use stagehoist_emulator::worker::{Program, Spec};
--- a/crates/gateway/src/amqp/front/mod.rs
+++ b/crates/gateway/src/amqp/front/mod.rs
@@ -94,7 +94,7 @@
     draining: bool,
     /// Until when the first endpoint list is awaited; None: no more, or not at all.
     list_by: Option<Micros>,
-    /// Queues whose consumer was ordered to stop and has not said so, as often as it was notified: deliveries of it may be on
+    /// Queues whose consumer was ordered to stop and has not said so, as often as it was reported: deliveries of it may be on
     /// their way.
     stopping: Vec<usize>,
     /// Deliveries of the present channel; their acknowledgements go out together, with the next replies.
--- a/crates/gateway/src/discovery/front_ends.rs
+++ b/crates/gateway/src/discovery/front_ends.rs
@@ -98,7 +98,7 @@
     failed: || Input::FrontEndList(None),
 };
 
-/// Follows the list until the driver is gone; returns at once where none is notified. `asks` ends it.
+/// Follows the list until the driver is gone; returns at once where none is configured. `asks` ends it.
 pub async fn follow(
     config: Rc<Config>,
     seed: u64,
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -21,7 +21,7 @@
 /// Largest list read, in bytes.
 const LIST_MOST: usize = 64 << 20;
 
-/// Which list is followed: its name in the log, how a body or a file of it is read, and what is notified of one that fails.
+/// Which list is followed: its name in the log, how a body or a file of it is read, and what is known of one that fails.
 #[derive(Clone, Copy)]
 struct Kind {
     what: &'static str,
--- a/crates/gateway/src/fleet/retirements.rs
+++ b/crates/gateway/src/fleet/retirements.rs
@@ -23,7 +23,7 @@
 /// Largest file, in bytes, and most lines that are taken of it.
 const MAX_FILE_SIZE: u64 = 4 << 20;
 const MAX_LINES: usize = 20_000;
-/// Faults kept in mind so that each is notified once.
+/// Faults kept in mind so that each is reported once.
 const MAX_FAULTS: usize = 1000;
 const EXPECTED: &str = "NAME GENERATION [successor=NAME] [reason=WORDS]";
 
--- a/crates/gateway/src/fleet/shutdown_marker.rs
+++ b/crates/gateway/src/fleet/shutdown_marker.rs
@@ -13,7 +13,7 @@
 
 impl ShutdownMarker {
     /// Looks for the last run's file and writes this one's; None where no stages are told. Blocks; to be called before a
-    /// front end serves. A file that can't be written is notified, and the next start counts as one in order.
+    /// front end serves. A file that can't be written is reported, and the next start counts as one in order.
     pub fn begin(config: &Config, number: u32) -> Option<ShutdownMarker> {
         let fleet = config.fleet.as_ref()?;
         fleet.recover?;
--- a/crates/gateway/src/shards.rs
+++ b/crates/gateway/src/shards.rs
@@ -19,7 +19,7 @@
 };
 use std::collections::BTreeMap;
 
-/// Added to the longest time that an attempt or a load may take, before a worker that left the subset is notified gone.
+/// Added to the longest time that an attempt or a load may take, before a worker that left the subset is reported gone.
 const MARGIN: Micros = 1_000_000;
 
 /// The queue of a shard of one division. With the generation in its name, as the front ends that own a number in one division
@@ -107,7 +107,7 @@
         }
     }
 
-    /// What the module is notified in place of what was heard of all workers.
+    /// What the module is given in place of what was heard of all workers.
     pub fn apply<N: AsRef<str>>(
         &mut self,
         update: Update,
@@ -168,7 +168,7 @@
         self.transition.counts()
     }
 
-    /// Each of a worker's shards is notified its part of the worker.
+    /// Each of a worker's shards is given its part of the worker.
     fn shared(&self, row: Endpoint) -> Endpoint {
         let among = self.subset.get(&row.worker).copied().unwrap_or(1).max(1);
         Endpoint { capacity: row.capacity / among as f64, ..row }
--- a/crates/gateway/src/shards/by_list.rs
+++ b/crates/gateway/src/shards/by_list.rs
@@ -7,7 +7,7 @@
 use stagehoist_endpoints::Update;
 
 impl Shards {
-    /// A whole list of front ends came. Gives own shards and what the module is notified, where own shards changed.
+    /// A whole list of front ends came. Gives own shards and what the module is given, where own shards changed.
     pub fn front_ends(&mut self, list: &[Entry], now: Micros) -> Option<(Vec<OwnedShards>, Update)> {
         let owned = self.ownership.as_mut()?.listed(list, now)?;
         Some(self.set_owned(owned, now))
--- a/crates/gateway/src/shards/divided.rs
+++ b/crates/gateway/src/shards/divided.rs
@@ -1,4 +1,4 @@
-//! What is divided by the front ends of a shard, as the module is notified it.
+//! What is divided by the front ends of a shard, as the module is given it.
 
 use super::{homes, owned};
 use stagehoist::Settings;
@@ -28,7 +28,7 @@
             |(d, homes): &(&Division, HomeShards)| TenantParts::new(d, homes, &sizes(sharding, names));
         let parts: Vec<TenantParts> = each.iter().map(parts).collect();
         let parts: Vec<&TenantParts> = parts.iter().collect();
-        // The module divides what it is notified by the front ends that it is notified.
+        // The module divides what it is given by the number of front ends that it is given.
         let share = match is_listed {
             true => 1.0 / f64::from(moving(having(&serving, divisions, &parts))),
             false => serving.share_of(&parts, &own),
@@ -37,7 +37,7 @@
     }
 }
 
-/// Most front ends that have calls of a tenant at a time. What the module divides by is notified once, and own shards change with
+/// Most front ends that have calls of a tenant at a time. What the module divides by is given once, and own shards change with
 /// the list: so all are told the same part, and those count that have its calls.
 fn having(serving: &Serving<'_>, divisions: &Divisions, parts: &[&TenantParts]) -> u32 {
     let of = |(d, parts): (&Division, &&TenantParts)| -> Vec<Shard> {
--- a/crates/gateway/src/state/core/answers.rs
+++ b/crates/gateway/src/state/core/answers.rs
@@ -4,7 +4,7 @@
 use super::Core;
 use stagehoist::{Micros, Outcome, RequestId};
 
-/// The reason that is notified.
+/// The reason that is reported.
 const FRONT_END_ENDS: &str = "front-end-ends";
 
 impl Core {
--- a/crates/gateway/src/state/core/calls.rs
+++ b/crates/gateway/src/state/core/calls.rs
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Stops one attempt, if it is out; its end is notified as cancelled.
+    /// Stops one attempt, if it is out; its end is reported as cancelled.
     pub(super) fn cancel_attempt(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/state/core/endpoints.rs
+++ b/crates/gateway/src/state/core/endpoints.rs
@@ -19,7 +19,7 @@
     Departed,
 }
 
-/// Which workers drain or are gone, as far as was notified, and what of it is inputs.
+/// Which workers drain or are gone, as far as was reported, and what of it is inputs.
 #[derive(Debug, Default)]
 pub(super) struct WorkerDrains {
     states: BTreeMap<WorkerId, State>,
@@ -78,7 +78,7 @@
 }
 
 impl Core {
-    /// Attempts may wait for intents: who holds them is notified which workers leave. Before the first list.
+    /// Attempts may wait for intents: who holds them is informed which workers leave. Before the first list.
     pub fn report_drains(&mut self) {
         self.drains = Some(WorkerDrains::default());
     }
--- a/crates/gateway/src/state/functions.rs
+++ b/crates/gateway/src/state/functions.rs
@@ -1,4 +1,4 @@
-//! Functions by number: what is notified of a function with each call, and the names behind the numbers that the module knows
+//! Functions by number: what is known of a function with each call, and the names behind the numbers that the module knows
 //! functions by.
 
 use super::Micros;
@@ -12,7 +12,7 @@
 #[cfg(test)]
 mod tests;
 
-/// What is notified of a call's function, by the configuration or by the call itself.
+/// What is known of a call's function, by the configuration or by the call itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FunctionProperties {
     /// The same at every front end.
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -40,7 +40,7 @@
     Box::new(FrontEnd::new(settings, seed, now))
 }
 
-/// What a front end's state is notified at its start, beside what is in the module's settings.
+/// What a front end's state is given at its start, beside what is in the module's settings.
 #[derive(Clone, Debug, Default)]
 pub struct CoreSettings {
     pub settings: Settings,
@@ -90,7 +90,7 @@
 pub struct Arrival {
     pub ticket: Ticket,
     pub function: Rc<str>,
-    /// What is notified of the function; None where it is not known.
+    /// What is known of the function; None where it is not known.
     pub properties: Option<FunctionProperties>,
     pub tenant: u32,
     /// Time until the caller times out, in microseconds, from when the call was read.
--- a/crates/gateway/tests/crossings_lists.rs
+++ b/crates/gateway/tests/crossings_lists.rs
@@ -97,7 +97,7 @@
     assert_eq!(asked.iter().map(index).collect::<Vec<_>>(), ["0", "7", "0", "7"]);
 }
 
-/// A file that could not be read for a while and then says what it said is notified again: until then the module
+/// A file that could not be read for a while and then says what it said is reported again: until then the module
 /// goes by a list that failed, and the next failure is no inputs.
 #[test]
 fn a_list_file_that_comes_back_unchanged_is_told_again() {
--- a/crates/gateway/tests/first_list_sockets.rs
+++ b/crates/gateway/tests/first_list_sockets.rs
@@ -1,4 +1,4 @@
-//! Before the first endpoint list nothing is consumed, over sockets: a emulator broker, a list that fails
+//! Before the first endpoint list nothing is consumed, over sockets: an emulator broker, a list that fails
 //! as the front end starts, and a worker that answers all it is asked.
 
 mod caller;
--- a/crates/gateway/tests/lanes.rs
+++ b/crates/gateway/tests/lanes.rs
@@ -146,7 +146,7 @@
     let first = attempts(&s.call_by(1, 0, 2500 * MS));
     s.call_by(2, 0, 1000 * MS);
     let came = s.now;
-    // It never knew of this one, so it is notified nothing of its end.
+    // It never knew of this one, so it is informed of nothing about its end.
     s.call_by(3, 0, 1000 * MS);
     s.turn(MS, vec![Input::ClientGone(3)]);
     s.turn(299 * MS, vec![ended(&first[0], Outcome::Ok)]);
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -29,11 +29,11 @@
 }
 
 thread_local! {
-    /// Attempts that the module chose, and those whose end it was notified.
+    /// Attempts that the module chose, and those whose end was reported to it.
     static CHOSEN: RefCell<[Vec<u32>; 2]> = RefCell::default();
 }
 
-/// The module, with notes of what it is notified and what it chooses.
+/// The module, with notes of what it is given and what it chooses.
 struct Noted(Box<dyn DecisionPolicy>);
 
 impl DecisionPolicy for Noted {
@@ -120,7 +120,7 @@
         attempt
     }
 
-    /// One batch, checked: all that is notified in it counts before anything is chosen.
+    /// One batch, checked: all that is reported in it counts before anything is chosen.
     fn turn(&mut self, after: Micros, mut news: Vec<Input>) {
         self.now += after;
         let mut over = Vec::new();
--- a/crates/gateway/tests/shards.rs
+++ b/crates/gateway/tests/shards.rs
@@ -99,7 +99,7 @@
     shards.apply(Update { kind: form, endpoints: rows }, |_| None::<&str>, now).endpoints
 }
 
-/// Over the fleet each worker's capacity is notified once, in parts, to the front ends of each shard.
+/// Over the fleet each worker's capacity is reported once, in parts, to the front ends of each shard.
 #[test]
 fn workers_are_told_to_the_front_ends_of_their_shards() {
     let mut parts: BTreeMap<WorkerId, BTreeSet<u64>> = BTreeMap::new();
@@ -121,7 +121,7 @@
     }
 }
 
-/// By changes and whole the module is notified the same in the end; one that leaves drains, and is gone after a time.
+/// By changes and whole the module is given the same in the end; one that leaves drains, and is gone after a time.
 #[test]
 fn a_worker_that_others_push_out_drains_and_is_gone() {
     let config = of(FOUR, 0);
--- a/crates/gateway/tests/shards_follow.rs
+++ b/crates/gateway/tests/shards_follow.rs
@@ -48,7 +48,7 @@
         std::fs::write(&path, "a generations\n").unwrap();
         assert_eq!(next(&mut told).await, None);
         std::fs::write(&path, "a generations 1\nb generations 1-2\n").unwrap();
-        // Nothing between: a failure is notified once, and a file that is the same not at all.
+        // Nothing between: a failure is reported once, and a file that is the same not at all.
         assert_eq!(next(&mut told).await, Some(vec!["a".to_string(), "b".to_string()]));
     });
 }
--- a/crates/gateway/tests/shards_home.rs
+++ b/crates/gateway/tests/shards_home.rs
@@ -1,4 +1,4 @@
-//! A call of another shard is notified where it belongs: by the division that its caller sends by, in a change too.
+//! A call of another shard is reported where it belongs: by the division that its caller sends by, in a change too.
 
 mod world;
 
@@ -71,7 +71,7 @@
 }
 
 /// In a change the caller's own division counts, as the other may not be consumed by all yet, or any more; over the
-/// whole fleet somebody consumes the queue that is notified.
+/// whole fleet somebody consumes the queue that is reported.
 #[test]
 fn in_a_change_the_home_is_that_of_the_division_that_the_call_was_sent_by() {
     for (stage, generations) in [("announced", vec![3]), ("both", vec![3, 4]), ("closing", vec![4])] {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Without shards nothing is notified.
+/// Without shards nothing is reported.
 #[test]
 fn an_undivided_front_tells_no_shard() {
     let mut w = World::new("");
--- a/crates/harness/src/play/change.rs
+++ b/crates/harness/src/play/change.rs
@@ -49,7 +49,7 @@
         change.not_before = now + CHECK_INTERVAL;
         let stack = &self.stack;
         change.restarting.retain(|(front_end, before)| stack.times_consuming(*front_end) <= *before);
-        // One that was down starts with what it is notified by then, and is waited for as the others.
+        // One that was down starts with what it is given by then, and is waited for as the others.
         if change.restarting.is_empty() {
             match change.machines.pop_front() {
                 Some(machine) => {
--- a/crates/harness/src/play/ledger.rs
+++ b/crates/harness/src/play/ledger.rs
@@ -1,4 +1,4 @@
-//! What the ledger has beside the verdict, and the pools that the checker is notified.
+//! What the ledger has beside the verdict, and the pools that the checker is given.
 
 use crate::day::{Fleet, Pool};
 use crate::layout::GIVE_UP;
--- a/crates/harness/src/retired.rs
+++ b/crates/harness/src/retired.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    /// What the checker is notified: one that is not in force is held against nobody.
+    /// What the checker is given: one that is not in force is held against nobody.
     pub fn charter(&self) -> Vec<Retired> {
         let retired = |(function, seen): (&String, &ObservedRetirement)| Retired {
             function: function.clone(),
--- a/crates/load-generator/src/amqp.rs
+++ b/crates/load-generator/src/amqp.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// Sends a plan and waits for its answers; `show` is notified messages sent and served in aim, now and then.
+/// Sends a plan and waits for its answers; `show` is called with messages sent and served in time, now and then.
 pub async fn run(
     target: &Target,
     plan: Plan,
--- a/crates/load-generator/src/ledger.rs
+++ b/crates/load-generator/src/ledger.rs
@@ -136,7 +136,7 @@
         self.open.get(&message).map(|o| o.repeats)
     }
 
-    /// The function of a message, as it was ordered to [`Ledger::sent`].
+    /// The function of a message, as it was given to [`Ledger::sent`].
     pub fn function(&self, message: u64) -> Option<u32> {
         self.open.get(&message).map(|o| o.function)
     }
--- a/crates/load-generator/src/sweep.rs
+++ b/crates/load-generator/src/sweep.rs
@@ -107,7 +107,7 @@
     })
 }
 
-/// All runs, in turn, so that none disturbs another; `show` is notified each.
+/// All runs, in turn, so that none disturbs another; `show` is called with each.
 pub fn sweep(
     binary: &Path,
     options: &SweepOptions,
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -106,7 +106,7 @@
         self.counters.set(counters);
     }
 
-    /// HEALTH is notified so from now on.
+    /// HEALTH is answered so from now on.
     pub fn serve(&self, serving: bool) {
         self.serving.set(serving);
     }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! What a front end is notified at its start: the file that `GW_CONFIG` names. The settings keep the simulator's names; they are
+//! What a front end is given at its start: the file that `GW_CONFIG` names. The settings keep the simulator's names; they are
 //! flattened into the lines that [`stagehoist::wire::parse_settings`] reads, so that one mapping serves both.
 
 use crate::endpoint_events::{EndpointEvent, KnownEndpoints};
@@ -204,7 +204,7 @@
         })
     }
 
-    /// What the front end's state is notified.
+    /// What the front end's state is given.
     pub fn core_settings(&self) -> CoreSettings {
         CoreSettings {
             settings: self.settings.clone(),
--- a/crates/platform/src/connection/ending.rs
+++ b/crates/platform/src/connection/ending.rs
@@ -35,7 +35,7 @@
         self.is_spent()
     }
 
-    /// Takes back a request that is not written whole and must not begin now. Where nothing of it was written that is notified as
+    /// Takes back a request that is not written whole and must not begin now. Where nothing of it was written that is reported as
     /// `Full`; else as an error, and the line takes nothing more, as after [`ConnectionState::stop`]. True where the connection is to be
     /// ended.
     pub fn take_back(&mut self, id: u64, now: Micros, inputs: &mut Vec<Input>) -> bool {
@@ -124,7 +124,7 @@
         for (tag, begun) in tags {
             let order = self.pending.get(&tag).is_some_and(|o| matches!(o.exchange, Exchange::Load { .. }));
             let outcome = match how {
-                // That an order never arrived is notified by `ConnectFailed` alone, and costs its worker nothing.
+                // That an order never arrived is reported by `ConnectFailed` alone, and costs its worker nothing.
                 Closure::NoDescriptors if !order => Outcome::Full,
                 _ if !begun => Outcome::ConnectFailed,
                 Closure::NotConnected | Closure::NoDescriptors => Outcome::ConnectFailed,
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -2,7 +2,7 @@
 //! module as the gateway's other fronts, with other ways in and out.
 //!
 //! Without I/O, fed bytes and the time:
-//! - [`config`]: what a front end is notified at its start (`GW_CONFIG`), checked and translated.
+//! - [`config`]: what a front end is given at its start (`GW_CONFIG`), checked and translated.
 //! - [`resp`], [`request`], [`session`]: a client's connection, from RESP to calls and back.
 //! - [`connection`]: an executor's connection, many requests at once.
 //! - [`subscription`], [`replay`], [`endpoint_events`]: the event bus' frames and what they say of executors.
--- a/crates/platform/src/resp.rs
+++ b/crates/platform/src/resp.rs
@@ -97,7 +97,7 @@
             if rest.len() >= HEADER {
                 return Err(RespError::TooLong);
             }
-            // What is here must be digits already, so that an endless line is notified at once.
+            // What is here must be digits already, so that an endless line is recognized at once.
             return if window.iter().all(u8::is_ascii_digit) { Ok(None) } else { Err(RespError::Length) };
         };
         let digits = &window[..end];
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes what the socket gave. `serving` is what HEALTH is notified.
+    /// Takes what the socket gave. `serving` is what HEALTH is answered.
     pub fn receive(
         &mut self,
         bytes: &[u8],
--- a/crates/platform/src/subscription.rs
+++ b/crates/platform/src/subscription.rs
@@ -11,7 +11,7 @@
 const MAX_FRAME: usize = 1 << 20;
 /// Number and kind, which every frame has.
 const HEAD: usize = 9;
-/// A frame is notified each second; after so much longer silence the connection is abandoned.
+/// A frame is sent each second; after so much longer silence the connection is abandoned.
 pub const SILENCE: Micros = 1_600_000;
 /// Pauses between connections: at once, then doubling up to the longest.
 const PAUSE: (Micros, Micros) = (50_000, 400_000);
--- a/crates/platform/tests/descriptors/ends.rs
+++ b/crates/platform/tests/descriptors/ends.rs
@@ -24,7 +24,7 @@
     ends
 }
 
-/// An order that never left is notified as such, for its ration alone: it costs the executor nothing.
+/// An order that never left is reported as such, for its ration alone: it costs the executor nothing.
 const OWN_WANT: [Outcome; 3] = [Outcome::Full, Outcome::Full, Outcome::ConnectFailed];
 
 #[test]
--- a/crates/scale-tests/src/events/mod.rs
+++ b/crates/scale-tests/src/events/mod.rs
@@ -1,4 +1,4 @@
-//! Events at scale, each counted: what one front end is notified, what it takes, and what becomes of its calls meanwhile.
+//! Events at scale, each counted: what one front end is given, what it takes, and what becomes of its calls meanwhile.
 
 use crate::fit::Point;
 use crate::front_end::{played, Change, Outcome, Scene, Shards};
--- a/crates/scale-tests/src/fleet/balance.rs
+++ b/crates/scale-tests/src/fleet/balance.rs
@@ -77,7 +77,7 @@
     row(plan, subject("fleet-empty-shard", plan), &rates(FUNCTIONS as u64, 1.0), Some(0))
 }
 
-/// A shard that is ordered to weigh ten: ten times the functions, and ten times the workers. A worker's calls
+/// A shard that is configured to weigh ten: ten times the functions, and ten times the workers. A worker's calls
 /// over the mean; the control doesn't tell the workers' division of it.
 pub fn hot_shard(plan: &Plan) -> Row {
     let subject = Subject {
--- a/crates/scale-tests/src/front_end/list_state.rs
+++ b/crates/scale-tests/src/front_end/list_state.rs
@@ -17,7 +17,7 @@
     places: Vec<Place>,
 }
 
-/// What is notified: the form and the rows; and the workers whose process ends at the change, with the time at which it is back.
+/// What is reported: the form and the rows; and the workers whose process ends at the change, with the time at which it is back.
 pub struct News {
     pub form: EndpointUpdate,
     pub rows: Vec<Endpoint>,
--- a/crates/scale-tests/src/front_end/player.rs
+++ b/crates/scale-tests/src/front_end/player.rs
@@ -43,7 +43,7 @@
 }
 
 impl Player {
-    /// Where `divided` is notified it takes its own workers from the whole list.
+    /// Where `divided` is set it takes its own workers from the whole list.
     pub fn new(scene: &Scene, divided: Option<&Divided>, number: u32, now: Micros) -> Player {
         let members = EndpointSet::new(vec!["large".into()], Vec::new(), 0);
         let mut settings = scene.settings();
--- a/crates/scale-tests/src/front_end/rows.rs
+++ b/crates/scale-tests/src/front_end/rows.rs
@@ -169,7 +169,7 @@
     Scene { changes: places.map(change).collect(), ..plain }
 }
 
-/// Workers whose replacement by one with a new name is ordered to the module: any, or for a divided front end
+/// Workers whose replacement by one with a new name is reported to the module: any, or for a divided front end
 /// those that come to be of its own.
 fn landing(scene: &Scene, many: usize) -> Vec<u32> {
     let Some(shards) = &scene.shards else { return (0..scene.workers).take(many).collect() };
--- a/crates/scale-tests/src/front_end/scene.rs
+++ b/crates/scale-tests/src/front_end/scene.rs
@@ -7,7 +7,7 @@
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
-/// How long an unused copy stands: the product's `idle-keep` where none is notified.
+/// How long an unused copy stands: the product's `idle-keep` where none is configured.
 pub const KEEP: Micros = 10 * SECOND;
 /// A load, alone on its worker: assumed, so that the letter's 0.56 s leaves 0.06 s for all else.
 pub const LOAD: Micros = 500 * MS;
--- a/crates/scale-tests/src/front_end/sockets.rs
+++ b/crates/scale-tests/src/front_end/sockets.rs
@@ -9,7 +9,7 @@
 use crate::row::{Resource, Role, Row, Subject};
 use crate::sockets::handshake_cost;
 
-/// Descriptors that a process may open where nothing else is notified, less those that are no worker's.
+/// Descriptors that a process may open where nothing else is configured, less those that are no worker's.
 const DESCRIPTORS: f64 = 1024.0 / 2.0 - 24.0;
 
 /// Handshakes a second that a worker takes beside its work: assumed.
--- a/crates/scale-tests/src/list/follower.rs
+++ b/crates/scale-tests/src/list/follower.rs
@@ -89,7 +89,7 @@
         all
     }
 
-    /// A change of Consul's list, which is notified whole: bytes, rows told to the module, processor time.
+    /// A change of Consul's list, which is reported whole: bytes, rows told to the module, processor time.
     pub fn consul(&mut self, lines: u32) -> Read {
         self.now += 1_000_000;
         let body = consul(lines);
--- a/crates/scale-tests/src/list/rows.rs
+++ b/crates/scale-tests/src/list/rows.rs
@@ -40,7 +40,7 @@
 /// Largest frame of the event subscription and largest answer of Consul that are read: `FRAME_MOST`, `LIST_MOST`.
 const FRAME_MOST: f64 = (1u64 << 20) as f64;
 const LIST_MOST: f64 = (64u64 << 20) as f64;
-/// Changes of the list a day over 30,000 workers: a restart is notified as draining, gone, back; a failure as gone, back.
+/// Changes of the list a day over 30,000 workers: a restart is reported as draining, gone, back; a failure as gone, back.
 pub const CHANGES_A_DAY: f64 = 3.0 * RESTARTED + 2.0 * FAILING;
 
 pub fn failed(row: &'static str) -> impl Fn(String) -> ScaleError {
@@ -102,7 +102,7 @@
 }
 
 fn whole(plan: &Plan, subject: Subject, read: fn(&mut Follower, u32) -> Read) -> Result<Row, ScaleError> {
-    // The control: every line is notified thirty times.
+    // The control: every line is reported thirty times.
     let times = if plan.control { 30 } else { 1 };
     let point = |(size, lines): (f64, u32)| {
         let Read { bytes, rows: told, .. } = read(&mut Follower::default(), lines);
@@ -159,7 +159,7 @@
         let each = follower.restart(lines / 2);
         each.rows.map_err(failed(name))?;
         let a_day = CHANGES_A_DAY * f64::from(lines) / WORKERS * each.bytes as f64 / 3.0;
-        // The control: every second brings a gap, and the list is notified whole.
+        // The control: every second brings a gap, and the list is reported whole.
         let whole = if plan.control { all.bytes as f64 } else { 0.0 };
         Ok(Point { size, value: whole + a_day / DAY + heartbeat(1).len() as f64 })
     };
--- a/crates/scale-tests/src/proof/bytes.rs
+++ b/crates/scale-tests/src/proof/bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes a second that the list costs a front end at the day's turnover, and which of it is ordered to whom.
+//! Bytes a second that the list costs a front end at the day's turnover, and which of it is sent to whom.
 
 use super::{shards, subject};
 use crate::error::ScaleError;
--- a/crates/scale-tests/src/proof/mod.rs
+++ b/crates/scale-tests/src/proof/mod.rs
@@ -29,7 +29,7 @@
     Measure { name: "proof-bytes-consul-divided", run: bytes::consul_divided },
 ];
 
-/// Shards of the letter's fleet where no other number is notified.
+/// Shards of the letter's fleet where no other number is configured.
 pub const SHARDS: u32 = 300;
 
 pub fn shards(plan: &Plan) -> u32 {
--- a/crates/scale-tests/src/record/apart.rs
+++ b/crates/scale-tests/src/record/apart.rs
@@ -15,7 +15,7 @@
 const STEP: Micros = 500_000;
 /// A view beyond this takes no retirement more: half of the longest frame (`VIEW_MOST` of the sessions).
 pub const FULL: usize = (4 << 20) / 2;
-/// Time before the cut, and after the hour until it is notified what is left.
+/// Time before the cut, and after the hour until what is left is reported.
 const BEFORE: Micros = 20_000_000;
 const AFTER: Micros = 120_000_000;
 
--- a/crates/scale-tests/src/record/lines.rs
+++ b/crates/scale-tests/src/record/lines.rs
@@ -64,7 +64,7 @@
 }
 
 impl Peer {
-    /// Starts it with its part and what it is notified.
+    /// Starts it with its part and what it is given.
     ///
     /// # Errors
     /// It can't be started.
--- a/crates/scale-tests/src/record/marks.rs
+++ b/crates/scale-tests/src/record/marks.rs
@@ -57,7 +57,7 @@
     }
     paced.ms.sort_by(f64::total_cmp);
     let (is, took) = (Usage::now()?, began.elapsed().as_secs_f64());
-    // A word behind all others: the count of commits is notified after the answers.
+    // A request behind all others: the count of commits comes after the answers.
     marks.query(0, mark(0).identity, &reply);
     let _ = done.blocking_recv();
     let made = marks.commits().map_or(0, |w| w.commits) - commits;
--- a/crates/scale-tests/src/record/members.rs
+++ b/crates/scale-tests/src/record/members.rs
@@ -14,7 +14,7 @@
 
 const LOOK: Duration = Duration::from_millis(1);
 
-/// What it is notified.
+/// What it is given.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Told {
     pub replicas: BTreeMap<u64, String>,
--- a/crates/scale-tests/src/record/mod.rs
+++ b/crates/scale-tests/src/record/mod.rs
@@ -26,10 +26,10 @@
 pub use rows::MEASURES;
 pub use settings::{clock, Settings};
 
-/// A process of a measurement: which part, and what it is notified.
+/// A process of a measurement: which part, and what it is given.
 ///
 /// # Errors
-/// It is notified something else, or can't do its part.
+/// It is given something else, or can't do its part.
 pub fn part(name: &str, told: &str) -> Outcome<()> {
     match name {
         "replica" => replica::run(serde_json::from_str(told)?),
--- a/crates/scale-tests/src/record/replica.rs
+++ b/crates/scale-tests/src/record/replica.rs
@@ -15,7 +15,7 @@
 /// Windows over which peaks are taken.
 const WINDOW: Duration = Duration::from_millis(200);
 
-/// What it is notified.
+/// What it is given.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Told {
     pub number: u64,
--- a/crates/scale-tests/src/traces/core.rs
+++ b/crates/scale-tests/src/traces/core.rs
@@ -17,7 +17,7 @@
 
 const STEP: i64 = 8_000;
 
-/// So many workers and functions, each function called once; each answer is notified.
+/// So many workers and functions, each function called once; each answer is reported.
 fn run(n: u32, mut answered: impl FnMut(&Core, &Command)) -> Core {
     let figures = CoreSettings {
         settings: Scene::one(n, u64::from(n), 1.0, 7).settings(),
--- a/crates/sharding/src/homes.rs
+++ b/crates/sharding/src/homes.rs
@@ -1,4 +1,4 @@
-//! Functions in shards. One of which nothing is notified has one home, by its name alone. Those that are told to
+//! Functions in shards. One of which nothing is configured has one home, by its name alone. Those that are told to
 //! have much traffic are allocated out so that no shard has much more than its part, in several shards where they
 //! are too much for one.
 
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`HomeShards`]: functions to shards. [`Assignment`]: workers, or front ends, to shards, zone by zone.
 //! - [`FrontEnds`]: the shards that one front end serves. [`Serving`]: what is divided by the front ends of a
 //!   shard.
-//! - [`Transition`]: what the decision module is notified when a front end's subset of the workers changes.
+//! - [`Transition`]: what the decision module is given when a front end's subset of the workers changes.
 //!
 //! ```
 //! use stagehoist_sharding::{Assignment, Division, Key, Member};
--- a/crates/sharding/src/serving.rs
+++ b/crates/sharding/src/serving.rs
@@ -52,7 +52,7 @@
         Serving { ranked: Some(of), ..self }
     }
 
-    /// Most front ends that any worker or function has, over both divisions, where the worker's capacity is ordered to each in
+    /// Most front ends that any worker or function has, over both divisions, where the worker's capacity is reported to each in
     /// as many parts as it has shards.
     pub fn worst(&self) -> u32 {
         let worst = |d: &Division| (0..d.shards()).map(|s| self.most_of(d, s)).max().unwrap_or(1);
--- a/crates/sharding/src/transition.rs
+++ b/crates/sharding/src/transition.rs
@@ -1,6 +1,6 @@
 //! What the decision module is notified of the workers when a front end's subset of them changes. A worker that
 //! leaves the subset drains there, by the same row as a worker that drains by itself, so that nothing new
-//! goes to it and what is out ends; after a told time it is gone. One that comes in is notified as it stands.
+//! goes to it and what is out ends; after a told time it is gone. One that comes in is reported as it stands.
 
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle, Micros, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,7 +16,7 @@
 struct Known {
     /// As the list has it.
     endpoint: Endpoint,
-    /// When it left the subset, where it was notified before and has not yet been told gone.
+    /// When it left the subset, where it was reported before and has not yet been told gone.
     left_at: Option<Micros>,
     is_owned: bool,
 }
@@ -31,7 +31,7 @@
 }
 
 impl Transition {
-    /// A worker that left is notified gone after `drain_most`, in microseconds: longer than any attempt lasts.
+    /// A worker that left is reported gone after `drain_most`, in microseconds: longer than any attempt lasts.
     pub fn new(drain_most: Micros) -> Transition {
         Transition { max_drain: drain_most, known: BTreeMap::new(), due: BTreeSet::new() }
     }
@@ -57,7 +57,7 @@
         }
         let listed: BTreeSet<WorkerId> = rows.iter().map(|r| r.worker).collect();
         // What the whole list leaves out is gone; what left the subset and isn't due yet is in the list, so
-        // it was notified above.
+        // it was reported above.
         let gone: Vec<WorkerId> = self.known.keys().filter(|w| !listed.contains(w)).copied().collect();
         gone.into_iter().for_each(|w| self.forget(w));
         ShardUpdate { kind: form, endpoints: told.into_values().collect() }
--- a/crates/sharding/tests/agreement.rs
+++ b/crates/sharding/tests/agreement.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// What is notified of a change is what changed.
+    /// What is known of a change is what changed.
     #[test]
     fn moves_are_told_in_full(seed in any::<u64>(), n in 1u32..150, shards in 1u32..20) {
         let division = division(shards);
--- a/crates/sharding/tests/balance.rs
+++ b/crates/sharding/tests/balance.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// A shard that is ordered to weigh ten gets ten times as many.
+/// A shard that is configured to weigh ten gets ten times as many.
 #[test]
 fn a_shard_told_to_be_hot_has_its_weight_in_workers() {
     let division = Division::weighted(20, 1, BTreeMap::from([(7, 10)])).unwrap();
--- a/crates/sharding/tests/change.rs
+++ b/crates/sharding/tests/change.rs
@@ -190,7 +190,7 @@
     assert!(greater > 1.0 && skipped > 1.0, "{greater} {skipped}");
 }
 
-/// A tenant whose functions all are in one shard has its whole share there, one of whom nothing is notified a
+/// A tenant whose functions all are in one shard has its whole share there, one of whom nothing is configured a
 /// part everywhere; no more than that at any stage.
 #[test]
 fn tenants_have_their_share_and_no_more() {
@@ -227,7 +227,7 @@
     }
 }
 
-/// A call for a function of another shard is notified apart, and where it belongs.
+/// A call for a function of another shard is reported apart, and where it belongs.
 #[test]
 fn where_a_function_belongs() {
     let both = divisions(2, 8, 9);
--- a/crates/sharding/tests/movement.rs
+++ b/crates/sharding/tests/movement.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// Functions of which nothing is notified move by exactly the least part, to the new shard; by remainder nearly
+/// Functions of which nothing is configured move by exactly the least part, to the new shard; by remainder nearly
 /// all would.
 #[test]
 fn functions_when_a_shard_comes_in() {
--- a/crates/sharding/tests/transition.rs
+++ b/crates/sharding/tests/transition.rs
@@ -1,4 +1,4 @@
-//! What the decision module is notified when a subset changes: by rows alone, and that the module then sends
+//! What the decision module is given when a subset changes: by rows alone, and that the module then sends
 //! nothing new.
 
 use stagehoist::*;
@@ -49,7 +49,7 @@
     t.apply_move(&[], &[1], S);
     assert_eq!(seen(&t.apply_move(&ready(&[1]), &[], 2 * S)), [(1, Ready)]);
     assert_eq!((t.counts(), t.due(), t.expire(100 * S)), ((2, 0), None, None));
-    // It drains by itself: that too is notified as it stands, in the subset or outside.
+    // It drains by itself: that too is reported as it stands, in the subset or outside.
     t.apply_move(&[], &[1], 3 * S);
     assert_eq!(seen(&t.apply_move(&[row(1, Draining)], &[], 4 * S)), [(1, Draining)]);
     t.apply_move(&[], &[1], 5 * S);
