--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -5,7 +5,7 @@
 //! expected. [`Config::render`] writes a configuration back; reading that gives the same configuration.
 //!
 //! ```
-//! let text = "class lookup aim 800ms give-up 2.5s\nfunction free-times class lookup memory 64MB permits 2\n\
+//! let text = "class lookup aim 800ms give-up 2.5s\nfunction free-times class lookup memory 64MB lanes 2\n\
 //!     broker amqp://127.0.0.1:5672/\nconsume calls prefetch 100\nworker-list file workers.list\n";
 //! let config = stagehoist_config::parse("example.conf", text).unwrap();
 //! assert_eq!(config.classes[0].give_up, 2_500_000);
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -41,7 +41,7 @@
     let tasks = std::fs::read_dir("/proc/self/task").unwrap();
     let tasks = tasks.map(|t| t.unwrap().path());
     let is_keeper =
-        |p: &PathBuf| std::fs::read_to_string(p.join("comm")).is_ok_and(|c| c.starts_with("stagehoist-k"));
+        |p: &PathBuf| std::fs::read_to_string(p.join("comm")).is_ok_and(|c| c.starts_with("stagehoist-cons"));
     tasks.filter(is_keeper).map(|t| t.file_name().unwrap().to_string_lossy().into_owned()).collect()
 }
 
@@ -52,10 +52,10 @@
 
 /// A port that nobody listens on, out of the range that connections going out take theirs from.
 fn port() -> u16 {
-    static NEXT_PAUSE: AtomicU16 = AtomicU16::new(0);
+    static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
     let base = 12_000 + u16::try_from(std::process::id() % 200).unwrap() * 80;
     loop {
-        let port = base + NEXT_PAUSE.fetch_add(1, Ordering::Relaxed);
+        let port = base + NEXT_PORT.fetch_add(1, Ordering::Relaxed);
         if TcpListener::bind(("127.0.0.1", port)).is_ok() {
             return port;
         }
--- a/crates/scale-tests/src/record/usage.rs
+++ b/crates/scale-tests/src/record/usage.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 /// Name of the thread on which a replica, or the sessions of a process, live; the kernel keeps its first 15 bytes.
-const THREAD: &str = "stagehoist-keep";
+const THREAD: &str = "stagehoist-cons";
 
 /// What was spent since the process began, and what it holds.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
