--- a/crates/cluster-state/src/bounds.rs
+++ b/crates/cluster-state/src/bounds.rs
@@ -7,12 +7,15 @@
 pub const MAX_MEMBERS: usize = 4096;
 /// Runs that another took the place of and that may still be in progress.
 pub const MAX_REPLACED: usize = 1024;
+/// Tombstones of retired functions.
 pub const MAX_TOMBSTONES: usize = 4096;
+/// Pools of one fleet.
 pub const MAX_POOLS: usize = 256;
 /// Patterns of one pool, and reservations of one.
 pub const MAX_PATTERNS: usize = 256;
 /// Bytes of a name, and of the reason of a retirement.
 pub const MAX_NAME_LENGTH: usize = 256;
+/// Bytes of a retirement's reason.
 pub const MAX_REASON_LENGTH: usize = 1024;
 /// Runs under one name; beyond it somebody remembers nonsense.
 pub const MAX_INCARNATION: u64 = 1 << 48;
--- a/crates/cluster-state/src/inquiry.rs
+++ b/crates/cluster-state/src/inquiry.rs
@@ -6,6 +6,7 @@
 
 /// Messages in one question, and questions of one front end that are open at a time.
 pub const MAX_KEYS: usize = 256;
+/// Inquiries of one front end that wait for answers.
 pub const MAX_OPEN_INQUIRIES: usize = 64;
 /// How often those who have not answered are asked again: they may be about to join.
 const RETRY_INTERVAL: Micros = 100_000;
@@ -18,8 +19,11 @@
 /// What a message is known by, as its caller wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MessageKey {
+    /// The queue that the caller takes its answers from.
     pub reply_to: String,
+    /// The caller's correlation id.
     pub correlation: String,
+    /// The message id.
     pub message: String,
 }
 
@@ -30,6 +34,7 @@
     None,
     /// An attempt may have left, or may leave.
     MayHaveRun,
+    /// It can't tell.
     NotKnown,
 }
 
@@ -38,12 +43,18 @@
 pub enum InquiryMessage {
     /// Numbers count up in a run.
     Inquire {
+        /// Number of the inquiry, counted by the run that asks.
         number: u64,
+        /// The messages.
         keys: Vec<MessageKey>,
     },
+    /// What this front end knows of messages that another asked about.
     Answer {
+        /// The run that asked.
         to: Member,
+        /// Number of the inquiry, counted by the run that asks.
         number: u64,
+        /// One for each message, in order.
         known: Vec<MessageKnowledge>,
     },
 }
@@ -51,12 +62,29 @@
 /// From a session to its front end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InquiryEvent {
-    /// The number of this run, and of the last run under its name where the cluster state knew one before.
-    Joined { run: u64, before: Option<u64> },
+    /// This run has joined.
+    Joined {
+        /// The number of this run.
+        run: u64,
+        /// The number of the last run under its name, where the cluster state knew one.
+        before: Option<u64>,
+    },
     /// Another front end asks.
-    Inquired { from: Member, number: u64, keys: Vec<MessageKey> },
-    /// What all others together know, for each message; None: some are still to say.
-    Answered { number: u64, known: Vec<Option<MessageKnowledge>> },
+    Inquired {
+        /// The run that asks.
+        from: Member,
+        /// Number of its inquiry.
+        number: u64,
+        /// The messages.
+        keys: Vec<MessageKey>,
+    },
+    /// What all others together know of each message.
+    Answered {
+        /// Number of the inquiry.
+        number: u64,
+        /// One for each message; None: some are still to answer.
+        known: Vec<Option<MessageKnowledge>>,
+    },
 }
 
 struct OpenInquiry {
--- a/crates/cluster-state/src/lease.rs
+++ b/crates/cluster-state/src/lease.rs
@@ -16,6 +16,7 @@
     pub fresh_until: Micros,
     /// Permits beside the guaranteed minimums, by pool and tenant, and until when.
     pub permits: Arc<BTreeMap<(String, String), u32>>,
+    /// When those permits end, by this process's clock; [`Micros::MIN`] where none came.
     pub permits_until: Micros,
     /// Number of the grant that they came with; 0: none came.
     pub permits_grant: u64,
--- a/crates/cluster-state/src/lib.rs
+++ b/crates/cluster-state/src/lib.rs
@@ -13,6 +13,7 @@
 //! Times are microseconds of the monotonic clock of whoever is called. Two processes' clocks never agree: a
 //! promise is counted by its holder from when it asked, and by its giver from when it gave, with
 //! the drift of [`LeaseTerms::drift_ppm`] between. The clock must go on while its process is stopped.
+#![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
 pub mod allocation;
--- a/crates/cluster-state/src/state.rs
+++ b/crates/cluster-state/src/state.rs
@@ -8,6 +8,7 @@
 /// One run of a process's front end.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
+    /// Name in the configuration.
     pub name: String,
     /// Counts the runs under that name.
     pub incarnation: u64,
@@ -25,12 +26,15 @@
 /// A function taken out of service for good.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Retirement {
+    /// Its function.
     pub function: String,
     /// Of the uses of a name; the first is 1. Retiring one retires all before it.
     pub generation: u32,
     /// For information: no call is passed on to it.
     pub successor: Option<String>,
+    /// Why, for logs and answers.
     pub reason: String,
+    /// What becomes of calls in progress.
     pub mode: RetirementMode,
     /// When it was asked for, in milliseconds since 1970, for people.
     pub requested_ms: i64,
@@ -39,9 +43,11 @@
 /// How far a retirement has come.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TombstoneState {
+    /// Front ends are being informed.
     Proposed,
     /// No front end can serve it any more, but for those named.
     InForce {
+        /// Runs that may still serve it: cut off, with leases that have not run out.
         but_for: BTreeSet<Member>,
     },
 }
@@ -49,26 +55,33 @@
 /// A retired function, kept until no message for it can be delivered any more.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Tombstone {
+    /// What was retired.
     pub retirement: Retirement,
+    /// How far it has come.
     pub state: TombstoneState,
     /// The change that brought it, and the one that put it in force.
     pub proposed: Version,
+    /// The change by which it came into force; None before.
     pub in_force: Option<Version>,
 }
 
 /// Permits that some functions share.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Pool {
+    /// Name in the configuration.
     pub name: String,
     /// Names, or beginnings of names with a closing `*`.
     pub functions: Vec<String>,
+    /// How many permits it has.
     pub size: PoolSize,
+    /// Permits kept for single tenants.
     pub reservations: Vec<Reservation>,
 }
 
 /// How many permits a pool has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PoolSize {
+    /// So many permits.
     Permits(u32),
     /// As many as the members report of their ready workers.
     ByWorkers,
@@ -77,18 +90,22 @@
 /// Permits of a pool that are reserved for a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Reservation {
+    /// The tenant.
     pub tenant: String,
+    /// Permits that it has at least.
     pub permits: u32,
 }
 
 /// What a front end is notified of the cluster state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClusterView {
+    /// The change that made it.
     pub version: Version,
     /// By function; the highest generation retired of each.
     pub tombstones: BTreeMap<String, Tombstone>,
     /// Which edition of the pools holds; the highest told wins.
     pub edition: u64,
+    /// All pools.
     pub pools: Vec<Pool>,
 }
 
@@ -97,24 +114,36 @@
 pub enum Command {
     /// A run of a front end begins; `at_least` is the incarnation that it remembers.
     Join {
+        /// The front end's name.
         name: String,
+        /// The incarnation that it remembers.
         at_least: u64,
     },
     /// A run ended: in order, or it is known that its process is gone.
     Leave(Member),
+    /// A function is retired.
     Retire(Retirement),
     /// A retirement holds at all members but those named.
     InForce {
+        /// The retired function.
         function: String,
+        /// Which retirement of that function.
         generation: u32,
+        /// Runs that may still serve it: cut off, with leases that have not run out.
         but_for: BTreeSet<Member>,
     },
+    /// A tombstone is no longer needed.
     Forget {
+        /// The retired function.
         function: String,
+        /// Which retirement of that function.
         generation: u32,
     },
+    /// The pools as configured.
     Pools {
+        /// Edition of that configuration; the highest counts.
         edition: u64,
+        /// All pools.
         pools: Vec<Pool>,
     },
 }
@@ -122,13 +151,16 @@
 /// What came of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CommandOutcome {
+    /// The run joined under this number.
     Joined(Member),
+    /// The state changed.
     Changed,
     /// It held already, or something later overtook it.
     Unchanged,
     /// It is out of bounds; another try would end the same way, but for a retirement without a
     /// [`Retirement::fault`].
     Rejected {
+        /// Why, for logs.
         reason: String,
     },
 }
@@ -136,9 +168,11 @@
 /// The last run under a name. Numbers of changes compare with a tombstone's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberRun {
+    /// Counts the runs under the name.
     pub incarnation: u64,
     /// The change by which it joined, and the one by which it left.
     pub joined: Version,
+    /// The change by which it left; None while it is a member.
     pub left: Option<Version>,
 }
 
@@ -154,6 +188,7 @@
     pub replaced: BTreeMap<Member, Version>,
     /// The highest incarnation of all names that were forgotten.
     pub forgotten: u64,
+    /// What front ends are given.
     pub view: ClusterView,
 }
 
--- a/crates/cluster-state/src/wire.rs
+++ b/crates/cluster-state/src/wire.rs
@@ -13,27 +13,43 @@
 pub enum SessionRequest {
     /// First on a connection. `member` is set where this run has joined before.
     Hello {
+        /// [`PROTOCOL`] of the sender.
         protocol: u16,
+        /// The front end's name.
         name: String,
+        /// This run, where it has joined before.
         member: Option<Member>,
+        /// The incarnation that the front end remembers.
         at_least: u64,
+        /// Edition of its configuration of pools.
         edition: u64,
+        /// Its configuration of pools.
         pools: Vec<Pool>,
     },
+    /// Heartbeat with demand.
     Report(Report),
+    /// Asks for a function to be retired.
     Retire(Retirement),
     /// This run ends in order; it serves nothing any more.
     Leave,
     /// What do others know of these messages? `to`: those who have not said yet; empty: all. `turn` counts askings.
     Inquire {
+        /// Number of the inquiry, counted by the run that asks.
         number: u64,
+        /// Counts its rounds.
         round: u32,
+        /// Names of those who have not answered yet; empty: all.
         to: Vec<String>,
+        /// The messages.
         keys: Vec<MessageKey>,
     },
+    /// What is known of messages that were asked about.
     Answer {
+        /// The run that asked.
         to: Member,
+        /// Number of the inquiry, counted by the run that asks.
         number: u64,
+        /// One for each message, in order.
         known: Vec<MessageKnowledge>,
     },
 }
@@ -48,12 +64,14 @@
     pub confirmed: Version,
     /// Ready permits of workers that it knows, for pools sized by workers.
     pub ready_capacity: u32,
+    /// Permits in use and asked for, by pool and tenant.
     pub demand: Vec<Demand>,
 }
 
 /// Permits asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Demand {
+    /// The pool's name.
     pub pool: String,
     /// Empty: all who have no reservation there.
     pub tenant: String,
@@ -71,42 +89,62 @@
 pub enum SessionResponse {
     /// The number of the leader, where it is known.
     Elsewhere {
+        /// The leader's number.
         leader: Option<u64>,
     },
+    /// The session is open.
     Welcome {
+        /// This run.
         member: Member,
+        /// Times that both sides go by.
         terms: LeaseTerms,
         /// The last run under the name as the cluster state knew it before this one joined.
         before: Option<u64>,
     },
     /// The whole view, whenever it changed.
     View(ClusterView),
+    /// Answers a report.
     Grant(Grant),
     /// The session is refused; another try would end the same way.
     Rejected {
+        /// Why, for logs.
         reason: String,
     },
     /// A retirement that was asked for can't be taken; another try would end the same way. Nothing is said where only
     /// room is wanting: it is asked for again.
     RetirementRejected {
+        /// The function.
         function: String,
+        /// Which retirement of that function.
         generation: u32,
+        /// Why, for logs.
         reason: String,
     },
     /// Who has to say, at this asking.
     InquiryMembers {
+        /// Number of the inquiry, counted by the run that asks.
         number: u64,
+        /// Counts its rounds.
         round: u32,
+        /// Names of the members that are to answer.
         members: Vec<String>,
     },
+    /// Another front end asks what this one knows of messages.
     Inquire {
+        /// The run that asks.
         from: Member,
+        /// Number of the inquiry, counted by the run that asks.
         number: u64,
+        /// The messages.
         keys: Vec<MessageKey>,
     },
+    /// What is known of messages that were asked about.
     Answer {
+        /// Name of the front end that answers.
         from: String,
+        /// Number of the inquiry, counted by the run that asks.
         number: u64,
+        /// One for each message, in order.
         known: Vec<MessageKnowledge>,
     },
 }
@@ -118,6 +156,7 @@
     pub number: u64,
     /// The newest view; the lease vouches for no older one.
     pub version: Version,
+    /// How long the view is vouched for and the permits last, in microseconds from when the report was sent.
     pub lease: Micros,
     /// Beside the guaranteed minimum.
     pub permits: Vec<PermitGrant>,
--- a/crates/core/src/policy/learning.rs
+++ b/crates/core/src/policy/learning.rs
@@ -35,21 +35,14 @@
         if !self.functions.contains_key(&attempt.function) {
             return;
         }
-        if attempt.predicted.at_home && matches!(end.outcome, Outcome::Ok | Miss) {
-            let found_copy = end.outcome == Outcome::Ok && end.copy.state <= CopyReport::LOADED;
-            update_average(&mut self.home_hit_rate, f64::from(u8::from(found_copy)), GAIN);
-        }
+        self.learn_home_hit(attempt, end);
         match end.outcome {
             Outcome::Ok => self.learn_from_answer(index, attempt, end, now),
             Miss => {
                 let absent = CachedCopy::absent(now, self.settings.idle_retention);
                 self.workers[index].beliefs.copies.insert(attempt.function, absent);
             }
-            Full => {
-                let beliefs = &mut self.workers[index].beliefs;
-                let run = (attempt.predicted.base_run * beliefs.slowdown) as Micros;
-                beliefs.full_until = now + run / 2;
-            }
+            Full => self.learn_full(index, attempt, now),
             Error if end.copy.state == CopyReport::LOAD_FAILED => {
                 self.workers[index].beliefs.copies.remove(&attempt.function);
             }
@@ -63,6 +56,21 @@
         }
     }
 
+    /// Whether a home that was not known to have the copy had it.
+    fn learn_home_hit(&mut self, attempt: &Attempt, end: &AttemptEnd) {
+        if attempt.predicted.at_home && matches!(end.outcome, Outcome::Ok | Miss) {
+            let found_copy = end.outcome == Outcome::Ok && end.copy.state <= CopyReport::LOADED;
+            update_average(&mut self.home_hit_rate, f64::from(u8::from(found_copy)), GAIN);
+        }
+    }
+
+    /// A worker without a free place is passed over for half a run.
+    fn learn_full(&mut self, index: usize, attempt: &Attempt, now: Micros) {
+        let beliefs = &mut self.workers[index].beliefs;
+        let run = (attempt.predicted.base_run * beliefs.slowdown) as Micros;
+        beliefs.full_until = now + run / 2;
+    }
+
     fn learn_from_answer(&mut self, index: usize, attempt: &Attempt, end: &AttemptEnd, now: Micros) {
         let ratio = run_ratio(attempt, end);
         let beliefs = &mut self.workers[index].beliefs;
--- a/crates/core/src/policy/prediction.rs
+++ b/crates/core/src/policy/prediction.rs
@@ -60,6 +60,18 @@
     slowdown: f64,
 }
 
+impl Contention {
+    /// How much longer than `slowdown` a run takes if other front ends send all that they may.
+    fn possible_stretch(&self) -> f64 {
+        let possible = self.requests - self.other_requests.likely + self.other_requests.possible;
+        (possible / self.capacity / self.slowdown - 1.0).max(0.0)
+    }
+
+    fn is_crowded(&self) -> bool {
+        self.requests > MAX_STRETCH * self.capacity
+    }
+}
+
 impl FrontEnd {
     /// Other front ends' requests at a worker: reported, else as if they sent what this one did recently, so that each
     /// spreads its requests as the fleet needs. The choice goes by all of the guess, the finish by little.
@@ -108,17 +120,13 @@
             .and_then(Function::run_percentile_99)
             .map(|run| run * worker.beliefs.slowdown * contention.slowdown);
         let finish = start + slow_run.unwrap_or(mean_run) as Micros;
-        let crowding =
-            contention.requests - contention.other_requests.likely + contention.other_requests.possible;
-        let stretch = (crowding / contention.capacity / contention.slowdown - 1.0).max(0.0);
         let cost = (finish + doubt) as f64
-            + mean_run * stretch
+            + mean_run * contention.possible_stretch()
             + self.zone_cost(worker, call.request.class)
             + self.affinity_cost(worker, call.request.function, copy, load_time, home, now)
             + hash_fraction(self.seed ^ u64::from(call.request.id), u64::from(worker.endpoint.worker))
                 * MAX_JITTER;
-        let is_crowded =
-            contention.requests > MAX_STRETCH * contention.capacity || worker.beliefs.full_until > now;
+        let is_crowded = contention.is_crowded() || worker.beliefs.full_until > now;
         Prediction {
             finish,
             cost,
--- a/crates/gateway/src/state/core/calls.rs
+++ b/crates/gateway/src/state/core/calls.rs
@@ -196,43 +196,23 @@
         let ended = if result.read_at > 0 { result.read_at.clamp(flight.sent_at, now) } else { now };
         let took = ended - flight.sent_at;
         let name = self.endpoints.name(flight.worker).unwrap_or("?");
-        let outcome = result.outcome;
-        call.span.in_scope(|| {
-            tracing::debug!(
-                attempt,
-                worker = name,
-                ?outcome,
-                took_us = took,
-                copy = result.copy.state,
-                "attempt ended"
-            );
-        });
-        call.last_outcome = Some(outcome);
-        if !matches!(outcome, Outcome::ConnectFailed | Outcome::Miss | Outcome::Full | Outcome::Superseded) {
-            call.ran_since = Some(call.ran_since.unwrap_or(flight.sent_at).min(flight.sent_at));
-        }
-        let mut concluded = call.answered;
-        if !concluded && self.fleet.is_some() && self.ends_as_closed(request, outcome, now) {
-            self.reject_closed(now, request, commands);
-            concluded = true;
-        }
-        let serves = outcome == Outcome::Ok && !concluded;
-        if serves {
-            let answer = (result.body, result.content_type);
-            self.answer_served(now, request, flight.worker, answer, commands);
-        }
-        concluded |= serves;
-        let ended = AttemptEnd {
+        log_attempt_end(call, attempt, name, &result, took);
+        call.record_outcome(result.outcome, flight.sent_at);
+        let mut ended = AttemptEnd {
             request,
             attempt,
             worker: flight.worker,
-            concluded,
-            outcome,
+            concluded: call.answered,
+            outcome: result.outcome,
             copy: result.copy,
             elapsed: took,
             report: result.report,
         };
-        if concluded {
+        if !ended.concluded {
+            let answer = (result.body, result.content_type);
+            ended.concluded = self.conclude(now, &ended, answer, commands);
+        }
+        if ended.concluded {
             self.close_call(request);
         }
         // What a worker says of itself comes before what its answer means, so that nothing new goes there.
@@ -240,6 +220,25 @@
         self.events.push(Event::AttemptEnded(ended));
     }
 
+    /// Answers a call by the end of an attempt, where that decides it. Whether it did.
+    fn conclude(
+        &mut self,
+        now: Micros,
+        ended: &AttemptEnd,
+        answer: (Bytes, Option<String>),
+        commands: &mut Vec<Command>,
+    ) -> bool {
+        if self.fleet.is_some() && self.ends_as_closed(ended.request, ended.outcome, now) {
+            self.reject_closed(now, ended.request, commands);
+            return true;
+        }
+        if ended.outcome == Outcome::Ok {
+            self.answer_served(now, ended.request, ended.worker, answer, commands);
+            return true;
+        }
+        false
+    }
+
     /// Answers a call with what a worker answered.
     fn answer_served(
         &mut self,
@@ -258,3 +257,16 @@
         commands.push(Command::Answer { ticket, answer, elapsed });
     }
 }
+
+fn log_attempt_end(call: &Call, attempt: u16, worker: &str, result: &AttemptResult, took_us: Micros) {
+    call.span.in_scope(|| {
+        tracing::debug!(
+            attempt,
+            worker,
+            outcome = ?result.outcome,
+            took_us,
+            copy = result.copy.state,
+            "attempt ended"
+        );
+    });
+}
--- a/crates/gateway/src/state/core/execute.rs
+++ b/crates/gateway/src/state/core/execute.rs
@@ -1,21 +1,22 @@
 //! The module's choices executed.
 
 use super::super::{Answer, Attempt, Command};
-use super::{AttemptInFlight, Call, Core};
+use super::{AttemptInFlight, Call, Core, LoadOrder};
 use stagehoist::{Action, AttemptEnd, CopyReport, Effect, Event, Micros, Outcome, RequestId, WorkerId};
 use std::rc::Rc;
 
 impl Core {
     pub(super) fn expire_load_orders(&mut self, now: Micros) {
-        if !self.load_orders.values().any(|o| o.1 <= now) {
-            return;
-        }
-        let lost: Vec<_> =
-            self.load_orders.iter().filter(|(_, o)| o.1 <= now).map(|(k, o)| (*k, o.0)).collect();
-        for ((worker, function), sent) in lost {
+        let lost: Vec<_> = self
+            .load_orders
+            .iter()
+            .filter(|(_, order)| order.expires_at <= now)
+            .map(|(key, order)| (*key, now - order.sent_at))
+            .collect();
+        for ((worker, function), elapsed) in lost {
             self.load_orders.remove(&(worker, function));
-            let (outcome, took, copies) = (Outcome::Timeout, now - sent, 0);
-            self.events.push(Event::Loaded { worker, function, outcome, elapsed: took, copies });
+            let outcome = Outcome::Timeout;
+            self.events.push(Event::Loaded { worker, function, outcome, elapsed, copies: 0 });
         }
     }
 
@@ -47,27 +48,7 @@
             }
             Action::CloseIdle { worker } => commands.push(Command::CloseIdle { worker }),
             Action::Load { worker, function, copies } => {
-                let Some(name) = self.names.name(function) else {
-                    // No call of it for so long that its name is gone: as if nothing had been heard.
-                    let (outcome, took, copies) = (Outcome::Timeout, 0, 0);
-                    return self.events.push(Event::Loaded {
-                        worker,
-                        function,
-                        outcome,
-                        elapsed: took,
-                        copies,
-                    });
-                };
-                if self.closed(&name, now).is_some() {
-                    // It never leaves, and counts as lost when its time is over: an end at once would only bring the next.
-                    self.load_orders.insert((worker, function), (now, now + self.settings.load_timeout));
-                    return;
-                }
-                self.counters.loads += 1;
-                tracing::debug!(worker = self.endpoints.name(worker), function = &*name, copies, "load");
-                self.load_orders.insert((worker, function), (now, now + self.settings.load_timeout));
-                let address = self.address(worker);
-                commands.push(Command::Load { worker, address, function, name, copies });
+                self.order_load(now, worker, function, copies, commands);
             }
             Action::Unload { worker, function } => {
                 let Some(function) = self.names.name(function) else { return };
@@ -78,15 +59,42 @@
             Action::FetchEndpoints => commands.push(Command::FetchEndpoints),
             // Front ends share nothing, so that there is no one to tell; the settings say so to the module.
             Action::Gossip { .. } => {}
-            Action::Log { text } => {
-                // The module knows workers by their numbers, people by their names.
-                let number = text.split("worker ").nth(1).and_then(|t| t.split(' ').next()?.parse().ok());
-                let worker = number.and_then(|n| self.endpoints.name(n));
-                tracing::info!(text, worker, "module");
-            }
+            Action::Log { text } => self.log_module(&text),
         }
     }
 
+    fn order_load(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        function: u64,
+        copies: u8,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(name) = self.names.name(function) else {
+            // No call of it for so long that its name is gone: as if nothing had been heard.
+            let lost = Event::Loaded { worker, function, outcome: Outcome::Timeout, elapsed: 0, copies: 0 };
+            return self.events.push(lost);
+        };
+        let order = LoadOrder { sent_at: now, expires_at: now + self.settings.load_timeout };
+        self.load_orders.insert((worker, function), order);
+        if self.closed(&name, now).is_some() {
+            // It never leaves, and counts as lost when its time is over: an end at once would only bring the next.
+            return;
+        }
+        self.counters.loads += 1;
+        tracing::debug!(worker = self.endpoints.name(worker), function = &*name, copies, "load");
+        let address = self.address(worker);
+        commands.push(Command::Load { worker, address, function, name, copies });
+    }
+
+    /// The module knows workers by their numbers, people by their names.
+    fn log_module(&self, text: &str) {
+        let number = text.split("worker ").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
+        let worker = number.and_then(|number| self.endpoints.name(number));
+        tracing::info!(text, worker, "module");
+    }
+
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -102,16 +110,8 @@
         let late = now >= call.deadline || u32::from(attempt) >= self.settings.settings.max_attempts;
         let over = call.answered || late || closed;
         if over || address.is_empty() {
-            // Not sent, and said so in the next batch.
-            call.attempts.push(None);
-            let mut concluded = call.answered;
-            if closed && !concluded && call.is_idle() {
-                self.reject_closed(now, request, commands);
-                concluded = true;
-            }
             let outcome = if over { Outcome::Superseded } else { Outcome::ConnectFailed };
-            self.events.push(Event::AttemptEnded(unsent(request, attempt, worker, concluded, outcome)));
-            return;
+            return self.skip_attempt(now, request, worker, outcome, commands);
         }
         let due = if timeout > 0 { call.deadline.min(now + timeout) } else { call.deadline };
         let effect = self.settings.settings.classes.get(usize::from(call.class)).map(|class| class.effect);
@@ -138,6 +138,27 @@
             intent: call.arrival.identity.map(|identity| (identity, call.ticket)),
         }));
     }
+
+    /// An attempt is not sent; the module learns so in the next batch.
+    fn skip_attempt(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        worker: WorkerId,
+        outcome: Outcome,
+        commands: &mut Vec<Command>,
+    ) {
+        let closed = self.is_closed_call(request, now);
+        let Some(call) = self.calls.get_mut(&request) else { return };
+        let attempt = call.attempts.len() as u16;
+        call.attempts.push(None);
+        let mut concluded = call.answered;
+        if closed && !concluded && call.is_idle() {
+            self.reject_closed(now, request, commands);
+            concluded = true;
+        }
+        self.events.push(Event::AttemptEnded(unsent(request, attempt, worker, concluded, outcome)));
+    }
 }
 
 /// By when an attempt must begin, so that workers that drop repeats by their key still know it from the first that may have
--- a/crates/gateway/src/state/core/mod.rs
+++ b/crates/gateway/src/state/core/mod.rs
@@ -47,6 +47,23 @@
     fn is_idle(&self) -> bool {
         self.attempts.iter().all(Option::is_none)
     }
+
+    /// Takes note of an attempt's outcome, and since when the call may have run.
+    fn record_outcome(&mut self, outcome: Outcome, sent_at: Micros) {
+        self.last_outcome = Some(outcome);
+        let never_ran =
+            matches!(outcome, Outcome::ConnectFailed | Outcome::Miss | Outcome::Full | Outcome::Superseded);
+        if !never_ran {
+            self.ran_since = Some(self.ran_since.unwrap_or(sent_at).min(sent_at));
+        }
+    }
+}
+
+/// A load that was ordered and not answered yet.
+struct LoadOrder {
+    sent_at: Micros,
+    /// When it counts as lost.
+    expires_at: Micros,
 }
 
 struct AttemptInFlight {
@@ -68,7 +85,7 @@
     /// When each attempt that is out is cut.
     attempt_deadlines: BTreeSet<(Micros, RequestId, u16)>,
     /// Loads ordered and not answered yet, and when they count as lost.
-    load_orders: BTreeMap<(WorkerId, u64), (Micros, Micros)>,
+    load_orders: BTreeMap<(WorkerId, u64), LoadOrder>,
     events: Vec<Event>,
     actions: Vec<Action>,
     /// Calls taken in this turn, to tell which of them the module holds.
@@ -150,7 +167,7 @@
         }
         let timer = self.timers.first().map(|t| t.0);
         let cut = self.attempt_deadlines.first().map(|c| c.0);
-        let order = self.load_orders.values().map(|o| o.1).min();
+        let order = self.load_orders.values().map(|order| order.expires_at).min();
         let membership = self.fleet.as_ref().and_then(|p| p.due());
         let stage = self.recovery.as_ref().and_then(|s| s.due());
         let (lane, subset) = (self.pool_admission.as_ref().and_then(|e| e.due()), self.shards_due());
@@ -254,7 +271,7 @@
             Input::Loaded { worker, function, sent, outcome, copies } => {
                 // What counted as lost is not told twice, nor as the end of the order that came after it.
                 let key = (worker, function);
-                if self.load_orders.get(&key).is_some_and(|order| order.0 <= sent) {
+                if self.load_orders.get(&key).is_some_and(|order| order.sent_at <= sent) {
                     self.load_orders.remove(&key);
                     if copies > 0 {
                         self.has_copy(function, worker);
