--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -109,7 +109,7 @@
         for number in self.listen.keys().copied().collect::<Vec<_>>() {
             self.start(number);
         }
-        self.until("all vote", |f| f.running.keys().all(|n| f.votes(*n)) && f.leader().is_some());
+        self.until("all vote", |f| f.running.keys().all(|n| f.votes(*n)) && f.agreed_leader().is_some());
     }
 
     pub fn store(&self, number: u64) -> PathBuf {
@@ -153,6 +153,18 @@
         self.running.iter().find(|(_, r)| leads(r)).map(|(n, _)| *n)
     }
 
+    /// The leader, where all running replicas name the same one in the same term: right after an election a replica
+    /// that led before may still count itself as the leader.
+    pub fn agreed_leader(&self) -> Option<u64> {
+        let mut known = self.running.values().map(|r| {
+            let figures = r.figures().borrow();
+            (figures.leader, figures.term)
+        });
+        let first = known.next()?;
+        let is_agreed = known.all(|other| other == first);
+        self.leader().filter(|leader| is_agreed && first.0 == Some(*leader))
+    }
+
     /// Whether a replica takes part fully: with one other of three it is a majority.
     pub fn votes(&self, number: u64) -> bool {
         self.running[&number].figures().borrow().is_voter
