--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -156,8 +156,9 @@
     /// The leader, where all running replicas name the same one in the same term: right after an election a replica
     /// that led before may still count itself as the leader.
     pub fn agreed_leader(&self) -> Option<u64> {
-        let mut known = self.running.values().map(|r| {
-            let figures = r.figures().borrow();
+        let mut known = self.running.values().map(|running| {
+            let figures = running.figures();
+            let figures = figures.borrow();
             (figures.leader, figures.term)
         });
         let first = known.next()?;
