--- a/crates/consensus/src/store/tests/mod.rs
+++ b/crates/consensus/src/store/tests/mod.rs
@@ -1,17 +1,16 @@
 //! What was acknowledged is there after any loss of power, and a disk that stalls holds up its own writes only.
 
-mod disk;
 mod golden;
 
 use super::open::check_start;
 use super::state_machine::State;
 use super::{key, Start, StateMachine, Store, StoreFingerprint};
 use crate::types::{Batch, Entry, LogId, Vote};
-use disk::{Disk, Draw};
 use openraft::storage::{RaftLogStorage, RaftStateMachine};
 use openraft::{EntryPayload, LeaderId, RaftSnapshotBuilder};
 use redb::Database;
 use stagehoist_cluster_state::{Command, Retirement, RetirementMode};
+use stagehoist_faulty_disk::{Disk, Draw};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::Path;
--- a/crates/intent-log/tests/disk/mod.rs
+++ b/crates/faulty-disk/src/lib.rs
@@ -1,29 +1,45 @@
-//! A disk in memory that dies at a told operation. What was written since the last sync is then there in part: each write
-//! or not, the last one torn.
+//! A disk in memory that fails at a chosen operation, for tests of what is stored. What was written since the last sync
+//! is then there in part: each write or not, some of them torn.
+#![warn(missing_docs)]
+#![forbid(unsafe_code)]
 
 use redb::StorageBackend;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::Duration;
 
+/// An operation that no sync has made durable yet.
+#[derive(Debug)]
+enum Pending {
+    SetLength(u64),
+    Write { offset: u64, data: Vec<u8> },
+}
+
+/// What a disk holds, and how it is to fail.
 #[derive(Debug, Default)]
 pub struct State {
     synced: Vec<u8>,
     live: Vec<u8>,
-    pending: Vec<(u64, Option<Vec<u8>>)>,
-    /// Writes and syncs until it dies.
+    pending: Vec<Pending>,
+    /// How long each sync takes.
+    pub stalls: Duration,
+    /// Writes and syncs until it fails; None: it does not.
     pub left: Option<u64>,
+    /// Writes and syncs so far.
     pub done: u64,
     /// Says that it synced, and did not.
     pub lies: bool,
 }
 
+/// A disk; clones share what it holds.
 #[derive(Clone, Debug, Default)]
-pub struct Disk(pub Arc<Mutex<State>>);
+pub struct Disk(Arc<Mutex<State>>);
 
 /// A small generator of its own: the same numbers on every run.
 pub struct Draw(pub u64);
 
 impl Draw {
+    /// The next number, from 0 to below `most`.
     pub fn below(&mut self, most: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.0;
@@ -42,6 +58,16 @@
 }
 
 impl Disk {
+    /// A disk on which these bytes are durable.
+    fn holding(bytes: Vec<u8>) -> Disk {
+        let state = State { synced: bytes.clone(), live: bytes, ..State::default() };
+        Disk(Arc::new(Mutex::new(state)))
+    }
+
+    /// What it holds and how it fails.
+    ///
+    /// # Panics
+    /// Where another holder of the lock panicked.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap()
     }
@@ -60,26 +86,29 @@
     pub fn after_power_loss(&self, draw: &mut Draw) -> Disk {
         let state = self.state();
         let mut bytes = state.synced.clone();
-        for (at, data) in &state.pending {
-            match data {
-                _ if draw.below(2) == 0 => {}
-                None => bytes.resize(*at as usize, 0),
-                Some(data) => {
-                    let torn =
-                        if draw.below(4) == 0 { draw.below(data.len() as u64) } else { data.len() as u64 };
-                    put(&mut bytes, *at, &data[..torn as usize]);
+        for operation in &state.pending {
+            if draw.below(2) == 0 {
+                continue;
+            }
+            match operation {
+                Pending::SetLength(len) => bytes.resize(*len as usize, 0),
+                Pending::Write { offset, data } => {
+                    let is_torn = draw.below(4) == 0;
+                    let whole = data.len() as u64;
+                    let written = if is_torn { draw.below(whole) } else { whole };
+                    put(&mut bytes, *offset, &data[..written as usize]);
                 }
             }
         }
-        let state = State { synced: bytes.clone(), live: bytes, ..State::default() };
-        Disk(Arc::new(Mutex::new(state)))
+        Disk::holding(bytes)
     }
 
+    /// A copy of it as it is now, to be set back to later.
     pub fn set_back(&self) -> Disk {
-        let bytes = self.state().live.clone();
-        Disk(Arc::new(Mutex::new(State { synced: bytes.clone(), live: bytes, ..State::default() })))
+        Disk::holding(self.state().live.clone())
     }
 
+    /// Damages every byte.
     pub fn spoil(&self) {
         self.state().live.iter_mut().for_each(|b| *b ^= 0x5a);
     }
@@ -99,17 +128,18 @@
     fn set_len(&self, len: u64) -> io::Result<()> {
         let mut state = self.step()?;
         state.live.resize(len as usize, 0);
-        state.pending.push((len, None));
+        state.pending.push(Pending::SetLength(len));
         Ok(())
     }
 
     fn sync_data(&self, _eventual: bool) -> io::Result<()> {
         let mut state = self.step()?;
+        std::thread::sleep(state.stalls);
         if !state.lies {
-            for (at, data) in std::mem::take(&mut state.pending) {
-                match data {
-                    None => state.synced.resize(at as usize, 0),
-                    Some(data) => put(&mut state.synced, at, &data),
+            for operation in std::mem::take(&mut state.pending) {
+                match operation {
+                    Pending::SetLength(len) => state.synced.resize(len as usize, 0),
+                    Pending::Write { offset, data } => put(&mut state.synced, offset, &data),
                 }
             }
         }
@@ -119,7 +149,7 @@
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         let mut state = self.step()?;
         put(&mut state.live, offset, data);
-        state.pending.push((offset, Some(data.to_vec())));
+        state.pending.push(Pending::Write { offset, data: data.to_vec() });
         Ok(())
     }
 }
--- a/crates/intent-log/tests/store.rs
+++ b/crates/intent-log/tests/store.rs
@@ -1,9 +1,7 @@
 //! What was acknowledged is there after any loss of power, and a store that may lack something proves nothing.
 
-mod disk;
-
-use disk::{Disk, Draw};
 use redb::Database;
+use stagehoist_faulty_disk::{Disk, Draw};
 use stagehoist_intent_log::{
     read_last_run, start, Batch, Intent, IntentLogError, IntentStore, LastRun, LogEvent, LogLocation, Options,
 };
