--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -109,6 +109,11 @@
         for number in self.listen.keys().copied().collect::<Vec<_>>() {
             self.start(number);
         }
+        self.until_all_vote();
+    }
+
+    /// Waits until every running replica takes part fully and all name one leader.
+    pub fn until_all_vote(&self) {
         self.until("all vote", |f| f.running.keys().all(|n| f.votes(*n)) && f.agreed_leader().is_some());
     }
 
--- a/crates/consensus/tests/cut.rs
+++ b/crates/consensus/tests/cut.rs
@@ -87,15 +87,14 @@
     fleet.running.insert(1, start(options, clock()).unwrap());
     fleet.start(2);
     fleet.start(3);
-    let all_vote = |f: &Fleet| f.running.keys().all(|n| f.votes(*n)) && f.leader().is_some();
-    fleet.until("all vote", all_vote);
+    fleet.until_all_vote();
     // Whoever leads in its place stops, until it leads.
     for _ in 0..20 {
         let Some(first) = fleet.leader().filter(|l| *l != 1) else { break };
         fleet.stop(first);
         fleet.until("another leads", |f| f.leader().is_some());
         fleet.start(first);
-        fleet.until("all vote", all_vote);
+        fleet.until_all_vote();
     }
     assert_eq!(fleet.leader(), Some(1));
     let now = clock();
--- a/crates/core/tests/only_attempt.rs
+++ b/crates/core/tests/only_attempt.rs
@@ -136,21 +136,19 @@
     }
 
     fn call(&mut self, f: usize, id: RequestId) {
-        let (class, tenant, work, load, budget) = (0, 0, None, LOAD, 1500 * MS);
-        let (function, memory_mb, lanes, repeat, came, known) = (FUNCTION, 500.0, 4.0, false, 0, true);
         let request = Request {
             id,
-            class,
-            tenant,
-            function,
-            budget,
-            work,
-            memory_mb,
-            concurrency: lanes,
-            load_time: load,
-            is_repeat: repeat,
-            accepted_at: came,
-            client_verified: known,
+            class: 0,
+            tenant: 0,
+            function: FUNCTION,
+            budget: 1500 * MS,
+            work: None,
+            memory_mb: 500.0,
+            concurrency: 4.0,
+            load_time: LOAD,
+            is_repeat: false,
+            accepted_at: 0,
+            client_verified: true,
         };
         self.handle(f, Event::Request(request));
     }
--- a/crates/core/tests/rules/support.rs
+++ b/crates/core/tests/rules/support.rs
@@ -33,23 +33,20 @@
 }
 
 pub fn request(id: RequestId, class: u16, function: FunctionId) -> Event {
-    let (work, load, budget) = (None, 500 * MS, 2500 * MS);
-    let (tenant, memory_mb, lanes, repeat, came, known) = (0, 500.0, 2.0, false, 0, true);
-    let asked = Request {
+    Event::Request(Request {
         id,
         class,
-        tenant,
+        tenant: 0,
         function,
-        budget,
-        work,
-        memory_mb,
-        concurrency: lanes,
-        load_time: load,
-        is_repeat: repeat,
-        accepted_at: came,
-        client_verified: known,
-    };
-    Event::Request(asked)
+        budget: 2500 * MS,
+        work: None,
+        memory_mb: 500.0,
+        concurrency: 2.0,
+        load_time: 500 * MS,
+        is_repeat: false,
+        accepted_at: 0,
+        client_verified: true,
+    })
 }
 
 pub fn ended(request: RequestId, attempt: u16, worker: WorkerId, outcome: Outcome) -> Event {
