--- a/crates/gateway/src/amqp/front/deliveries.rs
+++ b/crates/gateway/src/amqp/front/deliveries.rs
@@ -10,19 +10,6 @@
 const OTHER_SHARD: &str = "other-shard";
 
 impl Front {
-    /// Generation and shard that a message should have been sent to.
-    fn home(
-        &self,
-        queue: usize,
-        properties: &BasicProperties,
-        routing_key: &str,
-        ticket: Ticket,
-    ) -> Option<(u32, Shard)> {
-        let function = Reader::function(properties, routing_key).ok()?;
-        // Calls of a function that is spread over shards are sent to each of them in turn.
-        self.places.as_ref()?.home(queue, &function, ticket)
-    }
-
     pub(super) fn reject(&mut self, tag: u64) {
         self.counters.rejected += 1;
         self.acks.remove(tag);
@@ -181,13 +168,12 @@
         let ticket = received.ticket;
         let (correlation, key) = (delivery.correlation.clone(), delivery.key.clone());
         self.deliveries.insert(ticket, delivery);
-        let rejection = self.rejection(&received, &correlation, may_have_run);
-        let request = match (received.request, rejection) {
-            (Ok(request), None) => request,
-            (_, Some(_)) | (Err(_), None) if may_have_run => return self.fail_unknown(ticket, now),
-            (_, Some(answer)) => return self.answer(ticket, answer, now),
-            (Err(_), None) => return,
-        };
+        match self.rejection(&received, &correlation, may_have_run) {
+            Some(_) if may_have_run => return self.fail_unknown(ticket, now),
+            Some(answer) => return self.answer(ticket, answer, now),
+            None => {}
+        }
+        let Ok(request) = received.request else { return };
         match self.intake.admit((received.queue as u32, request.tenant), received.size) {
             Ok(held) => {
                 self.deliveries.entry(ticket).and_modify(|delivery| delivery.held = Some(held));
@@ -225,7 +211,7 @@
         }
     }
 
-    /// Why a delivery can't become a call; `None` where it can.
+    /// Why a delivery can't become a call; `None` where it can. Counted and logged where its caller is to know.
     fn rejection(
         &mut self,
         received: &Received<'_>,
@@ -234,11 +220,12 @@
     ) -> Option<Answer> {
         let request = match &received.request {
             Ok(request) => request,
-            Err(_) if may_have_run => return Some(Answer::Refused { reason: "", retry_after: 0 }),
             Err(unusable) => {
-                self.counters.answered_unusable += 1;
                 let reason = unusable.reason();
-                tracing::info!(correlation, reason, wrong = %unusable, "not taken");
+                if !may_have_run {
+                    self.counters.answered_unusable += 1;
+                    tracing::info!(correlation, reason, wrong = %unusable, "not taken");
+                }
                 return Some(Answer::Refused { reason, retry_after: 0 });
             }
         };
@@ -260,8 +247,11 @@
         Some(Answer::Refused { reason: OTHER_SHARD, retry_after: 0 })
     }
 
+    /// Generation and shard that a message should have been sent to.
     fn home_of(&self, received: &Received<'_>) -> Option<(u32, Shard)> {
-        self.home(received.queue, &received.properties, received.routing_key, received.ticket)
+        let function = Reader::function(&received.properties, received.routing_key).ok()?;
+        // Calls of a function that is spread over shards are sent to each of them in turn.
+        self.places.as_ref()?.home(received.queue, &function, received.ticket)
     }
 }
 
