--- a/crates/core/src/policy/attempt_counter.rs
+++ b/crates/core/src/policy/attempt_counter.rs
@@ -1,12 +1,12 @@
-//! Counts of first attempts and retries in a sliding window, for a retry budget (as in Finagle and in gRPC's retry
-//! throttling, gRFC A6). State without decisions.
+//! Counts first attempts and retries in a sliding window, for a retry budget (as in Finagle and in gRPC's retry
+//! throttling, gRFC A6). Holds no decisions.
 
 use crate::interface::{Micros, RetryBudget};
 
 #[cfg(test)]
 mod tests;
 
-/// Buckets of the window; what is older than the window leaves in steps of one bucket.
+/// Number of buckets of the window. Older attempts leave the window one bucket at a time.
 const BUCKETS: usize = 8;
 
 /// Attempts within one bucket.
@@ -19,18 +19,18 @@
 /// Attempts of one function, or at one worker, within the window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptCounter {
-    /// A ring.
+    /// A ring buffer, indexed by bucket number.
     buckets: [Bucket; BUCKETS],
     /// Number of the newest bucket since time 0.
     newest: Micros,
 }
 
-/// Number of the bucket, since time 0, that a time falls into.
+/// Returns the number, since time 0, of the bucket that contains a time.
 fn bucket_number(now: Micros, budget: &RetryBudget) -> Micros {
     now.div_euclid((budget.window / BUCKETS as Micros).max(1))
 }
 
-/// Place in the ring of the bucket with a number.
+/// Returns the index in the ring of the bucket with a number.
 fn bucket_index(number: Micros) -> usize {
     number.rem_euclid(BUCKETS as Micros) as usize
 }
@@ -39,7 +39,7 @@
     /// Counts an attempt.
     pub fn add(&mut self, is_retry: bool, now: Micros, budget: &RetryBudget) {
         let number = bucket_number(now, budget);
-        // A clock that goes backwards counts to the newest bucket.
+        // If the clock goes backwards, the attempt is counted in the newest bucket.
         for passed in (self.newest + 1..=number).rev().take(BUCKETS) {
             self.buckets[bucket_index(passed)] = Bucket::default();
         }
--- a/crates/core/src/policy/call.rs
+++ b/crates/core/src/policy/call.rs
@@ -1,12 +1,12 @@
-//! A request that has no final answer yet: state without decisions.
+//! The state of a request that has no final answer yet; holds no decisions.
 
 use crate::interface::*;
 
-/// What is known of the execution of an attempt.
+/// Whether an attempt is in flight, never ran or may have run.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Execution {
     InFlight,
-    /// It ended, and nothing ran.
+    /// It ended, and the request did not run.
     NeverRan,
     /// It ended, and the request may have run.
     MayHaveRun,
@@ -19,14 +19,15 @@
     pub execution: Execution,
 }
 
-/// When a request has to be over.
+/// The time by which a request must have its final answer.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Deadline {
     pub at: Micros,
     pub request: RequestId,
 }
 
-/// A position in the queue: requests that can no longer meet their objective come last, then by required start.
+/// A position in the queue: late requests (those that can no longer meet their objective, or have a low value) come
+/// last; within each part, requests are ordered by required start.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueuePosition {
     pub late: bool,
@@ -35,17 +36,17 @@
 }
 
 impl QueuePosition {
-    /// The first position among the late requests.
+    /// Lower bound of the positions of late requests.
     pub const FIRST_LATE: QueuePosition =
         QueuePosition { late: true, required_start: Micros::MIN, request: 0 };
 
-    /// The last position among the late requests whose required start is not after `now`.
+    /// Returns the upper bound of the positions of late requests whose required start is not after `now`.
     pub fn last_late(now: Micros) -> QueuePosition {
         QueuePosition { late: true, required_start: now, request: RequestId::MAX }
     }
 }
 
-/// Queued requests for which the choice of a worker would be the same.
+/// Key of queued requests that would be placed alike.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CallGroup {
     pub function: FunctionId,
@@ -57,19 +58,19 @@
     pub request: Request,
     /// Predicted run time at a worker of the usual speed.
     pub base_run: f64,
-    /// Value for each microsecond of its work.
+    /// Value per microsecond of work.
     pub weight: f64,
     pub deadline: Micros,
-    /// Until when an answer earns the full value.
+    /// Time up to which an answer earns the full value.
     pub objective_at: Micros,
-    /// By attempt number.
+    /// Indexed by attempt number.
     pub attempts: Vec<AttemptRecord>,
-    /// Its position where it is queued.
+    /// Its position in the queue, if it is queued.
     pub queued: Option<QueuePosition>,
 }
 
 impl PendingCall {
-    /// The group that it belongs to while it is queued.
+    /// Returns the group that the request belongs to while it is queued.
     pub fn group(&self) -> CallGroup {
         CallGroup {
             function: self.request.function,
@@ -78,12 +79,12 @@
         }
     }
 
-    /// Whether an attempt has not ended.
+    /// Whether an attempt is in flight.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.execution == Execution::InFlight)
     }
 
-    /// Whether no attempt may have run.
+    /// Whether it is certain that no attempt ran.
     pub fn never_ran(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.execution == Execution::NeverRan)
     }
--- a/crates/core/src/policy/completion.rs
+++ b/crates/core/src/policy/completion.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts: what becomes of the request, and of the worker's slow start.
+//! Handles the end of an attempt: the next step of its request, and the slow start of its worker.
 
 use super::call::Execution;
 use super::load_budget::LoadOrder;
@@ -31,11 +31,11 @@
         self.continue_call(index, end, now, actions);
     }
 
-    /// Notes an answer for the worker's slow start, and counts the work of established workers.
+    /// Updates the worker's slow start after an attempt, and counts work served by established workers.
     fn record_served(&mut self, index: usize, attempt: &Attempt, end: &AttemptEnd, now: Micros) {
         let worker = &mut self.workers[index];
         let succeeded = end.outcome == Outcome::Ok;
-        // An answer to a request sent before the supposed restart shows that there was none.
+        // An answer to a request sent before the assumed restart proves that the process did not restart.
         let is_older = |since: Micros| succeeded && attempt.sent_at < since;
         let since =
             worker.warming_since.map(|since| if is_older(since) { worker.endpoint.started } else { since });
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The first answer for a client shows that it is genuine; its request then adds to the load budget.
+    /// Marks the request's client as verified once an attempt succeeds; the request then adds to the load budget.
     fn verify_client(&mut self, end: &AttemptEnd) {
         let Some(call) = self.pending.get_mut(&end.request) else { return };
         if end.outcome == Outcome::Ok && !call.request.client_verified {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Queues the request for another attempt, or settles it, once no attempt is in flight.
+    /// Queues the request for another attempt, or concludes it, once no attempt is in flight.
     fn continue_call(&mut self, index: usize, end: &AttemptEnd, now: Micros, actions: &mut Vec<Action>) {
         let Some(call) = self.pending.get(&end.request) else { return };
         if call.has_attempt_in_flight() || call.queued.is_some() {
@@ -75,7 +75,8 @@
             self.enqueue(end.request, EnqueueReason::CanMeetObjective, now);
             return;
         }
-        // Of a single attempt: it is lost, but the next requests find the copy. Could harm: loads for one-off functions.
+        // If only one attempt is allowed, the request is lost, but a load lets the next requests find a copy. Could harm
+        // by loading functions that are called only once.
         let was_only_miss = self.settings.max_attempts == 1 && end.outcome == Miss;
         let order = LoadOrder { worker: end.worker, function };
         if was_only_miss && !self.load_budget.is_outstanding(order) {
--- a/crates/core/src/policy/confirmation.rs
+++ b/crates/core/src/policy/confirmation.rs
@@ -1,15 +1,16 @@
 //! Confirmation: which workers may get new work while the endpoint list is old (rule 3).
 //!
-//! An endpoint list is information with an age: its source vouches for it up to a time
-//! ([`Event::EndpointListValid`](crate::Event::EndpointListValid)), and what happened later may be known to everyone
-//! but this front end. Past that time and the grace of a drain, a worker gets new requests and load orders only for as long as
-//! the worker itself was seen to take work within the grace: by a health check that it passed, or by an attempt that it
-//! examined. Either counts from when it was sent, as all that its answer proves is that the worker took work at some
-//! time after that. A worker that a request wants and that nothing confirms is health-checked, which is no new work; the
-//! request waits for the result or goes elsewhere. Front ends without requests check nobody.
+//! The source of an endpoint list guarantees it up to a time
+//! ([`Event::EndpointListValid`](crate::Event::EndpointListValid)); this front end may have missed changes after that
+//! time. Once that time and the drain grace have passed, a worker gets new requests and load orders only if it was
+//! confirmed within the grace: by a health check that it passed, or by an attempt that it examined. A confirmation
+//! counts from the time at which the check or attempt was sent, as its answer proves only that the worker accepted work
+//! at some time after that. If a request is placed on an unconfirmed worker, the worker is health-checked, which is not
+//! new work; the request waits for the result or is sent to another worker. Front ends without requests check no worker.
 //!
-//! A check that fails proves nothing: a draining worker fails all of them, and one without a free place some. One that fails
-//! several in a row is withdrawn, as if the list had not named it, until it passes one.
+//! A failed check does not prove that the worker is draining: a draining worker fails all checks, but one without free
+//! capacity fails some. A worker that fails several checks in a row is withdrawn, which treats it as unlisted, until it
+//! passes one.
 
 use super::beliefs::Beliefs;
 use super::call::CallGroup;
@@ -18,39 +19,39 @@
 use crate::interface::*;
 use std::collections::BTreeSet;
 
-/// Part of the grace of a drain that is left unused, for the way to the worker's socket.
+/// Part of the drain grace that is reserved for the transit to the worker's socket.
 const TRANSIT_MARGIN_DIVISOR: Micros = 8;
-/// A confirmation counts for so many ticks of the clock at least.
+/// Minimum lifetime of a confirmation, in clock ticks.
 pub(super) const MIN_LIFETIME_TICKS: Micros = 10;
 /// Failed checks in a row after which a worker is withdrawn.
 pub(super) const WITHDRAWAL_FAILURES: u32 = 2;
 
-/// What a worker showed of itself.
+/// The confirmation state of a worker.
 #[derive(Default)]
 pub(super) struct Confirmation {
-    /// When it last took work, by itself.
+    /// Send time of the latest check or attempt that shows that it accepts work; 0 if there is none.
     pub confirmed_at: Micros,
-    /// When the check under way began.
+    /// When the check in progress started.
     pub check_started_at: Option<Micros>,
-    /// Checks in a row that it failed or left unanswered.
+    /// Number of consecutive checks that it failed or left unanswered.
     pub failures: u32,
     /// When it failed the first of them.
     pub failing_since: Micros,
     /// It is not checked again before this time.
     pub next_check_at: Micros,
-    /// Since when there is a connection to it without a break.
+    /// Start of the current period with at least one open connection.
     pub connected_since: Option<Micros>,
-    /// Queued requests that wait for the check, by group.
+    /// Groups of the queued requests that wait for the check.
     pub waiting: BTreeSet<CallGroup>,
 }
 
 impl Confirmation {
-    /// Whether a check is under way, was failed, or is to be waited for.
+    /// Whether a check is in progress, failed, or is paused.
     pub fn is_unconfirmed(&self, now: Micros) -> bool {
         self.check_started_at.is_some() || self.failures > 0 || self.next_check_at >= now
     }
 
-    /// The list named the worker: what it failed before does not count any more.
+    /// Clears earlier failures, because a new endpoint list contains the worker.
     pub fn listed(&mut self) {
         self.failures = 0;
         self.next_check_at = 0;
@@ -61,31 +62,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Standing {
     Confirmed,
-    /// Not confirmed; it can be checked, or is just now.
+    /// Not confirmed; a check may be started or is in progress.
     Checkable,
-    /// Not confirmed, and not checked before a pause is over.
+    /// Not confirmed, and either its check takes too long or the next one is paused.
     Barred,
 }
 
 impl FrontEnd {
-    /// For how long a worker that showed that it takes work may get more.
+    /// Returns how long a confirmation is valid.
     pub(super) fn confirmation_lifetime(&self) -> Micros {
         let grace = self.settings.drain_grace;
         (grace - grace / TRANSIT_MARGIN_DIVISOR).max(MIN_LIFETIME_TICKS * self.settings.tick)
     }
 
-    /// Until when new work may be written to a worker.
+    /// Returns the time up to which new work may be written to a worker's connection.
     pub(super) fn new_work_until(&self, worker: &Worker) -> Micros {
         let vouched_at = self.list_validity.until.max(worker.confirmation.confirmed_at);
         vouched_at.saturating_add(self.confirmation_lifetime())
     }
 
-    /// Whether a worker may get new work now, as far as its confirmation goes.
+    /// Whether a worker is confirmed, by the list or by itself, and may get new work now.
     pub(super) fn is_confirmed(&self, worker: &Worker, now: Micros) -> bool {
         now <= self.new_work_until(worker)
     }
 
-    /// Whether a worker may get new work, or can be checked for it.
+    /// Returns whether a worker is confirmed, can be checked, or is barred.
     pub(super) fn standing(&self, worker: &Worker, now: Micros) -> Standing {
         let confirmation = &worker.confirmation;
         if self.is_confirmed(worker, now) {
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Whether a worker counts as not listed: it failed several checks, or leaves one unanswered for long, and its next
-    /// one is not due.
+    /// Whether a worker is treated as unlisted: it failed several checks or has left one unanswered for long, and the next
+    /// check is not due.
     pub(super) fn is_withdrawn(&self, worker: &Worker, now: Micros) -> bool {
         let confirmation = &worker.confirmation;
         let has_failed =
@@ -113,7 +114,7 @@
         has_failed && self.standing(worker, now) == Standing::Barred
     }
 
-    /// A worker took work, or said that it does, at some time since `sent_at`.
+    /// Records that a worker accepted work or passed a check at some time since `sent_at`.
     pub(super) fn confirm(&mut self, index: usize, sent_at: Micros, now: Micros, actions: &mut Vec<Action>) {
         let is_list_old = self.is_list_old(now);
         let worker = &mut self.workers[index];
@@ -132,7 +133,7 @@
         let is_same_process = confirmation.connected_since.is_some_and(|since| since <= failing_since);
         let worker_id = worker.endpoint.worker;
         if is_list_old && !is_same_process {
-            // Gone and started anew, most likely, and nothing told of it: it is cold (rule 4).
+            // The process probably exited and a new one started without notice, so the worker is cold (rule 4).
             worker.beliefs = Beliefs::restarted(now);
             worker.warming_since = Some(now);
         }
@@ -140,8 +141,9 @@
         actions.push(Action::Log { text });
     }
 
-    /// An attempt ended. That it was examined proves that its worker took work after it was sent; a rejection for want of
-    /// capacity may come of a drain, so that the worker is checked before it gets more.
+    /// Updates the confirmation when an attempt ends. If the worker examined the attempt, it accepted work after the
+    /// attempt was sent. A rejection for lack of capacity may be caused by a drain, so the worker is checked before it gets
+    /// more work.
     pub(super) fn on_attempt_examined(
         &mut self,
         index: usize,
@@ -162,7 +164,7 @@
         }
     }
 
-    /// The first connection to a worker was established, or the last one closed.
+    /// Handles the first connection to a worker being established or the last one being closed.
     pub(super) fn on_worker_connection(&mut self, worker: WorkerId, is_open: bool, now: Micros) {
         let Some(&index) = self.worker_index.get(&worker) else { return };
         self.workers[index].confirmation.connected_since = is_open.then_some(now);
--- a/crates/core/src/policy/dispatch.rs
+++ b/crates/core/src/policy/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: which queued requests are considered in a batch, and in which order.
+//! Dispatch: selects the queued requests that a batch considers, and their order.
 
 use super::call::{CallGroup, QueuePosition};
 use super::placement::{FleetHealth, Placement};
@@ -8,10 +8,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Requests of a group that may find no worker before the rest of the group waits for the next batch.
+/// After this many requests of a group found no worker, the rest of the group waits for the next batch.
 const MAX_BLOCKED: u32 = 2;
 
-/// A queued request that is to be considered, in the order of the queue.
+/// A queued request that the batch may consider; ordered by queue position.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     position: QueuePosition,
@@ -19,9 +19,9 @@
 }
 
 impl FrontEnd {
-    /// Considers the queued requests whose answer can have changed, in the order of the queue: of groups that a request
-    /// came to, that a worker which changed could take, and a few others in turn. Guards against a cost that grows with
-    /// the queue; could harm where a change is not seen until the sweep comes by.
+    /// Considers, in queue order, the queued requests whose placement may have changed: those of groups that a request
+    /// joined, of groups that a changed worker could serve, and of a few other groups in turn. This keeps the cost
+    /// independent of the queue's length. Could harm if a change is noticed only when the sweep reaches the group.
     pub(super) fn decide(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.maintain(now, actions);
         self.give_up_objectives(now, actions);
@@ -49,7 +49,7 @@
         FleetHealth { ready, ejections_doubted: healthy * 2 < ready }
     }
 
-    /// Queued requests that can't meet their objective any more.
+    /// Gives up the objective of queued requests that can't meet it any more.
     fn give_up_objectives(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let is_over = |position: &&QueuePosition| !position.late && position.required_start < now;
         let over: Vec<_> = self.queue.iter().take_while(is_over).map(|position| position.request).collect();
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The first request of each group that is due or could go to an open worker.
+    /// Returns the first request of each group that is due or could be served by an open worker.
     fn first_candidates(
         &self,
         due_groups: &BTreeSet<CallGroup>,
@@ -111,7 +111,7 @@
         Some(Candidate { position, group })
     }
 
-    /// Considers late requests whose required start has come.
+    /// Considers late requests whose required start has passed.
     fn dispatch_overdue(&mut self, health: FleetHealth, now: Micros, actions: &mut Vec<Action>) {
         let overdue = self.queue.range(QueuePosition::FIRST_LATE..=QueuePosition::last_late(now));
         let overdue: Vec<RequestId> = overdue.map(|position| position.request).collect();
@@ -120,8 +120,9 @@
         }
     }
 
-    /// Sends a queued request, settles it, or returns true where it waits. One that no worker would finish in time is
-    /// queued behind others: else those about to be late keep back others of their group until they are late too.
+    /// Sends a queued request, concludes it, or returns true if it waits. A request that no worker would finish in time is
+    /// queued behind the others: otherwise requests that are about to be late would block others of their group until
+    /// those are late too.
     fn dispatch(
         &mut self,
         id: RequestId,
@@ -154,7 +155,7 @@
         false
     }
 
-    /// Notes whether a request's function wants a further copy: the request waits, or would be late at a copy.
+    /// Records whether a request's function wants another copy: if the request waits, or would be late at a copy.
     fn update_wanted_load(&mut self, id: RequestId, placement: &Placement, now: Micros) {
         let Some(call) = self.pending.get(&id) else { return };
         let function = call.request.function;
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Whether a worker takes requests and has capacity.
+    /// Whether a worker is ready, not ejected and has capacity.
     fn is_open(&self, index: usize, health: FleetHealth, now: Micros) -> bool {
         let worker = &self.workers[index];
         let others = self.other_requests(worker, now).likely;
@@ -181,7 +182,7 @@
             && requests <= MAX_STRETCH * worker.endpoint.capacity.max(1.0)
     }
 
-    /// Whether requests of a group could go to a worker that has capacity, as far as is seen without a prediction.
+    /// Whether a worker with capacity could serve requests of a group. A cheap test without a prediction.
     fn can_reach(&self, index: usize, group: &CallGroup, now: Micros) -> bool {
         let worker = &self.workers[index];
         let Some(function) = self.functions.get(&group.function) else { return false };
--- a/crates/core/src/policy/endpoints.rs
+++ b/crates/core/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists: which workers there are and whether they take requests (rule 3).
+//! Endpoint lists: which workers exist and whether they are ready for requests (rule 3).
 
 use super::beliefs::Beliefs;
 use super::fleet::WorkerTime;
@@ -8,33 +8,35 @@
 use crate::interface::*;
 use std::collections::BTreeSet;
 
-/// A worker's place is free for another after this many retention times or retry windows.
+/// The slot of a worker that is gone may be reused after this many retention times or retry windows, whichever is
+/// longer.
 const REUSE_AFTER: Micros = 8;
-/// Start time of a worker of which no list has told yet.
+/// Start time of a new worker until its list entry is processed.
 const NEVER_STARTED: Micros = -1;
 
-/// Pauses before a failed subscription is tried again, as parts of the longest time between polls: the shortest, and the
-/// longest after doublings.
+/// Shortest and longest pause before a failed subscription is retried, as divisors of the longest poll interval. The
+/// pause doubles with each failure.
 const MIN_PAUSE_DIVISOR: Micros = 16;
 const MAX_PAUSE_DIVISOR: Micros = 2;
-/// The longest time between polls, where none is configured.
+/// Longest poll interval if none is configured.
 const DEFAULT_POLL_WITHIN: Micros = 10_000_000;
-/// Most doublings of a pause.
+/// Maximum number of times that a pause is doubled.
 const MAX_DOUBLINGS: u32 = 8;
 
 /// The subscription to endpoint updates.
 #[derive(Default)]
 pub(super) struct Subscription {
-    /// It was asked for, and did not fail since.
+    /// Whether it was requested and has not failed since.
     is_on: bool,
-    /// When it is asked for again after a failure.
+    /// When it is requested again after a failure.
     pub retry_at: Option<Micros>,
-    /// Failures since the last list.
+    /// Number of failures since the last list.
     failures: u32,
 }
 
 impl Subscription {
-    /// It could not be had, or broke: it is asked for again after a pause that no two front ends share.
+    /// Handles a subscription that could not be established or broke: schedules a retry after a pause that is random for
+    /// each front end.
     fn failed(&mut self, settings: &Settings, seed: u64, now: Micros) {
         let within = if settings.poll_within > 0 { settings.poll_within } else { DEFAULT_POLL_WITHIN };
         let pause = (within / MIN_PAUSE_DIVISOR) << self.failures.min(MAX_DOUBLINGS);
@@ -70,7 +72,7 @@
         self.fleet_capacity = self.fleet.capacity();
     }
 
-    /// Subscribes to endpoint updates where that is needed.
+    /// Subscribes to endpoint updates, if this is configured and not done yet.
     fn subscribe(&mut self, actions: &mut Vec<Action>) {
         if self.settings.subscribe_endpoints && !self.subscription.is_on {
             self.subscription.is_on = true;
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Subscribes again, once the pause after a failure is over: nothing else brings a list any more.
+    /// Subscribes again once the pause after a failure is over. Without a subscription no further list arrives.
     pub(super) fn resubscribe(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.subscription.retry_at.is_some_and(|at| at <= now) {
             self.subscription.retry_at = None;
@@ -118,8 +120,8 @@
         self.changed_workers.insert(index);
     }
 
-    /// Adds a worker in the place of one that is gone, so that lists which change for ever leave nothing behind, else
-    /// in a further one.
+    /// Adds a worker and returns its index. It reuses the slot of a worker that is long gone, so that the table does not
+    /// grow without bound as workers come and go; if there is none, it adds a slot.
     fn add_worker(&mut self, endpoint: &Endpoint, now: Micros) -> usize {
         let reuse_after = REUSE_AFTER * self.settings.idle_retention.max(self.settings.retry_budget.window);
         let long_gone = self.fleet.gone.iter().take_while(|gone| now - gone.at > reuse_after);
@@ -137,13 +139,13 @@
         index
     }
 
-    /// Puts a worker in the place of one that is long gone.
+    /// Puts a worker into the slot of one that is long gone.
     fn replace_worker(&mut self, index: usize, worker: Worker) {
         let replaced = std::mem::replace(&mut self.workers[index], worker);
         self.worker_index.remove(&replaced.endpoint.worker);
         self.fleet.gone.remove(&WorkerTime { at: replaced.listed_at, index });
         self.fleet.unconfirmed.remove(&index);
-        // The sums hold the former one until this one is counted.
+        // The sums contain the contribution of the replaced worker until the new one is counted.
         let worker = &mut self.workers[index];
         worker.contribution = replaced.contribution;
         worker.due_at = replaced.due_at;
--- a/crates/core/src/policy/fleet.rs
+++ b/crates/core/src/policy/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet as a whole: sums over all workers, kept as single workers change, and what is due of them by time. No
-//! decision goes over all workers, so that the cost of an event does not grow with the fleet.
+//! The fleet as a whole: sums over all workers, updated as single workers change, and the times at which workers need
+//! a refresh. No decision iterates over all workers, so the cost of an event does not grow with the fleet.
 
 use super::beliefs::Beliefs;
 use super::numbers::ExactSum;
@@ -8,14 +8,14 @@
 use crate::interface::*;
 use std::collections::BTreeSet;
 
-/// Fleets of up to so many workers are looked at whole where a decision goes over workers; of larger ones, so many are.
+/// Largest number of workers that one decision considers. Smaller fleets are considered in full.
 pub(super) const MAX_CONSIDERED: usize = 256;
-/// Of the workers that warm up in a larger fleet, so many are considered in each batch.
+/// Warming workers considered in each batch in a fleet of more than `MAX_CONSIDERED` workers.
 const MAX_WARMING_CONSIDERED: usize = 16;
-/// A worker whose slowdown and error rate are so near to the usual has nothing left to decay.
+/// A slowdown or error rate within this distance of its usual value no longer needs decay.
 const REST_TOLERANCE: f64 = 1e-6;
 
-/// What one worker adds to the sums.
+/// One worker's contribution to the sums.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(super) struct Contribution {
     is_ready: bool,
@@ -41,14 +41,14 @@
     }
 }
 
-/// A worker, by index, and a time.
+/// A worker's index with a time; ordered by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct WorkerTime {
     pub at: Micros,
     pub index: usize,
 }
 
-/// Sums over the workers, and what is due of them.
+/// Sums over the workers, and their scheduled refreshes.
 #[derive(Default)]
 pub(super) struct Fleet {
     ready: usize,
@@ -56,56 +56,56 @@
     capacity: ExactSum,
     established_capacity: ExactSum,
     error_rate: ExactSum,
-    /// Workers that changed since they were last counted.
+    /// Workers whose contribution may have changed since they were last counted.
     touched: Vec<usize>,
-    /// When workers change by themselves.
+    /// Times at which the state of a worker changes without an event.
     due: BTreeSet<WorkerTime>,
     pub warming: BTreeSet<usize>,
     /// Workers with several attempts in flight.
     pub busy: BTreeSet<usize>,
-    /// Workers whose load reports are asked for in turn, by when they were last health-checked.
+    /// Workers that are health-checked in turn for their load reports, by the time of their last check.
     pub checked: BTreeSet<WorkerTime>,
-    /// Workers that are gone, by when the list last told of them.
+    /// Workers that are gone, by the time of their last change in the endpoint list.
     pub gone: BTreeSet<WorkerTime>,
-    /// Workers with a confirmation that is under way or failed.
+    /// Workers whose confirmation check is in progress or has failed.
     pub unconfirmed: BTreeSet<usize>,
-    /// The first worker of those that warm up that is considered next, where they are many.
+    /// Index from which the next batch of warming workers is taken.
     next_warming: usize,
 }
 
 impl Fleet {
-    /// Workers that take requests by the list.
+    /// Returns the number of workers that the endpoint list names as ready.
     pub fn ready(&self) -> usize {
         self.ready
     }
 
-    /// Of those, workers that are not ejected.
+    /// Returns the number of ready workers that are not ejected.
     pub fn healthy(&self) -> usize {
         self.healthy
     }
 
-    /// Capacity of the ready workers.
+    /// Returns the total capacity of the ready workers.
     pub fn capacity(&self) -> f64 {
         self.capacity.value()
     }
 
-    /// Capacity of the established workers.
+    /// Returns the total capacity of the established workers.
     pub fn established_capacity(&self) -> f64 {
         self.established_capacity.value()
     }
 
-    /// Mean error rate of the ready workers.
+    /// Returns the mean error rate of the ready workers.
     pub fn mean_error_rate(&self) -> f64 {
         self.error_rate.value() / self.ready.max(1) as f64
     }
 
-    /// The next worker that is due.
+    /// Removes and returns the next worker whose refresh is due.
     fn pop_due(&mut self, now: Micros) -> Option<usize> {
         self.due.first().filter(|due| due.at <= now)?;
         self.due.pop_first().map(|due| due.index)
     }
 
-    /// The workers that warm up, of a fleet of `workers`: all of a small one, some in turn of a larger one.
+    /// Returns warming workers of a fleet of `workers`: all of them in a small fleet, the next few in turn in a larger one.
     pub fn warming_in_turn(&mut self, workers: usize) -> Vec<usize> {
         let most = if workers <= MAX_CONSIDERED { usize::MAX } else { MAX_WARMING_CONSIDERED };
         let from_next = self.warming.range(self.next_warming..);
@@ -130,7 +130,7 @@
 }
 
 impl FrontEnd {
-    /// A worker changes: it is counted anew before the next decisions.
+    /// Marks a worker as changed, so that it is recounted before the next decisions.
     pub(super) fn touch(&mut self, index: usize) {
         let worker = &mut self.workers[index];
         if !worker.is_touched {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Counts the workers that changed.
+    /// Recounts the workers that were marked as changed.
     pub(super) fn count_touched(&mut self, now: Micros) {
         let last_batch = self.sweep.at;
         for index in std::mem::take(&mut self.fleet.touched) {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Brings the sums up to date with a worker. What is over by `since` has had its consequences.
+    /// Updates the sums and the scheduled refresh of a worker. Times up to `since` have already been handled.
     pub(super) fn count(&mut self, index: usize, since: Micros, now: Micros) {
         let due_at = self.next_change(index, since);
         let worker = &mut self.workers[index];
@@ -166,7 +166,7 @@
         }
     }
 
-    /// When a worker changes by itself, after `since`.
+    /// Returns the next time after `since` at which a worker's state changes without an event.
     fn next_change(&self, index: usize, since: Micros) -> Option<Micros> {
         let worker = &self.workers[index];
         let beliefs = &worker.beliefs;
@@ -180,7 +180,7 @@
         warm_at.into_iter().chain(lost_at).chain(decays_at).chain(opens).min()
     }
 
-    /// Refreshes the workers whose time has come.
+    /// Refreshes the workers whose scheduled time has passed.
     pub(super) fn refresh_due_workers(&mut self, now: Micros) {
         while let Some(index) = self.fleet.pop_due(now) {
             self.workers[index].due_at = None;
@@ -189,8 +189,8 @@
         }
     }
 
-    /// A worker's entry in the list changed, the last time at `listed_before`: the sums that the next events go by change
-    /// with it.
+    /// Updates the sums after a worker's entry in the endpoint list changed, as the next events of the batch use them.
+    /// `listed_before` is the time of the entry's previous change.
     pub(super) fn count_listed(&mut self, index: usize, listed_before: Micros, now: Micros) {
         self.fleet.gone.remove(&WorkerTime { at: listed_before, index });
         let worker = &self.workers[index];
@@ -206,7 +206,7 @@
         self.count(index, self.sweep.at, now);
     }
 
-    /// Notes how many attempts are in flight at a worker.
+    /// Records whether a worker has several attempts in flight.
     pub(super) fn count_in_flight(&mut self, index: usize) {
         if self.workers[index].in_flight.len() > 1 {
             self.fleet.busy.insert(index);
@@ -216,7 +216,7 @@
     }
 }
 
-/// Whether nothing that is believed of a worker decays any more.
+/// Whether the estimates of a worker have decayed to their usual values.
 fn is_at_rest(beliefs: &Beliefs) -> bool {
     (beliefs.slowdown - 1.0).abs() < REST_TOLERANCE && beliefs.error_rate < REST_TOLERANCE
 }
--- a/crates/core/src/policy/function.rs
+++ b/crates/core/src/policy/function.rs
@@ -1,4 +1,4 @@
-//! A function as one front end knows it: state without decisions.
+//! The state of a function as known to one front end; holds no decisions.
 
 use super::attempt_counter::AttemptCounter;
 use super::numbers::{percentile_99, update_average, DecayingSum, GAIN};
@@ -7,9 +7,10 @@
 use std::cell::Cell;
 use std::collections::VecDeque;
 
-/// Runs kept of each function (ten by Clockwork, which keeps them for each worker: of one worker alone few come here).
+/// Length of a function's run profile. Clockwork also uses ten, but per worker; one front end sees too few runs of
+/// each worker for that.
 const PROFILE_RUNS: usize = 10;
-/// Bounds of the store's slowdown that one load can show.
+/// Bounds of the store slowdown derived from a single load.
 const MIN_STORE_SLOWDOWN: f64 = 0.25;
 const MAX_STORE_SLOWDOWN: f64 = 16.0;
 
@@ -17,33 +18,33 @@
 pub(super) struct Function {
     pub class: u16,
     pub memory_mb: f64,
-    /// Calls that one copy runs at a time.
+    /// Number of calls that one copy runs concurrently.
     pub concurrency: usize,
-    /// Usual time of a load as declared; 0 where it is not.
+    /// Declared load time; 0 if none is declared.
     pub declared_load_time: Micros,
-    /// Mean time of the loads seen, at a store of the usual speed.
+    /// Mean observed load time, normalised to a store of the usual speed.
     pub mean_load_time: Option<f64>,
     /// Mean run time at a worker of the usual speed.
     pub mean_run: Option<f64>,
-    /// Run profile: the last runs on a loaded copy, each relative to its worker's slowdown.
+    /// Run profile: times of the last runs on a loaded copy, each divided by its worker's slowdown.
     pub recent_runs: VecDeque<f64>,
-    /// Calls that arrived here, decaying over twice the retention time.
+    /// Calls that arrived at this front end, decaying over twice the retention time.
     pub recent_calls: DecayingSum,
     pub attempts: AttemptCounter,
-    /// The workers that it may go to without a known copy.
+    /// Indices of the workers that its requests may be sent to without a known copy, in order of rank.
     pub ranked_workers: Vec<u32>,
-    /// Of which workers they were ranked, and how deep.
+    /// Version and depth of `ranked_workers`.
     pub ranking: Ranking,
-    /// Work of its pending requests.
+    /// Total work of its pending requests.
     pub pending_work: f64,
-    /// How many of `ranked_workers` were homes, as last weighed.
+    /// Number of `ranked_workers` that were preferred workers at the last placement.
     pub home_count: Cell<usize>,
-    /// A further copy was wanted, as last weighed.
+    /// Whether another copy was wanted at the last placement.
     pub wants_copy: Cell<bool>,
 }
 
 impl Function {
-    /// Takes the time of a load into the means of the function and of the store that all workers share.
+    /// Adds a load time to the means of the function and of the store that all workers share.
     pub fn record_load(&mut self, elapsed: f64, store_slowdown: &mut Option<f64>) {
         let declared = (self.declared_load_time > 0).then_some(self.declared_load_time as f64);
         let usual = self.mean_load_time.or(declared).unwrap_or(elapsed);
@@ -52,14 +53,14 @@
         update_average(&mut self.mean_load_time, elapsed / store_slowdown.unwrap_or(1.0), GAIN);
     }
 
-    /// Takes a run on a loaded copy into the run profile.
+    /// Adds a run on a loaded copy to the run profile.
     pub fn record_run(&mut self, run: f64) {
         self.recent_runs.truncate(PROFILE_RUNS - 1);
         self.recent_runs.push_front(run);
         update_average(&mut self.mean_run, run, GAIN);
     }
 
-    /// The 99th percentile of the run profile, once it is complete.
+    /// Returns the 99th percentile of the run profile, once the profile is complete.
     pub fn run_percentile_99(&self) -> Option<f64> {
         percentile_99(&self.recent_runs, PROFILE_RUNS)
     }
--- a/crates/core/src/policy/intake.rs
+++ b/crates/core/src/policy/intake.rs
@@ -1,4 +1,4 @@
-//! Intake of requests: deadlines, expected work and value of a new request, and what its arrival tells of demand.
+//! Intake of requests: deadline, expected work and value of a new request, and the demand estimates.
 
 use super::call::{Deadline, PendingCall};
 use super::numbers::{decay, update_average, GAIN};
@@ -6,12 +6,12 @@
 use super::FrontEnd;
 use crate::interface::*;
 
-/// Ticks of the clock by which a deadline is brought forward, and the largest part of a budget that this may take.
+/// A deadline is moved forward by this many clock ticks, but at most by this part of the request's time budget.
 const DEADLINE_MARGIN_TICKS: Micros = 2;
 const MAX_DEADLINE_MARGIN_DIVISOR: Micros = 4;
-/// Greatest number of calls that one copy is taken to run at a time.
+/// Maximum concurrency that is assumed for one copy.
 const MAX_CONCURRENCY: f64 = 1e4;
-/// Run time of a class of which nothing is known, as a fraction of its latency objective.
+/// Default run time of a class without observed runs: its latency objective divided by this.
 const DEFAULT_RUN_DIVISOR: f64 = 4.0;
 /// Bounds of a request's declared work relative to its class's mean.
 const MIN_RELATIVE_WORK: f64 = 0.1;
@@ -36,7 +36,7 @@
         let weight = self.tenant_quotas.weigh(&self.settings, request, base_run, now);
         let accepted_at = if request.accepted_at > 0 { request.accepted_at.min(now) } else { now };
         let request = Request { accepted_at: accepted_at - self.settings.tick, ..request.clone() };
-        // Rule 5: without proof of a genuine client it is not known whether the request counts.
+        // Rule 5: only requests of verified clients add to the load budget.
         if request.client_verified {
             self.load_budget.request_accepted(request.accepted_at);
         }
@@ -58,7 +58,7 @@
         function.concurrency = request.concurrency.clamp(1.0, MAX_CONCURRENCY) as usize;
     }
 
-    /// Counts a request's work, and estimates how many front ends like this one make up the fleet's traffic.
+    /// Adds a request's work to the demand, and estimates how many front ends like this one produce the fleet's traffic.
     fn record_demand(&mut self, function: FunctionId, base_run: f64, now: Micros) {
         if let Some(function) = self.functions.get_mut(&function) {
             function.pending_work += base_run;
@@ -73,8 +73,8 @@
         self.similar_front_ends = to_fill_the_fleet.max(1.0).min(front_ends);
     }
 
-    /// Run time at a worker of the usual speed without contention: by the declared work, else the function's mean, else
-    /// its class's, else a default.
+    /// Returns the run time at a worker of the usual speed without contention: from the declared work, else the
+    /// function's mean, else the mean of its class, else a default.
     fn predicted_base_run(&self, request: &Request) -> f64 {
         let class = request.class as usize;
         let default = self.settings.classes[class].latency_objective as f64 / DEFAULT_RUN_DIVISOR;
@@ -87,14 +87,14 @@
         function.and_then(|function| function.mean_run).unwrap_or(class_run)
     }
 
-    /// The request's answer has begun; it can no longer be rejected when its time is over.
+    /// Handles the start of a request's answer: the request can no longer be rejected at its deadline.
     pub(super) fn on_started(&mut self, id: RequestId) {
         if let Some(call) = self.pending.get(&id) {
             self.deadlines.remove(&Deadline { at: call.deadline, request: id });
         }
     }
 
-    /// Removes a request that has its answer or expects none.
+    /// Removes a request that was answered or whose client is gone.
     pub(super) fn forget(&mut self, id: RequestId) {
         self.dequeue(id);
         let Some(call) = self.pending.remove(&id) else { return };
--- a/crates/core/src/policy/learning.rs
+++ b/crates/core/src/policy/learning.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt tells of its worker and function.
+//! Updates the estimates of a worker and a function when an attempt ends.
 
 use super::beliefs::CachedCopy;
 use super::numbers::{update_average, GAIN};
@@ -8,7 +8,7 @@
 use crate::interface::Outcome::{Cancelled, ConnectFailed, Error, Full, Miss, Reset, Timeout};
 use crate::interface::*;
 
-/// Bounds of the ratio of a run to its prediction that one attempt can show.
+/// Bounds of the ratio of an attempt's run time to its prediction.
 const MIN_RUN_RATIO: f64 = 0.1;
 const MAX_RUN_RATIO: f64 = 20.0;
 /// Bounds of a worker's slowdown.
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Whether a home that was not known to have the copy had it.
+    /// Updates the fraction of preferred workers that had a copy which was not known.
     fn learn_home_hit(&mut self, attempt: &Attempt, end: &AttemptEnd) {
         if attempt.predicted.at_home && matches!(end.outcome, Outcome::Ok | Miss) {
             let found_copy = end.outcome == Outcome::Ok && end.copy.state <= CopyReport::LOADED;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// A worker without a free place is passed over for half a run.
+    /// Marks a worker without free capacity as full for half of a run time.
     fn learn_full(&mut self, index: usize, attempt: &Attempt, now: Micros) {
         let beliefs = &mut self.workers[index].beliefs;
         let run = (attempt.predicted.base_run * beliefs.slowdown) as Micros;
@@ -90,7 +90,7 @@
             let run = attempt.predicted.base_run * beliefs.slowdown * attempt.predicted.slowdown;
             function.record_load((end.elapsed as f64 - run).max(1.0), &mut self.store_slowdown);
         } else if end.copy.state <= CopyReport::LOADED {
-            // Only runs on a loaded copy enter the run profile and the worker's slowdown.
+            // Only runs on a loaded copy update the run profile and the worker's slowdown.
             let slowdown = beliefs.slowdown + GAIN * (ratio - beliefs.slowdown);
             beliefs.slowdown = slowdown.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
             beliefs.slowdown_at = now;
@@ -101,10 +101,10 @@
         self.on_report(index, &end.report, now);
     }
 
-    /// No answer came before the attempt was abandoned.
+    /// Updates the estimates after an attempt that was abandoned without an answer.
     fn learn_from_silence(&mut self, index: usize, attempt: &Attempt, end: &AttemptEnd, now: Micros) {
         if !attempt.predicted.copy_expected && !attempt.predicted.at_home {
-            // It was waiting for a load: that is the store's slowness, not the worker's.
+            // The attempt waited for a load, so the store was slow and not the worker.
             if let Some(function) = self.functions.get_mut(&attempt.function) {
                 function.record_load(end.elapsed as f64, &mut self.store_slowdown);
             }
@@ -119,7 +119,7 @@
     }
 }
 
-/// Time that an attempt took relative to a run at a worker of the usual speed.
+/// Returns the time that an attempt took relative to a run at a worker of the usual speed.
 fn run_ratio(attempt: &Attempt, end: &AttemptEnd) -> f64 {
     let expected = (attempt.predicted.base_run * attempt.predicted.slowdown).max(1.0);
     (end.elapsed.max(1) as f64 / expected).clamp(MIN_RUN_RATIO, MAX_RUN_RATIO)
--- a/crates/core/src/policy/list_validity.rs
+++ b/crates/core/src/policy/list_validity.rs
@@ -1,36 +1,37 @@
-//! How old the endpoint list is, and what came of that. [`super::confirmation`] decides who gets new work while it is old.
+//! The age of the endpoint list, and counters of its effects. [`super::confirmation`] decides which workers get new
+//! work while the list is old.
 
 use super::FrontEnd;
 use crate::interface::*;
 
-/// Until when the endpoint list is valid.
+/// The validity of the endpoint list.
 pub(super) struct ListValidity {
     pub until: Micros,
-    /// The list is old, as was last logged.
+    /// Whether the list was old when its age was last logged.
     is_old: bool,
-    /// Usual time of a check that is passed.
+    /// Mean duration of a passed check.
     pub mean_check_time: Option<f64>,
-    /// Checks since the list became old.
+    /// Number of checks since the list became old.
     pub checks: u64,
     pub counters: ConfirmationCounters,
 }
 
-/// What an old endpoint list led to, since the start.
+/// Counts of the effects of old endpoint lists since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfirmationCounters {
-    /// Times at which the list became old.
+    /// Number of times that the list became old.
     pub stale_periods: u64,
-    /// Workers checked before they got new work.
+    /// Checks of workers before they got new work.
     pub checks: u64,
-    /// Checks that were failed or left unanswered.
+    /// Checks that failed or were left unanswered.
     pub failed_checks: u64,
-    /// Decisions that kept a request back until its worker was checked.
+    /// Decisions that withheld a request until its worker was checked.
     pub withheld_requests: u64,
-    /// Decisions that kept a load order back.
+    /// Decisions that withheld a load order until its worker was checked.
     pub withheld_loads: u64,
     /// Workers that were withdrawn.
     pub withdrawals: u64,
-    /// Of those, workers that were admitted again.
+    /// Withdrawn workers that were admitted again.
     pub readmissions: u64,
 }
 
@@ -47,12 +48,12 @@
 }
 
 impl FrontEnd {
-    /// What old endpoint lists led to, since the start.
+    /// Returns the counts of the effects of old endpoint lists since the start.
     pub fn confirmation_counters(&self) -> ConfirmationCounters {
         self.list_validity.counters
     }
 
-    /// Whether the list alone does not vouch for its workers any more.
+    /// Whether the list is too old to confirm its workers.
     pub(super) fn is_list_old(&self, now: Micros) -> bool {
         now > self.list_validity.until.saturating_add(self.confirmation_lifetime())
     }
--- a/crates/core/src/policy/load_budget.rs
+++ b/crates/core/src/policy/load_budget.rs
@@ -1,6 +1,6 @@
-//! The budget of load orders (rule 5) at the time that counts, which is when an order arrives and not when it is
-//! given: orders whose arrival is not known yet, those that have arrived, and the requests that add to the budget.
-//! State and arithmetic; `loading` decides what is ordered.
+//! The budget of load orders (rule 5). Orders count when they arrive at the worker and not when they are sent, so it
+//! tracks the orders whose arrival is not known yet, the orders that have arrived, and the requests that add to the
+//! budget. State and arithmetic only; `loading` decides which loads are ordered.
 
 use crate::interface::{FunctionId, Micros, Settings, WorkerId};
 use std::collections::{BTreeSet, VecDeque};
@@ -15,35 +15,35 @@
     pub function: FunctionId,
 }
 
-/// Orders and requests of one window.
+/// Orders and requests within the budget's window.
 #[derive(Clone, Debug, Default)]
 pub struct LoadBudget {
-    /// Given, and neither answered nor known never to arrive.
+    /// Orders that were sent, and neither answered nor known never to arrive.
     outstanding: BTreeSet<LoadOrder>,
-    /// When the others had arrived at the latest, in order of time.
+    /// Latest possible arrival times of the other orders, in ascending order.
     arrivals: VecDeque<Micros>,
-    /// When requests were accepted, in order of time.
+    /// Times at which requests were accepted, in ascending order.
     requests: VecDeque<Micros>,
 }
 
 /// Limits of the orders in one window.
 struct WindowLimit {
-    /// Where the window begins.
+    /// Start of the window.
     from: Micros,
-    /// Orders that are allowed whatever the requests.
+    /// Orders that are allowed regardless of the requests.
     at_least: f64,
     /// Part of the budget that is left unused.
     margin: f64,
 }
 
 impl LoadBudget {
-    /// A request that adds to the budget was accepted at this time.
+    /// Records a request that was accepted at this time and adds to the budget.
     pub fn request_accepted(&mut self, at: Micros) {
         let position = self.requests.partition_point(|accepted| *accepted <= at);
         self.requests.insert(position, at);
     }
 
-    /// An order is given. Where orders are not delayed it arrives at once.
+    /// Records an order that is sent. If orders are not delayed, it arrives at once.
     pub fn order_given(&mut self, order: LoadOrder, now: Micros, settings: &Settings) {
         if settings.load_delay > 0 {
             self.outstanding.insert(order);
@@ -52,19 +52,19 @@
         }
     }
 
-    /// An order was answered or counts as lost: it arrived by now, unless it is known never to arrive.
+    /// Records that an order was answered or counts as lost. It has arrived by now, unless it is known never to arrive.
     pub fn order_ended(&mut self, order: LoadOrder, never_arrived: bool, now: Micros) {
         if self.outstanding.remove(&order) && !never_arrived {
             self.arrivals.push_back(now);
         }
     }
 
-    /// Whether an order has neither been answered nor become known never to arrive.
+    /// Whether an order is neither answered nor known never to arrive.
     pub fn is_outstanding(&self, order: LoadOrder) -> bool {
         self.outstanding.contains(&order)
     }
 
-    /// Removes what no window reaches any more.
+    /// Removes arrivals and requests that have left the window.
     pub fn expire(&mut self, now: Micros, settings: &Settings) {
         for times in [&mut self.arrivals, &mut self.requests] {
             while times.front().is_some_and(|&at| at <= now - settings.load_window.max(1)) {
@@ -73,17 +73,18 @@
         }
     }
 
-    /// Whether one more order is within the budget whenever it and the outstanding ones arrive, up to the longest
-    /// delay, even if no further request arrives. As windows move on requests leave them, so each window that
-    /// begins at a known arrival is checked, and the last that an order given now can still end.
+    /// Whether the budget allows one more order, whenever it and the outstanding orders arrive up to the longest delay,
+    /// and even if no further request arrives. As requests leave a moving window, each window that begins at a known
+    /// arrival is checked, and also the last window in which an order sent now can still arrive.
     pub fn allows(&self, now: Micros, settings: &Settings) -> bool {
         if settings.load_window <= 0 {
             return true;
         }
         let first = now - settings.load_window;
         let last = first + settings.load_delay.max(0);
-        // One order of margin now, as requests may have arrived a little earlier than they were seen. Later one
-        // order alone is always allowed, else a fraction of a free order would mean none for ever.
+        // The current window keeps a margin of one order, as requests may have arrived a little earlier than they were
+        // observed. A later window always allows a single order: otherwise a fractional allowance of free orders
+        // would never allow any.
         let current = WindowLimit { from: first, at_least: settings.load_free.min(1.0), margin: 1.0 };
         let later = |from| WindowLimit { from, at_least: 1.0, margin: 0.0 };
         let later_starts = self.arrivals.iter().copied().filter(|at| (first + 1..last).contains(at));
--- a/crates/core/src/policy/loading.rs
+++ b/crates/core/src/policy/loading.rs
@@ -1,4 +1,4 @@
-//! Loading: which functions get a further copy, and at which worker (rule 5).
+//! Loading: decides which functions get another copy, and at which worker (rule 5).
 
 use super::beliefs::CachedCopy;
 use super::confirmation::Standing;
@@ -8,17 +8,17 @@
 use super::FrontEnd;
 use crate::interface::*;
 
-/// A worker without capacity for a load is not asked again for this part of the shortest latency objective.
+/// A worker that rejects a load for lack of capacity is not used for this part of the shortest latency objective.
 const FULL_PAUSE_DIVISOR: Micros = 8;
-/// Run time of a class of which nothing is known, as a fraction of its latency objective.
+/// Default run time of a class without observed runs: its latency objective divided by this.
 const DEFAULT_RUN_DIVISOR: f64 = 4.0;
 
-/// The end of a load order.
+/// The result of a load order.
 pub(super) struct LoadEnd {
     pub order: LoadOrder,
     pub outcome: Outcome,
     pub elapsed: Micros,
-    /// Copies that the worker then holds.
+    /// Number of copies that the worker holds afterwards.
     pub copies: u32,
 }
 
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Time of a load: as seen, else as declared, else as long as the latency objective (generous), times the slowdown of
-    /// the store that all workers share.
+    /// Returns the expected load time: the observed mean, else the declared time, else the latency objective (a generous
+    /// default), multiplied by the slowdown of the store that all workers share.
     pub(super) fn load_time(&self, function: FunctionId) -> f64 {
         let Some(function) = self.functions.get(&function) else { return 0.0 };
         let expected = if function.declared_load_time > 0 {
@@ -64,14 +64,14 @@
         function.mean_load_time.unwrap_or(expected as f64) * self.store_slowdown.unwrap_or(1.0)
     }
 
-    /// Clockwork's load priority of a function: the demand that its copies do not serve. Where above 0 a further copy is
-    /// wanted.
+    /// Returns Clockwork's load priority of a function: the demand that its copies do not serve. Another copy is wanted if
+    /// it is above 0.
     pub(super) fn load_priority(&self, id: FunctionId, now: Micros) -> f64 {
         let Some(function) = self.functions.get(&id) else { return 0.0 };
         let objective = self.settings.classes[function.class as usize].latency_objective as f64;
         let class_run = self.class_mean_run[function.class as usize];
         let other_run = class_run.unwrap_or(objective / DEFAULT_RUN_DIVISOR);
-        // p = d - sum(a * capacity / l); as a = d / l over the sum of 1 / l, it is d times one less a share.
+        // Clockwork: p = d - sum(a * capacity / l), with a = (d / l) / sum(1 / l). Hence p = d * (1 - served share).
         let (mut served, mut inverse_loads) = (0.0, 0.0);
         let mut remaining_demand = self.kept_demand(function, now);
         let mut homes = 0;
@@ -108,7 +108,7 @@
         function.pending_work * (1.0 - served_share)
     }
 
-    /// The functions of the highest priorities, where above 0, get one more copy each.
+    /// Orders one more copy of each function with a load priority above 0, the highest priorities first.
     pub(super) fn order_loads(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.wanted_loads.is_empty()
             || !self.load_budget.allows(now, &self.settings)
@@ -134,8 +134,8 @@
         }
     }
 
-    /// The worker at which a load serves a request soonest; first those that the request may go to, as a copy at a worker
-    /// that warms up is of no use to it.
+    /// Returns the worker at which a load would serve a request soonest. Workers with slow-start capacity come first, as the
+    /// request can't use a copy at a warming worker without it.
     fn worker_for_load(&self, function: FunctionId, request: RequestId, now: Micros) -> Option<usize> {
         let call = self.pending.get(&request)?;
         let load_time = self.load_time(function);
@@ -156,7 +156,8 @@
         best.map(|(_, prediction)| prediction.worker_index)
     }
 
-    /// Orders a load: from ready and confirmed workers only (rule 3), one at a time from each, within the budget (rule 5).
+    /// Orders a load: only from ready and confirmed workers (rule 3), one at a time per worker, and within the budget (rule
+    /// 5).
     pub(super) fn load(
         &mut self,
         index: usize,
@@ -186,7 +187,8 @@
         actions.push(Action::Load { worker: id, function, copies: 1, start_by });
     }
 
-    /// The function whose copies make place for another's: the longest unused, where memory is short.
+    /// Returns the function whose copies are unloaded to free memory for another: the least recently used one without
+    /// requests in flight. `None` if memory suffices or no function qualifies.
     fn copy_to_unload(&self, worker: &Worker, function: FunctionId) -> Option<FunctionId> {
         let memory = self.settings.memory_mb.get(worker.endpoint.kind as usize);
         let memory = memory.copied().unwrap_or(f64::INFINITY);
@@ -201,7 +203,7 @@
     }
 }
 
-/// Whether a worker takes a load order.
+/// Whether a worker accepts a load order.
 fn takes_load(worker: &Worker, now: Micros) -> bool {
     worker.ready
         && worker.is_healthy(now)
--- a/crates/core/src/policy/maintenance.rs
+++ b/crates/core/src/policy/maintenance.rs
@@ -1,4 +1,4 @@
-//! Periodic maintenance: deadlines that passed, beliefs that expire, silent workers, and the windows of the means.
+//! Periodic maintenance: expired deadlines, expiring estimates, unresponsive workers, and the measurement windows.
 
 use super::outliers::Failure;
 use super::retries::AttemptId;
@@ -6,17 +6,18 @@
 use super::FrontEnd;
 use crate::interface::*;
 
-/// An attempt is overdue after this many times its predicted time.
+/// An attempt is overdue after this multiple of its predicted duration.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// A worker is silent with this many overdue attempts (one may be heavy).
+/// Number of overdue attempts at which a worker counts as silent; a single one may be a heavy request.
 const SILENT_ATTEMPTS: usize = 2;
-/// Beliefs that nothing confirms move towards the usual this many times within the retention time.
+/// Number of times within the retention time that estimates without new observations decay towards their usual
+/// values.
 const BELIEF_DECAYS: Micros = 8;
-/// Part of the distance that they move.
+/// Part of the distance to the usual value that one decay step covers.
 const BELIEF_DECAY: f64 = 0.1;
-/// Ticks of the clock beyond its time limit after which a load order counts as lost.
+/// Clock ticks after its timeout at which a load order counts as lost.
 const LOST_ORDER_TICKS: Micros = 4;
-/// A function is forgotten after this many retention times without a call.
+/// A function is removed after this many retention times without a call.
 const FUNCTION_RETENTIONS: Micros = 8;
 
 impl FrontEnd {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Time for which arrivals are kept.
+    /// Returns the time for which arrivals are stored.
     pub(super) fn arrivals_window(&self) -> Micros {
         self.settings.load_window.max(self.settings.idle_retention).max(1)
     }
@@ -58,17 +59,18 @@
         }
     }
 
-    /// Time after which a load order without an answer counts as lost.
+    /// Returns the time after which a load order without an answer counts as lost.
     pub(super) fn lost_order_after(&self) -> Micros {
         self.settings.load_timeout + self.settings.tick * LOST_ORDER_TICKS
     }
 
-    /// Beliefs that nothing confirms decay each time that this is over.
+    /// Returns the interval at which estimates without new observations decay.
     pub(super) fn belief_decay_interval(&self) -> Micros {
         self.settings.idle_retention.max(1) / BELIEF_DECAYS
     }
 
-    /// Ends what is over at a worker, and marks it as changed where it may take requests again.
+    /// Ends a worker's warm-up, load orders and pauses that are over, decays its estimates, and marks it as changed if it
+    /// may take requests again.
     pub(super) fn refresh_worker(&mut self, index: usize, now: Micros) {
         let (lost_after, decay_interval) = (self.lost_order_after(), self.belief_decay_interval());
         let warm_up = self.settings.warm_up;
@@ -82,7 +84,7 @@
         if opens.iter().any(is_just_over) {
             self.changed_workers.insert(index);
         }
-        // What nothing confirms decays.
+        // Estimates without new observations decay.
         if now - beliefs.slowdown_at > decay_interval {
             beliefs.slowdown_at = now;
             beliefs.slowdown += BELIEF_DECAY * (1.0 - beliefs.slowdown);
@@ -90,8 +92,8 @@
         }
     }
 
-    /// Attempts far over their predicted time, and nothing heard since: the worker is silent. None is retried while
-    /// requests are queued, as retries would take capacity from first attempts.
+    /// Handles silent workers: those with attempts far over their predicted duration and no response since. Their attempts
+    /// are not retried while requests are queued, as retries would take capacity from first attempts.
     fn handle_silent_workers(&mut self, is_idle: bool, now: Micros, actions: &mut Vec<Action>) {
         let min_overdue = self.shortest_objective;
         let mut silent = Vec::new();
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Forgets copies that are gone for long.
+    /// Removes copies that expired at least one retention time ago.
     fn forget_expired_copies(&mut self, now: Micros) {
         let retention = self.settings.idle_retention.max(1);
         let workers = &mut self.workers;
@@ -143,7 +145,7 @@
     }
 }
 
-/// Whether a worker has several overdue attempts since it was last heard.
+/// Whether a worker has several overdue attempts that were sent after its last response.
 fn is_silent(worker: &Worker, min_overdue: Micros, now: Micros) -> bool {
     let is_overdue = |attempt: &&Attempt| {
         let predicted = attempt.predicted.finish - attempt.sent_at;
@@ -153,7 +155,7 @@
     worker.in_flight.iter().filter(is_overdue).count() >= SILENT_ATTEMPTS
 }
 
-/// The attempts at a silent worker that were not handled before; they are from now on.
+/// Returns the attempts at a silent worker that were not handled as overdue yet, and marks them as handled.
 fn unhandled_attempts(worker: &mut Worker) -> Vec<AttemptId> {
     let unhandled = worker.in_flight.iter_mut().filter(|attempt| !attempt.overdue_handled);
     let handle = |attempt: &mut Attempt| {
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -1,23 +1,23 @@
-//! The decision module: all decisions about the way of a call at one front end. After Clockwork (Gujarati et al.,
-//! OSDI 2020): predict a request's finish on each worker, send it to the earliest, or reject it.
+//! The decision module: makes every routing decision of one front end. It follows Clockwork (Gujarati et al., OSDI
+//! 2020): it predicts when a request would finish on each worker, sends it to the earliest, or rejects it.
 //!
 //! | module | decides or holds |
 //! | --- | --- |
-//! | [`intake`](self) | `intake`: what a new request is expected to need |
-//! | beliefs | `endpoints`, `reports`, `completion`, `learning`: what observations tell of workers and functions |
+//! | [`intake`](self) | `intake`: deadline, expected work and value of a new request |
+//! | estimates | `endpoints`, `reports`, `completion`, `learning`: update the state of workers and functions from observations |
 //! | prediction | `prediction`: when a request would finish at a worker |
-//! | choice | `placement`, `worker_search`: which worker, or until when to wait; `homes`: preferred workers of a function |
-//! | sequence | `dispatch`: which queued requests are considered in a batch; `queue`: their order; `send` |
+//! | choice | `placement`, `worker_search`: choose a worker or the time to wait until; `homes`: preferred workers of a function |
+//! | sequence | `dispatch`: which queued requests are considered in a batch; `queue`: their order; `send`: the sending |
 //! | rejection | `shedding`: requests that can't be in time, and the one final answer (rule 1) |
-//! | repetition | `retries`: whether another attempt may be sent (rule 2), hedged requests |
-//! | new workers | `slow_start`: what a warming worker may get (rule 4) |
-//! | loads | `loading`: which functions are loaded where; `load_budget`: their limit (rule 5) |
-//! | all workers | `fleet`: sums over them and what is due, so that no decision goes over all of them; `ranking`: which of them a function may go to |
+//! | retries | `retries`: whether another attempt may be sent (rule 2), hedged requests |
+//! | new workers | `slow_start`: how much work a warming worker may get (rule 4) |
+//! | loads | `loading`: which functions are loaded on which workers; `load_budget`: the limit on load orders (rule 5) |
+//! | all workers | `fleet`: sums over all workers and their scheduled refreshes, so that no decision iterates over the whole fleet; `ranking`: the workers that a function may be sent to |
 //! | faults | `outliers`: ejection of workers, health checks |
 //! | old lists | `list_validity`: how old the endpoint list is; `confirmation`: which workers may get new work while the endpoint list is old (rule 3); `worker_checks`: their health checks |
 //!
-//! A request is sent in `send` alone, a function is loaded in `load` alone, and a request is answered without having
-//! been served in `settle` alone: the five rules are checked there.
+//! Only `send` sends a request, only `load` orders a load, and only `conclude` answers a request that was not served.
+//! The five rules are checked in these three functions.
 
 mod attempt_counter;
 mod beliefs;
@@ -68,10 +68,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use worker::Worker;
 
-/// Fraction of a limit (load of a warming worker, window of an idempotency key, price of work) that is used; the
-/// rest is margin.
+/// Fraction of a limit that is used; the rest is a safety margin. Applies to the load of a warming worker, the window
+/// of an idempotency key and the price of work.
 const SAFETY_MARGIN: f64 = 0.5;
-/// Shortest granularity of the clock that is assumed.
+/// Smallest clock granularity that is assumed.
 const MIN_TICK: Micros = 1000;
 
 /// A function that a queued request waits for.
@@ -81,17 +81,17 @@
     request: RequestId,
 }
 
-/// Sizes of the tables that a front end holds.
+/// Sizes of a front end's tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableSizes {
-    /// Workers, those that are gone included.
+    /// Workers, including those that are gone.
     pub workers: usize,
     /// Functions.
     pub functions: usize,
 }
 
-/// The decisions of one front end. It acts on its settings and on what it observes; the same events and seed give the
-/// same actions.
+/// The decision state of one front end. Its actions depend only on its settings, its seed and the events that it
+/// receives, so the same input produces the same actions.
 #[derive(Default)]
 pub struct FrontEnd {
     settings: Settings,
@@ -104,18 +104,19 @@
     fleet: Fleet,
     worker_index: BTreeMap<WorkerId, usize>,
     functions: BTreeMap<FunctionId, Function>,
-    /// By function: workers, by index, of which a copy or a load order is known, or was.
+    /// By function: indices of the workers with a known copy or load order. Workers whose copy or order has expired stay
+    /// listed until the next cleanup.
     holders: BTreeMap<FunctionId, BTreeSet<usize>>,
-    /// Changes whenever workers are added or removed: ranks of an earlier one are out of date.
+    /// Incremented whenever workers are added or removed; rankings of an earlier version are out of date.
     ranking_version: u64,
     subscription: Subscription,
     list_validity: ListValidity,
 
     pending: BTreeMap<RequestId, PendingCall>,
     queue: BTreeSet<QueuePosition>,
-    /// The queue by group.
+    /// The queued requests by group.
     queued_by_group: BTreeMap<CallGroup, BTreeSet<QueuePosition>>,
-    /// Groups to which a request came or returned since the last batch.
+    /// Groups that a request joined or rejoined since the last batch.
     changed_groups: BTreeSet<CallGroup>,
     /// Workers, by index, whose state may have changed since the last batch.
     changed_workers: BTreeSet<usize>,
@@ -127,14 +128,14 @@
     tenant_quotas: TenantQuotas,
     work_price: WorkPrice,
     load_budget: LoadBudget,
-    /// Functions of queued requests with a load priority above 0, as last weighed.
+    /// Functions of queued requests whose load priority was above 0 when last computed.
     wanted_loads: BTreeMap<FunctionId, WantedLoad>,
 
     /// Mean run time of a class's requests.
     class_mean_run: Vec<Option<f64>>,
     /// Mean declared work of a class's requests.
     class_mean_work: Vec<Option<f64>>,
-    /// When requests arrived, in order of time.
+    /// Arrival times of requests, in ascending order.
     arrivals: VecDeque<Micros>,
     served_work: ServedWork,
     /// Work that arrived recently.
@@ -143,18 +144,19 @@
     observed_span: f64,
     /// Capacity of all ready workers.
     fleet_capacity: f64,
-    /// So many front ends with this one's traffic make up the fleet's: as configured, at most what fills the fleet.
+    /// Estimated number of front ends with the same traffic as this one: the configured number, capped at the number
+    /// whose traffic would fill the fleet.
     similar_front_ends: f64,
     /// Mean of the workers' recent error rates.
     mean_error_rate: f64,
-    /// Observed load time relative to the usual, recently, at the store that all workers share.
+    /// Moving average of observed load times relative to the usual ones, at the store that all workers share.
     store_slowdown: Option<f64>,
-    /// Fraction of the requests to homes that found a copy there which this front end did not know of.
+    /// Fraction of the requests sent to preferred workers that found a copy which this front end did not know of.
     home_hit_rate: Option<f64>,
 }
 
 impl FrontEnd {
-    /// A front end that has observed nothing yet. `seed` makes front ends differ in what is drawn.
+    /// Creates a front end without observations. `seed` makes the random draws of front ends differ.
     pub fn new(mut settings: Settings, seed: u64, now: Micros) -> FrontEnd {
         settings.tick = settings.tick.max(MIN_TICK);
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Takes a batch of events, in their order, and appends what is to be done to `actions`.
+    /// Processes a batch of events in order and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         for event in events {
             self.on_event(event, now, actions);
@@ -178,7 +180,7 @@
         self.decide(now, actions);
     }
 
-    /// Sizes of the tables that are held.
+    /// Returns the sizes of the tables.
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes { workers: self.workers.len(), functions: self.functions.len() }
     }
@@ -215,7 +217,7 @@
         }
     }
 
-    /// Has the next decisions consider a worker.
+    /// Marks a worker so that the next batch considers it.
     fn note_changed(&mut self, worker: WorkerId) {
         self.changed_workers.extend(self.worker_index.get(&worker));
     }
--- a/crates/core/src/policy/numbers.rs
+++ b/crates/core/src/policy/numbers.rs
@@ -1,4 +1,4 @@
-//! Arithmetic without decisions: a hash, a number from 0 to 1 drawn from it, exponential decay, moving averages
+//! Arithmetic helpers: a hash, a fraction from 0 to 1 derived from it, exponential decay, moving averages, exact sums
 //! and the 99th percentile of a few samples.
 
 use crate::interface::Micros;
@@ -7,10 +7,10 @@
 /// Weight of a new sample in the moving averages.
 pub const GAIN: f64 = 0.15;
 
-/// Largest share of the mean that the greatest of a few samples may exceed it by to count as the percentile.
+/// Largest ratio of the greatest sample to the mean at which the greatest sample counts as the percentile.
 const MAX_TAIL_RATIO: f64 = 1.5;
 
-/// A hash of two numbers (the finaliser of SplitMix64).
+/// Hashes two numbers with the finaliser of SplitMix64.
 pub fn hash(a: u64, b: u64) -> u64 {
     let mut x = a ^ b.wrapping_mul(0x9E37_79B9_7F4A_7C15);
     x = (x ^ (x >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -18,18 +18,19 @@
     x ^ (x >> 31)
 }
 
-/// The hash of two numbers as a number from 0 up to 1.
+/// Returns the hash of two numbers as a fraction in `[0, 1)`.
 pub fn hash_fraction(a: u64, b: u64) -> f64 {
     (hash(a, b) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// What is left of 1 after `elapsed`, where 1/e is left after `time_constant`.
+/// Returns the factor of an exponential decay after `elapsed`: 1/e after one `time_constant`.
 pub fn decay(elapsed: Micros, time_constant: Micros) -> f64 {
     (-(elapsed as f64) / time_constant.max(1) as f64).exp()
 }
 
-/// The 99th percentile of `required` samples, which is the greatest of them. `None` with fewer samples, and where
-/// the greatest is so far above the mean that it tells of one heavy request rather than of the next.
+/// Returns the 99th percentile of `required` samples, which is the greatest of them. Returns `None` if there are fewer
+/// samples, or if the greatest is so far above the mean that it probably comes from a single heavy request and does
+/// not predict the next one.
 pub fn percentile_99(samples: &VecDeque<f64>, required: usize) -> Option<f64> {
     let greatest = samples.iter().fold(0.0, |greatest, &sample| f64::max(greatest, sample));
     let sum = samples.iter().fold(0.0, |sum, &sample| sum + sample);
@@ -42,7 +43,8 @@
     *average = Some(average.map_or(sample, |mean| mean + gain * (sample - mean)));
 }
 
-/// A sum of which each part can be taken off again: exact, so that nothing is left over however often that happens.
+/// A sum in fixed-point arithmetic: subtracting an amount that was added leaves no rounding error, however often the
+/// parts are replaced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExactSum {
     /// In units of 2^-60.
@@ -52,12 +54,12 @@
 impl ExactSum {
     const UNITS_IN_ONE: f64 = (1u64 << 60) as f64;
 
-    /// The sum.
+    /// Returns the sum.
     pub fn value(self) -> f64 {
         self.units as f64 / Self::UNITS_IN_ONE
     }
 
-    /// Takes off one amount and adds another.
+    /// Subtracts `old` and adds `new`.
     pub fn replace(&mut self, old: f64, new: f64) {
         let units = |amount: f64| (amount * Self::UNITS_IN_ONE) as i128;
         self.units += units(new) - units(old);
@@ -67,14 +69,14 @@
 /// A sum of amounts that decays exponentially with time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingSum {
-    /// The sum when it was last updated.
+    /// The sum at `updated_at`.
     pub value: f64,
-    /// When it was last updated.
+    /// Time of the last update.
     pub updated_at: Micros,
 }
 
 impl DecayingSum {
-    /// The sum at a later time.
+    /// Returns the sum decayed to `now`.
     pub fn at(&self, now: Micros, time_constant: Micros) -> f64 {
         self.value * decay(now - self.updated_at, time_constant)
     }
--- a/crates/core/src/policy/outliers.rs
+++ b/crates/core/src/policy/outliers.rs
@@ -1,4 +1,5 @@
-//! Outlier ejection and health checks: workers that are gone, restarting, silent or fail more often than the others.
+//! Outlier ejection and health checks, for workers that are gone, restarting or silent, or that fail more often than
+//! the others.
 
 use super::fleet::{WorkerTime, MAX_CONSIDERED};
 use super::numbers::GAIN;
@@ -6,32 +7,34 @@
 use crate::interface::*;
 use std::collections::BTreeMap;
 
-/// Part of the result that health checks may cost.
+/// Maximum cost of health checks, as a part of the result.
 const MAX_HEALTH_CHECK_COST: f64 = 0.004;
-/// Error rate beyond the mean of all workers at which a worker is ejected, in gains of the moving average.
+/// A worker is ejected if its error rate exceeds the mean of all workers by this multiple of the moving average's gain.
 const EJECTION_ERROR_GAINS: f64 = 2.0;
 /// The shortest ejection, in connect timeouts and in ticks of the clock.
 const MIN_EJECTION_CONNECT_TIMEOUTS: Micros = 2;
 const MIN_EJECTION_TICKS: Micros = 100;
-/// The ejection doubles so many times at most.
+/// Maximum number of times that the ejection time doubles.
 const MAX_EJECTION_DOUBLINGS: u32 = 5;
-/// Consecutive ejections that are counted.
+/// Upper bound of the count of consecutive ejections.
 const MAX_CONSECUTIVE_EJECTIONS: u32 = 16;
 /// A worker is health-checked at most this many times within the shortest latency objective.
 const MAX_CHECKS_PER_OBJECTIVE: Micros = 3;
 
-/// What is held against a worker.
+/// The kind of a worker's failure.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Failure {
-    /// A request failed; the worker is there.
+    /// A request failed, but the worker is reachable.
     Error,
-    /// No connection, or all that was in flight broke off: its process is gone, restarted or silent.
+    /// The connection failed, all attempts in flight were lost, or the worker is silent: its process may be gone,
+    /// restarted or stuck.
     Unreachable,
 }
 
 impl FrontEnd {
-    /// Counts a failure of a worker. One that is gone is ejected, and what was believed of it is void (slow start, as it
-    /// comes back cold before the endpoint list tells); errors eject where they are frequent beyond all workers' mean.
+    /// Records a failure of a worker. An unreachable worker is ejected and loses its expected copies and load orders; it is
+    /// put into slow start, as it may return cold before the endpoint list reports the restart. Errors eject a worker only
+    /// if its error rate is well above the mean of all workers.
     pub(super) fn record_failure(
         &mut self,
         index: usize,
@@ -82,7 +85,7 @@
         }
     }
 
-    /// Has the load reports of a worker asked for in turn, if it is of use to this front end.
+    /// Adds a worker to the round of health checks for load reports, if its load matters to this front end.
     pub(super) fn join_check_round(&mut self, index: usize) {
         let worker = &self.workers[index];
         if worker.ready && self.reports_matter(index) {
@@ -90,13 +93,13 @@
         }
     }
 
-    /// Whether the load of a worker matters to this front end: in a larger fleet only where it is believed to hold a
-    /// copy, as a round of all workers would open a connection for each check and come back too late.
+    /// Whether the load of a worker matters to this front end. In a larger fleet it matters only if the worker has
+    /// recorded copies: a round over all workers would open a connection for each check and take too long.
     fn reports_matter(&self, index: usize) -> bool {
         self.workers.len() <= MAX_CONSIDERED || !self.workers[index].beliefs.copies.is_empty()
     }
 
-    /// Health-checks the workers in turn, where load reports come that way, within what the checks may cost.
+    /// Health-checks the workers in turn, if load reports arrive by health checks, within the allowed cost of checks.
     pub(super) fn send_health_checks(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let settings = &self.settings;
         let is_on = settings.may_health_check && settings.report_channel == ReportChannel::HealthChecks;
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: the worker that a queued request goes to now, or until when it waits.
+//! Placement: chooses the worker that a queued request is sent to now, or the time until which it waits.
 
 use super::attempt_counter::AttemptCounter;
 use super::call::PendingCall;
@@ -8,34 +8,37 @@
 use super::FrontEnd;
 use crate::interface::*;
 
-/// Chance that a home has a copy before any answer told.
+/// Assumed chance that a preferred worker has a copy, before any answer was observed.
 const DEFAULT_HOME_HIT_RATE: f64 = 0.5;
 
-/// How the ready workers are, as far as the judgement of them goes.
+/// Summary of the ready workers' health.
 #[derive(Clone, Copy)]
 pub(super) struct FleetHealth {
     /// Workers that take requests.
     pub ready: usize,
-    /// Most of them are ejected: the judgement is doubted rather than the workers.
+    /// Whether most of them are ejected. The ejections are then ignored, as a false judgement is likelier than so many
+    /// faulty workers.
     pub ejections_doubted: bool,
 }
 
-/// What is decided of a queued request.
+/// The decision about a queued request.
 pub(super) enum Placement {
     Send(Prediction),
-    /// No worker now; it need not be considered after this time. Now: it is rejected.
+    /// There is no worker now; after this time the request need not be considered. A time that is not in the future
+    /// rejects the request.
     WaitUntil(Micros),
 }
 
 impl FrontEnd {
-    /// Where a queued request goes now, or until when it waits.
+    /// Chooses the worker for a queued request, or the time until which it waits.
     pub(super) fn place(&self, id: RequestId, health: FleetHealth, now: Micros) -> Placement {
         let call = &self.pending[&id];
         let Some(function) = self.functions.get(&call.request.function) else {
             return Placement::WaitUntil(now);
         };
-        // Retries stay a configured share of first attempts, so that faults do not multiply load; a request of a
-        // function that spent it waits. Could harm where one worker's fault is most of its traffic.
+        // Retries are limited to a configured share of first attempts, so that faults do not multiply load. A request
+        // of a function that has used up its share waits. Could harm a function whose traffic goes mostly to one
+        // faulty worker.
         if !self.allows_attempt(call, &function.attempts, now) {
             return Placement::WaitUntil(call.objective_at);
         }
@@ -46,7 +49,8 @@
             search.consider(looked_at, index);
         }
         let candidates = search.candidates;
-        // While copies are loaded, another load only when the priority asks for it, lest loads crowd the store.
+        // If copies are loaded, another load is allowed only with a load priority above 0, as loads would otherwise
+        // overload the store.
         let no_copy = candidates.copy_with_capacity.is_none() && candidates.copy_without_capacity.is_none();
         function.wants_copy.set(no_copy || self.load_priority(call.request.function, now) > 0.0);
         self.choose(call, candidates, function.wants_copy.get(), now)
@@ -73,7 +77,8 @@
             now,
             load_time: self.load_time(call.request.function),
             misses_answer,
-            // Never 0, else a home would be none, and no answer from one could raise it again.
+            // Never 0: a preferred worker without a chance of a copy would get no requests, so no answer could raise
+            // the rate again.
             copy_chance: self.home_hit_rate.unwrap_or(DEFAULT_HOME_HIT_RATE).max(f64::MIN_POSITIVE),
             reserved_for_copy: misses_answer && self.reserves_last_attempt(call, function, now),
             remaining_demand: self.kept_demand(function, now),
@@ -81,8 +86,9 @@
         }
     }
 
-    /// A last attempt is kept where an order may bring a copy, an only one while such an order is outstanding: else
-    /// nobody would try a home and learn of a copy.
+    /// Whether the request's last attempt is reserved for a worker with a copy, as a load order may soon bring one. If it
+    /// is also the first attempt, this needs an outstanding order: otherwise no request would be sent to a preferred
+    /// worker and discover a copy.
     fn reserves_last_attempt(&self, call: &PendingCall, function: &Function, now: Micros) -> bool {
         let is_last = call.attempts.len() as u32 + 1 >= self.settings.max_attempts;
         let is_ordered = |&index: &u32| {
@@ -93,7 +99,7 @@
                 || function.ranked_workers.iter().any(is_ordered))
     }
 
-    /// The choice among the workers found.
+    /// Chooses among the workers found.
     fn choose(&self, call: &PendingCall, candidates: Candidates, may_load: bool, now: Micros) -> Placement {
         let Candidates {
             copy_with_capacity,
@@ -115,7 +121,7 @@
         if let Some(prediction) = same_worker {
             return Placement::Send(prediction);
         }
-        // Past the objective an answer earns its late value, on copies that nothing in time wants.
+        // Past the objective an answer earns its late value, but only on copies that no request in time needs.
         let late_value = self.settings.classes[call.request.class as usize].late_value;
         let is_worthwhile = |prediction: &Prediction| {
             late_value > 0.0 && prediction.slowdown <= 1.0 && prediction.finish <= call.deadline
@@ -128,7 +134,7 @@
     }
 }
 
-/// The prediction of less cost; the first of equal ones.
+/// Returns the prediction with the lower cost; the first if they are equal.
 fn cheaper(first: Option<Prediction>, second: Option<Prediction>) -> Option<Prediction> {
     [first, second].into_iter().flatten().min_by(|a, b| a.cost.total_cmp(&b.cost))
 }
--- a/crates/core/src/policy/prediction.rs
+++ b/crates/core/src/policy/prediction.rs
@@ -1,5 +1,5 @@
-//! Prediction: when a request would finish at a worker, from own requests in flight there, a load if no copy is believed
-//! to be loaded, and the function's run profile.
+//! Prediction: estimates when a request would finish at a worker, from this front end's requests in flight there, the
+//! load time if no copy is expected, and the function's run profile.
 
 use super::beliefs::CachedCopy;
 use super::call::PendingCall;
@@ -10,33 +10,34 @@
 use super::FrontEnd;
 use crate::interface::*;
 
-/// Requests of one function that may wait behind its copies at a worker (Clockwork's small allowance).
+/// Requests of one function that may queue at a worker behind its copies (the small allowance of Clockwork).
 pub(super) const QUEUE_ALLOWANCE: usize = 1;
-/// A worker takes requests until runs there would be stretched about so many times.
+/// A worker has capacity until contention would multiply run times by about this factor.
 pub(super) const MAX_STRETCH: f64 = 3.0;
-/// Bias towards the workers ranked first for a function, in load times.
+/// Placement bias towards the workers ranked first for a function, in multiples of the load time.
 const RANK_BIAS: f64 = 0.3;
-/// Chance that a copy is gone which was not used for as long as it is retained at least.
+/// Chance that a copy was evicted after it was unused for the minimum retention time.
 pub(super) const COPY_LOSS_RISK: f64 = 0.3;
-/// Difference of cost by which front ends choose differently between equal workers, in microseconds.
+/// Maximum random cost, in microseconds, that makes front ends choose differently between equal workers.
 const MAX_JITTER: f64 = 1000.0;
-/// For the finish others' requests are guessed to fill this part of a worker's capacity at most.
+/// Maximum part of a worker's capacity that unreported requests of other front ends are assumed to use when the
+/// finish is predicted.
 const MAX_GUESSED_FILL: f64 = 0.5;
 
 pub(super) struct Prediction {
     pub finish: Micros,
-    /// Finish with what prices, others' requests and placement add; the choice goes by it.
+    /// Finish time plus penalties for zones, possible requests of others and placement; the choice minimises it.
     pub cost: f64,
-    /// Run time with the worker's contention relative to a run alone.
+    /// Run time under the worker's contention relative to an uncontended run.
     pub slowdown: f64,
     pub base_run: f64,
-    /// A copy is believed to be loaded, or soon will be.
+    /// Whether a copy is expected to be loaded now or soon.
     pub copy_expected: bool,
-    /// No copy is believed to be loaded, but the worker is a home of the function.
+    /// Whether no copy is expected, but the worker is a preferred one of the function.
     pub at_home: bool,
-    /// Time of the load that the request waits for.
+    /// Expected time that the request waits for a load.
     pub load_wait: Micros,
-    /// The worker would start it soon.
+    /// Whether the worker would start the request soon.
     pub has_capacity: bool,
     pub worker_index: usize,
 }
@@ -44,24 +45,24 @@
 /// Other front ends' requests at a worker.
 #[derive(Clone, Copy)]
 pub(super) struct OtherRequests {
-    /// By which the finish is predicted.
+    /// Likely number, used to predict the finish.
     pub likely: f64,
-    /// By which the choice goes.
+    /// Possible number, used to compute the cost.
     pub possible: f64,
 }
 
-/// A worker's contention as a request would find it.
+/// A worker's contention after one more request is sent to it.
 struct Contention {
     capacity: f64,
-    /// Requests with the one in hand.
+    /// Requests at the worker, including the one being placed.
     requests: f64,
     other_requests: OtherRequests,
-    /// Run time relative to a run alone.
+    /// Run time relative to an uncontended run.
     slowdown: f64,
 }
 
 impl Contention {
-    /// How much longer than `slowdown` a run takes if other front ends send all that they may.
+    /// Returns the relative increase over `slowdown` if the other front ends have the possible number of requests.
     fn possible_stretch(&self) -> f64 {
         let possible = self.requests - self.other_requests.likely + self.other_requests.possible;
         (possible / self.capacity / self.slowdown - 1.0).max(0.0)
@@ -73,8 +74,9 @@
 }
 
 impl FrontEnd {
-    /// Other front ends' requests at a worker: reported, else as if they sent what this one did recently, so that each
-    /// spreads its requests as the fleet needs. The choice goes by all of the guess, the finish by little.
+    /// Returns the estimated number of other front ends' requests at a worker: the reported one, else the number if each
+    /// of them sent what this front end sent recently, so that each spreads its requests as the fleet needs. The cost
+    /// uses the full estimate, the predicted finish a capped one.
     pub(super) fn other_requests(&self, worker: &Worker, now: Micros) -> OtherRequests {
         let beliefs = &worker.beliefs;
         let is_recent = now - beliefs.other_requests_at < self.shortest_objective;
@@ -93,7 +95,7 @@
         Contention { capacity, requests, other_requests: others, slowdown: (requests / capacity).max(1.0) }
     }
 
-    /// Predicts a request's finish at a worker, where a load takes `load_time`.
+    /// Predicts a request's finish at a worker if a load takes `load_time`.
     pub(super) fn predict(
         &self,
         index: usize,
@@ -107,8 +109,9 @@
         let copy = worker.beliefs.expected_copy(call.request.function, now);
         let contention = self.contention(worker, now);
         let load_wait = if copy.is_some() { 0 } else { (load_time * (1.0 - home.copy_chance())) as Micros };
-        // Where a miss only answers, a home that may lack the copy is a doubt and no wait. Guards against front
-        // ends that know little and reject untried all that others have loaded; could harm by more misses.
+        // If a miss is only answered and starts no load, the risk that a preferred worker lacks the copy raises the
+        // cost but not the predicted finish. Otherwise a front end with few observations would reject, without an
+        // attempt, requests for functions that others have loaded. Could harm by more misses.
         let is_doubtful = self.settings.on_miss == OnMiss::Miss && home.copy_chance() > 0.0;
         let doubt = if is_doubtful { load_wait } else { 0 };
         let copy_ready = copy.map_or(now + load_wait - doubt, |copy| copy.ready_at.max(now));
@@ -140,14 +143,15 @@
         }
     }
 
-    /// Price of a request to another zone, in microseconds.
+    /// Returns the cost of a request to another zone, in microseconds.
     fn zone_cost(&self, worker: &Worker, class: u16) -> f64 {
         let is_other_zone = u32::from(worker.endpoint.zone) != self.settings.zone;
         let objective = self.settings.classes[class as usize].latency_objective as f64;
         f64::from(u8::from(is_other_zone)) * self.settings.price_cross_zone * objective
     }
 
-    /// Away from its homes a function prefers workers ranked first and copies used recently.
+    /// Returns the cost that biases placement: on workers that are not preferred, low ranks and recently used copies cost
+    /// less.
     fn affinity_cost(
         &self,
         worker: &Worker,
@@ -167,13 +171,14 @@
     }
 }
 
-/// Requests for a function that run at a time at a worker with these copies.
+/// Returns the number of requests for a function that run concurrently on these copies.
 pub(super) fn copy_slots(function: Option<&Function>, copy: Option<&CachedCopy>) -> usize {
     let concurrency = function.map_or(1, |function| function.concurrency);
     concurrency * copy.map_or(1, |copy| copy.copies.max(1)) as usize
 }
 
-/// When one of the slots is free of this front end's `own` requests for the function; the distant past where one is.
+/// Returns when one of the `slots` is free of this front end's `own` requests for the function; the minimum time if
+/// one is free now.
 fn start_of_free_slot(worker: &Worker, function: FunctionId, own: usize, slots: usize) -> Micros {
     if own < slots {
         return Micros::MIN;
--- a/crates/core/src/policy/priority.rs
+++ b/crates/core/src/policy/priority.rs
@@ -1,5 +1,5 @@
-//! The value of requests for their work, by the settings, and the price of work: the value that rejected requests
-//! would have had. State and arithmetic; `queueing` and `shedding` decide what follows from them.
+//! The value of requests per unit of work, from the settings, and the price of work: the value of recently rejected
+//! requests. State and arithmetic only; `queue` and `shedding` use them for decisions.
 
 use super::numbers::decay;
 use crate::interface::{Micros, Request, Settings};
@@ -8,14 +8,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Seconds of its quota that a tenant can save up.
+/// Burst size of a tenant's token bucket, in seconds of its quota.
 const QUOTA_BURST_SECONDS: f64 = 1.0;
-/// Part of the distance that the price moves towards the value of a rejected request above it.
+/// Part of the distance that the price moves towards the value of a rejected request, if that is higher.
 const PRICE_GAIN: f64 = 0.3;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A token bucket.
+/// The token bucket of one tenant.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
     tokens: f64,
@@ -27,8 +27,8 @@
 pub struct TenantQuotas(BTreeMap<u32, TokenBucket>);
 
 impl TenantQuotas {
-    /// Takes a token for one request from a tenant's bucket, where `rate` is the tenant's quota at this front end in
-    /// requests a second. False where the bucket is empty.
+    /// Takes a token for one request from a tenant's bucket. `rate` is the tenant's quota at this front end, in requests
+    /// per second. Returns false if the bucket is empty.
     fn take(&mut self, tenant: u32, rate: f64, now: Micros) -> bool {
         let burst = (rate * QUOTA_BURST_SECONDS).max(1.0);
         let bucket = self.0.entry(tenant).or_insert(TokenBucket { tokens: burst, updated_at: now });
@@ -42,8 +42,9 @@
         is_within
     }
 
-    /// Value of a request for each microsecond of `base_run` work: its class's weight, reduced beyond the tenant's part
-    /// of its quota at this front end, counted by work or by request as configured.
+    /// Returns the value of a request per microsecond of its work `base_run`: the weight of its class, reduced if the
+    /// tenant exceeds its share of its quota at this front end. The weight applies per unit of work or per request, as
+    /// configured.
     pub fn weigh(&mut self, settings: &Settings, request: &Request, base_run: f64, now: Micros) -> f64 {
         let front_ends = f64::from(settings.front_ends.max(1));
         let rate = settings.tenant_quotas.get(request.tenant as usize).map(|quota| quota / front_ends);
@@ -58,7 +59,7 @@
     }
 }
 
-/// The price of work: the value for its work of requests rejected recently, decaying with time.
+/// The price of work: the value per unit of work of recently rejected requests, decaying with time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkPrice {
     level: f64,
@@ -66,12 +67,12 @@
 }
 
 impl WorkPrice {
-    /// The price at a time, where it decays to 1/e within `time_constant`.
+    /// Returns the price at `now`; it decays to 1/e within `time_constant`.
     pub fn at(&self, now: Micros, time_constant: Micros) -> f64 {
         self.level * decay(now - self.updated_at, time_constant)
     }
 
-    /// A request of this value for its work could not be served in time.
+    /// Records that a request of this value per unit of work could not be served in time.
     pub fn request_rejected(&mut self, weight: f64, now: Micros, time_constant: Micros) {
         let level = self.at(now, time_constant);
         *self = WorkPrice { level: level + PRICE_GAIN * (weight - level).max(0.0), updated_at: now };
--- a/crates/core/src/policy/queue.rs
+++ b/crates/core/src/policy/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of requests that are not at a worker, by required start and by group.
+//! The queue of requests that wait for a worker, by required start and by group.
 
 use super::call::{CallGroup, QueuePosition};
 use super::{FrontEnd, SAFETY_MARGIN};
@@ -6,12 +6,12 @@
 use std::collections::BTreeSet;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Groups that are considered in each batch whatever happened.
+/// Minimum number of groups that each batch considers.
 const MIN_SWEEP: usize = 2;
 /// All groups are considered this many times within the shortest latency objective.
 pub(super) const SWEEPS_PER_OBJECTIVE: Micros = 16;
 
-/// Where the sweep over the queue's groups is, and since when.
+/// Progress of the sweep over the queue's groups.
 #[derive(Default)]
 pub(super) struct Sweep {
     last_group: CallGroup,
@@ -21,9 +21,9 @@
 /// Why a request is queued.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum EnqueueReason {
-    /// It is new, or an attempt of it ended.
+    /// The request is new, or an attempt of it ended.
     CanMeetObjective,
-    /// It can't meet its objective any more, but may earn its late value.
+    /// The request can't meet its objective any more, but may earn its late value.
     PastObjective,
 }
 
@@ -37,7 +37,8 @@
         } else {
             objective_start
         };
-        // Worth much less for its work than requests rejected recently: behind others. Covers a tenant's surge.
+        // A request whose value per work is far below that of recently rejected ones is queued behind the others.
+        // This also covers a surge of one tenant.
         let price = self.work_price.at(now, self.shortest_objective);
         let late = misses_objective || call.weight < SAFETY_MARGIN * price;
         let position = QueuePosition { late, required_start, request: id };
@@ -62,7 +63,7 @@
         }
     }
 
-    /// A few groups in turn, so that a change which no event told of is seen in time.
+    /// Returns the next few groups in turn, so that changes without an event are noticed in time.
     pub(super) fn sweep_groups(&mut self, now: Micros) -> BTreeSet<CallGroup> {
         let Sweep { last_group, at } = self.sweep;
         let interval = (self.shortest_objective / SWEEPS_PER_OBJECTIVE).max(1);
--- a/crates/core/src/policy/ranking.rs
+++ b/crates/core/src/policy/ranking.rs
@@ -1,8 +1,8 @@
-//! Ranking: the workers that a function may go to where it is not known to be loaded, in an order that all front ends
-//! share, and the workers that are known to hold it.
+//! Ranking: the workers that a function's requests may be sent to without a known copy, in an order that all front
+//! ends share, and the workers that are known to hold the function.
 //!
-//! Of a large fleet only the first ranks are kept. A function that fills more workers than are kept goes to a sample of
-//! its first ranks, another at each front end, so that all of them together use them all.
+//! For a large fleet only the first ranks are stored. If a function's demand fills more workers than are stored, each
+//! front end stores a different sample of the first ranks, so that together the front ends use all of them.
 
 use super::beliefs::CachedCopy;
 use super::fleet::MAX_CONSIDERED;
@@ -13,24 +13,24 @@
 use crate::interface::*;
 use std::collections::BTreeSet;
 
-/// Ranks are kept to so many times the depth that the fleet's demand for the function fills.
+/// The depth of a ranking is this multiple of the number of workers that the fleet's demand for the function fills.
 const DEPTH_MARGIN: f64 = 2.0;
-/// The depth is reduced once so many times less would do.
+/// The depth is reduced once it exceeds the required depth by this factor.
 const DEPTH_REDUCTION: usize = 4;
 
 /// How the workers were ranked for a function.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Ranking {
-    /// The version of the fleet; 0: never.
+    /// The `ranking_version` at the time of the ranking; 0 if never ranked.
     version: u64,
-    /// How many ranks those kept are a sample of.
+    /// Number of first ranks that the stored ones were sampled from.
     depth: usize,
-    /// Part of them that is kept.
+    /// Fraction of these ranks that is stored.
     pub kept_part: f64,
 }
 
 impl FrontEnd {
-    /// Ranks the workers for a function, where its ranks are out of date.
+    /// Ranks the workers for a function if its ranking is out of date.
     pub(super) fn rank(&mut self, id: FunctionId, now: Micros) {
         let Some(function) = self.functions.get(&id) else { return };
         let depth = self.ranking_depth(function, now);
@@ -53,7 +53,8 @@
         functions.into_iter().for_each(|function| self.rank(function, now));
     }
 
-    /// How many ranks a function may go to: a power of two beyond those that its demand fills.
+    /// Returns the number of ranks that a function's requests may be sent to: a power of two above the number of workers
+    /// that its demand fills.
     fn ranking_depth(&self, function: &Function, now: Micros) -> usize {
         if self.workers.len() <= MAX_CONSIDERED {
             return MAX_CONSIDERED;
@@ -65,7 +66,8 @@
         depth.next_power_of_two().max(MAX_CONSIDERED)
     }
 
-    /// Workers known to hold a function, or ordered to, that come after the first ranks of it; in the order of ranks.
+    /// Returns the workers that rank after the first `ranks` of a function and are known to hold it or to have an order to
+    /// load it, in rank order.
     pub(super) fn holders_beyond(&self, id: FunctionId, function: &Function, ranks: usize) -> Vec<usize> {
         let key = |index: usize| (hash(id, u64::from(self.workers[index].endpoint.worker)), index);
         let last = ranks.checked_sub(1).map(|last| key(function.ranked_workers[last] as usize));
@@ -76,7 +78,7 @@
         holders.into_iter().map(|(_, index)| index).take(MAX_CONSIDERED).collect()
     }
 
-    /// Workers at which a function may be loaded: all of a small fleet, else the first ranks.
+    /// Returns the workers at which a function may be loaded: all of a small fleet, else the first ranks.
     pub(super) fn considered_workers(&self, id: FunctionId) -> Box<dyn Iterator<Item = usize> + '_> {
         match self.functions.get(&id) {
             Some(function) if self.workers.len() > MAX_CONSIDERED => {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// What is believed of a function's copies at a worker.
+    /// Records the expected copies of a function at a worker.
     pub(super) fn set_copy(&mut self, index: usize, id: FunctionId, copy: CachedCopy) {
         self.workers[index].beliefs.copies.insert(id, copy);
         self.holders.entry(id).or_default().insert(index);
@@ -96,9 +98,9 @@
 
 /// Workers ranked for a function.
 struct Ranked {
-    /// Indices in the order of their ranks.
+    /// Worker indices in rank order.
     workers: Vec<u32>,
-    /// Of how many ranks they are a sample.
+    /// Number of first ranks that they were sampled from.
     sampled: usize,
 }
 
--- a/crates/core/src/policy/reports.rs
+++ b/crates/core/src/policy/reports.rs
@@ -4,11 +4,11 @@
 use super::FrontEnd;
 use crate::interface::*;
 
-/// A reported queue below this length counts as empty.
+/// A reported queue shorter than this counts as empty.
 const MIN_QUEUE: f32 = 0.5;
 
 impl FrontEnd {
-    /// A worker showed that it is alive, and reported its load where it does.
+    /// Records that a worker responded, and its load if the response contains a report.
     pub(super) fn on_report(&mut self, index: usize, report: &LoadReport, now: Micros) {
         let worker = &mut self.workers[index];
         worker.beliefs.last_response_at = now;
@@ -21,7 +21,7 @@
                 ReportField::Queue if value >= MIN_QUEUE => f64::from(value) + capacity,
                 ReportField::Busy => f64::from(value).clamp(0.0, 1.0) * capacity,
                 ReportField::Queue => {
-                    // Without a queue the number of requests is anything up to the capacity.
+                    // An empty queue only shows that the number of requests is at most the capacity.
                     worker.beliefs.other_requests = None;
                     return;
                 }
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: whether another attempt may be sent (rule 2), and what is done about attempts at silent workers.
+//! Retries: whether another attempt may be sent (rule 2), and the handling of overdue attempts at silent workers.
 
 use super::call::{Execution, PendingCall};
 use super::queue::EnqueueReason;
@@ -6,14 +6,15 @@
 use super::{FrontEnd, SAFETY_MARGIN};
 use crate::interface::*;
 
-/// An attempt of a request.
+/// Identifies an attempt of a request.
 pub(super) struct AttemptId {
     pub request: RequestId,
     pub number: u16,
 }
 
 impl FrontEnd {
-    /// Rule 2: another attempt only where none is in flight or may have run, as far as the class forbids it.
+    /// Rule 2: whether another attempt may be sent. Without hedging none may be in flight, and unless the class is
+    /// idempotent none may have run.
     pub(super) fn may_send_again(&self, id: RequestId, now: Micros) -> bool {
         let Some(call) = self.pending.get(&id) else { return false };
         let would_hedge = !self.settings.hedging && call.has_attempt_in_flight();
@@ -49,7 +50,8 @@
         })
     }
 
-    /// Whether a rejection, which promises that there was no effect or that repeating does no harm, may be answered.
+    /// Whether the request may be answered with a rejection, which guarantees that it had no effect or that repeating it
+    /// does no harm.
     pub(super) fn may_reject(&self, call: &PendingCall) -> bool {
         let effect = self.settings.classes[call.request.class as usize].effect;
         let is_repeatable_anywhere = matches!(
@@ -59,8 +61,8 @@
         is_repeatable_anywhere || call.never_ran()
     }
 
-    /// An attempt is overdue at a silent worker: hedged where two attempts may be in flight, else cancelled, which brings
-    /// the request back.
+    /// Retries a request with an overdue attempt at a silent worker: sends a hedged request if two attempts may be in
+    /// flight, else cancels the attempt, after which the request is queued again.
     pub(super) fn retry_overdue(&mut self, attempt: &AttemptId, now: Micros, actions: &mut Vec<Action>) {
         let Some(call) = self.pending.get(&attempt.request) else { return };
         let effect = self.settings.classes[call.request.class as usize].effect;
--- a/crates/core/src/policy/send.rs
+++ b/crates/core/src/policy/send.rs
@@ -1,4 +1,4 @@
-//! The sending of a request, the one place from which anything is sent, and what it changes in the beliefs.
+//! Sending a request, and updating the estimates accordingly. All requests are sent from here.
 
 use super::beliefs::CachedCopy;
 use super::call::{AttemptRecord, Execution};
@@ -8,8 +8,9 @@
 use crate::interface::*;
 
 impl FrontEnd {
-    /// Sends a request. Nothing is sent to a worker that is not ready, or not confirmed while the list is old (rule 3), beyond a warming worker's limit
-    /// (rule 4), for a request that is over (rule 1) or that may not have another attempt (rule 2).
+    /// Sends a request, unless a rule forbids it: the worker is not ready, or is unconfirmed while the list is old (rule
+    /// 3); the limit of a warming worker is reached (rule 4); the request has its final answer (rule 1); or the request
+    /// may not have another attempt (rule 2).
     pub(super) fn send(
         &mut self,
         id: RequestId,
@@ -71,7 +72,7 @@
         worker.slot_usage.work += relative_work;
     }
 
-    /// The request uses the copy that is believed to be loaded, or has one loaded.
+    /// Updates the expected copies: the request uses an expected copy or causes a load.
     fn expect_copy(&mut self, index: usize, function: FunctionId, prediction: &Prediction, now: Micros) {
         let retention = self.settings.idle_retention;
         let homes_have_copies = self.home_hit_rate.is_none_or(|rate| rate > COPY_LOSS_RISK);
--- a/crates/core/src/policy/served_work.rs
+++ b/crates/core/src/policy/served_work.rs
@@ -1,17 +1,17 @@
-//! How much work the established workers serve for this front end: state without decisions.
+//! The amount of work that the established workers serve for this front end; holds no decisions.
 
 use crate::interface::Micros;
 
-/// Part of the distance that the usual work moves to that of a window.
+/// Part of the distance that the usual work moves towards that of the last window.
 const USUAL_GAIN: f64 = 0.3;
 
-/// Work served for this front end, relative to the mean of all classes, by each unit of the established workers'
-/// capacity.
+/// Work served for this front end per unit of the established workers' capacity. Work is relative to the mean of all
+/// classes.
 #[derive(Default)]
 pub(super) struct ServedWork {
-    /// In a usual window.
+    /// Work in a usual window: a moving average.
     pub usual: f64,
-    /// In the window under way.
+    /// Work in the current window.
     current: f64,
     pub window_start: Micros,
     /// Capacity of the established workers.
@@ -19,17 +19,17 @@
 }
 
 impl ServedWork {
-    /// Nothing served yet; the first window starts now.
+    /// Creates the state without served work; the first window starts now.
     pub fn new(now: Micros) -> ServedWork {
         ServedWork { window_start: now, ..ServedWork::default() }
     }
 
-    /// An established worker of this capacity served a request.
+    /// Records work served by an established worker of this capacity.
     pub fn record(&mut self, work: f64, capacity: f64) {
         self.current += work / self.established_capacity.max(capacity);
     }
 
-    /// Ends a window of the given length that may have lasted longer.
+    /// Ends the current window. `window` is its nominal length; it may have lasted longer.
     pub fn end_window(&mut self, now: Micros, window: Micros) {
         let span = now - std::mem::replace(&mut self.window_start, now);
         let work = std::mem::take(&mut self.current) * window as f64 / span as f64;
--- a/crates/core/src/policy/shedding.rs
+++ b/crates/core/src/policy/shedding.rs
@@ -1,20 +1,20 @@
-//! Load shedding: requests that can't be in time, advice on when to send them again, and the one final answer of those
-//! that were not served (rule 1).
+//! Load shedding: rejects requests that can't be in time, advises when to retry them, and gives the one final answer of
+//! requests that were not served (rule 1).
 
 use super::numbers::hash_fraction;
 use super::queue::EnqueueReason;
 use super::FrontEnd;
 use crate::interface::*;
 
-/// Queued requests among which one that can meet its objective shows that others come first.
+/// Number of queued requests that are examined: if another one among them can still meet its objective, it comes first.
 const LOOKAHEAD: usize = 2;
-/// Advice is drawn from half to one and a half times the time in which the queue drains.
+/// The advised retry time is drawn from 0.5 to 1.5 times the time in which the queue drains.
 const MIN_RETRY_AFTER_FACTOR: f64 = 0.5;
 const MAX_RETRY_AFTER_FACTOR: f64 = 1.5;
 
 impl FrontEnd {
-    /// A request can't meet its objective: rejected now if more is queued before it than drains in its time, else queued
-    /// for its late value. Could harm where the service rate rises.
+    /// Handles a request that can't meet its objective: rejects it now if the queue ahead of it would not drain in time,
+    /// else queues it for its late value. Could harm when the service rate rises.
     pub(super) fn give_up_objective(&mut self, id: RequestId, now: Micros, actions: &mut Vec<Action>) {
         let call = &self.pending[&id];
         let mut first = self.queue.iter().take(LOOKAHEAD);
@@ -32,23 +32,22 @@
         }
     }
 
-    /// Time in which the queue will have drained, at the rate at which requests are served.
+    /// Returns the time in which the queue drains at the current service rate.
     fn drain_time(&self) -> Option<f64> {
         let window = self.settings.overload_window.max(1) as f64;
         let rate = self.served_work.usual * self.fleet_capacity / window;
         (rate > 0.0).then(|| self.queue.len() as f64 / rate)
     }
 
-    /// Advice with a rejection: the time in which the queue drains, spread, so that requests rejected together do not
-    /// return together.
+    /// Returns the advised retry time of a rejection: the time in which the queue drains, with a random spread so that
+    /// requests that were rejected together are not retried together.
     fn retry_after(&self, id: RequestId) -> Micros {
         let max = self.settings.max_retry_after as f64 / MAX_RETRY_AFTER_FACTOR;
         let drain = self.drain_time().unwrap_or(max).min(max);
         (drain * (MIN_RETRY_AFTER_FACTOR + hash_fraction(self.seed, u64::from(id)))) as Micros
     }
 
-    /// Rule 1: the one final answer of a request that was not served, a rejection where that may be said (rule 2), else a
-    /// failure.
+    /// Rule 1: gives a request that was not served its one final answer: a rejection if rule 2 allows it, else a failure.
     pub(super) fn conclude(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(call) = self.pending.get(&id) else { return };
         actions.push(if self.may_reject(call) {
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: what a warming worker may get (rule 4).
+//! Slow start: limits the work that is sent to a warming worker (rule 4).
 
 use super::call::PendingCall;
 use super::numbers::hash_fraction;
@@ -7,7 +7,8 @@
 use crate::interface::*;
 
 impl FrontEnd {
-    /// What a worker that may be warming up can do at least, as configured; 1 when it is established.
+    /// Returns the minimum share of its capacity that a worker has, as configured for its time since the start; 1 if it is
+    /// established.
     pub(super) fn capacity_share(&self, worker: &Worker, now: Micros) -> f64 {
         let start = self.settings.start_capacity;
         let warm_up = self.settings.warm_up.max(1) as f64;
@@ -15,7 +16,7 @@
         start + (1.0 - start) * ((now - since) as f64 / warm_up).clamp(0.0, 1.0)
     }
 
-    /// Work of a class's requests relative to the mean of all classes.
+    /// Returns the work of a class's requests relative to the mean of all classes.
     pub(super) fn relative_work(&self, class: u16) -> f64 {
         let known = self.class_mean_run.iter().flatten();
         let sum = known.clone().fold(0.0, |sum, run| sum + run);
@@ -23,9 +24,11 @@
         self.class_mean_run[class as usize].map_or(1.0, |run| run * count / sum)
     }
 
-    /// Rule 4: in each slot of the configured window a warming worker gets the configured share and multiple of what
-    /// others serve (not: are sent, but where none is established) for this front end, so that the sum over all front
-    /// ends stays under what it can do. A part below one request is a chance, drawn for each slot. Could harm: used late.
+    /// Rule 4: whether a warming worker may get the request. In each slot of the configured window it gets at most the
+    /// configured share and multiple of the work that established workers serve for this front end, so that the sum over
+    /// all front ends stays below its capacity. The limit uses work served, not work sent; without established workers it
+    /// uses the work that arrives. A limit below one request becomes a probability, drawn for each slot. Could harm as new
+    /// workers are used late.
     pub(super) fn has_slow_start_capacity(&self, index: usize, call: &PendingCall, now: Micros) -> bool {
         let worker = &self.workers[index];
         if worker.warming_since.is_none() {
@@ -41,7 +44,7 @@
         usage.work + work <= limit + work * drawn
     }
 
-    /// Requests that arrive in a window for each unit of the fleet's capacity, at this front end.
+    /// Returns this front end's share of the requests that arrive in a window per unit of the fleet's capacity.
     fn arriving_work(&self) -> f64 {
         let arrivals = self.arrivals.len() as f64;
         let rate = arrivals * self.similar_front_ends / self.arrivals_window() as f64;
@@ -49,7 +52,8 @@
         rate * self.settings.overload_window as f64 / self.fleet_capacity.max(1.0) / front_ends
     }
 
-    /// What a worker has got in the present slot. What is in flight as it begins may arrive in any until it has ended.
+    /// Returns the work sent to a worker in the current slot. Work in flight when the slot begins is included: it may
+    /// reach the worker in any slot until its attempt ends.
     fn slot_usage(&self, worker: &Worker, now: Micros) -> SlotUsage {
         let window = self.settings.overload_window.max(1);
         let phase = hash_fraction(self.seed, u64::from(worker.endpoint.worker));
@@ -61,7 +65,7 @@
         SlotUsage { slot, work: worker.in_flight.iter().map(|attempt| attempt.relative_work).sum() }
     }
 
-    /// Starts the present slot of a worker, where it has not: before anything changes that is in flight there.
+    /// Starts the current slot of a worker if it has not started. Must be called before the attempts in flight change.
     pub(super) fn start_slot(&mut self, index: usize, now: Micros) {
         self.workers[index].slot_usage = self.slot_usage(&self.workers[index], now);
     }
--- a/crates/core/src/policy/timers.rs
+++ b/crates/core/src/policy/timers.rs
@@ -1,13 +1,13 @@
-//! The timer by which a front end asks to be called again.
+//! The timer that schedules the front end's next batch.
 
 use super::call::QueuePosition;
 use super::queue::SWEEPS_PER_OBJECTIVE;
 use super::FrontEnd;
 use crate::interface::*;
 
-/// Longest time without a batch, unless copies are retained for longer.
+/// Maximum time without a batch, unless copies are retained for longer.
 const MAX_IDLE: Micros = 1_000_000;
-/// Ticks of the clock between batches while a worker has several requests.
+/// Clock ticks between batches while a worker has several requests in flight.
 const BUSY_TICKS: Micros = 50;
 
 impl FrontEnd {
--- a/crates/core/src/policy/worker.rs
+++ b/crates/core/src/policy/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as one front end knows it: state without decisions.
+//! The state of a worker as known to one front end; holds no decisions.
 
 use super::attempt_counter::AttemptCounter;
 use super::beliefs::Beliefs;
@@ -13,11 +13,11 @@
     pub request: RequestId,
     pub number: u16,
     pub function: FunctionId,
-    /// Its class's work relative to the mean of all, when it was sent.
+    /// Work of its class relative to the mean of all classes, when it was sent.
     pub relative_work: f64,
     pub sent_at: Micros,
     pub predicted: Prediction,
-    /// That it is overdue has had its consequence.
+    /// Whether its being overdue has already been handled.
     pub overdue_handled: bool,
 }
 
@@ -26,56 +26,56 @@
 pub(super) struct SlotUsage {
     /// Number of the slot since time 0.
     pub slot: Micros,
-    /// Relative work that was sent in it, or was in flight when it began.
+    /// Relative work that was sent in the slot or was in flight at its start.
     pub work: f64,
 }
 
 #[derive(Default)]
 pub(super) struct Worker {
     pub endpoint: Endpoint,
-    /// It takes requests by the endpoint list.
+    /// Whether the endpoint list names it as ready for requests.
     pub ready: bool,
-    /// When it began to warm up; `None` once it counts as established.
+    /// Start of its warm-up; `None` once it counts as established.
     pub warming_since: Option<Micros>,
     pub slot_usage: SlotUsage,
-    /// When the endpoint list first told of it.
+    /// When the endpoint list first contained it.
     pub first_listed_at: Micros,
-    /// When the endpoint list last told of it.
+    /// When its entry in the endpoint list last changed.
     pub listed_at: Micros,
     pub in_flight: Vec<Attempt>,
     /// When it was last health-checked.
     pub checked_at: Micros,
-    /// This front end's recent requests in flight here, in the mean.
+    /// Mean number of this front end's requests in flight here recently.
     pub recent_load: DecayingSum,
     pub attempts: AttemptCounter,
     pub beliefs: Beliefs,
     pub confirmation: Confirmation,
-    /// What the sums over the fleet hold of it.
+    /// Its contribution to the sums over the fleet.
     pub contribution: Contribution,
-    /// When it changes by itself.
+    /// Next time at which its state changes without an event.
     pub due_at: Option<Micros>,
-    /// It changed since it was last counted.
+    /// Whether it changed since it was last counted.
     pub is_touched: bool,
 }
 
 impl Worker {
-    /// This front end's recent requests in flight here, decaying over half of the retention time.
+    /// Returns the recent load by this front end, which decays over half of the retention time.
     pub fn recent_load_at(&self, now: Micros, idle_retention: Micros) -> f64 {
         self.recent_load.value * decay(2 * (now - self.recent_load.updated_at), idle_retention)
     }
 
-    /// Requests for a function that this front end has in flight here.
+    /// Returns the number of this front end's requests for a function in flight here.
     pub fn in_flight_of(&self, function: FunctionId) -> usize {
         self.in_flight.iter().filter(|attempt| attempt.function == function).count()
     }
 
-    /// Whether it is past its ejection. After one, a single request at a time tries it until an answer clears it.
+    /// Whether it is not ejected. After an ejection it gets a single request at a time until one succeeds.
     pub fn is_healthy(&self, now: Micros) -> bool {
         self.beliefs.ejected_until <= now
             && (self.beliefs.consecutive_ejections == 0 || self.in_flight.is_empty())
     }
 
-    /// Whether it has its full capacity and may be used.
+    /// Whether it is ready, not ejected and past its warm-up.
     pub fn is_established(&self, now: Micros) -> bool {
         self.ready && self.warming_since.is_none() && self.beliefs.ejected_until <= now
     }
--- a/crates/core/src/policy/worker_checks.rs
+++ b/crates/core/src/policy/worker_checks.rs
@@ -1,26 +1,28 @@
-//! Health checks of workers that nothing confirms: when one is made, how long a request waits for it, and what follows from
-//! its end. [`super::confirmation`] decides what a worker may get meanwhile.
+//! Health checks of unconfirmed workers: when a check is sent, how long a request waits for it, and how its outcome is
+//! handled. [`super::confirmation`] decides what work a worker may get in the meantime.
 
 use super::confirmation::{Standing, MIN_LIFETIME_TICKS, WITHDRAWAL_FAILURES};
 use super::numbers::{hash_fraction, update_average, GAIN};
 use super::FrontEnd;
 use crate::interface::*;
 
-/// Pauses between checks of a worker that fails them, as parts of the grace: the shortest, and the longest after doublings.
+/// Shortest and longest pause between checks of a worker that fails them, as a divisor and a multiple of the grace.
+/// The pause doubles with each failure.
 const MIN_PAUSE_DIVISOR: Micros = 8;
 const MAX_PAUSE_FACTOR: Micros = 2;
-/// Most doublings of a pause.
+/// Maximum number of times that a pause is doubled.
 const MAX_DOUBLINGS: u32 = 8;
-/// A request waits for a check for so many times the usual time of one, and so many ticks, before it looks elsewhere.
+/// A request waits for a check for this multiple of the mean check time, and at least this many ticks, before it is
+/// considered for other workers.
 const CHECK_WAIT_FACTOR: f64 = 4.0;
 const MIN_CHECK_WAIT_TICKS: Micros = 10;
-/// A check counts as unanswered after so many connect timeouts, if nothing ended it before.
+/// Timeout of a check, in connect timeouts.
 const CHECK_TIMEOUT_FACTOR: Micros = 4;
-/// Shortest time after which it does.
+/// Minimum timeout of a check.
 const MIN_CHECK_TIMEOUT: Micros = 1_000_000;
 
 impl FrontEnd {
-    /// What the wait for a check adds to the cost of a worker, in microseconds.
+    /// Returns the cost of waiting for a worker's check, in microseconds.
     pub(super) fn check_cost(&self, standing: Standing) -> f64 {
         match standing {
             Standing::Confirmed => 0.0,
@@ -41,7 +43,8 @@
         (CHECK_TIMEOUT_FACTOR * self.settings.connect_timeout).max(MIN_CHECK_TIMEOUT)
     }
 
-    /// Checks whether a worker takes work, once at a time; the request is considered again with the result.
+    /// Starts a health check of a worker unless one is in progress. The waiting request is considered again when the check
+    /// ends.
     pub(super) fn start_check(
         &mut self,
         index: usize,
@@ -71,7 +74,7 @@
         actions.push(Action::HealthCheck { worker: worker.endpoint.worker });
     }
 
-    /// A health check ended.
+    /// Handles the end of a health check.
     pub(super) fn on_check_ended(
         &mut self,
         worker: WorkerId,
@@ -92,7 +95,7 @@
             }
             self.confirm(index, sent_at, now, actions);
         } else if check_started_at.is_some() {
-            // What this front end could not send tells nothing of the worker.
+            // A check that this front end could not send is no evidence about the worker.
             let is_own_failure = matches!(outcome, Outcome::Full | Outcome::Superseded);
             self.check_failed(index, !is_own_failure, now, actions);
         }
@@ -100,7 +103,7 @@
         self.changed_groups.extend(waiting);
     }
 
-    /// Pauses the checks of a worker, the longer the more it failed.
+    /// Handles a failed check: pauses the checks of the worker, longer with each failure in a row.
     fn check_failed(&mut self, index: usize, is_counted: bool, now: Micros, actions: &mut Vec<Action>) {
         let grace = self.settings.drain_grace.max(MIN_LIFETIME_TICKS * self.settings.tick);
         self.fleet.unconfirmed.insert(index);
@@ -124,13 +127,14 @@
         }
         let doublings = confirmation.failures.saturating_sub(1).min(MAX_DOUBLINGS);
         let pause = ((grace / MIN_PAUSE_DIVISOR) << doublings).min(MAX_PAUSE_FACTOR * grace);
-        // Front ends that check together do not check again together.
+        // The random spread keeps front ends that checked at the same time from repeating the check at the same time.
         let seed = self.seed ^ now as u64;
         let spread = 0.5 + hash_fraction(seed, u64::from(worker.endpoint.worker));
         confirmation.next_check_at = now + (pause as f64 * spread) as Micros;
     }
 
-    /// When a queued request may look elsewhere, or a worker may be checked again.
+    /// Returns the next time at which a queued request may be considered for other workers or a worker may be checked
+    /// again.
     pub(super) fn next_check(&self, now: Micros) -> Micros {
         if !self.is_list_old(now) {
             return Micros::MAX;
--- a/crates/core/src/policy/worker_search.rs
+++ b/crates/core/src/policy/worker_search.rs
@@ -1,4 +1,4 @@
-//! The search for a worker for one request: which workers it may go to, in the order of their ranks.
+//! The search for a worker for one request, over the workers that it may be sent to, in rank order.
 
 use super::call::{AttemptRecord, Execution, PendingCall};
 use super::confirmation::Standing;
@@ -11,19 +11,19 @@
 use super::FrontEnd;
 use crate::interface::*;
 
-/// The best workers found, by whether a copy is expected and whether they have capacity.
+/// The best predictions found, by whether a copy is expected and whether the worker has capacity.
 #[derive(Default)]
 pub(super) struct Candidates {
     pub copy_with_capacity: Option<Prediction>,
     pub copy_without_capacity: Option<Prediction>,
     pub load_with_capacity: Option<Prediction>,
     pub load_without_capacity: Option<Prediction>,
-    /// Back to a copy where an attempt may have run.
+    /// A retry on a copy where an earlier attempt may have run.
     pub same_worker: Option<Prediction>,
 }
 
 impl Candidates {
-    /// Keeps the prediction if its cost is the least of its kind.
+    /// Stores the prediction if its cost is the lowest of its category.
     fn offer(&mut self, prediction: Prediction, needs_load: bool, has_capacity: bool) {
         let best = match (needs_load, has_capacity) {
             (false, true) => &mut self.copy_with_capacity,
@@ -45,19 +45,20 @@
     pub health: FleetHealth,
     pub now: Micros,
     pub load_time: f64,
-    /// A miss ends the attempt with an answer.
+    /// Whether a miss is answered at once and starts no load.
     pub misses_answer: bool,
-    /// Chance that a home has a copy which this front end does not know of.
+    /// Chance that a preferred worker has a copy which this front end does not know of.
     pub copy_chance: f64,
-    /// The attempt is kept for a worker with a copy.
+    /// Whether the attempt is reserved for a worker with a copy.
     pub reserved_for_copy: bool,
-    /// Demand of the fleet that the workers looked at so far do not hold as homes.
+    /// Demand of the fleet that is not covered by the preferred workers considered so far.
     pub remaining_demand: f64,
     pub candidates: Candidates,
 }
 
 impl Search<'_> {
-    /// Considers the workers in the order of their ranks, as far as those without a copy are of use; gives how many.
+    /// Considers the workers in rank order until further workers without a copy are of no use. Returns how many were
+    /// considered.
     pub fn consider_ranked(&mut self) -> usize {
         let function = self.function;
         for (rank, &index) in function.ranked_workers.iter().enumerate() {
@@ -97,8 +98,8 @@
         let standing = front_end.standing(worker, self.now);
         let mut prediction = front_end.predict(index, self.call, self.load_time, home, self.now);
         prediction.cost += front_end.check_cost(standing);
-        // An idempotent request may go back to a copy after an error, if no other can be in time. Covers one that
-        // fails often and holds the only copy. Could harm where errors come of too much work.
+        // An idempotent request may be retried on the same copy after an error if no other worker can serve it in time.
+        // This covers a worker that fails often and holds the only copy. Could harm if overload causes the errors.
         let may_have_run_here =
             self.attempts_at(worker).any(|attempt| attempt.execution == Execution::MayHaveRun);
         if may_have_run_here {
@@ -114,10 +115,10 @@
         self.candidates.offer(prediction, !copy_expected && !is_home, has_capacity);
     }
 
-    /// Whether the worker takes requests and is neither withdrawn nor ejected nor out of its retry budget.
+    /// Whether the worker is ready and is neither withdrawn nor ejected, and its retry budget allows the attempt.
     fn may_use(&self, worker: &Worker) -> bool {
         let effect = self.front_end.settings.classes[self.call.request.class as usize].effect;
-        // A request without idempotency that may have run ends in failure: not where errors were seen recently.
+        // A non-idempotent request that may have run can only fail, so it avoids workers with recent errors.
         let is_error_prone = worker.beliefs.error_rate > GAIN / 2.0 + self.front_end.mean_error_rate;
         let is_well = worker.is_healthy(self.now) && !(effect == Effect::NonIdempotent && is_error_prone);
         worker.ready
@@ -126,8 +127,9 @@
             && self.front_end.allows_attempt(self.call, &worker.attempts, self.now)
     }
 
-    /// Where a miss only answers: a home, the next in rank if one lacks the copy. Else a load: one at a time, beyond the
-    /// homes at the first with capacity.
+    /// Whether a request may be sent to a worker without an expected copy. If a miss is only answered, it may be sent to
+    /// preferred workers that are not known to lack the copy. If a miss starts a load, it may be sent to a worker that is
+    /// not loading; of the workers that are not preferred, only until one with capacity was found.
     fn may_try_without_copy(&self, worker: &Worker, is_home: bool, lacks_copy: bool) -> bool {
         let is_barred = self.misses_answer && (lacks_copy || self.reserved_for_copy)
             || !is_home && (self.misses_answer || self.candidates.load_with_capacity.is_some());
@@ -138,9 +140,10 @@
         self.call.attempts.iter().filter(|attempt| attempt.worker == worker.endpoint.worker)
     }
 
-    /// Not again where it was, unless a copy was loaded there since: the one that its own miss had loaded. Guards against
-    /// requests that wait out their time beside their copy; also covers a slot freed after `Full`. Could harm where
-    /// copies come and go faster than requests are tried.
+    /// Whether the request may be sent to a worker that already had an attempt of it. This needs a copy that was loaded
+    /// there since, such as the one that its own miss caused: otherwise the request would wait until its deadline
+    /// although its copy is loaded. Also covers a slot that became free after `Full`. Could harm if copies are loaded and
+    /// evicted faster than requests are retried.
     fn may_try_again(&self, worker: &Worker, copy_expected: bool) -> bool {
         let copy = worker.beliefs.copies.get(&self.call.request.function);
         let loaded_since =
