--- a/crates/core/src/policy/attempt_counter/tests.rs
+++ b/crates/core/src/policy/attempt_counter/tests.rs
@@ -1,7 +1,7 @@
 //! Retry budgets over a window that slides.
 
 use super::*;
-use crate::policy::numbers::hash;
+use crate::policy::math::hash;
 
 const BUDGET: RetryBudget = RetryBudget { window: 8_000_000, free: 2.0, share: 0.2 };
 const S: Micros = 1_000_000;
--- a/crates/core/src/policy/completion.rs
+++ b/crates/core/src/policy/completion.rs
@@ -11,16 +11,17 @@
 impl FrontEnd {
     pub(super) fn on_attempt_ended(&mut self, end: &AttemptEnd, now: Micros, actions: &mut Vec<Action>) {
         let Some(&index) = self.worker_index.get(&end.worker) else { return };
-        self.touch(index);
+        self.mark_dirty(index);
         self.start_slot(index, now);
         let in_flight = &mut self.workers[index].in_flight;
-        let is_it = |attempt: &Attempt| (attempt.request, attempt.number) == (end.request, end.attempt);
-        if let Some(position) = in_flight.iter().position(is_it) {
+        let is_this_attempt =
+            |attempt: &Attempt| (attempt.request, attempt.number) == (end.request, end.attempt);
+        if let Some(position) = in_flight.iter().position(is_this_attempt) {
             let attempt = in_flight.swap_remove(position);
-            self.count_in_flight(index);
-            self.on_attempt_examined(index, end.outcome, attempt.sent_at, now, actions);
+            self.update_busy(index);
+            self.update_confirmation(index, end.outcome, attempt.sent_at, now, actions);
             self.record_served(index, &attempt, end, now);
-            self.learn(index, &attempt, end, now, actions);
+            self.update_estimates(index, &attempt, end, now, actions);
         }
         self.verify_client(end);
         if end.concluded {
@@ -52,7 +53,7 @@
         let Some(call) = self.pending.get_mut(&end.request) else { return };
         if end.outcome == Outcome::Ok && !call.request.client_verified {
             call.request.client_verified = true;
-            self.load_budget.request_accepted(call.request.accepted_at);
+            self.load_budget.record_request(call.request.accepted_at);
         }
     }
 
--- a/crates/core/src/policy/confirmation.rs
+++ b/crates/core/src/policy/confirmation.rs
@@ -12,8 +12,8 @@
 //! capacity fails some. A worker that fails several checks in a row is withdrawn, which treats it as unlisted, until it
 //! passes one.
 
-use super::beliefs::Beliefs;
 use super::call::CallGroup;
+use super::estimates::Estimates;
 use super::worker::Worker;
 use super::FrontEnd;
 use crate::interface::*;
@@ -52,7 +52,7 @@
     }
 
     /// Clears earlier failures, because a new endpoint list contains the worker.
-    pub fn listed(&mut self) {
+    pub fn clear_failures(&mut self) {
         self.failures = 0;
         self.next_check_at = 0;
     }
@@ -60,7 +60,7 @@
 
 /// Whether a worker may get new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Standing {
+pub(super) enum ConfirmationStatus {
     Confirmed,
     /// Not confirmed; a check may be started or is in progress.
     Checkable,
@@ -76,21 +76,21 @@
     }
 
     /// Returns the time up to which new work may be written to a worker's connection.
-    pub(super) fn new_work_until(&self, worker: &Worker) -> Micros {
+    pub(super) fn confirmed_until(&self, worker: &Worker) -> Micros {
         let vouched_at = self.list_validity.until.max(worker.confirmation.confirmed_at);
         vouched_at.saturating_add(self.confirmation_lifetime())
     }
 
     /// Whether a worker is confirmed, by the list or by itself, and may get new work now.
     pub(super) fn is_confirmed(&self, worker: &Worker, now: Micros) -> bool {
-        now <= self.new_work_until(worker)
+        now <= self.confirmed_until(worker)
     }
 
     /// Returns whether a worker is confirmed, can be checked, or is barred.
-    pub(super) fn standing(&self, worker: &Worker, now: Micros) -> Standing {
+    pub(super) fn confirmation_status(&self, worker: &Worker, now: Micros) -> ConfirmationStatus {
         let confirmation = &worker.confirmation;
         if self.is_confirmed(worker, now) {
-            return Standing::Confirmed;
+            return ConfirmationStatus::Confirmed;
         }
         let can_wait = match confirmation.check_started_at {
             Some(check_started_at) => {
@@ -99,9 +99,9 @@
             None => now >= confirmation.next_check_at,
         };
         if self.settings.may_health_check && can_wait {
-            Standing::Checkable
+            ConfirmationStatus::Checkable
         } else {
-            Standing::Barred
+            ConfirmationStatus::Barred
         }
     }
 
@@ -111,7 +111,7 @@
         let confirmation = &worker.confirmation;
         let has_failed =
             confirmation.failures >= WITHDRAWAL_FAILURES || confirmation.check_started_at.is_some();
-        has_failed && self.standing(worker, now) == Standing::Barred
+        has_failed && self.confirmation_status(worker, now) == ConfirmationStatus::Barred
     }
 
     /// Records that a worker accepted work or passed a check at some time since `sent_at`.
@@ -134,7 +134,7 @@
         let worker_id = worker.endpoint.worker;
         if is_list_old && !is_same_process {
             // The process probably exited and a new one started without notice, so the worker is cold (rule 4).
-            worker.beliefs = Beliefs::restarted(now);
+            worker.estimates = Estimates::restarted(now);
             worker.warming_since = Some(now);
         }
         let text = format!("admit worker {worker_id} again, same process: {is_same_process}");
@@ -144,7 +144,7 @@
     /// Updates the confirmation when an attempt ends. If the worker examined the attempt, it accepted work after the
     /// attempt was sent. A rejection for lack of capacity may be caused by a drain, so the worker is checked before it gets
     /// more work.
-    pub(super) fn on_attempt_examined(
+    pub(super) fn update_confirmation(
         &mut self,
         index: usize,
         outcome: Outcome,
--- a/crates/core/src/policy/dispatch.rs
+++ b/crates/core/src/policy/dispatch.rs
@@ -51,9 +51,10 @@
 
     /// Gives up the objective of queued requests that can't meet it any more.
     fn give_up_objectives(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let is_over = |position: &&QueuePosition| !position.late && position.required_start < now;
-        let over: Vec<_> = self.queue.iter().take_while(is_over).map(|position| position.request).collect();
-        for request in over {
+        let is_expired = |position: &&QueuePosition| !position.late && position.required_start < now;
+        let expired: Vec<_> =
+            self.queue.iter().take_while(is_expired).map(|position| position.request).collect();
+        for request in expired {
             self.give_up_objective(request, now, actions);
         }
     }
@@ -69,9 +70,9 @@
         let mut candidates = self.first_candidates(due_groups, open_workers, now);
         let mut blocked: BTreeMap<CallGroup, u32> = BTreeMap::new();
         while let Some(Candidate { position, group }) = candidates.pop_first() {
-            let is_reached =
-                |&index: &usize| self.is_open(index, health, now) && self.can_reach(index, &group, now);
-            if !due_groups.contains(&group) && !open_workers.iter().any(is_reached) {
+            let serves_group =
+                |&index: &usize| self.is_open(index, health, now) && self.can_serve(index, &group, now);
+            if !due_groups.contains(&group) && !open_workers.iter().any(serves_group) {
                 continue;
             }
             let is_blocked = self.dispatch(position.request, health, now, actions);
@@ -97,9 +98,9 @@
         let mut candidates: BTreeSet<Candidate> =
             due_groups.iter().filter_map(|&group| first(group)).collect();
         if !open_workers.is_empty() {
-            let can_reach =
-                |group: &CallGroup| open_workers.iter().any(|&index| self.can_reach(index, group, now));
-            let reached = self.queued_by_group.keys().filter(|group| can_reach(group));
+            let can_serve =
+                |group: &CallGroup| open_workers.iter().any(|&index| self.can_serve(index, group, now));
+            let reached = self.queued_by_group.keys().filter(|group| can_serve(group));
             candidates.extend(reached.filter_map(|&group| first(group)));
         }
         candidates
@@ -159,11 +160,11 @@
     fn update_wanted_load(&mut self, id: RequestId, placement: &Placement, now: Micros) {
         let Some(call) = self.pending.get(&id) else { return };
         let function = call.request.function;
-        let is_short = match placement {
+        let needs_copy = match placement {
             Placement::Send(prediction) => prediction.copy_expected && prediction.finish > call.objective_at,
             Placement::WaitUntil(until) => *until > now,
         };
-        let priority = if is_short { self.load_priority(function, now) } else { 0.0 };
+        let priority = if needs_copy { self.load_priority(function, now) } else { 0.0 };
         if priority > 0.0 {
             self.wanted_loads.insert(function, WantedLoad { priority, request: id });
         } else {
@@ -178,26 +179,26 @@
         let requests = worker.in_flight.len() as f64 + 1.0 + others;
         worker.ready
             && (worker.is_healthy(now) || health.ejections_doubted)
-            && worker.beliefs.full_until <= now
+            && worker.estimates.full_until <= now
             && requests <= MAX_STRETCH * worker.endpoint.capacity.max(1.0)
     }
 
     /// Whether a worker with capacity could serve requests of a group. A cheap test without a prediction.
-    fn can_reach(&self, index: usize, group: &CallGroup, now: Micros) -> bool {
+    fn can_serve(&self, index: usize, group: &CallGroup, now: Micros) -> bool {
         let worker = &self.workers[index];
         let Some(function) = self.functions.get(&group.function) else { return false };
-        let is_home = || {
-            let mut homes = function.ranked_workers.iter().take(function.home_count.get());
-            homes.any(|&home| home as usize == index)
+        let is_preferred = || {
+            let mut preferred = function.ranked_workers.iter().take(function.preferred_count.get());
+            preferred.any(|&worker_index| worker_index as usize == index)
         };
-        match worker.beliefs.expected_copy(group.function, now) {
+        match worker.estimates.expected_copy(group.function, now) {
             Some(copy) => {
                 let slots = copy_slots(Some(function), Some(copy)) + QUEUE_ALLOWANCE;
                 worker.in_flight.len() < slots || worker.in_flight_of(group.function) < slots
             }
-            None if worker.beliefs.loading_until > now => false,
-            None if self.settings.on_miss == OnMiss::Miss => is_home(),
-            None => function.wants_copy.get() || is_home(),
+            None if worker.estimates.loading_until > now => false,
+            None if self.settings.on_miss == OnMiss::Miss => is_preferred(),
+            None => function.wants_copy.get() || is_preferred(),
         }
     }
 }
--- a/crates/core/src/policy/endpoints.rs
+++ b/crates/core/src/policy/endpoints.rs
@@ -1,8 +1,8 @@
 //! Endpoint lists: which workers exist and whether they are ready for requests (rule 3).
 
-use super::beliefs::Beliefs;
+use super::estimates::Estimates;
 use super::fleet::WorkerTime;
-use super::numbers::hash_fraction;
+use super::math::hash_fraction;
 use super::worker::Worker;
 use super::FrontEnd;
 use crate::interface::*;
@@ -27,7 +27,7 @@
 #[derive(Default)]
 pub(super) struct Subscription {
     /// Whether it was requested and has not failed since.
-    is_on: bool,
+    is_active: bool,
     /// When it is requested again after a failure.
     pub retry_at: Option<Micros>,
     /// Number of failures since the last list.
@@ -37,13 +37,13 @@
 impl Subscription {
     /// Handles a subscription that could not be established or broke: schedules a retry after a pause that is random for
     /// each front end.
-    fn failed(&mut self, settings: &Settings, seed: u64, now: Micros) {
+    fn schedule_retry(&mut self, settings: &Settings, seed: u64, now: Micros) {
         let within = if settings.poll_within > 0 { settings.poll_within } else { DEFAULT_POLL_WITHIN };
         let pause = (within / MIN_PAUSE_DIVISOR) << self.failures.min(MAX_DOUBLINGS);
         let spread = 0.5 + 0.5 * hash_fraction(seed, u64::from(self.failures));
         let pause = (pause.min(within / MAX_PAUSE_DIVISOR) as f64 * spread) as Micros;
         self.failures = self.failures.saturating_add(1);
-        self.is_on = false;
+        self.is_active = false;
         self.retry_at = settings.subscribe_endpoints.then_some(now + pause);
     }
 }
@@ -57,7 +57,7 @@
         actions: &mut Vec<Action>,
     ) {
         if update == EndpointUpdate::Failed {
-            self.subscription.failed(&self.settings, self.seed, now);
+            self.subscription.schedule_retry(&self.settings, self.seed, now);
             return;
         }
         self.subscription.failures = 0;
@@ -74,8 +74,8 @@
 
     /// Subscribes to endpoint updates, if this is configured and not done yet.
     fn subscribe(&mut self, actions: &mut Vec<Action>) {
-        if self.settings.subscribe_endpoints && !self.subscription.is_on {
-            self.subscription.is_on = true;
+        if self.settings.subscribe_endpoints && !self.subscription.is_active {
+            self.subscription.is_active = true;
             actions.push(Action::SubscribeEndpoints { on: true });
         }
     }
@@ -95,11 +95,11 @@
             if listed.contains(&worker.endpoint.worker) {
                 continue;
             }
-            let listed_before = worker.listed_at;
+            let previous_update = worker.list_updated_at;
             worker.ready = false;
             worker.endpoint.lifecycle = Lifecycle::Gone;
-            worker.listed_at = now;
-            self.count_listed(index, listed_before, now);
+            worker.list_updated_at = now;
+            self.update_listing(index, previous_update, now);
         }
     }
 
@@ -107,16 +107,16 @@
         let known = self.worker_index.get(&endpoint.worker).copied();
         let index = known.unwrap_or_else(|| self.add_worker(endpoint, now));
         let worker = &mut self.workers[index];
-        let listed_before = worker.listed_at;
+        let previous_update = worker.list_updated_at;
         if endpoint.started > worker.endpoint.started {
             worker.warming_since = (endpoint.started > 0).then_some(endpoint.started);
-            worker.beliefs = Beliefs::restarted(now);
+            worker.estimates = Estimates::restarted(now);
         }
         worker.ready = endpoint.lifecycle == Lifecycle::Ready;
-        worker.confirmation.listed();
+        worker.confirmation.clear_failures();
         worker.endpoint = endpoint.clone();
-        worker.listed_at = now;
-        self.count_listed(index, listed_before, now);
+        worker.list_updated_at = now;
+        self.update_listing(index, previous_update, now);
         self.changed_workers.insert(index);
     }
 
@@ -143,12 +143,12 @@
     fn replace_worker(&mut self, index: usize, worker: Worker) {
         let replaced = std::mem::replace(&mut self.workers[index], worker);
         self.worker_index.remove(&replaced.endpoint.worker);
-        self.fleet.gone.remove(&WorkerTime { at: replaced.listed_at, index });
+        self.fleet.gone.remove(&WorkerTime { at: replaced.list_updated_at, index });
         self.fleet.unconfirmed.remove(&index);
         // The sums contain the contribution of the replaced worker until the new one is counted.
         let worker = &mut self.workers[index];
         worker.contribution = replaced.contribution;
-        worker.due_at = replaced.due_at;
-        worker.is_touched = replaced.is_touched;
+        worker.refresh_at = replaced.refresh_at;
+        worker.is_dirty = replaced.is_dirty;
     }
 }
--- a/crates/core/src/policy/beliefs.rs
+++ b/crates/core/src/policy/estimates.rs
@@ -28,7 +28,7 @@
 
 /// Estimates of the state of a worker's process; reset when the process restarts.
 #[derive(Default)]
-pub(super) struct Beliefs {
+pub(super) struct Estimates {
     /// Run time on this worker relative to the usual run time.
     pub slowdown: f64,
     pub slowdown_at: Micros,
@@ -52,10 +52,10 @@
     pub copies: BTreeMap<FunctionId, CachedCopy>,
 }
 
-impl Beliefs {
+impl Estimates {
     /// Returns the estimates for a process that has just started.
-    pub fn restarted(now: Micros) -> Beliefs {
-        Beliefs { slowdown: 1.0, slowdown_at: now, last_response_at: now, ..Beliefs::default() }
+    pub fn restarted(now: Micros) -> Estimates {
+        Estimates { slowdown: 1.0, slowdown_at: now, last_response_at: now, ..Estimates::default() }
     }
 
     /// Returns the copies of a function that are expected to be loaded.
--- a/crates/core/src/policy/fleet.rs
+++ b/crates/core/src/policy/fleet.rs
@@ -1,8 +1,8 @@
 //! The fleet as a whole: sums over all workers, updated as single workers change, and the times at which workers need
 //! a refresh. No decision iterates over all workers, so the cost of an event does not grow with the fleet.
 
-use super::beliefs::Beliefs;
-use super::numbers::ExactSum;
+use super::estimates::Estimates;
+use super::math::ExactSum;
 use super::worker::Worker;
 use super::FrontEnd;
 use crate::interface::*;
@@ -13,7 +13,7 @@
 /// Warming workers considered in each batch in a fleet of more than `MAX_CONSIDERED` workers.
 const MAX_WARMING_CONSIDERED: usize = 16;
 /// A slowdown or error rate within this distance of its usual value no longer needs decay.
-const REST_TOLERANCE: f64 = 1e-6;
+const DECAY_TOLERANCE: f64 = 1e-6;
 
 /// One worker's contribution to the sums.
 #[derive(Clone, Copy, Default, PartialEq)]
@@ -36,7 +36,7 @@
             is_warming: worker.warming_since.is_some(),
             capacity: of_ready(capacity),
             established_capacity: if worker.is_established(now) { capacity } else { 0.0 },
-            error_rate: of_ready(worker.beliefs.error_rate),
+            error_rate: of_ready(worker.estimates.error_rate),
         }
     }
 }
@@ -57,14 +57,14 @@
     established_capacity: ExactSum,
     error_rate: ExactSum,
     /// Workers whose contribution may have changed since they were last counted.
-    touched: Vec<usize>,
+    dirty: Vec<usize>,
     /// Times at which the state of a worker changes without an event.
-    due: BTreeSet<WorkerTime>,
+    refreshes: BTreeSet<WorkerTime>,
     pub warming: BTreeSet<usize>,
     /// Workers with several attempts in flight.
     pub busy: BTreeSet<usize>,
     /// Workers that are health-checked in turn for their load reports, by the time of their last check.
-    pub checked: BTreeSet<WorkerTime>,
+    pub check_round: BTreeSet<WorkerTime>,
     /// Workers that are gone, by the time of their last change in the endpoint list.
     pub gone: BTreeSet<WorkerTime>,
     /// Workers whose confirmation check is in progress or has failed.
@@ -100,19 +100,19 @@
     }
 
     /// Removes and returns the next worker whose refresh is due.
-    fn pop_due(&mut self, now: Micros) -> Option<usize> {
-        self.due.first().filter(|due| due.at <= now)?;
-        self.due.pop_first().map(|due| due.index)
+    fn pop_due_refresh(&mut self, now: Micros) -> Option<usize> {
+        self.refreshes.first().filter(|due| due.at <= now)?;
+        self.refreshes.pop_first().map(|due| due.index)
     }
 
     /// Returns warming workers of a fleet of `workers`: all of them in a small fleet, the next few in turn in a larger one.
-    pub fn warming_in_turn(&mut self, workers: usize) -> Vec<usize> {
-        let most = if workers <= MAX_CONSIDERED { usize::MAX } else { MAX_WARMING_CONSIDERED };
+    pub fn take_warming_batch(&mut self, workers: usize) -> Vec<usize> {
+        let max_count = if workers <= MAX_CONSIDERED { usize::MAX } else { MAX_WARMING_CONSIDERED };
         let from_next = self.warming.range(self.next_warming..);
-        let before = self.warming.range(..self.next_warming);
-        let some: Vec<usize> = from_next.chain(before).copied().take(most).collect();
-        self.next_warming = some.last().map_or(0, |last| last + 1);
-        some
+        let wrapped = self.warming.range(..self.next_warming);
+        let batch: Vec<usize> = from_next.chain(wrapped).copied().take(max_count).collect();
+        self.next_warming = batch.last().map_or(0, |last| last + 1);
+        batch
     }
 
     fn replace(&mut self, index: usize, old: Contribution, new: Contribution) {
@@ -131,83 +131,83 @@
 
 impl FrontEnd {
     /// Marks a worker as changed, so that it is recounted before the next decisions.
-    pub(super) fn touch(&mut self, index: usize) {
+    pub(super) fn mark_dirty(&mut self, index: usize) {
         let worker = &mut self.workers[index];
-        if !worker.is_touched {
-            worker.is_touched = true;
-            self.fleet.touched.push(index);
+        if !worker.is_dirty {
+            worker.is_dirty = true;
+            self.fleet.dirty.push(index);
         }
     }
 
     /// Recounts the workers that were marked as changed.
-    pub(super) fn count_touched(&mut self, now: Micros) {
+    pub(super) fn recount_dirty(&mut self, now: Micros) {
         let last_batch = self.sweep.at;
-        for index in std::mem::take(&mut self.fleet.touched) {
-            self.workers[index].is_touched = false;
-            self.count(index, last_batch, now);
+        for index in std::mem::take(&mut self.fleet.dirty) {
+            self.workers[index].is_dirty = false;
+            self.recount(index, last_batch, now);
         }
     }
 
     /// Updates the sums and the scheduled refresh of a worker. Times up to `since` have already been handled.
-    pub(super) fn count(&mut self, index: usize, since: Micros, now: Micros) {
-        let due_at = self.next_change(index, since);
+    pub(super) fn recount(&mut self, index: usize, since: Micros, now: Micros) {
+        let refresh_at = self.next_change(index, since);
         let worker = &mut self.workers[index];
         let contribution = Contribution::of(worker, now);
         if contribution != worker.contribution {
             self.fleet.replace(index, worker.contribution, contribution);
             worker.contribution = contribution;
         }
-        if due_at != worker.due_at {
-            if let Some(at) = worker.due_at {
-                self.fleet.due.remove(&WorkerTime { at, index });
+        if refresh_at != worker.refresh_at {
+            if let Some(at) = worker.refresh_at {
+                self.fleet.refreshes.remove(&WorkerTime { at, index });
             }
-            self.fleet.due.extend(due_at.map(|at| WorkerTime { at, index }));
-            worker.due_at = due_at;
+            self.fleet.refreshes.extend(refresh_at.map(|at| WorkerTime { at, index }));
+            worker.refresh_at = refresh_at;
         }
     }
 
     /// Returns the next time after `since` at which a worker's state changes without an event.
     fn next_change(&self, index: usize, since: Micros) -> Option<Micros> {
         let worker = &self.workers[index];
-        let beliefs = &worker.beliefs;
+        let estimates = &worker.estimates;
         let warm_at = worker.warming_since.map(|warming_since| warming_since + self.settings.warm_up);
-        let first_order = beliefs.load_orders.values().min();
-        let lost_at = first_order.map(|given_at| given_at + self.lost_order_after() + 1);
-        let has_rested = self.workers.len() > MAX_CONSIDERED && is_at_rest(beliefs);
-        let decays_at = (!has_rested).then(|| beliefs.slowdown_at + self.belief_decay_interval() + 1);
-        let opens = [beliefs.full_until, beliefs.ejected_until, beliefs.loading_until];
-        let opens = opens.into_iter().filter(|until| *until > since);
-        warm_at.into_iter().chain(lost_at).chain(decays_at).chain(opens).min()
+        let first_order = estimates.load_orders.values().min();
+        let lost_at = first_order.map(|ordered_at| ordered_at + self.lost_order_after() + 1);
+        let is_decayed = self.workers.len() > MAX_CONSIDERED && is_fully_decayed(estimates);
+        let decays_at = (!is_decayed).then(|| estimates.slowdown_at + self.estimate_decay_interval() + 1);
+        let reopen_times = [estimates.full_until, estimates.ejected_until, estimates.loading_until];
+        let reopen_times = reopen_times.into_iter().filter(|until| *until > since);
+        warm_at.into_iter().chain(lost_at).chain(decays_at).chain(reopen_times).min()
     }
 
     /// Refreshes the workers whose scheduled time has passed.
     pub(super) fn refresh_due_workers(&mut self, now: Micros) {
-        while let Some(index) = self.fleet.pop_due(now) {
-            self.workers[index].due_at = None;
+        while let Some(index) = self.fleet.pop_due_refresh(now) {
+            self.workers[index].refresh_at = None;
             self.refresh_worker(index, now);
-            self.count(index, now, now);
+            self.recount(index, now, now);
         }
     }
 
     /// Updates the sums after a worker's entry in the endpoint list changed, as the next events of the batch use them.
     /// `listed_before` is the time of the entry's previous change.
-    pub(super) fn count_listed(&mut self, index: usize, listed_before: Micros, now: Micros) {
-        self.fleet.gone.remove(&WorkerTime { at: listed_before, index });
+    pub(super) fn update_listing(&mut self, index: usize, previous_update: Micros, now: Micros) {
+        self.fleet.gone.remove(&WorkerTime { at: previous_update, index });
         let worker = &self.workers[index];
         if worker.endpoint.lifecycle == Lifecycle::Gone {
-            self.fleet.gone.insert(WorkerTime { at: worker.listed_at, index });
+            self.fleet.gone.insert(WorkerTime { at: worker.list_updated_at, index });
             self.ranking_version += 1;
         }
         if worker.ready {
-            self.join_check_round(index);
+            self.add_to_check_round(index);
         } else {
-            self.fleet.checked.remove(&WorkerTime { at: worker.checked_at, index });
+            self.fleet.check_round.remove(&WorkerTime { at: worker.checked_at, index });
         }
-        self.count(index, self.sweep.at, now);
+        self.recount(index, self.sweep.at, now);
     }
 
     /// Records whether a worker has several attempts in flight.
-    pub(super) fn count_in_flight(&mut self, index: usize) {
+    pub(super) fn update_busy(&mut self, index: usize) {
         if self.workers[index].in_flight.len() > 1 {
             self.fleet.busy.insert(index);
         } else {
@@ -217,6 +217,6 @@
 }
 
 /// Whether the estimates of a worker have decayed to their usual values.
-fn is_at_rest(beliefs: &Beliefs) -> bool {
-    (beliefs.slowdown - 1.0).abs() < REST_TOLERANCE && beliefs.error_rate < REST_TOLERANCE
+fn is_fully_decayed(estimates: &Estimates) -> bool {
+    (estimates.slowdown - 1.0).abs() < DECAY_TOLERANCE && estimates.error_rate < DECAY_TOLERANCE
 }
--- a/crates/core/src/policy/function.rs
+++ b/crates/core/src/policy/function.rs
@@ -1,7 +1,7 @@
 //! The state of a function as known to one front end; holds no decisions.
 
 use super::attempt_counter::AttemptCounter;
-use super::numbers::{percentile_99, update_average, DecayingSum, GAIN};
+use super::math::{percentile_99, update_average, DecayingSum, GAIN};
 use super::ranking::Ranking;
 use crate::interface::*;
 use std::cell::Cell;
@@ -38,7 +38,7 @@
     /// Total work of its pending requests.
     pub pending_work: f64,
     /// Number of `ranked_workers` that were preferred workers at the last placement.
-    pub home_count: Cell<usize>,
+    pub preferred_count: Cell<usize>,
     /// Whether another copy was wanted at the last placement.
     pub wants_copy: Cell<bool>,
 }
--- a/crates/core/src/policy/intake.rs
+++ b/crates/core/src/policy/intake.rs
@@ -1,7 +1,7 @@
 //! Intake of requests: deadline, expected work and value of a new request, and the demand estimates.
 
 use super::call::{Deadline, PendingCall};
-use super::numbers::{decay, update_average, GAIN};
+use super::math::{decay, update_average, GAIN};
 use super::queue::EnqueueReason;
 use super::FrontEnd;
 use crate::interface::*;
@@ -33,12 +33,12 @@
         let deadline = now + budget - margin;
         let objective_at = deadline.min(now + objective);
         let base_run = self.predicted_base_run(request);
-        let weight = self.tenant_quotas.weigh(&self.settings, request, base_run, now);
+        let weight = self.tenant_quotas.compute_weight(&self.settings, request, base_run, now);
         let accepted_at = if request.accepted_at > 0 { request.accepted_at.min(now) } else { now };
         let request = Request { accepted_at: accepted_at - self.settings.tick, ..request.clone() };
         // Rule 5: only requests of verified clients add to the load budget.
         if request.client_verified {
-            self.load_budget.request_accepted(request.accepted_at);
+            self.load_budget.record_request(request.accepted_at);
         }
         self.record_demand(request.function, base_run, now);
         let id = request.id;
--- a/crates/core/src/policy/learning.rs
+++ b/crates/core/src/policy/learning.rs
@@ -1,7 +1,7 @@
 //! Updates the estimates of a worker and a function when an attempt ends.
 
-use super::beliefs::CachedCopy;
-use super::numbers::{update_average, GAIN};
+use super::estimates::CachedCopy;
+use super::math::{update_average, GAIN};
 use super::outliers::Failure;
 use super::worker::Attempt;
 use super::FrontEnd;
@@ -16,7 +16,7 @@
 const MAX_SLOWDOWN: f64 = 20.0;
 
 impl FrontEnd {
-    pub(super) fn learn(
+    pub(super) fn update_estimates(
         &mut self,
         index: usize,
         attempt: &Attempt,
@@ -26,75 +26,75 @@
     ) {
         let worker = &mut self.workers[index];
         let none_in_flight = worker.in_flight.is_empty();
-        let beliefs = &mut worker.beliefs;
-        beliefs.lost_connections += u32::from(end.outcome == Reset);
-        let is_gone = end.outcome == ConnectFailed || none_in_flight && beliefs.lost_connections > 1;
+        let estimates = &mut worker.estimates;
+        estimates.lost_connections += u32::from(end.outcome == Reset);
+        let is_gone = end.outcome == ConnectFailed || none_in_flight && estimates.lost_connections > 1;
         if !matches!(end.outcome, Timeout | Cancelled | ConnectFailed | Reset) {
-            beliefs.last_response_at = now;
+            estimates.last_response_at = now;
         }
         if !self.functions.contains_key(&attempt.function) {
             return;
         }
-        self.learn_home_hit(attempt, end);
+        self.record_preferred_hit(attempt, end);
         match end.outcome {
-            Outcome::Ok => self.learn_from_answer(index, attempt, end, now),
+            Outcome::Ok => self.record_answer(index, attempt, end, now),
             Miss => {
                 let absent = CachedCopy::absent(now, self.settings.idle_retention);
                 self.set_copy(index, attempt.function, absent);
             }
-            Full => self.learn_full(index, attempt, now),
+            Full => self.record_full(index, attempt, now),
             Error if end.copy.state == CopyReport::LOAD_FAILED => {
-                self.workers[index].beliefs.copies.remove(&attempt.function);
+                self.workers[index].estimates.copies.remove(&attempt.function);
             }
             Error => self.record_failure(index, Failure::Error, now, actions),
             ConnectFailed | Reset if is_gone => {
                 self.record_failure(index, Failure::Unreachable, now, actions)
             }
             ConnectFailed | Reset => self.record_failure(index, Failure::Error, now, actions),
-            Timeout | Cancelled => self.learn_from_silence(index, attempt, end, now),
+            Timeout | Cancelled => self.record_unanswered(index, attempt, end, now),
             Outcome::Superseded => {}
         }
     }
 
     /// Updates the fraction of preferred workers that had a copy which was not known.
-    fn learn_home_hit(&mut self, attempt: &Attempt, end: &AttemptEnd) {
-        if attempt.predicted.at_home && matches!(end.outcome, Outcome::Ok | Miss) {
+    fn record_preferred_hit(&mut self, attempt: &Attempt, end: &AttemptEnd) {
+        if attempt.predicted.at_preferred_worker && matches!(end.outcome, Outcome::Ok | Miss) {
             let found_copy = end.outcome == Outcome::Ok && end.copy.state <= CopyReport::LOADED;
-            update_average(&mut self.home_hit_rate, f64::from(u8::from(found_copy)), GAIN);
+            update_average(&mut self.preferred_hit_rate, f64::from(u8::from(found_copy)), GAIN);
         }
     }
 
     /// Marks a worker without free capacity as full for half of a run time.
-    fn learn_full(&mut self, index: usize, attempt: &Attempt, now: Micros) {
-        let beliefs = &mut self.workers[index].beliefs;
-        let run = (attempt.predicted.base_run * beliefs.slowdown) as Micros;
-        beliefs.full_until = now + run / 2;
+    fn record_full(&mut self, index: usize, attempt: &Attempt, now: Micros) {
+        let estimates = &mut self.workers[index].estimates;
+        let run = (attempt.predicted.base_run * estimates.slowdown) as Micros;
+        estimates.full_until = now + run / 2;
     }
 
-    fn learn_from_answer(&mut self, index: usize, attempt: &Attempt, end: &AttemptEnd, now: Micros) {
+    fn record_answer(&mut self, index: usize, attempt: &Attempt, end: &AttemptEnd, now: Micros) {
         let ratio = run_ratio(attempt, end);
-        let beliefs = &mut self.workers[index].beliefs;
-        beliefs.consecutive_ejections = 0;
-        beliefs.lost_connections = 0;
-        beliefs.error_rate *= 1.0 - GAIN;
-        if !attempt.predicted.copy_expected && !attempt.predicted.at_home {
-            beliefs.loading_until = now;
+        let estimates = &mut self.workers[index].estimates;
+        estimates.consecutive_ejections = 0;
+        estimates.lost_connections = 0;
+        estimates.error_rate *= 1.0 - GAIN;
+        if !attempt.predicted.copy_expected && !attempt.predicted.at_preferred_worker {
+            estimates.loading_until = now;
         }
-        let copies = beliefs.copies.get(&attempt.function).map_or(1, |copy| copy.copies.max(1));
+        let copies = estimates.copies.get(&attempt.function).map_or(1, |copy| copy.copies.max(1));
         let expires_at = now + self.settings.idle_retention;
         let copy = CachedCopy { ready_at: now, expires_at, used_at: now, copies };
         self.set_copy(index, attempt.function, copy);
-        let beliefs = &mut self.workers[index].beliefs;
+        let estimates = &mut self.workers[index].estimates;
         let Some(function) = self.functions.get_mut(&attempt.function) else { return };
         if end.copy.state == CopyReport::LOAD_STARTED {
-            let run = attempt.predicted.base_run * beliefs.slowdown * attempt.predicted.slowdown;
+            let run = attempt.predicted.base_run * estimates.slowdown * attempt.predicted.slowdown;
             function.record_load((end.elapsed as f64 - run).max(1.0), &mut self.store_slowdown);
         } else if end.copy.state <= CopyReport::LOADED {
             // Only runs on a loaded copy update the run profile and the worker's slowdown.
-            let slowdown = beliefs.slowdown + GAIN * (ratio - beliefs.slowdown);
-            beliefs.slowdown = slowdown.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
-            beliefs.slowdown_at = now;
-            let run = end.elapsed as f64 / (beliefs.slowdown * attempt.predicted.slowdown);
+            let slowdown = estimates.slowdown + GAIN * (ratio - estimates.slowdown);
+            estimates.slowdown = slowdown.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
+            estimates.slowdown_at = now;
+            let run = end.elapsed as f64 / (estimates.slowdown * attempt.predicted.slowdown);
             function.record_run(run);
             update_average(&mut self.class_mean_run[function.class as usize], run, GAIN);
         }
@@ -102,8 +102,8 @@
     }
 
     /// Updates the estimates after an attempt that was abandoned without an answer.
-    fn learn_from_silence(&mut self, index: usize, attempt: &Attempt, end: &AttemptEnd, now: Micros) {
-        if !attempt.predicted.copy_expected && !attempt.predicted.at_home {
+    fn record_unanswered(&mut self, index: usize, attempt: &Attempt, end: &AttemptEnd, now: Micros) {
+        if !attempt.predicted.copy_expected && !attempt.predicted.at_preferred_worker {
             // The attempt waited for a load, so the store was slow and not the worker.
             if let Some(function) = self.functions.get_mut(&attempt.function) {
                 function.record_load(end.elapsed as f64, &mut self.store_slowdown);
@@ -111,10 +111,10 @@
             return;
         }
         let ratio = run_ratio(attempt, end);
-        let beliefs = &mut self.workers[index].beliefs;
-        if ratio > beliefs.slowdown {
-            beliefs.slowdown += GAIN * (ratio - beliefs.slowdown);
-            beliefs.slowdown_at = now;
+        let estimates = &mut self.workers[index].estimates;
+        if ratio > estimates.slowdown {
+            estimates.slowdown += GAIN * (ratio - estimates.slowdown);
+            estimates.slowdown_at = now;
         }
     }
 }
--- a/crates/core/src/policy/load_budget.rs
+++ b/crates/core/src/policy/load_budget.rs
@@ -31,20 +31,20 @@
     /// Start of the window.
     from: Micros,
     /// Orders that are allowed regardless of the requests.
-    at_least: f64,
+    min_orders: f64,
     /// Part of the budget that is left unused.
     margin: f64,
 }
 
 impl LoadBudget {
     /// Records a request that was accepted at this time and adds to the budget.
-    pub fn request_accepted(&mut self, at: Micros) {
+    pub fn record_request(&mut self, at: Micros) {
         let position = self.requests.partition_point(|accepted| *accepted <= at);
         self.requests.insert(position, at);
     }
 
     /// Records an order that is sent. If orders are not delayed, it arrives at once.
-    pub fn order_given(&mut self, order: LoadOrder, now: Micros, settings: &Settings) {
+    pub fn record_order(&mut self, order: LoadOrder, now: Micros, settings: &Settings) {
         if settings.load_delay > 0 {
             self.outstanding.insert(order);
         } else {
@@ -53,7 +53,7 @@
     }
 
     /// Records that an order was answered or counts as lost. It has arrived by now, unless it is known never to arrive.
-    pub fn order_ended(&mut self, order: LoadOrder, never_arrived: bool, now: Micros) {
+    pub fn record_order_end(&mut self, order: LoadOrder, never_arrived: bool, now: Micros) {
         if self.outstanding.remove(&order) && !never_arrived {
             self.arrivals.push_back(now);
         }
@@ -85,8 +85,8 @@
         // The current window keeps a margin of one order, as requests may have arrived a little earlier than they were
         // observed. A later window always allows a single order: otherwise a fractional allowance of free orders
         // would never allow any.
-        let current = WindowLimit { from: first, at_least: settings.load_free.min(1.0), margin: 1.0 };
-        let later = |from| WindowLimit { from, at_least: 1.0, margin: 0.0 };
+        let current = WindowLimit { from: first, min_orders: settings.load_free.min(1.0), margin: 1.0 };
+        let later = |from| WindowLimit { from, min_orders: 1.0, margin: 0.0 };
         let later_starts = self.arrivals.iter().copied().filter(|at| (first + 1..last).contains(at));
         self.fits(&current, settings)
             && later_starts.chain([last]).all(|from| from == first || self.fits(&later(from), settings))
@@ -97,6 +97,6 @@
         let arrived = self.arrivals.len() - self.arrivals.partition_point(|at| *at < window.from);
         let orders = arrived + self.outstanding.len();
         let budget = settings.load_free + settings.load_share * requests as f64;
-        orders as f64 + 1.0 <= (budget - window.margin).max(window.at_least)
+        orders as f64 + 1.0 <= (budget - window.margin).max(window.min_orders)
     }
 }
--- a/crates/core/src/policy/load_budget/tests.rs
+++ b/crates/core/src/policy/load_budget/tests.rs
@@ -16,7 +16,7 @@
 fn give_all(budget: &mut LoadBudget, now: Micros, settings: &Settings) -> u64 {
     let mut given = 0;
     while budget.allows(now, settings) {
-        budget.order_given(order(given as WorkerId, now), now, settings);
+        budget.record_order(order(given as WorkerId, now), now, settings);
         given += 1;
     }
     given
@@ -25,20 +25,20 @@
 #[test]
 fn outstanding_orders_fit_a_budget_without_further_requests() {
     let (mut budget, settings) = (LoadBudget::default(), settings(10 * S));
-    (0..200).for_each(|n| budget.request_accepted(n * S / 20));
+    (0..200).for_each(|n| budget.record_request(n * S / 20));
     // 26 in all, but only six at a time may be outstanding, as no further request may arrive.
     assert_eq!(give_all(&mut budget, 10 * S, &settings), 6);
-    (0..6).for_each(|n| budget.order_ended(order(n, 10 * S), n == 0, 10 * S));
+    (0..6).for_each(|n| budget.record_order_end(order(n, 10 * S), n == 0, 10 * S));
     // One never arrived. The others did, and no request arrived since.
     assert_eq!(give_all(&mut budget, 10 * S, &settings), 1);
-    (1..=40).for_each(|n| budget.request_accepted(10 * S + n * S / 20));
+    (1..=40).for_each(|n| budget.record_request(10 * S + n * S / 20));
     assert_eq!(give_all(&mut budget, 12 * S, &settings), 4);
 }
 
 #[test]
 fn without_a_delay_only_the_window_that_ends_now_counts() {
     let (mut budget, settings) = (LoadBudget::default(), settings(0));
-    (1..=200).for_each(|n| budget.request_accepted(n * S / 20));
+    (1..=200).for_each(|n| budget.record_request(n * S / 20));
     assert_eq!(give_all(&mut budget, 10 * S, &settings), 25);
     budget.expire(30 * S, &settings);
     assert_eq!(
@@ -52,7 +52,7 @@
     let fraction = Settings { load_free: 0.5, ..settings(10 * S) };
     let mut budget = LoadBudget::default();
     assert_eq!(give_all(&mut budget, 0, &fraction), 0);
-    (0..20).for_each(|n| budget.request_accepted(n));
+    (0..20).for_each(|n| budget.record_request(n));
     assert_eq!(give_all(&mut budget, S, &fraction), 1);
     let none = Settings { load_free: 0.0, load_share: 0.0, ..settings(10 * S) };
     assert_eq!(give_all(&mut LoadBudget::default(), 0, &none), 0);
--- a/crates/core/src/policy/loading.rs
+++ b/crates/core/src/policy/loading.rs
@@ -1,9 +1,9 @@
 //! Loading: decides which functions get another copy, and at which worker (rule 5).
 
-use super::beliefs::CachedCopy;
-use super::confirmation::Standing;
-use super::homes::{lacks_copy, HomeRank};
+use super::confirmation::ConfirmationStatus;
+use super::estimates::CachedCopy;
 use super::load_budget::LoadOrder;
+use super::preferred_workers::{lacks_copy, Preference};
 use super::worker::Worker;
 use super::FrontEnd;
 use crate::interface::*;
@@ -14,7 +14,7 @@
 const DEFAULT_RUN_DIVISOR: f64 = 4.0;
 
 /// The result of a load order.
-pub(super) struct LoadEnd {
+pub(super) struct LoadResult {
     pub order: LoadOrder,
     pub outcome: Outcome,
     pub elapsed: Micros,
@@ -23,20 +23,20 @@
 }
 
 impl FrontEnd {
-    pub(super) fn on_loaded(&mut self, load: &LoadEnd, now: Micros) {
+    pub(super) fn on_loaded(&mut self, load: &LoadResult, now: Micros) {
         let LoadOrder { worker, function } = load.order;
         let never_arrived = matches!(load.outcome, Outcome::ConnectFailed | Outcome::Superseded);
-        self.load_budget.order_ended(load.order, never_arrived, now);
+        self.load_budget.record_order_end(load.order, never_arrived, now);
         let Some(&index) = self.worker_index.get(&worker) else { return };
-        self.touch(index);
-        let beliefs = &mut self.workers[index].beliefs;
-        beliefs.load_orders.remove(&function);
+        self.mark_dirty(index);
+        let estimates = &mut self.workers[index].estimates;
+        estimates.load_orders.remove(&function);
         if load.outcome == Outcome::Ok {
             if let Some(function) = self.functions.get_mut(&function) {
                 function.record_load(load.elapsed as f64, &mut self.store_slowdown);
             }
         }
-        let known = beliefs.copies.get(&function);
+        let known = estimates.copies.get(&function);
         let is_awaited = known.is_some_and(|copy| copy.ready_at > now);
         let retention = self.settings.idle_retention;
         if load.copies > 0 {
@@ -48,7 +48,7 @@
             self.set_copy(index, function, CachedCopy::absent(now, retention));
         }
         if load.outcome == Outcome::Full {
-            self.workers[index].beliefs.full_until = now + self.shortest_objective / FULL_PAUSE_DIVISOR;
+            self.workers[index].estimates.full_until = now + self.shortest_objective / FULL_PAUSE_DIVISOR;
         }
     }
 
@@ -73,23 +73,23 @@
         let other_run = class_run.unwrap_or(objective / DEFAULT_RUN_DIVISOR);
         // Clockwork: p = d - sum(a * capacity / l), with a = (d / l) / sum(1 / l). Hence p = d * (1 - served share).
         let (mut served, mut inverse_loads) = (0.0, 0.0);
-        let mut remaining_demand = self.kept_demand(function, now);
-        let mut homes = 0;
+        let mut remaining_demand = self.ranked_demand(function, now);
+        let mut considered = 0;
         let mut add = |index: usize, remaining_demand: &mut f64| {
             let worker = &self.workers[index];
             if !worker.ready || self.is_withdrawn(worker, now) {
                 return;
             }
-            let is_usable = worker.beliefs.ejected_until <= now;
-            let is_home = *remaining_demand > 0.0 && !lacks_copy(worker, id, now) && is_usable;
+            let is_usable = worker.estimates.ejected_until <= now;
+            let is_preferred = *remaining_demand > 0.0 && !lacks_copy(worker, id, now) && is_usable;
             if is_usable {
-                *remaining_demand -= self.home_capacity(function, worker, now);
+                *remaining_demand -= self.preferred_capacity(function, worker, now);
             }
-            let has_copy = is_usable && worker.beliefs.expected_copy(id, now).is_some();
-            if is_home || has_copy || worker.beliefs.load_orders.contains_key(&id) {
-                let own: f64 = worker.in_flight.iter().map(|attempt| attempt.predicted.base_run).sum();
+            let has_copy = is_usable && worker.estimates.expected_copy(id, now).is_some();
+            if is_preferred || has_copy || worker.estimates.load_orders.contains_key(&id) {
+                let own_work: f64 = worker.in_flight.iter().map(|attempt| attempt.predicted.base_run).sum();
                 let others = self.other_requests(worker, now).possible;
-                let load = ((own + others * other_run) * worker.beliefs.slowdown).max(1.0);
+                let load = ((own_work + others * other_run) * worker.estimates.slowdown).max(1.0);
                 served += worker.endpoint.capacity.max(1.0) * objective / load / load;
                 inverse_loads += 1.0 / load;
             }
@@ -99,9 +99,9 @@
                 break;
             }
             add(index as usize, &mut remaining_demand);
-            homes += 1;
+            considered += 1;
         }
-        for index in self.holders_beyond(id, function, homes) {
+        for index in self.holders_beyond(id, function, considered) {
             add(index, &mut remaining_demand);
         }
         let served_share = if inverse_loads > 0.0 { served / inverse_loads } else { 0.0 };
@@ -142,17 +142,17 @@
         let can_load = |index: &usize| {
             let worker = &self.workers[*index];
             let order = LoadOrder { worker: worker.endpoint.worker, function };
-            worker.beliefs.expected_copy(function, now).is_none()
+            worker.estimates.expected_copy(function, now).is_none()
                 && !self.load_budget.is_outstanding(order)
                 && takes_load(worker, now)
-                && self.standing(worker, now) != Standing::Barred
+                && self.confirmation_status(worker, now) != ConfirmationStatus::Barred
         };
-        let rated = self.considered_workers(function).filter(can_load).map(|index| {
-            let prediction = self.predict(index, call, load_time, HomeRank::NotHome, now);
+        let candidates = self.considered_workers(function).filter(can_load).map(|index| {
+            let prediction = self.predict(index, call, load_time, Preference::NotPreferred, now);
             let is_barred = !self.has_slow_start_capacity(index, call, now);
             (is_barred, prediction)
         });
-        let best = rated.min_by(|a, b| a.0.cmp(&b.0).then(a.1.cost.total_cmp(&b.1.cost)));
+        let best = candidates.min_by(|a, b| a.0.cmp(&b.0).then(a.1.cost.total_cmp(&b.1.cost)));
         best.map(|(_, prediction)| prediction.worker_index)
     }
 
@@ -170,20 +170,20 @@
         let is_allowed = self.settings.may_order_loads
             && worker.ready
             && self.is_confirmed(worker, now)
-            && worker.beliefs.load_orders.is_empty()
+            && worker.estimates.load_orders.is_empty()
             && self.load_budget.allows(now, &self.settings);
         if !is_allowed {
             return;
         }
-        let start_by = self.new_work_until(worker);
+        let start_by = self.confirmed_until(worker);
         if let Some(unused) = self.copy_to_unload(worker, function) {
             actions.push(Action::Unload { worker: id, function: unused });
-            self.workers[index].beliefs.copies.remove(&unused);
+            self.workers[index].estimates.copies.remove(&unused);
         }
-        self.touch(index);
-        self.workers[index].beliefs.load_orders.insert(function, now);
+        self.mark_dirty(index);
+        self.workers[index].estimates.load_orders.insert(function, now);
         self.holders.entry(function).or_default().insert(index);
-        self.load_budget.order_given(LoadOrder { worker: id, function }, now, &self.settings);
+        self.load_budget.record_order(LoadOrder { worker: id, function }, now, &self.settings);
         actions.push(Action::Load { worker: id, function, copies: 1, start_by });
     }
 
@@ -193,7 +193,7 @@
         let memory = self.settings.memory_mb.get(worker.endpoint.kind as usize);
         let memory = memory.copied().unwrap_or(f64::INFINITY);
         let size = |id: &FunctionId| self.functions.get(id).map_or(0.0, |function| function.memory_mb);
-        let copies = &worker.beliefs.copies;
+        let copies = &worker.estimates.copies;
         let in_use: f64 = copies.iter().map(|(id, copy)| size(id) * f64::from(copy.copies)).sum();
         if in_use + size(&function) <= memory {
             return None;
@@ -207,6 +207,6 @@
 fn takes_load(worker: &Worker, now: Micros) -> bool {
     worker.ready
         && worker.is_healthy(now)
-        && worker.beliefs.load_orders.is_empty()
-        && worker.beliefs.full_until <= now
+        && worker.estimates.load_orders.is_empty()
+        && worker.estimates.full_until <= now
 }
--- a/crates/core/src/policy/maintenance.rs
+++ b/crates/core/src/policy/maintenance.rs
@@ -12,9 +12,9 @@
 const SILENT_ATTEMPTS: usize = 2;
 /// Number of times within the retention time that estimates without new observations decay towards their usual
 /// values.
-const BELIEF_DECAYS: Micros = 8;
+const DECAYS_PER_RETENTION: Micros = 8;
 /// Part of the distance to the usual value that one decay step covers.
-const BELIEF_DECAY: f64 = 0.1;
+const DECAY_GAIN: f64 = 0.1;
 /// Clock ticks after its timeout at which a load order counts as lost.
 const LOST_ORDER_TICKS: Micros = 4;
 /// A function is removed after this many retention times without a call.
@@ -27,12 +27,12 @@
         self.log_list_age(now, actions);
         self.resubscribe(now, actions);
         self.expire_arrivals(now);
-        self.count_touched(now);
+        self.recount_dirty(now);
         self.mean_error_rate = self.fleet.mean_error_rate();
         self.refresh_due_workers(now);
-        self.changed_workers.extend(self.fleet.warming_in_turn(self.workers.len()));
+        self.changed_workers.extend(self.fleet.take_warming_batch(self.workers.len()));
         self.handle_silent_workers(self.queue.is_empty(), now, actions);
-        self.count_touched(now);
+        self.recount_dirty(now);
         self.served_work.established_capacity = self.fleet.established_capacity();
         if self.served_work.window_start + self.settings.overload_window.max(1) <= now {
             self.end_window(now);
@@ -65,30 +65,30 @@
     }
 
     /// Returns the interval at which estimates without new observations decay.
-    pub(super) fn belief_decay_interval(&self) -> Micros {
-        self.settings.idle_retention.max(1) / BELIEF_DECAYS
+    pub(super) fn estimate_decay_interval(&self) -> Micros {
+        self.settings.idle_retention.max(1) / DECAYS_PER_RETENTION
     }
 
     /// Ends a worker's warm-up, load orders and pauses that are over, decays its estimates, and marks it as changed if it
     /// may take requests again.
     pub(super) fn refresh_worker(&mut self, index: usize, now: Micros) {
-        let (lost_after, decay_interval) = (self.lost_order_after(), self.belief_decay_interval());
+        let (lost_after, decay_interval) = (self.lost_order_after(), self.estimate_decay_interval());
         let warm_up = self.settings.warm_up;
         let last_sweep = self.sweep.at;
         let worker = &mut self.workers[index];
         worker.warming_since = worker.warming_since.filter(|since| now < since + warm_up);
-        let beliefs = &mut worker.beliefs;
-        beliefs.load_orders.retain(|_, given_at| now - *given_at <= lost_after);
+        let estimates = &mut worker.estimates;
+        estimates.load_orders.retain(|_, ordered_at| now - *ordered_at <= lost_after);
         let is_just_over = |until: &Micros| (last_sweep + 1..=now).contains(until);
-        let opens = [beliefs.full_until, beliefs.ejected_until, beliefs.loading_until];
-        if opens.iter().any(is_just_over) {
+        let reopen_times = [estimates.full_until, estimates.ejected_until, estimates.loading_until];
+        if reopen_times.iter().any(is_just_over) {
             self.changed_workers.insert(index);
         }
         // Estimates without new observations decay.
-        if now - beliefs.slowdown_at > decay_interval {
-            beliefs.slowdown_at = now;
-            beliefs.slowdown += BELIEF_DECAY * (1.0 - beliefs.slowdown);
-            beliefs.error_rate *= 1.0 - BELIEF_DECAY;
+        if now - estimates.slowdown_at > decay_interval {
+            estimates.slowdown_at = now;
+            estimates.slowdown += DECAY_GAIN * (1.0 - estimates.slowdown);
+            estimates.error_rate *= 1.0 - DECAY_GAIN;
         }
     }
 
@@ -122,11 +122,11 @@
         let workers = &mut self.workers;
         self.holders.retain(|id, holders| {
             holders.retain(|&index| {
-                let beliefs = &mut workers[index].beliefs;
-                if beliefs.copies.get(id).is_some_and(|copy| copy.expires_at + retention <= now) {
-                    beliefs.copies.remove(id);
+                let estimates = &mut workers[index].estimates;
+                if estimates.copies.get(id).is_some_and(|copy| copy.expires_at + retention <= now) {
+                    estimates.copies.remove(id);
                 }
-                beliefs.copies.contains_key(id) || beliefs.load_orders.contains_key(id)
+                estimates.copies.contains_key(id) || estimates.load_orders.contains_key(id)
             });
             !holders.is_empty()
         });
@@ -140,7 +140,7 @@
         self.wanted_loads.retain(|function, _| self.functions.contains_key(function));
         let workers = &self.workers;
         self.fleet.unconfirmed.retain(|&index| workers[index].confirmation.is_unconfirmed(now));
-        self.store_slowdown = self.store_slowdown.map(|slowdown| slowdown + BELIEF_DECAY * (1.0 - slowdown));
+        self.store_slowdown = self.store_slowdown.map(|slowdown| slowdown + DECAY_GAIN * (1.0 - slowdown));
         self.served_work.end_window(now, self.settings.overload_window.max(1));
     }
 }
@@ -150,7 +150,7 @@
     let is_overdue = |attempt: &&Attempt| {
         let predicted = attempt.predicted.finish - attempt.sent_at;
         let limit = ((OVERDUE_FACTOR * predicted as f64) as Micros).max(min_overdue);
-        now > attempt.sent_at + limit && worker.beliefs.last_response_at <= attempt.sent_at
+        now > attempt.sent_at + limit && worker.estimates.last_response_at <= attempt.sent_at
     };
     worker.in_flight.iter().filter(is_overdue).count() >= SILENT_ATTEMPTS
 }
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -6,7 +6,7 @@
 //! | [`intake`](self) | `intake`: deadline, expected work and value of a new request |
 //! | estimates | `endpoints`, `reports`, `completion`, `learning`: update the state of workers and functions from observations |
 //! | prediction | `prediction`: when a request would finish at a worker |
-//! | choice | `placement`, `worker_search`: choose a worker or the time to wait until; `homes`: preferred workers of a function |
+//! | choice | `placement`, `worker_search`: choose a worker or the time to wait until; `preferred_workers`: the preferred workers of a function |
 //! | sequence | `dispatch`: which queued requests are considered in a batch; `queue`: their order; `send`: the sending |
 //! | rejection | `shedding`: requests that can't be in time, and the one final answer (rule 1) |
 //! | retries | `retries`: whether another attempt may be sent (rule 2), hedged requests |
@@ -20,25 +20,25 @@
 //! The five rules are checked in these three functions.
 
 mod attempt_counter;
-mod beliefs;
 mod call;
 mod completion;
 mod confirmation;
 mod dispatch;
 mod endpoints;
+mod estimates;
 mod fleet;
 mod function;
-mod homes;
 mod intake;
 mod learning;
 mod list_validity;
 mod load_budget;
 mod loading;
 mod maintenance;
-mod numbers;
+mod math;
 mod outliers;
 mod placement;
 mod prediction;
+mod preferred_workers;
 mod priority;
 mod queue;
 mod ranking;
@@ -61,7 +61,7 @@
 pub use list_validity::ConfirmationCounters;
 use list_validity::ListValidity;
 use load_budget::LoadBudget;
-use numbers::DecayingSum;
+use math::DecayingSum;
 use priority::{TenantQuotas, WorkPrice};
 use queue::Sweep;
 use served_work::ServedWork;
@@ -152,7 +152,7 @@
     /// Moving average of observed load times relative to the usual ones, at the store that all workers share.
     store_slowdown: Option<f64>,
     /// Fraction of the requests sent to preferred workers that found a copy which this front end did not know of.
-    home_hit_rate: Option<f64>,
+    preferred_hit_rate: Option<f64>,
 }
 
 impl FrontEnd {
@@ -193,24 +193,24 @@
             Event::Request(request) => self.on_request(request, now),
             Event::AttemptEnded(end) => {
                 self.on_attempt_ended(end, now, actions);
-                self.note_changed(end.worker);
+                self.reconsider_worker(end.worker);
             }
             Event::ClientGone { request } => self.forget(*request),
             Event::Timer { token } => self.on_timer(*token),
             Event::Loaded { worker, function, outcome, elapsed, copies } => {
-                let load = loading::LoadEnd {
+                let load = loading::LoadResult {
                     order: load_budget::LoadOrder { worker: *worker, function: *function },
                     outcome: *outcome,
                     elapsed: *elapsed,
                     copies: u32::from(*copies),
                 };
                 self.on_loaded(&load, now);
-                self.note_changed(*worker);
+                self.reconsider_worker(*worker);
             }
             Event::HealthChecked { worker, outcome, elapsed, report } => {
                 self.on_health_checked(*worker, *outcome, report, now, actions);
                 self.on_check_ended(*worker, *outcome, now - elapsed, now, actions);
-                self.note_changed(*worker);
+                self.reconsider_worker(*worker);
             }
             Event::Started { request, .. } => self.on_started(*request),
             Event::Gossip { .. } => {}
@@ -218,7 +218,7 @@
     }
 
     /// Marks a worker so that the next batch considers it.
-    fn note_changed(&mut self, worker: WorkerId) {
+    fn reconsider_worker(&mut self, worker: WorkerId) {
         self.changed_workers.extend(self.worker_index.get(&worker));
     }
 }
--- a/crates/core/src/policy/outliers.rs
+++ b/crates/core/src/policy/outliers.rs
@@ -2,7 +2,7 @@
 //! the others.
 
 use super::fleet::{WorkerTime, MAX_CONSIDERED};
-use super::numbers::GAIN;
+use super::math::GAIN;
 use super::FrontEnd;
 use crate::interface::*;
 use std::collections::BTreeMap;
@@ -45,22 +45,22 @@
         let min_ejection = (self.settings.connect_timeout * MIN_EJECTION_CONNECT_TIMEOUTS)
             .max(self.settings.tick * MIN_EJECTION_TICKS);
         let max_ejection = (self.settings.idle_retention / 2).max(min_ejection);
-        self.touch(index);
+        self.mark_dirty(index);
         let worker = &mut self.workers[index];
-        let beliefs = &mut worker.beliefs;
-        beliefs.error_rate += GAIN * (1.0 - beliefs.error_rate);
+        let estimates = &mut worker.estimates;
+        estimates.error_rate += GAIN * (1.0 - estimates.error_rate);
         if failure == Failure::Unreachable {
-            beliefs.copies = BTreeMap::new();
-            beliefs.load_orders = BTreeMap::new();
+            estimates.copies = BTreeMap::new();
+            estimates.load_orders = BTreeMap::new();
             worker.warming_since = Some(now);
         }
-        let is_outlier = beliefs.error_rate > EJECTION_ERROR_GAINS * GAIN + self.mean_error_rate;
-        if (failure == Failure::Unreachable || is_outlier) && beliefs.ejected_until <= now {
-            beliefs.consecutive_ejections =
-                (beliefs.consecutive_ejections + 1).min(MAX_CONSECUTIVE_EJECTIONS);
-            let doublings = (beliefs.consecutive_ejections - 1).min(MAX_EJECTION_DOUBLINGS);
+        let is_outlier = estimates.error_rate > EJECTION_ERROR_GAINS * GAIN + self.mean_error_rate;
+        if (failure == Failure::Unreachable || is_outlier) && estimates.ejected_until <= now {
+            estimates.consecutive_ejections =
+                (estimates.consecutive_ejections + 1).min(MAX_CONSECUTIVE_EJECTIONS);
+            let doublings = (estimates.consecutive_ejections - 1).min(MAX_EJECTION_DOUBLINGS);
             let ejection = (min_ejection << doublings).min(max_ejection);
-            beliefs.ejected_until = now + ejection;
+            estimates.ejected_until = now + ejection;
             let text = format!("eject worker {} for {} ms", worker.endpoint.worker, ejection / 1000);
             actions.push(Action::Log { text });
         }
@@ -75,7 +75,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(&index) = self.worker_index.get(&worker) else { return };
-        self.touch(index);
+        self.mark_dirty(index);
         match outcome {
             Outcome::Ok => self.on_report(index, report, now),
             Outcome::ConnectFailed | Outcome::Reset => {
@@ -86,41 +86,41 @@
     }
 
     /// Adds a worker to the round of health checks for load reports, if its load matters to this front end.
-    pub(super) fn join_check_round(&mut self, index: usize) {
+    pub(super) fn add_to_check_round(&mut self, index: usize) {
         let worker = &self.workers[index];
         if worker.ready && self.reports_matter(index) {
-            self.fleet.checked.insert(WorkerTime { at: worker.checked_at, index });
+            self.fleet.check_round.insert(WorkerTime { at: worker.checked_at, index });
         }
     }
 
     /// Whether the load of a worker matters to this front end. In a larger fleet it matters only if the worker has
     /// recorded copies: a round over all workers would open a connection for each check and take too long.
     fn reports_matter(&self, index: usize) -> bool {
-        self.workers.len() <= MAX_CONSIDERED || !self.workers[index].beliefs.copies.is_empty()
+        self.workers.len() <= MAX_CONSIDERED || !self.workers[index].estimates.copies.is_empty()
     }
 
     /// Health-checks the workers in turn, if load reports arrive by health checks, within the allowed cost of checks.
     pub(super) fn send_health_checks(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let settings = &self.settings;
-        let is_on = settings.may_health_check && settings.report_channel == ReportChannel::HealthChecks;
-        if !is_on || self.arrivals.is_empty() {
+        let is_active = settings.may_health_check && settings.report_channel == ReportChannel::HealthChecks;
+        if !is_active || self.arrivals.is_empty() {
             return;
         }
         let checks_per_request =
             (MAX_HEALTH_CHECK_COST / settings.price_health_check.max(MAX_HEALTH_CHECK_COST)).min(1.0);
-        let workers = self.fleet.checked.len();
+        let workers = self.fleet.check_round.len();
         let request_interval = self.arrivals_window() as f64 / self.arrivals.len() as f64;
         let affordable = (request_interval * workers as f64 / checks_per_request) as Micros;
         let interval = affordable.max(self.shortest_objective / MAX_CHECKS_PER_OBJECTIVE);
-        let due = self.fleet.checked.iter().take_while(|check| now - check.at >= interval);
+        let due = self.fleet.check_round.iter().take_while(|check| now - check.at >= interval);
         let mut due: Vec<usize> = due.map(|check| check.index).collect();
         due.sort_unstable();
         for index in due {
             let worker = &mut self.workers[index];
-            self.fleet.checked.remove(&WorkerTime { at: worker.checked_at, index });
+            self.fleet.check_round.remove(&WorkerTime { at: worker.checked_at, index });
             worker.checked_at = now;
             if self.reports_matter(index) {
-                self.fleet.checked.insert(WorkerTime { at: now, index });
+                self.fleet.check_round.insert(WorkerTime { at: now, index });
                 actions.push(Action::HealthCheck { worker: self.workers[index].endpoint.worker });
             }
         }
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -9,7 +9,7 @@
 use crate::interface::*;
 
 /// Assumed chance that a preferred worker has a copy, before any answer was observed.
-const DEFAULT_HOME_HIT_RATE: f64 = 0.5;
+const DEFAULT_PREFERRED_HIT_RATE: f64 = 0.5;
 
 /// Summary of the ready workers' health.
 #[derive(Clone, Copy)]
@@ -43,10 +43,10 @@
             return Placement::WaitUntil(call.objective_at);
         }
         let mut search = self.search(call, function, health, now);
-        function.home_count.set(0);
-        let looked_at = search.consider_ranked();
-        for index in self.holders_beyond(call.request.function, function, looked_at) {
-            search.consider(looked_at, index);
+        function.preferred_count.set(0);
+        let considered = search.consider_ranked();
+        for index in self.holders_beyond(call.request.function, function, considered) {
+            search.consider(considered, index);
         }
         let candidates = search.candidates;
         // If copies are loaded, another load is allowed only with a load priority above 0, as loads would otherwise
@@ -68,7 +68,7 @@
         health: FleetHealth,
         now: Micros,
     ) -> Search<'a> {
-        let misses_answer = self.settings.on_miss == OnMiss::Miss;
+        let miss_ends_attempt = self.settings.on_miss == OnMiss::Miss;
         Search {
             front_end: self,
             call,
@@ -76,12 +76,12 @@
             health,
             now,
             load_time: self.load_time(call.request.function),
-            misses_answer,
+            miss_ends_attempt,
             // Never 0: a preferred worker without a chance of a copy would get no requests, so no answer could raise
             // the rate again.
-            copy_chance: self.home_hit_rate.unwrap_or(DEFAULT_HOME_HIT_RATE).max(f64::MIN_POSITIVE),
-            reserved_for_copy: misses_answer && self.reserves_last_attempt(call, function, now),
-            remaining_demand: self.kept_demand(function, now),
+            copy_chance: self.preferred_hit_rate.unwrap_or(DEFAULT_PREFERRED_HIT_RATE).max(f64::MIN_POSITIVE),
+            reserved_for_copy: miss_ends_attempt && self.reserves_last_attempt(call, function, now),
+            remaining_demand: self.ranked_demand(function, now),
             candidates: Candidates::default(),
         }
     }
@@ -92,7 +92,7 @@
     fn reserves_last_attempt(&self, call: &PendingCall, function: &Function, now: Micros) -> bool {
         let is_last = call.attempts.len() as u32 + 1 >= self.settings.max_attempts;
         let is_ordered = |&index: &u32| {
-            self.workers[index as usize].beliefs.load_orders.contains_key(&call.request.function)
+            self.workers[index as usize].estimates.load_orders.contains_key(&call.request.function)
         };
         is_last
             && (!call.attempts.is_empty() && self.load_budget.allows(now, &self.settings)
--- a/crates/core/src/policy/prediction.rs
+++ b/crates/core/src/policy/prediction.rs
@@ -1,11 +1,11 @@
 //! Prediction: estimates when a request would finish at a worker, from this front end's requests in flight there, the
 //! load time if no copy is expected, and the function's run profile.
 
-use super::beliefs::CachedCopy;
 use super::call::PendingCall;
+use super::estimates::CachedCopy;
 use super::function::Function;
-use super::homes::HomeRank;
-use super::numbers::hash_fraction;
+use super::math::hash_fraction;
+use super::preferred_workers::Preference;
 use super::worker::Worker;
 use super::FrontEnd;
 use crate::interface::*;
@@ -34,7 +34,7 @@
     /// Whether a copy is expected to be loaded now or soon.
     pub copy_expected: bool,
     /// Whether no copy is expected, but the worker is a preferred one of the function.
-    pub at_home: bool,
+    pub at_preferred_worker: bool,
     /// Expected time that the request waits for a load.
     pub load_wait: Micros,
     /// Whether the worker would start the request soon.
@@ -78,9 +78,9 @@
     /// of them sent what this front end sent recently, so that each spreads its requests as the fleet needs. The cost
     /// uses the full estimate, the predicted finish a capped one.
     pub(super) fn other_requests(&self, worker: &Worker, now: Micros) -> OtherRequests {
-        let beliefs = &worker.beliefs;
-        let is_recent = now - beliefs.other_requests_at < self.shortest_objective;
-        if let Some(reported) = beliefs.other_requests.filter(|_| is_recent) {
+        let estimates = &worker.estimates;
+        let is_recent = now - estimates.other_requests_at < self.shortest_objective;
+        if let Some(reported) = estimates.other_requests.filter(|_| is_recent) {
             return OtherRequests { likely: reported, possible: reported };
         }
         let others = (self.similar_front_ends - 1.0).max(0.0);
@@ -101,44 +101,45 @@
         index: usize,
         call: &PendingCall,
         load_time: f64,
-        home: HomeRank,
+        preference: Preference,
         now: Micros,
     ) -> Prediction {
         let worker = &self.workers[index];
         let function = self.functions.get(&call.request.function);
-        let copy = worker.beliefs.expected_copy(call.request.function, now);
+        let copy = worker.estimates.expected_copy(call.request.function, now);
         let contention = self.contention(worker, now);
-        let load_wait = if copy.is_some() { 0 } else { (load_time * (1.0 - home.copy_chance())) as Micros };
+        let load_wait =
+            if copy.is_some() { 0 } else { (load_time * (1.0 - preference.copy_chance())) as Micros };
         // If a miss is only answered and starts no load, the risk that a preferred worker lacks the copy raises the
         // cost but not the predicted finish. Otherwise a front end with few observations would reject, without an
         // attempt, requests for functions that others have loaded. Could harm by more misses.
-        let is_doubtful = self.settings.on_miss == OnMiss::Miss && home.copy_chance() > 0.0;
+        let is_doubtful = self.settings.on_miss == OnMiss::Miss && preference.copy_chance() > 0.0;
         let doubt = if is_doubtful { load_wait } else { 0 };
         let copy_ready = copy.map_or(now + load_wait - doubt, |copy| copy.ready_at.max(now));
         let slots = copy_slots(function, copy);
-        let own = worker.in_flight_of(call.request.function);
-        let start = copy_ready.max(start_of_free_slot(worker, call.request.function, own, slots));
-        let mean_run = call.base_run * worker.beliefs.slowdown * contention.slowdown;
+        let own_requests = worker.in_flight_of(call.request.function);
+        let start = copy_ready.max(start_of_free_slot(worker, call.request.function, own_requests, slots));
+        let mean_run = call.base_run * worker.estimates.slowdown * contention.slowdown;
         let slow_run = function
             .and_then(Function::run_percentile_99)
-            .map(|run| run * worker.beliefs.slowdown * contention.slowdown);
+            .map(|run| run * worker.estimates.slowdown * contention.slowdown);
         let finish = start + slow_run.unwrap_or(mean_run) as Micros;
         let cost = (finish + doubt) as f64
             + mean_run * contention.possible_stretch()
             + self.zone_cost(worker, call.request.class)
-            + self.affinity_cost(worker, call.request.function, copy, load_time, home, now)
+            + self.affinity_cost(worker, call.request.function, copy, load_time, preference, now)
             + hash_fraction(self.seed ^ u64::from(call.request.id), u64::from(worker.endpoint.worker))
                 * MAX_JITTER;
-        let is_crowded = contention.is_crowded() || worker.beliefs.full_until > now;
+        let is_crowded = contention.is_crowded() || worker.estimates.full_until > now;
         Prediction {
             finish,
             cost,
             slowdown: contention.slowdown,
             base_run: call.base_run,
             copy_expected: copy.is_some(),
-            at_home: copy.is_none() && home.copy_chance() > 0.0,
+            at_preferred_worker: copy.is_none() && preference.copy_chance() > 0.0,
             load_wait,
-            has_capacity: own < slots + QUEUE_ALLOWANCE && !is_crowded,
+            has_capacity: own_requests < slots + QUEUE_ALLOWANCE && !is_crowded,
             worker_index: index,
         }
     }
@@ -158,10 +159,10 @@
         function: FunctionId,
         copy: Option<&CachedCopy>,
         load_time: f64,
-        home: HomeRank,
+        preference: Preference,
         now: Micros,
     ) -> f64 {
-        if home != HomeRank::NotHome {
+        if preference != Preference::NotPreferred {
             return 0.0;
         }
         let rank = hash_fraction(function, u64::from(worker.endpoint.worker));
@@ -179,12 +180,12 @@
 
 /// Returns when one of the `slots` is free of this front end's `own` requests for the function; the minimum time if
 /// one is free now.
-fn start_of_free_slot(worker: &Worker, function: FunctionId, own: usize, slots: usize) -> Micros {
-    if own < slots {
+fn start_of_free_slot(worker: &Worker, function: FunctionId, own_requests: usize, slots: usize) -> Micros {
+    if own_requests < slots {
         return Micros::MIN;
     }
     let in_flight = worker.in_flight.iter().filter(|attempt| attempt.function == function);
     let mut finishes: Vec<Micros> = in_flight.map(|attempt| attempt.predicted.finish).collect();
     finishes.sort_unstable();
-    finishes[own - slots]
+    finishes[own_requests - slots]
 }
--- a/crates/core/src/policy/homes.rs
+++ b/crates/core/src/policy/preferred_workers.rs
@@ -8,33 +8,33 @@
 
 /// Part of a worker's capacity, or of a copy's concurrency, that the fleet's demand for a function uses at each of its
 /// preferred workers.
-const HOME_FILL: f64 = 0.5;
-/// Default run time of a function without observed runs: the shortest latency objective divided by this.
+const PREFERRED_FILL: f64 = 0.5;
+/// Run time of a function of which nothing is known, as a fraction of the shortest latency objective.
 const DEFAULT_RUN_DIVISOR: f64 = 4.0;
 
 /// Whether a worker is a preferred one of a function.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum HomeRank {
-    NotHome,
-    Home {
-        /// Chance that the worker has a copy which this front end does not know of.
+pub(super) enum Preference {
+    NotPreferred,
+    Preferred {
+        /// Chance that it has loaded a copy which this front end does not know of.
         copy_chance: f64,
     },
 }
 
-impl HomeRank {
+impl Preference {
     /// Returns the chance that the worker has a copy which this front end does not know of.
     pub fn copy_chance(self) -> f64 {
         match self {
-            HomeRank::NotHome => 0.0,
-            HomeRank::Home { copy_chance } => copy_chance,
+            Preference::NotPreferred => 0.0,
+            Preference::Preferred { copy_chance } => copy_chance,
         }
     }
 }
 
 impl FrontEnd {
-    /// Returns the fleet's demand for a function as a number of concurrent calls, without the call being placed. The
-    /// estimate also holds for many front ends with little traffic each; it could harm while popularity changes.
+    /// Returns the fleet's demand for a function in concurrent calls, without the call being placed. Covers many front
+    /// ends with little traffic each; could harm while popularity changes.
     pub(super) fn fleet_demand(&self, function: &Function, now: Micros) -> f64 {
         let time_constant = 2 * self.settings.idle_retention.max(1);
         let calls = (function.recent_calls.at(now, time_constant) - 1.0).max(0.0);
@@ -45,23 +45,24 @@
     }
 
     /// Returns the demand for a function that a worker covers as a preferred worker.
-    pub(super) fn home_capacity(&self, function: &Function, worker: &Worker, now: Micros) -> f64 {
-        self.usual_home_capacity(function, worker.endpoint.capacity) * self.capacity_share(worker, now)
+    pub(super) fn preferred_capacity(&self, function: &Function, worker: &Worker, now: Micros) -> f64 {
+        self.established_preferred_capacity(function, worker.endpoint.capacity)
+            * self.capacity_share(worker, now)
     }
 
     /// Returns the demand for a function that an established worker covers as a preferred worker.
-    pub(super) fn usual_home_capacity(&self, function: &Function, capacity: f64) -> f64 {
-        (function.concurrency as f64).min(capacity) * HOME_FILL
+    pub(super) fn established_preferred_capacity(&self, function: &Function, capacity: f64) -> f64 {
+        (function.concurrency as f64).min(capacity) * PREFERRED_FILL
     }
 
     /// Returns the part of the fleet's demand for a function that falls to the ranks stored here.
-    pub(super) fn kept_demand(&self, function: &Function, now: Micros) -> f64 {
-        self.fleet_demand(function, now) * function.ranking.kept_part
+    pub(super) fn ranked_demand(&self, function: &Function, now: Micros) -> f64 {
+        self.fleet_demand(function, now) * function.ranking.stored_fraction
     }
 }
 
 /// Whether a worker is assumed to have no copy, because it reported a miss or is warming up.
 pub(super) fn lacks_copy(worker: &Worker, function: FunctionId, now: Micros) -> bool {
-    let known = worker.beliefs.copies.get(&function);
+    let known = worker.estimates.copies.get(&function);
     known.map_or(worker.warming_since.is_some(), |copy| copy.copies == 0 && copy.ready_at > now)
 }
--- a/crates/core/src/policy/priority.rs
+++ b/crates/core/src/policy/priority.rs
@@ -1,7 +1,7 @@
 //! The value of requests per unit of work, from the settings, and the price of work: the value of recently rejected
 //! requests. State and arithmetic only; `queue` and `shedding` use them for decisions.
 
-use super::numbers::decay;
+use super::math::decay;
 use crate::interface::{Micros, Request, Settings};
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
 impl TenantQuotas {
     /// Takes a token for one request from a tenant's bucket. `rate` is the tenant's quota at this front end, in requests
     /// per second. Returns false if the bucket is empty.
-    fn take(&mut self, tenant: u32, rate: f64, now: Micros) -> bool {
+    fn take_token(&mut self, tenant: u32, rate: f64, now: Micros) -> bool {
         let burst = (rate * QUOTA_BURST_SECONDS).max(1.0);
         let bucket = self.0.entry(tenant).or_insert(TokenBucket { tokens: burst, updated_at: now });
         let refill = (now - bucket.updated_at).max(0) as f64 * rate / MICROS_PER_SECOND;
@@ -45,10 +45,16 @@
     /// Returns the value of a request per microsecond of its work `base_run`: the weight of its class, reduced if the
     /// tenant exceeds its share of its quota at this front end. The weight applies per unit of work or per request, as
     /// configured.
-    pub fn weigh(&mut self, settings: &Settings, request: &Request, base_run: f64, now: Micros) -> f64 {
+    pub fn compute_weight(
+        &mut self,
+        settings: &Settings,
+        request: &Request,
+        base_run: f64,
+        now: Micros,
+    ) -> f64 {
         let front_ends = f64::from(settings.front_ends.max(1));
         let rate = settings.tenant_quotas.get(request.tenant as usize).map(|quota| quota / front_ends);
-        let is_within = rate.is_none_or(|rate| self.take(request.tenant, rate, now));
+        let is_within = rate.is_none_or(|rate| self.take_token(request.tenant, rate, now));
         let weight = settings.classes.get(request.class as usize).map_or(1.0, |class| class.priority_weight);
         let weight = if is_within { weight } else { weight * settings.over_quota_weight };
         if settings.weight_by_work {
@@ -73,7 +79,7 @@
     }
 
     /// Records that a request of this value per unit of work could not be served in time.
-    pub fn request_rejected(&mut self, weight: f64, now: Micros, time_constant: Micros) {
+    pub fn record_rejection(&mut self, weight: f64, now: Micros, time_constant: Micros) {
         let level = self.at(now, time_constant);
         *self = WorkPrice { level: level + PRICE_GAIN * (weight - level).max(0.0), updated_at: now };
     }
--- a/crates/core/src/policy/priority/tests.rs
+++ b/crates/core/src/policy/priority/tests.rs
@@ -5,24 +5,25 @@
 #[test]
 fn a_tenant_has_its_rate_and_what_it_saved_up_recently() {
     let mut quotas = TenantQuotas::default();
-    let taken =
-        |quotas: &mut TenantQuotas, at: Micros, n: usize| (0..n).filter(|_| quotas.take(3, 10.0, at)).count();
+    let taken = |quotas: &mut TenantQuotas, at: Micros, n: usize| {
+        (0..n).filter(|_| quotas.take_token(3, 10.0, at)).count()
+    };
     assert_eq!(taken(&mut quotas, 0, 50), 10);
     assert_eq!(taken(&mut quotas, 500_000, 50), 5);
     assert_eq!(taken(&mut quotas, 60_000_000, 50), 10);
-    assert!((0..50).all(|n| quotas.take(4, 10.0, n * 100_000)));
+    assert!((0..50).all(|n| quotas.take_token(4, 10.0, n * 100_000)));
     // A quota below one request a second is one request now and then.
-    assert_eq!((0..100).filter(|n| quotas.take(5, 0.5, n * 100_000)).count(), 5);
+    assert_eq!((0..100).filter(|n| quotas.take_token(5, 0.5, n * 100_000)).count(), 5);
 }
 
 #[test]
 fn the_price_rises_towards_what_is_rejected_and_decays() {
     let (mut price, time_constant) = (WorkPrice::default(), 800_000);
     assert_eq!(price.at(0, time_constant), 0.0);
-    (0..50).for_each(|n| price.request_rejected(2.0, n, time_constant));
+    (0..50).for_each(|n| price.record_rejection(2.0, n, time_constant));
     assert!((1.9..=2.0).contains(&price.at(50, time_constant)));
     // Requests of less value do not lower it; time does.
-    price.request_rejected(0.5, 50, time_constant);
+    price.record_rejection(0.5, 50, time_constant);
     assert!(price.at(50, time_constant) > 1.9);
     assert!(price.at(50 + 5 * time_constant, time_constant) < 0.02);
 }
--- a/crates/core/src/policy/ranking.rs
+++ b/crates/core/src/policy/ranking.rs
@@ -4,10 +4,10 @@
 //! For a large fleet only the first ranks are stored. If a function's demand fills more workers than are stored, each
 //! front end stores a different sample of the first ranks, so that together the front ends use all of them.
 
-use super::beliefs::CachedCopy;
+use super::estimates::CachedCopy;
 use super::fleet::MAX_CONSIDERED;
 use super::function::Function;
-use super::numbers::hash;
+use super::math::hash;
 use super::worker::Worker;
 use super::FrontEnd;
 use crate::interface::*;
@@ -26,7 +26,7 @@
     /// Number of first ranks that the stored ones were sampled from.
     depth: usize,
     /// Fraction of these ranks that is stored.
-    pub kept_part: f64,
+    pub stored_fraction: f64,
 }
 
 impl FrontEnd {
@@ -39,11 +39,11 @@
         if ranking.version == self.ranking_version && fits {
             return;
         }
-        let Ranked { workers, sampled } = ranked(id, &self.workers, depth, self.seed);
-        let kept_part = workers.len() as f64 / sampled.max(1) as f64;
+        let Ranked { workers, sampled_from } = ranked(id, &self.workers, depth, self.seed);
+        let stored_fraction = workers.len() as f64 / sampled_from.max(1) as f64;
         let Some(function) = self.functions.get_mut(&id) else { return };
         function.ranked_workers = workers;
-        function.ranking = Ranking { version: self.ranking_version, depth, kept_part };
+        function.ranking = Ranking { version: self.ranking_version, depth, stored_fraction };
     }
 
     /// Ranks the workers for the functions of pending requests.
@@ -60,9 +60,10 @@
             return MAX_CONSIDERED;
         }
         let mean_capacity = self.fleet_capacity / self.fleet.ready().max(1) as f64;
-        let home_capacity = self.usual_home_capacity(function, mean_capacity).max(f64::MIN_POSITIVE);
-        let homes = self.fleet_demand(function, now) / home_capacity;
-        let depth = (homes * DEPTH_MARGIN).min(self.workers.len() as f64) as usize;
+        let preferred_capacity =
+            self.established_preferred_capacity(function, mean_capacity).max(f64::MIN_POSITIVE);
+        let filled_workers = self.fleet_demand(function, now) / preferred_capacity;
+        let depth = (filled_workers * DEPTH_MARGIN).min(self.workers.len() as f64) as usize;
         depth.next_power_of_two().max(MAX_CONSIDERED)
     }
 
@@ -90,9 +91,9 @@
 
     /// Records the expected copies of a function at a worker.
     pub(super) fn set_copy(&mut self, index: usize, id: FunctionId, copy: CachedCopy) {
-        self.workers[index].beliefs.copies.insert(id, copy);
+        self.workers[index].estimates.copies.insert(id, copy);
         self.holders.entry(id).or_default().insert(index);
-        self.join_check_round(index);
+        self.add_to_check_round(index);
     }
 }
 
@@ -101,7 +102,7 @@
     /// Worker indices in rank order.
     workers: Vec<u32>,
     /// Number of first ranks that they were sampled from.
-    sampled: usize,
+    sampled_from: usize,
 }
 
 /// Ranks workers for a function: all of a small fleet, else a sample of the first ranks.
@@ -117,11 +118,11 @@
         order.select_nth_unstable(depth);
         order.truncate(depth);
     }
-    let sampled = order.len();
+    let sampled_from = order.len();
     if order.len() > MAX_CONSIDERED {
         order.select_nth_unstable_by_key(MAX_CONSIDERED, |&(_, index)| hash(seed, number(index as usize)));
         order.truncate(MAX_CONSIDERED);
     }
     order.sort_unstable();
-    Ranked { workers: order.into_iter().map(|(_, index)| index).collect(), sampled }
+    Ranked { workers: order.into_iter().map(|(_, index)| index).collect(), sampled_from }
 }
--- a/crates/core/src/policy/send.rs
+++ b/crates/core/src/policy/send.rs
@@ -1,7 +1,7 @@
 //! Sending a request, and updating the estimates accordingly. All requests are sent from here.
 
-use super::beliefs::CachedCopy;
 use super::call::{AttemptRecord, Execution};
+use super::estimates::CachedCopy;
 use super::prediction::{Prediction, COPY_LOSS_RISK};
 use super::worker::Attempt;
 use super::FrontEnd;
@@ -30,8 +30,8 @@
             return;
         }
         let relative_work = self.relative_work(call.request.class);
-        let start_by = self.new_work_until(worker);
-        self.touch(index);
+        let start_by = self.confirmed_until(worker);
+        self.mark_dirty(index);
         self.start_slot(index, now);
         self.dequeue(id);
         let Some(call) = self.pending.get_mut(&id) else { return };
@@ -52,7 +52,7 @@
             predicted: prediction,
             overdue_handled: false,
         });
-        self.count_in_flight(index);
+        self.update_busy(index);
     }
 
     fn count_attempt(&mut self, index: usize, function: FunctionId, is_retry: bool, now: Micros) {
@@ -75,17 +75,17 @@
     /// Updates the expected copies: the request uses an expected copy or causes a load.
     fn expect_copy(&mut self, index: usize, function: FunctionId, prediction: &Prediction, now: Micros) {
         let retention = self.settings.idle_retention;
-        let homes_have_copies = self.home_hit_rate.is_none_or(|rate| rate > COPY_LOSS_RISK);
-        let beliefs = &mut self.workers[index].beliefs;
-        let known = beliefs.copies.get_mut(&function).filter(|_| prediction.copy_expected);
+        let preferred_have_copies = self.preferred_hit_rate.is_none_or(|rate| rate > COPY_LOSS_RISK);
+        let estimates = &mut self.workers[index].estimates;
+        let known = estimates.copies.get_mut(&function).filter(|_| prediction.copy_expected);
         if let Some(copy) = known {
             copy.used_at = now;
             copy.expires_at = copy.expires_at.max(now + retention);
         } else if self.settings.on_miss == OnMiss::Load {
             let ready_at = now + prediction.load_wait;
             let copy = CachedCopy { ready_at, expires_at: ready_at + retention, used_at: now, copies: 1 };
-            if !(prediction.at_home && homes_have_copies) {
-                beliefs.loading_until = ready_at;
+            if !(prediction.at_preferred_worker && preferred_have_copies) {
+                estimates.loading_until = ready_at;
             }
             self.set_copy(index, function, copy);
         }
--- a/crates/core/src/policy/shedding.rs
+++ b/crates/core/src/policy/shedding.rs
@@ -1,7 +1,7 @@
 //! Load shedding: rejects requests that can't be in time, advises when to retry them, and gives the one final answer of
 //! requests that were not served (rule 1).
 
-use super::numbers::hash_fraction;
+use super::math::hash_fraction;
 use super::queue::EnqueueReason;
 use super::FrontEnd;
 use crate::interface::*;
@@ -23,7 +23,7 @@
         let drains_too_late = || self.drain_time().is_some_and(|drain| now as f64 + drain > latest_start);
         let is_behind = is_behind_others || drains_too_late();
         let late_value = self.settings.classes[call.request.class as usize].late_value;
-        self.work_price.request_rejected(call.weight, now, self.shortest_objective);
+        self.work_price.record_rejection(call.weight, now, self.shortest_objective);
         if (is_behind || late_value <= 0.0) && !call.has_attempt_in_flight() {
             self.conclude(id, actions);
         } else {
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: limits the work that is sent to a warming worker (rule 4).
 
 use super::call::PendingCall;
-use super::numbers::hash_fraction;
+use super::math::hash_fraction;
 use super::worker::{SlotUsage, Worker};
 use super::{FrontEnd, SAFETY_MARGIN};
 use crate::interface::*;
--- a/crates/core/src/policy/worker.rs
+++ b/crates/core/src/policy/worker.rs
@@ -1,10 +1,10 @@
 //! The state of a worker as known to one front end; holds no decisions.
 
 use super::attempt_counter::AttemptCounter;
-use super::beliefs::Beliefs;
 use super::confirmation::Confirmation;
+use super::estimates::Estimates;
 use super::fleet::Contribution;
-use super::numbers::{decay, DecayingSum};
+use super::math::{decay, DecayingSum};
 use super::prediction::Prediction;
 use crate::interface::*;
 
@@ -41,21 +41,21 @@
     /// When the endpoint list first contained it.
     pub first_listed_at: Micros,
     /// When its entry in the endpoint list last changed.
-    pub listed_at: Micros,
+    pub list_updated_at: Micros,
     pub in_flight: Vec<Attempt>,
     /// When it was last health-checked.
     pub checked_at: Micros,
     /// Mean number of this front end's requests in flight here recently.
     pub recent_load: DecayingSum,
     pub attempts: AttemptCounter,
-    pub beliefs: Beliefs,
+    pub estimates: Estimates,
     pub confirmation: Confirmation,
     /// Its contribution to the sums over the fleet.
     pub contribution: Contribution,
     /// Next time at which its state changes without an event.
-    pub due_at: Option<Micros>,
+    pub refresh_at: Option<Micros>,
     /// Whether it changed since it was last counted.
-    pub is_touched: bool,
+    pub is_dirty: bool,
 }
 
 impl Worker {
@@ -71,12 +71,12 @@
 
     /// Whether it is not ejected. After an ejection it gets a single request at a time until one succeeds.
     pub fn is_healthy(&self, now: Micros) -> bool {
-        self.beliefs.ejected_until <= now
-            && (self.beliefs.consecutive_ejections == 0 || self.in_flight.is_empty())
+        self.estimates.ejected_until <= now
+            && (self.estimates.consecutive_ejections == 0 || self.in_flight.is_empty())
     }
 
     /// Whether it is ready, not ejected and past its warm-up.
     pub fn is_established(&self, now: Micros) -> bool {
-        self.ready && self.warming_since.is_none() && self.beliefs.ejected_until <= now
+        self.ready && self.warming_since.is_none() && self.estimates.ejected_until <= now
     }
 }
--- a/crates/core/src/policy/worker_checks.rs
+++ b/crates/core/src/policy/worker_checks.rs
@@ -1,8 +1,8 @@
 //! Health checks of unconfirmed workers: when a check is sent, how long a request waits for it, and how its outcome is
 //! handled. [`super::confirmation`] decides what work a worker may get in the meantime.
 
-use super::confirmation::{Standing, MIN_LIFETIME_TICKS, WITHDRAWAL_FAILURES};
-use super::numbers::{hash_fraction, update_average, GAIN};
+use super::confirmation::{ConfirmationStatus, MIN_LIFETIME_TICKS, WITHDRAWAL_FAILURES};
+use super::math::{hash_fraction, update_average, GAIN};
 use super::FrontEnd;
 use crate::interface::*;
 
@@ -23,10 +23,10 @@
 
 impl FrontEnd {
     /// Returns the cost of waiting for a worker's check, in microseconds.
-    pub(super) fn check_cost(&self, standing: Standing) -> f64 {
-        match standing {
-            Standing::Confirmed => 0.0,
-            Standing::Checkable | Standing::Barred => self.usual_check_time(),
+    pub(super) fn check_cost(&self, confirmation_status: ConfirmationStatus) -> f64 {
+        match confirmation_status {
+            ConfirmationStatus::Confirmed => 0.0,
+            ConfirmationStatus::Checkable | ConfirmationStatus::Barred => self.usual_check_time(),
         }
     }
 
@@ -84,7 +84,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(&index) = self.worker_index.get(&worker) else { return };
-        self.touch(index);
+        self.mark_dirty(index);
         let confirmation = &mut self.workers[index].confirmation;
         let check_started_at =
             confirmation.check_started_at.take_if(|check_started_at| sent_at >= *check_started_at);
@@ -96,20 +96,26 @@
             self.confirm(index, sent_at, now, actions);
         } else if check_started_at.is_some() {
             // A check that this front end could not send is no evidence about the worker.
-            let is_own_failure = matches!(outcome, Outcome::Full | Outcome::Superseded);
-            self.check_failed(index, !is_own_failure, now, actions);
+            let is_local_failure = matches!(outcome, Outcome::Full | Outcome::Superseded);
+            self.on_check_failed(index, !is_local_failure, now, actions);
         }
         let waiting = std::mem::take(&mut self.workers[index].confirmation.waiting);
         self.changed_groups.extend(waiting);
     }
 
     /// Handles a failed check: pauses the checks of the worker, longer with each failure in a row.
-    fn check_failed(&mut self, index: usize, is_counted: bool, now: Micros, actions: &mut Vec<Action>) {
+    fn on_check_failed(
+        &mut self,
+        index: usize,
+        is_worker_failure: bool,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) {
         let grace = self.settings.drain_grace.max(MIN_LIFETIME_TICKS * self.settings.tick);
         self.fleet.unconfirmed.insert(index);
         let worker = &mut self.workers[index];
         let confirmation = &mut worker.confirmation;
-        if is_counted {
+        if is_worker_failure {
             self.list_validity.counters.failed_checks += 1;
             if confirmation.failures == 0 {
                 confirmation.failing_since = now;
@@ -143,10 +149,10 @@
         let unconfirmed = self.fleet.unconfirmed.iter().map(|&index| &self.workers[index]);
         let due = unconfirmed.filter(|worker| worker.ready).filter_map(|worker| {
             let confirmation = &worker.confirmation;
-            let looks_elsewhere =
+            let wait_ends_at =
                 confirmation.check_started_at.map(|check_started_at| check_started_at + check_wait);
             let is_due = |at: &Micros| *at >= now;
-            looks_elsewhere.or(Some(confirmation.next_check_at)).filter(is_due)
+            wait_ends_at.or(Some(confirmation.next_check_at)).filter(is_due)
         });
         due.min().map_or(Micros::MAX, |at| at + 1)
     }
--- a/crates/core/src/policy/worker_search.rs
+++ b/crates/core/src/policy/worker_search.rs
@@ -1,12 +1,12 @@
 //! The search for a worker for one request, over the workers that it may be sent to, in rank order.
 
 use super::call::{AttemptRecord, Execution, PendingCall};
-use super::confirmation::Standing;
+use super::confirmation::ConfirmationStatus;
 use super::function::Function;
-use super::homes::{lacks_copy, HomeRank};
-use super::numbers::GAIN;
+use super::math::GAIN;
 use super::placement::FleetHealth;
 use super::prediction::Prediction;
+use super::preferred_workers::{lacks_copy, Preference};
 use super::worker::Worker;
 use super::FrontEnd;
 use crate::interface::*;
@@ -46,7 +46,7 @@
     pub now: Micros,
     pub load_time: f64,
     /// Whether a miss is answered at once and starts no load.
-    pub misses_answer: bool,
+    pub miss_ends_attempt: bool,
     /// Chance that a preferred worker has a copy which this front end does not know of.
     pub copy_chance: f64,
     /// Whether the attempt is reserved for a worker with a copy.
@@ -62,7 +62,7 @@
     pub fn consider_ranked(&mut self) -> usize {
         let function = self.function;
         for (rank, &index) in function.ranked_workers.iter().enumerate() {
-            let wants_no_load = self.misses_answer || self.candidates.load_with_capacity.is_some();
+            let wants_no_load = self.miss_ends_attempt || self.candidates.load_with_capacity.is_some();
             if self.remaining_demand <= 0.0 && wants_no_load {
                 return rank;
             }
@@ -78,62 +78,63 @@
         if !self.may_use(worker) {
             return;
         }
-        let is_home = self.remaining_demand > 0.0;
+        let is_preferred = self.remaining_demand > 0.0;
         let lacks_copy = lacks_copy(worker, self.call.request.function, self.now);
-        if !(self.misses_answer && lacks_copy) {
-            self.remaining_demand -= front_end.home_capacity(self.function, worker, self.now);
+        if !(self.miss_ends_attempt && lacks_copy) {
+            self.remaining_demand -= front_end.preferred_capacity(self.function, worker, self.now);
         }
-        if is_home {
-            self.function.home_count.set(rank + 1);
+        if is_preferred {
+            self.function.preferred_count.set(rank + 1);
         }
-        let copy_expected = worker.beliefs.expected_copy(self.call.request.function, self.now).is_some();
-        if !copy_expected && !self.may_try_without_copy(worker, is_home, lacks_copy) {
+        let copy_expected = worker.estimates.expected_copy(self.call.request.function, self.now).is_some();
+        if !copy_expected && !self.may_try_without_copy(worker, is_preferred, lacks_copy) {
             return;
         }
         if !self.may_try_again(worker, copy_expected) || !front_end.is_in_scope(self.call, worker) {
             return;
         }
         let copy_chance = if lacks_copy { 0.0 } else { self.copy_chance };
-        let home = if is_home { HomeRank::Home { copy_chance } } else { HomeRank::NotHome };
-        let standing = front_end.standing(worker, self.now);
-        let mut prediction = front_end.predict(index, self.call, self.load_time, home, self.now);
-        prediction.cost += front_end.check_cost(standing);
+        let preference =
+            if is_preferred { Preference::Preferred { copy_chance } } else { Preference::NotPreferred };
+        let confirmation_status = front_end.confirmation_status(worker, self.now);
+        let mut prediction = front_end.predict(index, self.call, self.load_time, preference, self.now);
+        prediction.cost += front_end.check_cost(confirmation_status);
         // An idempotent request may be retried on the same copy after an error if no other worker can serve it in time.
         // This covers a worker that fails often and holds the only copy. Could harm if overload causes the errors.
         let may_have_run_here =
             self.attempts_at(worker).any(|attempt| attempt.execution == Execution::MayHaveRun);
         if may_have_run_here {
-            let takes_requests = prediction.has_capacity && standing != Standing::Barred;
+            let takes_requests = prediction.has_capacity && confirmation_status != ConfirmationStatus::Barred;
             if takes_requests && prediction.finish <= self.call.objective_at {
                 self.candidates.same_worker = Some(prediction);
             }
             return;
         }
         let has_capacity = prediction.has_capacity
-            && standing != Standing::Barred
+            && confirmation_status != ConfirmationStatus::Barred
             && front_end.has_slow_start_capacity(index, self.call, self.now);
-        self.candidates.offer(prediction, !copy_expected && !is_home, has_capacity);
+        self.candidates.offer(prediction, !copy_expected && !is_preferred, has_capacity);
     }
 
     /// Whether the worker is ready and is neither withdrawn nor ejected, and its retry budget allows the attempt.
     fn may_use(&self, worker: &Worker) -> bool {
         let effect = self.front_end.settings.classes[self.call.request.class as usize].effect;
         // A non-idempotent request that may have run can only fail, so it avoids workers with recent errors.
-        let is_error_prone = worker.beliefs.error_rate > GAIN / 2.0 + self.front_end.mean_error_rate;
-        let is_well = worker.is_healthy(self.now) && !(effect == Effect::NonIdempotent && is_error_prone);
+        let is_error_prone = worker.estimates.error_rate > GAIN / 2.0 + self.front_end.mean_error_rate;
+        let is_reliable = worker.is_healthy(self.now) && !(effect == Effect::NonIdempotent && is_error_prone);
         worker.ready
             && !self.front_end.is_withdrawn(worker, self.now)
-            && (is_well || self.health.ejections_doubted)
+            && (is_reliable || self.health.ejections_doubted)
             && self.front_end.allows_attempt(self.call, &worker.attempts, self.now)
     }
 
     /// Whether a request may be sent to a worker without an expected copy. If a miss is only answered, it may be sent to
     /// preferred workers that are not known to lack the copy. If a miss starts a load, it may be sent to a worker that is
     /// not loading; of the workers that are not preferred, only until one with capacity was found.
-    fn may_try_without_copy(&self, worker: &Worker, is_home: bool, lacks_copy: bool) -> bool {
-        let is_barred = self.misses_answer && (lacks_copy || self.reserved_for_copy)
-            || !is_home && (self.misses_answer || self.candidates.load_with_capacity.is_some());
-        !is_barred && worker.beliefs.loading_until <= self.now
+    fn may_try_without_copy(&self, worker: &Worker, is_preferred: bool, lacks_copy: bool) -> bool {
+        let is_barred = self.miss_ends_attempt && (lacks_copy || self.reserved_for_copy)
+            || !is_preferred && (self.miss_ends_attempt || self.candidates.load_with_capacity.is_some());
+        !is_barred && worker.estimates.loading_until <= self.now
     }
 
     fn attempts_at<'s>(&'s self, worker: &'s Worker) -> impl Iterator<Item = &'s AttemptRecord> {
@@ -145,7 +146,7 @@
     /// although its copy is loaded. Also covers a slot that became free after `Full`. Could harm if copies are loaded and
     /// evicted faster than requests are retried.
     fn may_try_again(&self, worker: &Worker, copy_expected: bool) -> bool {
-        let copy = worker.beliefs.copies.get(&self.call.request.function);
+        let copy = worker.estimates.copies.get(&self.call.request.function);
         let loaded_since =
             |sent_at: Micros| copy_expected && copy.is_some_and(|copy| copy.ready_at > sent_at);
         let effect = self.front_end.settings.classes[self.call.request.class as usize].effect;
