--- a/crates/core/src/policy/attempt_counter/tests.rs
+++ b/crates/core/src/policy/attempt_counter/tests.rs
@@ -1,4 +1,4 @@
-//! Retry budgets over a window that slides.
+//! Retry budgets over a sliding window.
 
 use super::*;
 use crate::policy::math::hash;
@@ -19,7 +19,7 @@
     assert!(counter.allows_retry(S, &BUDGET));
     counter.add(true, S, &BUDGET);
     assert!(!counter.allows_retry(S, &BUDGET));
-    // At 8 s the two of the first second have left the window; the rest has not.
+    // At 8 s the two retries of the first second have left the window; the other attempts have not.
     assert!(!counter.allows_retry(7 * S, &BUDGET));
     assert!(counter.allows_retry(8 * S, &BUDGET));
     counter.add(true, 8 * S, &BUDGET);
@@ -29,7 +29,7 @@
     assert_eq!(counter.buckets.iter().map(|bucket| bucket.first + bucket.retries).sum::<u32>(), 12);
 }
 
-/// Whatever the order of times, never more than the budget within what the window still counts.
+/// Retries never exceed the budget within the part of the window that is still counted, at random times.
 #[test]
 fn never_more_than_the_budget_over_a_drawn_run() {
     let mut counter = AttemptCounter::default();
--- a/crates/core/src/policy/load_budget/tests.rs
+++ b/crates/core/src/policy/load_budget/tests.rs
@@ -1,4 +1,4 @@
-//! The load budget in windows that pass while orders are outstanding.
+//! The load budget in windows that move while orders are outstanding.
 
 use super::*;
 
@@ -12,7 +12,7 @@
     LoadOrder { worker, function: now as FunctionId }
 }
 
-/// Gives as many orders as the budget allows; how many these are.
+/// Records as many orders as the budget allows, and returns their number.
 fn give_all(budget: &mut LoadBudget, now: Micros, settings: &Settings) -> u64 {
     let mut given = 0;
     while budget.allows(now, settings) {
@@ -26,10 +26,10 @@
 fn outstanding_orders_fit_a_budget_without_further_requests() {
     let (mut budget, settings) = (LoadBudget::default(), settings(10 * S));
     (0..200).for_each(|n| budget.record_request(n * S / 20));
-    // 26 in all, but only six at a time may be outstanding, as no further request may arrive.
+    // The budget is 26 orders in all, but only six may be outstanding at a time, as no further request may arrive.
     assert_eq!(give_all(&mut budget, 10 * S, &settings), 6);
     (0..6).for_each(|n| budget.record_order_end(order(n, 10 * S), n == 0, 10 * S));
-    // One never arrived. The others did, and no request arrived since.
+    // One order never arrived. The others arrived, and no request arrived since.
     assert_eq!(give_all(&mut budget, 10 * S, &settings), 1);
     (1..=40).for_each(|n| budget.record_request(10 * S + n * S / 20));
     assert_eq!(give_all(&mut budget, 12 * S, &settings), 4);
--- a/crates/core/src/policy/priority/tests.rs
+++ b/crates/core/src/policy/priority/tests.rs
@@ -1,4 +1,4 @@
-//! Tenants' quotas and the price of work.
+//! Tenant quotas and the price of work.
 
 use super::*;
 
@@ -12,7 +12,7 @@
     assert_eq!(taken(&mut quotas, 500_000, 50), 5);
     assert_eq!(taken(&mut quotas, 60_000_000, 50), 10);
     assert!((0..50).all(|n| quotas.take_token(4, 10.0, n * 100_000)));
-    // A quota below one request a second is one request now and then.
+    // A quota below one request per second allows an occasional request.
     assert_eq!((0..100).filter(|n| quotas.take_token(5, 0.5, n * 100_000)).count(), 5);
 }
 
@@ -22,7 +22,7 @@
     assert_eq!(price.at(0, time_constant), 0.0);
     (0..50).for_each(|n| price.record_rejection(2.0, n, time_constant));
     assert!((1.9..=2.0).contains(&price.at(50, time_constant)));
-    // Requests of less value do not lower it; time does.
+    // Requests of lower value do not lower the price; time does.
     price.record_rejection(0.5, 50, time_constant);
     assert!(price.at(50, time_constant) > 1.9);
     assert!(price.at(50 + 5 * time_constant, time_constant) < 0.02);
--- a/crates/core/tests/rules/confirmation.rs
+++ b/crates/core/tests/rules/confirmation.rs
@@ -1,13 +1,13 @@
-//! Old endpoint lists: new work goes only to workers that showed that they take it (rule 3).
+//! Old endpoint lists: only workers with a recent confirmation get new work (rule 3).
 
 use crate::support::*;
 use stagehoist::*;
 
 const PROBES: &str = "limits.probes=true\n";
-/// The grace of a drain, of which an eighth is left for the way.
+/// Lifetime of a confirmation: the drain grace of 1 s less an eighth, which is reserved for the transit.
 const LIFETIME: Micros = 875 * MS;
 
-/// A bench whose list vouches for its workers up to now and no longer, past the grace.
+/// Creates a harness whose endpoint list has expired by more than the grace.
 fn with_old_list(more: &str, workers: &[WorkerId]) -> Bench {
     let mut bench = Bench::new(more, workers);
     let until = bench.now;
@@ -24,7 +24,7 @@
     actions.iter().filter_map(worker).collect()
 }
 
-/// The answer to a question that was sent so long ago.
+/// Returns the end of a health check that was sent `elapsed` ago.
 fn answered(worker: WorkerId, outcome: Outcome, elapsed: Micros) -> Event {
     Event::HealthChecked { worker, outcome, elapsed, report: None }
 }
@@ -114,12 +114,12 @@
             asked(&out).into_iter().map(|worker| answered(worker, Outcome::Error, 0)).collect();
         questions += failed.len();
         out.extend(bench.step(0, failed));
-        assert_eq!(sends(&out), [], "a worker that fails its questions gets nothing");
+        assert_eq!(sends(&out), [], "request sent to a worker that fails its health checks");
         refusals += out.iter().filter(|action| matches!(action, Action::Reject { .. })).count();
     }
-    // Pauses of 125 ms, doubled up to 2 s, and spread by half.
-    assert!((3..=15).contains(&questions), "{questions} questions in five seconds");
-    assert!(refusals > 500, "{refusals} refused while others still wait");
+    // The pauses start at 125 ms, double up to 2 s, and vary by half.
+    assert!((3..=15).contains(&questions), "{questions} health checks in five seconds");
+    assert!(refusals > 500, "only {refusals} requests rejected");
 }
 
 #[test]
@@ -127,10 +127,10 @@
     let mut bench = with_old_list(PROBES, &[1]);
     bench.step(0, vec![request(1, 0, 9)]);
     bench.step(MS, vec![answered(1, Outcome::Ok, MS)]);
-    // It ran for longer than the grace: that it was accepted says nothing of now.
+    // The attempt ran for longer than the grace, so its acceptance does not confirm the worker now.
     let out = bench.step(LIFETIME + MS, vec![ended(1, 0, 1, Outcome::Ok), request(2, 0, 9)]);
     assert_eq!((sends(&out), asked(&out)), (vec![], vec![1]));
-    // One that ended soon vouches for what is left of the grace from its sending.
+    // An attempt that ends earlier confirms the worker for the rest of the grace, counted from its sending.
     bench.step(MS, vec![answered(1, Outcome::Ok, MS)]);
     let sent_at = bench.now;
     bench.step(800 * MS, vec![ended(2, 0, 1, Outcome::Ok)]);
@@ -172,7 +172,7 @@
             events.push(answered(worker, outcome, 0));
         }
         for (request, worker) in sends(&out) {
-            assert_eq!(worker, 2, "sent to a worker that fails its questions");
+            assert_eq!(worker, 2, "request sent to a worker that fails its health checks");
             let number = tries.entry(request).or_default();
             events.push(ended(request, *number, worker, Outcome::Miss));
             *number += 1;
@@ -208,7 +208,8 @@
     assert!(sends(&out).contains(&(2, 1)), "{out:?}");
 }
 
-/// Requests that a worker gets within four seconds after it was withdrawn and passes questions again.
+/// Returns the number of requests that a worker gets within four seconds after it was withdrawn and passes its health
+/// checks again.
 fn gets_after_return(new_connection: bool) -> usize {
     let mut bench = with_old_list(PROBES, &[1, 2]);
     bench.step(0, vec![Event::WorkerConnection { worker: 1, is_open: true }]);
@@ -240,7 +241,7 @@
 #[test]
 fn a_worker_that_returns_on_a_new_connection_counts_as_started_anew() {
     let (same, anew) = (gets_after_return(false), gets_after_return(true));
-    assert!(anew * 2 < same, "{anew} requests to one that started anew, {same} to one that did not");
+    assert!(anew * 2 < same, "{anew} requests to a restarted worker, {same} to one that did not restart");
 }
 
 #[test]
@@ -256,7 +257,7 @@
         assert!(!subscribed(&out));
         let failed_at = bench.now;
         while !subscribed(&bench.step(10 * MS, vec![])) {
-            assert!(bench.now - failed_at < 5000 * MS, "never asked for again");
+            assert!(bench.now - failed_at < 5000 * MS, "subscription was not retried");
         }
         pauses.push(bench.now - failed_at);
     }
@@ -286,8 +287,8 @@
     }
     let answers = sent.iter().map(|&(id, worker)| ended(id, 0, worker, Outcome::Ok)).collect();
     bench.step(50 * MS, answers);
-    // It is still taken for cold: of a burst it gets a part only.
+    // The worker still counts as cold, so it gets only a part of a burst.
     let burst = (1000..1012).map(|id| request(id, 0, u64::from(id))).collect();
     let burst = sends(&bench.step(0, burst)).len();
-    assert!(burst < 6, "{burst} of a burst of twelve to one that has just started");
+    assert!(burst < 6, "{burst} of twelve requests sent to a worker that has just started");
 }
--- a/crates/core/tests/rules/drawn.rs
+++ b/crates/core/tests/rules/drawn.rs
@@ -1,4 +1,4 @@
-//! The five rules under drawn events, over many kinds of settings.
+//! The five rules under random events, with many different settings.
 
 use crate::support::*;
 use stagehoist::*;
@@ -24,11 +24,11 @@
     class: usize,
     function: FunctionId,
     deadline: Micros,
-    /// Worker, when sent, still out, may have run.
+    /// Worker, send time, whether it is in flight, and whether it may have run.
     attempts: Vec<(WorkerId, Micros, bool, bool)>,
 }
 
-/// Draws legal events, checks every action against the five rules, and returns all actions.
+/// Generates random legal events, checks every action against the five rules, and returns all actions.
 pub fn run(s: &Settings, seed: u64, steps: usize, beside: bool) -> Vec<Action> {
     let mut r = Random(seed);
     let mut now = 5_000_000;
@@ -41,7 +41,7 @@
     let mut timers: Vec<(Micros, u32)> = Vec::new();
     let mut answers: Vec<Event> = Vec::new();
     let (mut orders, mut calls): (Vec<Micros>, Vec<Micros>) = Default::default();
-    // By function (0) or worker (1): when attempts were sent, and whether they were further ones.
+    // By function (0) or worker (1): send times of attempts, and whether they were retries.
     let mut tries: BTreeMap<(u8, u64), Vec<(Micros, bool)>> = BTreeMap::new();
     let mut events =
         vec![roster(EndpointUpdate::Cached, ready.keys().map(|&w| row(w, Lifecycle::Ready, 0)).collect())];
@@ -95,7 +95,7 @@
             events.push(roster(EndpointUpdate::Delta, vec![row(w, lifecycle, started)]));
         }
         if r.below(200) == 0 {
-            // Late or unknown ids are legal and mean nothing.
+            // Late or unknown ids are legal and must be ignored.
             events.push(Event::ClientGone { request: 4_000_000_000 });
             events.push(Event::HealthChecked { worker: 999, outcome: Outcome::Ok, elapsed: 0, report: None });
             events.push(Event::Loaded {
@@ -123,20 +123,22 @@
         for action in &out {
             match action {
                 Action::Send { request, worker, .. } => {
-                    assert!(!over.contains(request), "rule 1: sent after its end");
-                    assert!(ready[worker], "rule 3: sent to a draining worker");
+                    assert!(!over.contains(request), "rule 1: sent after its final answer");
+                    assert!(ready[worker], "rule 3: sent to a worker that is not ready");
                     let zone = |w: WorkerId| w % 2;
-                    let o = open.get_mut(request).expect("known");
+                    let o = open.get_mut(request).expect("request without a final answer");
                     let anyone = o.attempts.iter().any(|a| a.2);
                     let ran: Vec<_> = o.attempts.iter().filter(|a| a.2 || a.3).copied().collect();
-                    assert!(!anyone || s.hedging, "rule 2: two out at once");
+                    assert!(!anyone || s.hedging, "rule 2: two attempts in flight");
                     assert!(o.attempts.len() < s.max_attempts as usize);
                     match s.classes[o.class].effect {
                         Effect::Idempotent => {}
-                        Effect::NonIdempotent => assert!(ran.is_empty(), "rule 2: unsafe sent twice"),
+                        Effect::NonIdempotent => {
+                            assert!(ran.is_empty(), "rule 2: non-idempotent request sent twice")
+                        }
                         Effect::IdempotentWithKey { scope: group, window } => {
                             for a in ran {
-                                assert!(now <= a.1 + window, "rule 2: past the window");
+                                assert!(now <= a.1 + window, "rule 2: retry after the window of the key");
                                 assert!(match group {
                                     DeduplicationScope::All => true,
                                     DeduplicationScope::Zone => zone(a.0) == zone(*worker),
@@ -149,7 +151,7 @@
                     for key in [(0, o.function), (1, u64::from(*worker))] {
                         let list = tries.entry(key).or_default();
                         list.push((now, further));
-                        // The window moves by parts: one at its far end counts whole or not at all.
+                        // The window moves in buckets: the oldest one counts entirely or not at all.
                         let b = &s.retry_budget;
                         let within = |what, span| {
                             list.iter().rev().take_while(|t| t.0 > now - span).filter(|t| t.1 == what).count()
@@ -157,7 +159,10 @@
                         };
                         let most = b.free + b.share * within(false, b.window);
                         let spent = within(true, b.window * 7 / 8);
-                        assert!(!further || b.window == 0 || spent <= most, "retry budget of {key:?}");
+                        assert!(
+                            !further || b.window == 0 || spent <= most,
+                            "retry budget exceeded for {key:?}"
+                        );
                     }
                     outstanding.push((*request, o.attempts.len() as u16, *worker));
                     o.attempts.push((*worker, now, true, false));
@@ -172,7 +177,10 @@
                         | Effect::IdempotentWithKey { scope: DeduplicationScope::All, .. } => true,
                         _ => clean,
                     };
-                    assert!(harmless || matches!(action, Action::Fail { .. }), "rule 2: refused");
+                    assert!(
+                        harmless || matches!(action, Action::Fail { .. }),
+                        "rule 2: rejected, but may have run"
+                    );
                 }
                 Action::Cancel { request, attempt } => {
                     assert!(s.may_cancel);
@@ -191,14 +199,17 @@
                     }
                 }
                 Action::Load { worker, function, copies, .. } => {
-                    assert!(s.may_order_loads, "an order where none are allowed");
+                    assert!(s.may_order_loads, "load ordered although orders are not allowed");
                     if *copies > 0 {
-                        assert!(ready[worker], "rule 3: ordered at a draining worker");
+                        assert!(ready[worker], "rule 3: load ordered at a worker that is not ready");
                         orders.push(now);
                         let within =
                             |list: &[Micros]| list.iter().filter(|t| **t > now - s.load_window).count();
                         let most = s.load_free + s.load_share * within(&calls) as f64;
-                        assert!(s.load_window == 0 || within(&orders) as f64 <= most, "rule 5");
+                        assert!(
+                            s.load_window == 0 || within(&orders) as f64 <= most,
+                            "rule 5: load budget exceeded"
+                        );
                     }
                     let outcome =
                         [Outcome::Ok, Outcome::Full, Outcome::Error, Outcome::Timeout][r.below(4) as usize];
@@ -232,7 +243,7 @@
     all
 }
 
-/// Settings of deployments seen and not seen.
+/// Returns settings of known deployments and of further combinations.
 pub fn table() -> Vec<Settings> {
     [
         "",
@@ -264,8 +275,8 @@
         for seed in 1..3 {
             let all = run(s, seed * 7919 + i as u64, 3000, false);
             let sent = sends(&all).len();
-            // The drawn failures and the ration leave some settings with few chances; none may stand still.
-            assert!(sent > 50, "settings {i}, seed {seed}: {sent} sent");
+            // Random failures and the load budget leave few sends under some settings, but none may stop sending.
+            assert!(sent > 50, "settings {i}, seed {seed}: only {sent} sent");
         }
     }
 }
--- a/crates/core/tests/rules/five_rules.rs
+++ b/crates/core/tests/rules/five_rules.rs
@@ -25,7 +25,7 @@
         assert!(!refused(&out, 1) || b.now <= 1000 * MS + 2500 * MS);
     }
     assert_eq!(answers, 1);
-    // Events for what is over, or never was, are passed over.
+    // Events for finished or unknown requests are ignored.
     let out = b.step(
         MS,
         vec![
@@ -76,7 +76,7 @@
         let out = b.step(MS, vec![roster(EndpointUpdate::Delta, vec![row(1, Lifecycle::Ready, 0)])]);
         assert_eq!(sends(&out), [(1, 1)]);
     }
-    // Missing from a whole list is gone.
+    // A worker that is missing from a full list is gone.
     let mut b = Bench::new("", &[1, 2]);
     b.step(MS, vec![roster(EndpointUpdate::Full, vec![row(2, Lifecycle::Ready, 0)])]);
     for id in 1..4 {
@@ -104,8 +104,8 @@
         most
     };
     assert_eq!(to_cold(&mut b, 400), 0);
-    // 80 calls a second go to two workers: 40 to each; a worker at a quarter of its capacity may get
-    // 0.25 x 2 x 40 of them in the window, and its share grows with its time.
+    // Two workers get 80 calls per second, 40 each. A worker with a quarter of its capacity may get 0.25 x 2 x 40
+    // of them in the window, and its share grows with time.
     let started = b.now;
     b.step(0, vec![roster(EndpointUpdate::Delta, vec![row(3, Lifecycle::Ready, started)])]);
     let cold = to_cold(&mut b, 40);
@@ -114,7 +114,7 @@
 
 #[test]
 fn rule_4_many_front_ends_together_spare_a_warming_worker() {
-    // Found with 87 front ends: one call a window from each knocked a cold worker over.
+    // Guards against overloading a cold worker: with 87 front ends, one call per window from each was too much.
     let more = "balancers=100\ninvariants.start_capacity=0.25\ninvariants.overload_factor=2\n";
     let established = || [1, 2].iter().map(|&w| row(w, Lifecycle::Ready, 0)).collect::<Vec<_>>();
     let mut all: Vec<Bench> = (0..100)
@@ -132,7 +132,7 @@
                 let cold = row(3, Lifecycle::Ready, b.now);
                 b.step(0, vec![roster(EndpointUpdate::Delta, vec![cold])]);
             }
-            // Two calls a second at each, of functions that no front end has met.
+            // Each front end gets two calls per second, for functions that no front end has seen.
             let id = round * 100 + k as u32;
             let out = sends(&b.step((5 * k) as Micros * MS, vec![request(id, 0, id as u64)]));
             to_cold.extend(out.iter().filter(|s| s.1 == 3).map(|_| b.now));
@@ -140,7 +140,7 @@
             b.step(rest, out.iter().map(|s| ended(s.0, 0, s.1, Outcome::Ok)).collect());
         }
     }
-    // 200 calls a second on two workers are 100 for each: a quarter of that, twice, may come in a second.
+    // 200 calls per second on two workers are 100 each. A quarter of that, times two, may arrive in a second.
     let most =
         to_cold.iter().map(|&t| to_cold.iter().filter(|x| (t..t + 1000 * MS).contains(x)).count()).max();
     assert!((1..=100).contains(&most.unwrap_or(0)), "{most:?}");
@@ -157,7 +157,7 @@
     let mut calls: Vec<Micros> = Vec::new();
     for id in 0..400u32 {
         calls.push(b.now + 15 * MS);
-        // A function nobody has loaded: its call is rejected at the home, then an order follows.
+        // No worker has loaded the function: the call misses at the preferred worker, then a load is ordered.
         let mut out = b.step(15 * MS, vec![request(id, 0, id as u64)]);
         let missed = sends(&out).iter().map(|x| ended(x.0, 0, x.1, Outcome::Miss)).collect();
         out.extend(b.step(0, missed));
--- a/crates/core/tests/rules/learning.rs
+++ b/crates/core/tests/rules/learning.rs
@@ -1,4 +1,4 @@
-//! What observations tell of workers.
+//! Estimates of workers from observations.
 
 use crate::support::*;
 use stagehoist::*;
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_queue_report_of_nought_frees_the_worker() {
-    // Found on a quiet day: one queue seen kept a worker taken for full ever after.
+    // Guards against a worker that counts as full forever after it reported a queue once. Found at low traffic.
     let more = "limits.probes=true\nload_info.via=on_probe\nload_info.fields=q\n";
     let mut b = Bench::new(more, &[1]);
     let probed = |q: f32| {
@@ -33,7 +33,7 @@
 
 #[test]
 fn one_slow_answer_does_not_eject_a_worker() {
-    // Found on a quiet day: single heavy calls were taken for silence, and their workers ejected.
+    // Guards against treating a single heavy call as a silent worker and ejecting it. Found at low traffic.
     let mut b = Bench::new("", &[1]);
     b.step(0, vec![request(1, 0, 9)]);
     let mut out = Vec::new();
@@ -64,8 +64,8 @@
     assert!(!again.is_empty() && last < 1000 * MS + 2500 * MS);
 }
 
-/// Found on sockets: connections reset now and then under requests, at all workers alike. Each reset ejected its worker and
-/// voided its copies, so that most calls found none.
+/// Guards against ejecting a worker and dropping its copies on each connection reset. With occasional resets at all
+/// workers, most calls found no copy. Found on real sockets.
 #[test]
 fn a_connection_that_breaks_beside_others_does_not_end_its_worker() {
     let more = "specifics.if_cold=miss\nspecifics.placement_calls=true\n";
@@ -77,14 +77,14 @@
         panic!("not again")
     };
     b.step(50 * MS, vec![ended(3, 0, w, Outcome::Ok), ended(2, 1, again, Outcome::Ok)]);
-    assert_eq!(sends(&b.step(MS, vec![request(4, 0, 9)])), [(4, w)], "its copy still counts");
-    // All that was out breaks off: the process ended.
+    assert_eq!(sends(&b.step(MS, vec![request(4, 0, 9)])), [(4, w)], "the copy must still count");
+    // All attempts in flight are reset: the process exited.
     b.step(MS, vec![request(5, 0, 9)]);
     b.step(MS, vec![ended(4, 0, w, Outcome::Reset), ended(5, 0, w, Outcome::Reset)]);
     assert!(sends(&b.step(MS, vec![request(6, 0, 9)])).iter().all(|s| s.1 != w));
 }
 
-/// Errors that all workers give alike are the network's: ejecting for them would leave no one.
+/// Errors that all workers return alike are caused by the network; ejecting for them would leave no worker.
 #[test]
 fn errors_count_against_a_worker_beyond_the_mean_of_all() {
     for (alike, worse) in [(true, false), (false, true)] {
@@ -94,7 +94,7 @@
             id += 1;
             let out = b.step(20 * MS, vec![request(id, 0, u64::from(round % 12))]);
             for (call, w) in sends(&out) {
-                // A third of the answers are errors, everywhere or at one worker more than half.
+                // Either a third of the answers of all workers are errors, or more than half of those of one worker.
                 let bad = if alike { round % 3 == 0 } else { w == 1 && round % 5 != 0 };
                 let outcome = if bad { Outcome::Error } else { Outcome::Ok };
                 let out = b.step(20 * MS, vec![ended(call, 0, w, outcome)]);
@@ -127,6 +127,6 @@
     assert!(functions <= 400, "{functions} functions");
     (0..100).for_each(|_| drop(b.step(1000 * MS, vec![])));
     assert_eq!(b.front_end.table_sizes().functions, 0);
-    // The three that stand are used.
+    // The remaining three workers are used.
     assert_eq!(sends(&b.step(MS, vec![request(20_000, 0, 5)])).len(), 1);
 }
--- a/crates/core/tests/rules/load_reports.rs
+++ b/crates/core/tests/rules/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports by health checks: which workers are asked.
+//! Load reports by health checks: which workers are checked.
 
 use crate::support::*;
 use stagehoist::*;
@@ -8,7 +8,8 @@
 const STEPS: u32 = 2000;
 const REQUEST_INTERVAL_STEPS: u32 = 5;
 
-/// Workers that get requests, and those that are health-checked, over ten seconds with forty requests a second.
+/// Returns the workers that get requests and the workers that are health-checked, over ten seconds with forty requests
+/// per second.
 fn used_and_checked(workers: u32) -> (BTreeSet<WorkerId>, BTreeSet<WorkerId>) {
     let more = "limits.probes=true\nload_info.via=on_probe\nload_info.fields=rif\n";
     let ids: Vec<WorkerId> = (1..=workers).collect();
@@ -36,12 +37,16 @@
     (used, checked)
 }
 
-/// A round of all workers would open a connection for each check.
+/// Guards against checking all workers of a large fleet, which would open a connection for each check.
 #[test]
 fn with_a_thousand_workers_only_those_with_copies_are_asked_for_load_reports() {
     let (used, checked) = used_and_checked(1000);
     assert!(!checked.is_empty());
-    assert!(checked.is_subset(&used), "checked without a copy: {}", checked.difference(&used).count());
+    assert!(
+        checked.is_subset(&used),
+        "workers checked without a copy: {}",
+        checked.difference(&used).count()
+    );
 }
 
 #[test]
--- a/crates/core/tests/rules/main.rs
+++ b/crates/core/tests/rules/main.rs
@@ -1,5 +1,5 @@
-//! The module by its behaviour: each rule from both sides, each failure found, and a randomised checker of
-//! actions under many settings. Nothing here models a worker; outcomes are drawn.
+//! Behaviour tests of the decision module: each rule in both directions, a regression test for each fault found, and a
+//! randomised checker of the actions under many settings. No worker is simulated; the outcomes are scripted or random.
 
 mod confirmation;
 mod drawn;
--- a/crates/core/tests/rules/placement.rs
+++ b/crates/core/tests/rules/placement.rs
@@ -1,4 +1,4 @@
-//! The choice of a worker, and loads.
+//! Choosing a worker, and ordering loads.
 
 use crate::support::*;
 use stagehoist::*;
@@ -6,7 +6,8 @@
 
 #[test]
 fn a_call_tried_at_a_home_does_not_keep_the_next_ones_waiting() {
-    // Found by the test of rule 4: calls to homes were taken for loads under way, and held those that followed.
+    // Guards against treating calls to preferred workers as loads in progress, which delayed the calls after them.
+    // Found by the test of rule 4.
     let mut b = Bench::new("", &[1]);
     for id in 0..20u32 {
         let out = sends(&b.step(20 * MS, vec![request(id, 0, id as u64)]));
@@ -17,8 +18,8 @@
 
 #[test]
 fn orders_are_bounded_when_many_functions_are_queued() {
-    // Found in a surge of once-only functions: hundreds held, each weighed on every worker in every batch. No
-    // clock here, so what is checked is what each batch may still do: one order a worker, and one answer each.
+    // Guards against a cost per batch of queued requests times workers, as in a surge of functions that are called
+    // once. Time is not measured here; the test checks one load order per worker and one answer per request.
     let more = "specifics.if_cold=miss\nspecifics.placement_calls=true\n";
     let workers: Vec<WorkerId> = (1..30).collect();
     let mut b = Bench::new(more, &workers);
@@ -39,8 +40,8 @@
     assert!((0..600).all(|id| refused(&out, id)));
 }
 
-/// Found on the running gateway: a lone call missed at its function's home, the load it caused was ordered there, and the
-/// call then passed over the one worker that held its copy until its time was up.
+/// Guards against a call that avoids the only worker with its copy until its deadline, because its own miss there caused
+/// the load. Found on a running gateway with a single call.
 #[test]
 fn a_call_goes_back_to_where_its_own_miss_had_the_copy_loaded() {
     let mut b = Bench::new("specifics.if_cold=miss\nspecifics.placement_calls=true\n", &[1, 2, 3, 4, 5, 6]);
@@ -65,8 +66,9 @@
     assert_eq!(sends(&b.step(300 * MS, vec![loaded])), [(1, first[0].1)]);
 }
 
-/// Found on sockets: a front end that just started refused calls whose copies stood at workers it had not tried. A miss costs
-/// a way there and back, so the next in rank is tried; the last attempt is kept for a copy that is believed to stand.
+/// Guards against a newly started front end rejecting calls although workers that it had not tried hold copies. A miss
+/// costs only a round trip, so the next worker in rank is tried; the last attempt is reserved for an expected copy.
+/// Found on real sockets.
 #[test]
 fn after_a_miss_the_next_in_rank_is_tried_and_the_last_attempt_waits_for_a_copy() {
     let mut b = Bench::new("specifics.if_cold=miss\nspecifics.placement_calls=true\n", &[1, 2, 3, 4]);
@@ -75,13 +77,13 @@
     let [(1, second)] = sends(&out)[..] else { panic!("not tried elsewhere: {out:?}") };
     assert_ne!(first, second);
     let out = b.step(MS, vec![ended(1, 1, second, Outcome::Miss)]);
-    assert!(sends(&out).is_empty(), "the last attempt is for a copy");
+    assert!(sends(&out).is_empty(), "the last attempt must be reserved for a copy");
     let order = out.iter().find_map(|a| match a {
         Action::Load { worker, function: 9, .. } => Some(*worker),
         _ => None,
     });
-    let worker = order.expect("the copy is ordered");
-    // Another call goes on where the first left off, and what it finds serves both.
+    let worker = order.expect("a load is ordered");
+    // Another call tries the next worker in rank, and the loaded copy serves both calls.
     let [(2, third)] = sends(&b.step(MS, vec![request(2, 0, 9)]))[..] else {
         panic!("the second call waits")
     };
@@ -90,8 +92,9 @@
     assert_eq!(sends(&b.step(300 * MS, vec![loaded])), [(1, worker)]);
 }
 
-/// Found on sockets: a worker that failed half its calls held the only copy of a much-called function; each call was refused
-/// after one error, and as the copy counted as serving no other was ever ordered.
+/// Guards against a failing worker that holds the only copy of a popular function: each call was rejected after one
+/// error, and no other copy was ordered because the copy counted as serving. Found on real sockets, with a worker that
+/// failed half of its calls.
 #[test]
 fn a_failing_workers_copy_is_tried_again_and_does_not_keep_back_another_load() {
     let more = "specifics.if_cold=miss\nspecifics.placement_calls=true\n";
@@ -110,23 +113,24 @@
         }
         loads += out.iter().filter(|a| matches!(a, Action::Load { function: 9, .. })).count();
         if id == 1 {
-            // The first answer shows that a copy stands.
+            // The first answer shows that the worker has a copy.
             b.step(MS, vec![request(100, 0, 9)]);
             b.step(MS, vec![ended(100, 0, only.unwrap(), Outcome::Ok)]);
         }
         b.step(0, vec![Event::ClientGone { request: id }]);
     }
-    assert!(tries > 0, "never tried again where the copy stands");
+    assert!(tries > 0, "never retried at the worker with the copy");
     assert!(loads > 0, "no other copy was ordered");
 }
 
 #[test]
 fn a_home_that_may_lack_the_copy_is_tried_where_a_miss_only_answers() {
-    // Found on full-fleet days: while copies moved, half of the homes missed, and front ends that had seen it refused
-    // untried what others had loaded long since. The time left is enough to run, not to load first.
+    // Guards against rejecting calls without an attempt although other front ends had loaded their functions: while
+    // copies moved, half of the preferred workers missed, and front ends that had observed this stopped trying them.
+    // The call's time is enough for a run but not for a load. Found on full-fleet simulations.
     let more = "specifics.if_cold=miss\nspecifics.placement_calls=true\n";
     let mut b = Bench::new(more, &(1..9).collect::<Vec<WorkerId>>());
-    // What was seen: nothing but misses.
+    // The front end observes only misses.
     for id in 0..40 {
         let mut tried = sends(&b.step(MS, vec![request(id, 0, id as u64)]));
         let mut number = 0;
@@ -143,8 +147,9 @@
 
 #[test]
 fn loads_go_first_to_workers_that_calls_may_go_to() {
-    // Found on full-fleet days: with six in ten workers new, nearly all orders went to new ones, of which the cold budget
-    // lets a front end with few calls use next to nothing, while the established ones had room.
+    // Guards against sending nearly all load orders to new workers while established ones have room: slow start lets a
+    // front end with few calls use almost none of a new worker. Found on full-fleet simulations with six in ten
+    // workers new.
     let more = "specifics.if_cold=miss\nspecifics.placement_calls=true\nbalancers=100\n";
     let mut b = Bench::new(more, &[1, 2, 3]);
     let rows = (4..12).map(|w| row(w, Lifecycle::Ready, b.now)).collect();
@@ -160,7 +165,7 @@
             let misses = sends(&out).into_iter().map(|(id, w)| ended(id, number, w, Outcome::Miss)).collect();
             out = b.step(MS, misses);
         }
-        // The orders end, so that each worker takes the next.
+        // The orders complete, so that each worker accepts the next one.
         let loaded = |(worker, function)| Event::Loaded {
             worker,
             function,
@@ -172,7 +177,7 @@
     }
     let cold = ordered.iter().filter(|o| o.0 > 3).count();
     assert!(ordered.len() >= 6 && cold * 4 <= ordered.len(), "{ordered:?}");
-    // Where all are cold a load is ordered all the same.
+    // If all workers are cold, a load is still ordered.
     let mut b = Bench::new(more, &[]);
     let rows = (4..8).map(|w| row(w, Lifecycle::Ready, b.now)).collect();
     b.step(0, vec![roster(EndpointUpdate::Delta, rows)]);
@@ -182,8 +187,8 @@
 
 #[test]
 fn the_last_attempt_is_reserved_for_a_copy_only_while_an_order_may_bring_one() {
-    // Found on full-fleet days: after two misses within 6 ms a call sat for 0.8 s beside its last attempt, with no order in
-    // the ration, and was refused.
+    // Guards against reserving the last attempt although the load budget allows no order: after two misses within 6 ms
+    // a call waited for 0.8 s without using it and was rejected. Found on full-fleet simulations.
     let miss = "specifics.if_cold=miss\nspecifics.placement_calls=true\nspecifics.loads_within=10000\n";
     for (free, attempts) in [(0, 3), (6, 2)] {
         let more = format!("{miss}specifics.load_free={free}\nspecifics.load_part=0\n");
--- a/crates/core/tests/rules/queueing.rs
+++ b/crates/core/tests/rules/queueing.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn calls_queued_before_any_worker_is_listed_go_out_when_one_is() {
-    // Found with the list late: the order of workers for a function was made at a call's arrival only.
+    // Guards against ranking the workers of a function only when a call arrives. Found with a late endpoint list.
     let mut b = Bench::new("", &[]);
     assert!(sends(&b.step(0, vec![request(1, 0, 9)])).is_empty());
     assert_eq!(
@@ -17,7 +17,7 @@
 
 #[test]
 fn late_requests_yield_to_those_in_time() {
-    // Found on busy days: a standing backlog was served oldest first, and so all of it late.
+    // Guards against serving a persistent backlog oldest first, which makes all of it late. Found at high load.
     let mut b = Bench::new("classes.0.late_worth=0.1\n", &[]);
     for id in 1..30 {
         b.step(0, vec![request(id, 0, id as u64)]);
@@ -28,9 +28,9 @@
     assert_eq!(sends(&out)[0].0, 100);
 }
 
-/// Guards against a surge that takes the place of calls worth more: with more held than workers can do, those that are worth
-/// more for their work are served, of tenants within their told rates first. Also covers mixes of long and short runs. Could
-/// harm a class that is always worth least.
+/// Guards against a surge that displaces calls of higher value: if more calls are queued than the workers can serve,
+/// calls with a higher value per work are served, and tenants within their configured quotas come first. Also covers
+/// mixes of long and short runs. Could harm a class that always has the lowest value.
 #[test]
 fn with_more_than_can_be_done_calls_worth_more_for_their_work_are_served() {
     for by_tenant in [false, true] {
@@ -44,7 +44,7 @@
         if by_tenant {
             (with.tenant_quotas, with.over_quota_weight) = (vec![5.0, 1000.0], 0.1);
         }
-        // One worker for about forty calls a second; of each kind forty come.
+        // One worker serves about forty calls per second; forty of each kind arrive per second.
         let mut served = [0, 0];
         let calls = |step: u32| {
             let kinds = if step.is_multiple_of(5) && step < 2000 { 0..2 } else { 0..0 };
@@ -61,12 +61,16 @@
             |_, id| served[id as usize % 2] += u32::from(id > 2 * 500),
         );
         let [less, more] = served;
-        assert!(more > 2 * less, "by tenant {by_tenant}: {less} of less worth, {more} of more");
+        assert!(
+            more > 2 * less,
+            "by tenant {by_tenant}: {less} of lower value, {more} of higher value served"
+        );
     }
 }
 
-/// Guards against calls that go behind others of equal worth because the run time learned for them rose a little since: they
-/// would be served late, 10 to 14% of messages on sockets. Also covers functions of one class that differ a little.
+/// Guards against queueing calls behind others of equal value because the estimate of their run time has risen a little:
+/// they were served late, 10 to 14% of messages on real sockets. Also covers functions of one class that differ a
+/// little.
 #[test]
 fn calls_of_about_equal_worth_are_not_deferred() {
     let mut with = settings("limits.second_copies=false\n");
@@ -74,21 +78,22 @@
     let (mut sent, mut late) = (0, 0);
     Bench::with(with, &[1]).flow(
         4000,
-        // About three times what two permits can do.
+        // About three times the throughput of two permits.
         |step| if step.is_multiple_of(3) { vec![request(step, 0, 5)] } else { Vec::new() },
-        // Runs differ by a third either way.
+        // Run times vary by a third in both directions.
         |id| 70 * MS + (id as Micros * 7919) % 61 * MS,
         |step, id| {
             sent += 1;
-            // At first nothing is known of run times.
+            // The first calls are not counted, as their run time is not known yet.
             late += u32::from(id > 1000 && Micros::from(step - id) * 5 * MS > 800 * MS);
         },
     );
-    assert!(sent > 300 && late * 33 < sent, "{late} of {sent} sent past their aim");
+    assert!(sent > 300 && late * 33 < sent, "{late} of {sent} sent past their objective");
 }
 
-/// Guards against trouble that multiplies load: a function whose calls all fail goes on with first attempts and a told share
-/// of further ones; what it may not try again waits and is answered by its aim. Also covers a worker that all turn to.
+/// Guards against faults that multiply load: a function whose calls all fail gets its first attempts and a configured
+/// share of retries; a call that may not be retried waits and is answered by its objective. Also covers a worker that
+/// all calls are sent to.
 #[test]
 fn retries_stay_inside_the_budget_of_function_and_worker() {
     let run = |window| {
@@ -117,7 +122,7 @@
                 *number += 1;
             }
         }
-        assert_eq!(answered, 200, "each is answered");
+        assert_eq!(answered, 200, "each call must be answered");
         (firsts, further)
     };
     let (firsts, further) = run(10_000 * MS);
@@ -126,7 +131,8 @@
     assert!(further > firsts / 2, "without a budget: {firsts} {further}");
 }
 
-/// Found with thousands of callers refused at once: told no time, they all came back at once.
+/// Guards against callers that were rejected together and, without an advised time, all retry at once. Found with
+/// thousands of callers.
 #[test]
 fn rejections_advise_by_the_drain_and_spread_returns() {
     let mut b = Bench::new("limits.retry_after=true\nlimits.max_retry_after=1000\n", &[]);
@@ -140,13 +146,17 @@
         }));
     }
     assert_eq!(told.len(), 199);
-    // Nothing was ever served: the whole of what may be told, from a third of it up.
+    // No call was served, so the advice covers the full range, from a third of the maximum up.
     assert!(told.iter().all(|t| (333 * MS..=1000 * MS).contains(t)), "{told:?}");
     let in_a_tenth = |from: i64| told.iter().filter(|t| (from..from + 67 * MS).contains(*t)).count();
-    assert!((333..933).step_by(67).all(|ms| (5..45).contains(&in_a_tenth(ms * MS))), "returns come together");
+    assert!(
+        (333..933).step_by(67).all(|ms| (5..45).contains(&in_a_tenth(ms * MS))),
+        "retries are not spread"
+    );
 }
 
-/// Found under load by an open loop of callers: calls that could no longer be in time stayed held until their time was up.
+/// Guards against keeping calls queued until their deadline although they can no longer be in time. Found with open-loop
+/// load.
 #[test]
 fn a_call_that_can_not_be_in_time_is_refused_at_once_where_late_answers_are_worth_nothing() {
     for (late_worth, latest) in [("0", 800), ("0.1", 2500)] {
@@ -158,7 +168,8 @@
     }
 }
 
-/// Found on an overloaded day: hedged requests of calls that were overdue for want of room took more of it.
+/// Guards against hedging calls that are overdue because of overload, as the hedged requests take more capacity. Found
+/// at overload.
 #[test]
 fn overdue_calls_are_tried_again_only_while_nothing_is_queued() {
     for held in [false, true] {
@@ -167,7 +178,7 @@
         b.step(100 * MS, vec![ended(9, 0, 1, Outcome::Ok)]);
         (1..4).for_each(|id| drop(b.step(0, vec![request(id, 0, 9)])));
         if held {
-            // More than the worker's permits and allowance take: these wait.
+            // More calls than the worker's permits and queue allowance: these wait.
             (20..40).for_each(|id| drop(b.step(0, vec![request(id, 1, 9)])));
         }
         let waits = b.step(0, vec![]);
@@ -180,16 +191,17 @@
             )],
         );
         let again = (0..800).flat_map(|_| sends(&b.step(2 * MS, vec![]))).filter(|s| s.0 < 4).count();
-        assert_eq!(again == 0, held, "{again} tried again");
+        assert_eq!(again == 0, held, "{again} calls retried");
     }
 }
 
-/// Found with three front ends on one fleet: calls about to be late were tried first, failed, and kept back those of
-/// their kind that could still be in time, until these were late too: 23% of the capacity served in time.
+/// Guards against calls that are about to be late blocking others of their group until those are late too: they were
+/// considered first and found no worker, and only 23% of the capacity served calls in time. Found with three front ends
+/// on one fleet.
 #[test]
 fn calls_about_to_be_late_yield_to_others_of_their_group() {
     let mut b = Bench::new("classes.0.late_worth=0.1\n", &[1]);
-    // Runs of 300 ms on one worker of two permits.
+    // One worker with two permits, and runs of 300 ms.
     for id in 1..8 {
         b.step(MS, vec![request(id, 0, 9)]);
         let mut done = ended(id, 0, 1, Outcome::Ok);
@@ -199,7 +211,7 @@
         b.step(300 * MS, vec![done]);
     }
     (10..13).for_each(|id| drop(b.step(0, vec![request(id, 0, 9)])));
-    // Three that wait until only 350 ms are left of their aim, then three new ones.
+    // Three calls wait until only 350 ms are left of their objective; then three new ones arrive.
     (20..23).for_each(|id| drop(b.step(0, vec![request(id, 0, 9)])));
     b.step(440 * MS, vec![]);
     (30..33).for_each(|id| drop(b.step(0, vec![request(id, 0, 9)])));
@@ -214,8 +226,8 @@
     assert!(first.iter().any(|s| s.0 >= 30), "{first:?}");
 }
 
-/// Found by hand at twice the capacity: refusals came at 2.36 s, as the call about to be late was itself the first held, and
-/// those behind it that could be in time were not seen.
+/// Guards against late rejections: at twice the capacity they came at 2.36 s, because the call about to be late was itself
+/// the first in the queue and hid the calls behind it that could be in time. Found by a manual run.
 #[test]
 fn a_late_call_is_refused_at_once_while_others_can_be_in_time() {
     for others in [false, true] {
--- a/crates/core/tests/rules/support.rs
+++ b/crates/core/tests/rules/support.rs
@@ -1,4 +1,4 @@
-//! Settings, events and a front end with a clock, for all tests of the rules.
+//! Settings, events and a front end with a simulated clock, shared by the tests of the rules.
 
 use stagehoist::*;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
         invariants.warm_up=10000\nlimits.most_tries=3\nlimits.second_copies=true\nlimits.cancel=true\n\
         limits.connect_timeout=250\nspecifics.idle_life=9000\nspecifics.if_cold=load\nspecifics.load_wait=10000\n\
         specifics.ram_mb_by_kind=4000\nzone=0\n";
-    // A later line of the same key stands.
+    // A later line overrides an earlier one with the same key.
     wire::parse_settings(&format!("{base}{more}")).unwrap()
 }
 
@@ -79,8 +79,8 @@
         bench.step(0, vec![roster(EndpointUpdate::Cached, rows)]);
         bench
     }
-    /// Steps of 5 ms: the calls of each, and the end of each attempt after the time its run takes. Tells `sent` each send, by
-    /// its step.
+    /// Runs steps of 5 ms. Each step adds the events of `calls`; each attempt ends after the time that `run` returns.
+    /// Calls `sent` with the step and the request of each send.
     pub fn flow(
         &mut self,
         steps: u32,
