--- a/crates/core/tests/load_budget.rs
+++ b/crates/core/tests/load_budget.rs
@@ -1,5 +1,5 @@
-//! Rule 5 where it counts: orders to load arrive late by any time up to their time-out, and the count is made when they
-//! arrive, apart from the module. Settings, calls, callers nothing speaks for, drains and outcomes are drawn.
+//! Rule 5 checked at the arrival of load orders, independently of the decision module: orders arrive with any delay up to
+//! their timeout. Settings, calls, unverified callers, drains and outcomes are random.
 
 use stagehoist::*;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
     is_checked: bool,
 }
 
-/// What a day showed: orders given, arrivals, the most that one arrival used of its ration.
+/// Result of a run: orders sent, orders arrived, and the largest used part of the budget at an arrival.
 #[derive(Default, Debug)]
 struct Observed {
     given: usize,
@@ -39,8 +39,8 @@
     after_drain: usize,
 }
 
-/// Plays a day; `doctor` changes what the module is given, `verified` tells it that every caller counts: what the checker must
-/// find.
+/// Runs a random scenario. `doctor` changes the settings of the module, and `verified` marks all callers as verified; with
+/// such changes the checker must find violations.
 fn run(seed: u64, verified: bool, doctor: impl Fn(&mut Settings)) -> Observed {
     let mut r = Draw(seed);
     let text = format!(
@@ -70,14 +70,14 @@
     let mut ready = vec![true; workers as usize];
     let mut withdrawn: Vec<RequestId> = Vec::new();
     let mut seen = Observed::default();
-    // Links are cut for a while, and what waits behind them comes at once.
+    // Links are interrupted at times; the delayed orders then arrive together.
     let (mut cut_until, mut rate) = (0, 2);
     for step in 0..5000 {
         if step % 300 == 0 {
             rate = r.one_of(&[0, 1, 5, 30]);
             cut_until = now + r.one_of(&[0, 0, 1, 4]) * 1000 * MS;
         }
-        // A usual caller's call; or hundreds at once of one that nothing speaks for, withdrawn at once.
+        // Either a usual call, or hundreds at once from an unverified caller, which are withdrawn at once.
         let crowd = r.below(150) == 0;
         let many = if crowd { 200 } else { u64::from(r.below(100) < rate) };
         for _ in 0..many {
@@ -115,7 +115,7 @@
                 endpoints: Rc::from(vec![row(w, lifecycle)]),
             });
         }
-        // The checker: an order counts once it has arrived, against the orders and the calls of the window.
+        // The checker counts an order when it arrives, against the orders and the calls of the window.
         for o in orders.iter_mut().filter(|o| !o.is_checked && o.arrives.is_some_and(|at| at <= now)) {
             o.is_checked = true;
             let at = o.arrives.unwrap();
@@ -124,7 +124,7 @@
                 list.iter().filter(|t| **t > at - notified_at.load_window && **t <= at).count()
             };
             let (many, calls) = (within(&arrived) as f64, within(&taken) as f64);
-            // The widening that the protocol tells covers a part of an order.
+            // The budget allows at least one order, which covers a fraction of an order.
             let ration = (notified_at.load_free + notified_at.load_share * calls).max(1.0);
             seen.arrived += 1;
             seen.most = seen.most.max(many / ration);
@@ -213,18 +213,18 @@
         given += seen.given;
         near += usize::from(seen.most > 0.5);
     }
-    // The ration is used, not just never reached.
+    // The budget must also be used: a limit that is never approached proves nothing.
     assert!(given > 600 && near > 10, "{given} given, {near} near");
 }
 
-/// The checker does find it where orders count when they are given.
+/// Negative control: the checker finds a violation if orders count when they are sent.
 #[test]
 fn orders_counted_when_given_break_the_ration() {
     let broken = (0..60).filter(|&seed| run(seed, false, |s| s.load_delay = 0).most > 1.0).count();
     assert!(broken >= 3, "{broken}");
 }
 
-/// And where requests count that came by hundreds and were withdrawn.
+/// Negative control: the checker finds a violation if the withdrawn requests of unverified callers count.
 #[test]
 fn requests_that_nothing_speaks_for_would_break_the_ration() {
     let broken = (0..60).filter(|&seed| run(seed, true, |s| s.load_delay = 0).most > 1.2).count();
--- a/crates/core/tests/only_attempt.rs
+++ b/crates/core/tests/only_attempt.rs
@@ -1,6 +1,6 @@
-//! One attempt a call, where a worker that lacks the function only answers a miss: the call that met the miss is lost,
-//! those after it are served. Workers hold copies, load what is ordered within a second, and answer what is sent; the
-//! clock is the test's own.
+//! One attempt per call, with workers that answer a miss and do not load: the call that gets the miss is lost, and later
+//! calls are served. The simulated workers hold copies, complete ordered loads within a second and answer all attempts;
+//! the clock is simulated.
 
 use stagehoist::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,11 +17,11 @@
         limits.connect_timeout=250\nspecifics.idle_life=9000\nspecifics.if_cold=miss\nspecifics.load_wait=10000\n\
         specifics.placement_calls=true\nspecifics.loads_within=10000\nspecifics.load_free=6\n\
         specifics.load_part=0.1\nspecifics.ram_mb_by_kind=4000\nzone=0\n";
-    // A later line of the same key stands.
+    // A later line overrides an earlier one with the same key.
     wire::parse_settings(&format!("{base}{more}")).unwrap()
 }
 
-/// What became of a call.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum End {
     Served(WorkerId, Micros),
@@ -29,13 +29,13 @@
     Refused,
 }
 
-/// Front ends before workers that they share.
+/// Several front ends and the workers that they share.
 struct Fixture {
     front_ends: Vec<FrontEnd>,
     now: Micros,
     copies: BTreeSet<(WorkerId, FunctionId)>,
     coming: Vec<(Micros, usize, Event)>,
-    /// Orders given: when, by which front end, where, for what.
+    /// Load orders: time, front end, worker and function.
     orders: Vec<(Micros, usize, WorkerId, FunctionId)>,
     sends: BTreeMap<RequestId, Vec<WorkerId>>,
     ends: BTreeMap<RequestId, End>,
@@ -95,7 +95,7 @@
                 self.coming.push((now + took, f, Event::AttemptEnded(ended)));
             }
             Action::Reject { request, .. } => {
-                // Of a call that met a miss the miss stays: the refusal follows from it.
+                // A call that got a miss keeps that outcome, as the rejection follows from the miss.
                 self.ends.entry(request).or_insert(End::Refused);
             }
             Action::Load { worker, function, copies, .. } => {
@@ -111,12 +111,12 @@
                 ));
             }
             Action::SetTimer { after, token } => self.coming.push((now + after, f, Event::Timer { token })),
-            Action::Fail { request } => panic!("{request} failed where it may be refused"),
+            Action::Fail { request } => panic!("request {request} failed although it may be rejected"),
             _ => {}
         }
     }
 
-    /// Lets time pass, event by event.
+    /// Advances the clock by `span`, event by event.
     fn pass(&mut self, span: Micros) {
         let until = self.now + span;
         for _ in 0..10_000 {
@@ -132,7 +132,7 @@
             }
             self.handle(f, event);
         }
-        panic!("time does not pass");
+        panic!("too many events in one time span");
     }
 
     fn call(&mut self, f: usize, id: RequestId) {
@@ -161,7 +161,7 @@
     stage.pass(10 * MS);
     let Some(&End::Missed(home)) = stage.ends.get(&1) else { panic!("{:?}", stage.ends) };
     assert_eq!(stage.orders, [(1002 * MS, 0, home, FUNCTION)]);
-    // Comes while the load is under way: kept for it, not spent at another worker that lacks the copy as well.
+    // A call during the load waits for the copy and is not sent to another worker that also lacks it.
     stage.call(0, 2);
     stage.pass(LOAD);
     assert_eq!(stage.ends.get(&2), Some(&End::Served(home, 1002 * MS + LOAD + RUN)));
@@ -201,7 +201,7 @@
     }
 }
 
-/// Rule 5: an order that was abandoned as lost may arrive yet; no second of its kind goes out uncounted.
+/// Rule 5: an order that counts as lost may still arrive, so the same order must not be sent again.
 #[test]
 fn an_order_that_may_yet_arrive_is_not_given_again() {
     let told = settings("specifics.load_wait=1000\n");
@@ -209,7 +209,7 @@
     for id in 1..40 {
         stage.call(0, id);
         stage.pass(200 * MS);
-        // The order's answer never comes.
+        // The order's answer is lost.
         stage.coming.retain(|c| !matches!(c.2, Event::Loaded { .. }));
     }
     let distinct: BTreeSet<_> = stage.orders.iter().map(|o| (o.2, o.3)).collect();
--- a/crates/core/tests/rules/drawn.rs
+++ b/crates/core/tests/rules/drawn.rs
@@ -126,7 +126,7 @@
                     assert!(!over.contains(request), "rule 1: sent after its final answer");
                     assert!(ready[worker], "rule 3: sent to a worker that is not ready");
                     let zone = |w: WorkerId| w % 2;
-                    let o = open.get_mut(request).expect("request without a final answer");
+                    let o = open.get_mut(request).expect("known");
                     let anyone = o.attempts.iter().any(|a| a.2);
                     let ran: Vec<_> = o.attempts.iter().filter(|a| a.2 || a.3).copied().collect();
                     assert!(!anyone || s.hedging, "rule 2: two attempts in flight");
--- a/crates/core/tests/slow_start/main.rs
+++ b/crates/core/tests/slow_start/main.rs
@@ -1,9 +1,9 @@
-//! Rule 4 is a sum: what reaches a cold worker in any window of the notified length from all front ends together
-//! stays within N + 2 roots of N + 2 requests of mean work, N being what the settings allow it then. 8 to 350
-//! real front ends live in simulated time through bursts, unequal traffic, connections that come up late and
-//! restarts, notified a wrong count of them.
+//! Rule 4 limits a sum: the work that reaches a cold worker from all front ends together in any window of the configured
+//! length stays within N + 2 * sqrt(N) + 2 requests of mean work, where N is the work that the settings allow at that
+//! time. From 8 to 350 real front ends run in simulated time, with bursts, unequal traffic, slow connections, restarts
+//! and a wrong configured number of front ends.
 //!
-//! `cargo test -p stagehoist --test slow_start -- --nocapture` prints the worst window of each day.
+//! `cargo test -p stagehoist --test slow_start -- --nocapture` prints the worst window of each scenario.
 
 mod overload_checker;
 mod scenario;
@@ -17,7 +17,7 @@
 const MS: Micros = 1000;
 const S: Micros = 1000 * MS;
 
-/// Plays a day. Tells its worst window, and the part used of all that could have reached cold workers.
+/// Runs a scenario. Returns its worst window, and the used part of the work that the settings allowed for cold workers.
 fn run(name: &str, s: &Scenario) -> (Worst, f64) {
     let mut world = World::new(s);
     world.run();
@@ -33,7 +33,7 @@
     (w, used)
 }
 
-/// Plays a day that must keep the rule.
+/// Runs a scenario and asserts that it keeps the rule. Returns the used part of the allowed work.
 fn assert_kept(name: &str, s: &Scenario) -> f64 {
     let (worst, used) = run(name, s);
     assert!(worst.of_bound <= 1.0, "{name}: {worst:?} in {s:?}");
@@ -43,7 +43,7 @@
 fn drawn(seeds: std::ops::Range<u64>) {
     let days = (seeds.end - seeds.start) as f64;
     let used: f64 = seeds.map(|seed| assert_kept(&format!("day {seed}"), &Scenario::drawn(seed))).sum();
-    // The budget is used, not just never reached.
+    // The budget must also be used: a rule that is kept because nothing is sent proves nothing.
     assert!(used / days > 0.15, "{}", used / days);
 }
 
@@ -62,8 +62,8 @@
     drawn(30..48);
 }
 
-/// Found: what callers asked of front ends that had learned nothing counted as what workers serve, so that an
-/// overload raised their budget.
+/// Guards against front ends without observations counting the arriving calls as served work, so that an overload raised
+/// their budget.
 #[test]
 fn front_ends_that_learned_nothing_add_no_more_than_the_others() {
     let fleet =
@@ -75,7 +75,8 @@
     assert_kept("restarted, none established", &Scenario { established: 0, cold: 3, traffic, ..fleet });
 }
 
-/// Found: an attempt counted in the slot that it was sent in alone, so that three slots' arrived in one window.
+/// Guards against counting an attempt only in the slot in which it was sent: the attempts of three slots then arrived in
+/// one window.
 #[test]
 fn what_waits_for_its_connection_counts_until_it_has_ended() {
     let late = Late::Stalls(2500 * MS, S);
@@ -103,8 +104,8 @@
     assert_kept("late by connection", &Scenario { late: Late::Connections(S), ..plain });
 }
 
-/// Found: a cold worker that fell silent was doubted; an answer to an earlier call then ended the doubt and
-/// with it the notified start, and the worker counted as established.
+/// Guards against ending a listed warm-up early: a silent cold worker was assumed to have restarted; an answer to an
+/// earlier call then cleared that assumption together with the listed start, and the worker counted as established.
 #[test]
 fn an_answer_after_doubt_leaves_a_told_start() {
     let late = Late::Stalls(2500 * MS, S);
@@ -114,7 +115,7 @@
     }
 }
 
-/// Found: what nine workers had served was divided by the capacity of the one that was left.
+/// Guards against dividing the work that nine workers had served by the capacity of the one that was left.
 #[test]
 fn a_mass_restart_does_not_raise_the_budget() {
     let s =
@@ -124,7 +125,7 @@
     assert_kept("in turns", &Scenario { traffic: Traffic::Turns(500 * MS), unequal: true, ..s });
 }
 
-/// The checker does find it where front ends are given three times the multiple.
+/// Negative control: the checker finds a violation if front ends are configured with three times the multiple.
 #[test]
 fn a_budget_three_times_too_large_breaks_the_rule() {
     let s = Scenario { doctored: 3.0, ..Scenario::plain() };
@@ -134,7 +135,7 @@
     assert_kept("the true multiple", &Scenario { doctored: 1.0, ..s });
 }
 
-/// And where the list does not tell that the worker started, though it counts as configured.
+/// Negative control: the checker finds a violation if the endpoint list does not report the start of a worker.
 #[test]
 fn an_untold_start_breaks_the_rule() {
     for fronts in [8, 60, 350] {
--- a/crates/core/tests/slow_start/overload_checker.rs
+++ b/crates/core/tests/slow_start/overload_checker.rs
@@ -1,4 +1,4 @@
-//! Rule 4 by what reached a cold worker from all front ends together, apart from the module.
+//! Checks rule 4 independently of the decision module, by the work that reaches a cold worker from all front ends.
 
 use crate::scenario::Scenario;
 use crate::world::START;
@@ -11,19 +11,19 @@
     pub at: Micros,
     /// In requests of mean work.
     pub work: f64,
-    /// From a front end that had been notified of the start.
+    /// Whether the front end had been notified of the start.
     pub notified: bool,
 }
 
-/// The window that arrived nearest to a fall, or went furthest beyond it.
+/// The window with the largest ratio of arrived work to the bound.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Worst {
-    /// Of the bound, N + 2 roots of N + 2.
+    /// Ratio of the arrived work to the bound N + 2 * sqrt(N) + 2.
     pub of_bound: f64,
-    /// What arrived, and N.
+    /// The arrived work, and N.
     pub arrived: f64,
     pub allowed: f64,
-    /// When it ended, in seconds after the start.
+    /// End of the window, in seconds after the start.
     pub after: f64,
 }
 
@@ -31,12 +31,12 @@
     window: Micros,
     warm_up: Micros,
     share: Box<dyn Fn(Micros) -> f64>,
-    /// Requests of mean work that the settings allow in one window to a worker that is warm.
+    /// Requests of mean work that the settings allow a warm worker in one window.
     full: f64,
-    /// By cold worker: the arrivals of the last window, their work, and that of those notified.
+    /// By cold worker: the arrivals of the last window, their work, and the work from notified front ends.
     recent: BTreeMap<WorkerId, (VecDeque<Arrival>, f64, f64)>,
     pub worst: Worst,
-    /// Work that reached cold workers, and what could have by the settings.
+    /// Work that reached cold workers, and the work that the settings would have allowed.
     pub arrived: f64,
     pub could: f64,
 }
@@ -64,11 +64,11 @@
         *sum += arrival.work;
         *notified += if arrival.notified { arrival.work } else { 0.0 };
         while list.front().is_some_and(|a| a.at <= arrival.at - self.window) {
-            let old = list.pop_front().expect("looked at");
+            let old = list.pop_front().expect("list is not empty");
             *sum -= old.work;
             *notified -= if old.notified { old.work } else { 0.0 };
         }
-        // Present capacity, on the mean of the window.
+        // The share of the capacity in the middle of the window.
         let allowed = self.full * (self.share)((age - self.window / 2).max(0));
         let of_bound = *sum / (allowed + 2.0 * allowed.sqrt() + 2.0);
         if of_bound > self.worst.of_bound && *notified * 3.0 > *sum * 2.0 {
--- a/crates/core/tests/slow_start/scenario.rs
+++ b/crates/core/tests/slow_start/scenario.rs
@@ -1,4 +1,4 @@
-//! What a day is made of, drawn by seed.
+//! The parameters of a scenario, drawn at random from a seed.
 
 use crate::{MS, S};
 use stagehoist::*;
@@ -21,21 +21,21 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Traffic {
     Steady,
-    /// So often, and so long, all that would have come until the next.
+    /// Period and length: within each period, all calls arrive during this length.
     Bursts(Micros, Micros),
-    /// So often, and so long, none, and what would have come comes over the rest.
+    /// Period and length: within each period, no call arrives during this length, and all arrive during the rest.
     Pauses(Micros, Micros),
-    /// Front ends have the traffic in turns of this length, one fifth of them at a time.
+    /// In turns of this length, one fifth of the front ends gets all the traffic.
     Turns(Micros),
 }
 
-/// When what was sent to a cold worker arrives.
+/// Delay of the attempts sent to cold workers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Late {
     Never,
-    /// Each front end's connection comes up so late at most, and what waited for it comes at once.
+    /// Maximum delay until a front end's connection is established; the attempts waiting for it then arrive together.
     Connections(Micros),
-    /// So often, for so long, nothing arrives.
+    /// Period and length: within each period, nothing arrives during this length.
     Stalls(Micros, Micros),
 }
 
@@ -43,40 +43,41 @@
 pub struct Scenario {
     pub seed: u64,
     pub fronts: usize,
-    /// Of those that exist so many are listed.
+    /// Configured number of front ends relative to the actual number.
     pub notified_at: f64,
     pub established: WorkerId,
     pub cold: WorkerId,
-    /// The cold ones were established before they started anew; else they are new.
+    /// Whether the cold workers were established before and restart; otherwise they are new.
     pub returning: bool,
     pub capacity: f64,
-    /// Usual run of each class; the second is one call in five.
+    /// Usual run time of each class; one call in five is of the second class.
     pub run: [Micros; 2],
     pub window: Micros,
     pub multiple: f64,
     pub start_share: f64,
     pub warm_up: Micros,
     pub retention: Micros,
-    /// Traffic, of what the workers that stand before the start can serve.
+    /// Traffic relative to the rate that the workers before the start can serve.
     pub load: f64,
     pub traffic: Traffic,
     pub unequal: bool,
     pub late: Late,
-    /// Seven front ends in ten start anew with the workers.
+    /// Whether seven front ends in ten restart together with the workers.
     pub restarted: bool,
-    /// Front ends are notified of the start so late at most.
+    /// Maximum delay until front ends are notified of the start.
     pub lag: Micros,
-    /// A worker rejects what would wait longer.
+    /// A worker rejects attempts that would wait longer than this.
     pub waits: Micros,
     pub until: Micros,
-    /// Times the multiple is what front ends are notified of it; other than 1 the checker must find it.
+    /// Front ends are configured with this factor times the multiple; above 1 the checker must find a violation.
     pub doctored: f64,
-    /// False: the list does not tell that a worker has started.
+    /// Whether the endpoint list reports that a worker has started.
     pub tells_start: bool,
 }
 
 impl Scenario {
-    /// 150 front ends, an established fleet of three at twice its capacity, one new worker.
+    /// Returns a scenario with 150 front ends, an established fleet of three workers at twice its capacity, and one new
+    /// worker.
     pub fn plain() -> Scenario {
         Scenario {
             seed: 1,
@@ -144,12 +145,12 @@
         }
     }
 
-    /// Mean run over the calls.
+    /// Returns the mean run time of the calls.
     pub fn mean_run(&self) -> f64 {
         0.8 * self.run[0] as f64 + 0.2 * self.run[1] as f64
     }
 
-    /// Calls that an established worker serves in a second.
+    /// Returns the number of calls that an established worker serves per second.
     pub fn rate(&self) -> f64 {
         self.capacity * S as f64 / self.mean_run()
     }
@@ -169,7 +170,7 @@
         }
     }
 
-    /// What front ends are given.
+    /// Returns the settings of the front ends.
     pub fn settings(&self) -> Settings {
         let ms = |span: Micros| span / MS;
         let text = format!(
--- a/crates/core/tests/slow_start/world.rs
+++ b/crates/core/tests/slow_start/world.rs
@@ -1,5 +1,5 @@
-//! A small seeded world in simulated time around real front ends: callers, established workers that serve
-//! what they can, workers that start cold, connections that come up late.
+//! A small seeded simulation around real front ends: callers, established workers that serve up to their capacity,
+//! workers that start cold, and slow connections.
 
 use crate::overload_checker::{Arrival, OverloadChecker};
 use crate::scenario::{Draw, Late, Scenario, Traffic};
@@ -7,18 +7,18 @@
 use stagehoist::*;
 use std::collections::BTreeMap;
 
-/// Batches of a front end are so far apart at least.
+/// Minimum time between the batches of a front end.
 const TICK: Micros = 2 * MS;
 /// When the cold workers start.
 pub const START: Micros = 9 * S;
 
 struct Front {
     front_end: FrontEnd,
-    /// Incarnation: what was meant for an earlier one is lost.
+    /// Incarnation; events for an earlier one are dropped.
     life: u32,
-    /// Told of the start.
+    /// Whether it has been notified of the start.
     on_inquiry_answer: bool,
-    /// When its connection to each cold worker stands.
+    /// When its connection to each cold worker is established.
     connected: BTreeMap<WorkerId, Micros>,
     attempts: BTreeMap<RequestId, u16>,
 }
@@ -39,11 +39,11 @@
     fronts: Vec<Front>,
     workers: Vec<Worker>,
     coming: BTreeMap<(Micros, usize), Vec<(u32, Event)>>,
-    /// Sends on their way, by arrival and number.
+    /// Attempts in transit, by arrival time and number.
     flying: BTreeMap<(Micros, u64), Flight>,
     made: u64,
     next: RequestId,
-    /// Traffic of the front ends, summed up.
+    /// Cumulative traffic of the front ends.
     parts: Vec<f64>,
     pub checker: OverloadChecker,
 }
@@ -65,7 +65,7 @@
         let workers = (0..all).map(|w| Worker { row: row(w), free: vec![0; s.capacity as usize] }).collect();
         let mut sum = 0.0;
         let part = |_| {
-            // One in ten front ends gets several times the mean where traffic is unequal.
+            // With unequal traffic, one in ten front ends gets several times the mean.
             sum += if s.unequal && draw.below(10) == 0 { 8.0 } else { 0.5 + draw.part() };
             sum
         };
@@ -101,7 +101,7 @@
         self.coming.entry((at, k)).or_default().push((self.fronts[k].life, event));
     }
 
-    /// The whole list as it is now, at a front end then.
+    /// Schedules the current full endpoint list for a front end at a time.
     fn list(&mut self, k: usize, at: Micros) {
         let started = |w: &Worker| if self.s.tells_start { w.row.started } else { 0 };
         let rows = self.workers.iter().map(|w| Endpoint { started: started(w), ..w.row.clone() }).collect();
@@ -154,7 +154,7 @@
         let at = some * self.parts[self.s.fronts - 1];
         let mut k = self.parts.partition_point(|&p| p <= at).min(self.s.fronts - 1);
         if let Traffic::Turns(span) = self.s.traffic {
-            // One fifth of the front ends after the other has all traffic.
+            // Each fifth of the front ends in turn has all the traffic.
             let turn = (self.now / span % 5) as usize;
             k = (k - k % 5 + turn) % self.s.fronts;
         }
@@ -202,7 +202,7 @@
         };
         let f = &mut self.fronts[k];
         let at = (*f.connected.entry(worker).or_insert(now + late)).max(now);
-        // Nothing reaches cold workers for a while, again and again; what was sent comes at once.
+        // During each stall nothing reaches cold workers; the delayed attempts then arrive together.
         let at = match self.s.late {
             Late::Stalls(every, span) if cold && at % every < span => at - at % every + span,
             _ => at,
@@ -213,7 +213,7 @@
         *number += 1;
     }
 
-    /// What has arrived at workers by now is served, or rejected where too much waits.
+    /// Serves the attempts that have arrived at workers, or rejects them if they would wait too long.
     fn land(&mut self) {
         while let Some((&key, _)) = self.flying.first_key_value().filter(|(key, _)| key.0 <= self.now) {
             let (k, life, id, attempt, worker, notified) = self.flying.remove(&key).unwrap();
