--- a/crates/core/src/policy/attempt_counter/tests.rs
+++ b/crates/core/src/policy/attempt_counter/tests.rs
@@ -7,14 +7,14 @@
 const S: Micros = 1_000_000;
 
 #[test]
-fn free_retries_come_first_then_the_share_and_both_leave_with_the_window() {
+fn free_retries_and_the_share_of_first_attempts_expire_with_the_window() {
     let mut counter = AttemptCounter::default();
-    let mut spent = 0;
+    let mut retry_count = 0;
     while counter.allows_retry(0, &BUDGET) {
         counter.add(true, 0, &BUDGET);
-        spent += 1;
+        retry_count += 1;
     }
-    assert_eq!(spent, 2);
+    assert_eq!(retry_count, 2);
     (0..9).for_each(|_| counter.add(false, S, &BUDGET));
     assert!(counter.allows_retry(S, &BUDGET));
     counter.add(true, S, &BUDGET);
@@ -31,15 +31,15 @@
 
 /// Retries never exceed the budget within the part of the window that is still counted, at random times.
 #[test]
-fn never_more_than_the_budget_over_a_drawn_run() {
+fn retries_never_exceed_the_budget_in_a_random_run() {
     let mut counter = AttemptCounter::default();
     let (mut firsts, mut retries): (Vec<Micros>, Vec<Micros>) = Default::default();
-    let mut drawn = 7u64;
+    let mut random = 7u64;
     let mut now = 0;
     for _ in 0..20_000 {
-        drawn = hash(drawn, 1);
-        now += (drawn % 40_000) as Micros;
-        if drawn.is_multiple_of(3) {
+        random = hash(random, 1);
+        now += (random % 40_000) as Micros;
+        if random.is_multiple_of(3) {
             counter.add(false, now, &BUDGET);
             firsts.push(now);
         } else if counter.allows_retry(now, &BUDGET) {
@@ -48,8 +48,11 @@
             let within =
                 |times: &[Micros], span| times.iter().rev().take_while(|at| **at > now - span).count() as f64;
             // A bucket at the window's far end is counted entirely or not at all.
-            let (few, many) = (within(&retries, 7 * S), within(&firsts, 8 * S));
-            assert!(few <= BUDGET.free + BUDGET.share * many, "{few} {many}");
+            let (recent_retries, recent_firsts) = (within(&retries, 7 * S), within(&firsts, 8 * S));
+            assert!(
+                recent_retries <= BUDGET.free + BUDGET.share * recent_firsts,
+                "{recent_retries} {recent_firsts}"
+            );
         }
     }
     assert!(retries.len() as f64 > 0.15 * firsts.len() as f64);
--- a/crates/core/src/policy/priority/tests.rs
+++ b/crates/core/src/policy/priority/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_tenant_has_its_rate_and_what_it_saved_up_recently() {
+fn a_tenant_gets_its_rate_and_a_burst_that_accumulates() {
     let mut quotas = TenantQuotas::default();
     let taken = |quotas: &mut TenantQuotas, at: Micros, n: usize| {
         (0..n).filter(|_| quotas.take_token(3, 10.0, at)).count()
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_price_rises_towards_what_is_rejected_and_decays() {
+fn the_price_rises_towards_the_value_of_rejected_requests_and_decays() {
     let (mut price, time_constant) = (WorkPrice::default(), 800_000);
     assert_eq!(price.at(0, time_constant), 0.0);
     (0..50).for_each(|n| price.record_rejection(2.0, n, time_constant));
--- a/crates/core/tests/load_budget.rs
+++ b/crates/core/tests/load_budget.rs
@@ -22,9 +22,9 @@
 struct Order {
     worker: WorkerId,
     function: FunctionId,
-    given: Micros,
+    sent: Micros,
     /// None: it never arrives.
-    arrives: Option<Micros>,
+    arrives_at: Option<Micros>,
     notified_at: Micros,
     outcome: Outcome,
     is_checked: bool,
@@ -33,15 +33,15 @@
 /// Result of a run: orders sent, orders arrived, and the largest used part of the budget at an arrival.
 #[derive(Default, Debug)]
 struct Observed {
-    given: usize,
+    sent: usize,
     arrived: usize,
-    most: f64,
+    max_used: f64,
     after_drain: usize,
 }
 
-/// Runs a random scenario. `doctor` changes the settings of the module, and `verified` marks all callers as verified; with
+/// Runs a random scenario. `alter` changes the settings of the module, and `verified` marks all callers as verified; with
 /// such changes the checker must find violations.
-fn run(seed: u64, verified: bool, doctor: impl Fn(&mut Settings)) -> Observed {
+fn run(seed: u64, verified: bool, alter: impl Fn(&mut Settings)) -> Observed {
     let mut r = Draw(seed);
     let text = format!(
         "balancers={}\nclasses.count=1\nclasses.0.aim=800\nclasses.0.effect=idempotent\nlimits.most_tries=3\n\
@@ -55,34 +55,34 @@
         r.one_of(&["1", "2.5", "6"]),
         r.one_of(&["0", "0.1", "0.3"]),
     );
-    let notified_at = wire::parse_settings(&text).unwrap();
-    let notified_at = Settings { load_delay: notified_at.load_timeout, ..notified_at };
-    let mut s = notified_at.clone();
-    doctor(&mut s);
+    let true_settings = wire::parse_settings(&text).unwrap();
+    let true_settings = Settings { load_delay: true_settings.load_timeout, ..true_settings };
+    let mut s = true_settings.clone();
+    alter(&mut s);
     let (mut now, mut id) = (1_000_000 * MS, 0);
     let mut front_end = FrontEnd::new(s, seed, now);
     let workers = 4 + r.below(40) as WorkerId;
     let row = |worker, lifecycle| Endpoint { worker, lifecycle, capacity: 4.0, ..Default::default() };
     let rows: Vec<_> = (0..workers).map(|w| row(w, Lifecycle::Ready)).collect();
     let mut events = vec![Event::Endpoints { update: EndpointUpdate::Full, endpoints: Rc::from(rows) }];
-    let (mut orders, mut taken, mut arrived): (Vec<Order>, Vec<Micros>, Vec<Micros>) = Default::default();
-    let mut answers: Vec<(Micros, Event)> = Vec::new();
+    let (mut orders, mut accepted, mut arrived): (Vec<Order>, Vec<Micros>, Vec<Micros>) = Default::default();
+    let mut scheduled_events: Vec<(Micros, Event)> = Vec::new();
     let mut ready = vec![true; workers as usize];
     let mut withdrawn: Vec<RequestId> = Vec::new();
-    let mut seen = Observed::default();
+    let mut observed = Observed::default();
     // Links are interrupted at times; the delayed orders then arrive together.
-    let (mut cut_until, mut rate) = (0, 2);
+    let (mut interrupted_until, mut rate) = (0, 2);
     for step in 0..5000 {
         if step % 300 == 0 {
             rate = r.one_of(&[0, 1, 5, 30]);
-            cut_until = now + r.one_of(&[0, 0, 1, 4]) * 1000 * MS;
+            interrupted_until = now + r.one_of(&[0, 0, 1, 4]) * 1000 * MS;
         }
         // Either a usual call, or hundreds at once from an unverified caller, which are withdrawn at once.
-        let crowd = r.below(150) == 0;
-        let many = if crowd { 200 } else { u64::from(r.below(100) < rate) };
-        for _ in 0..many {
+        let is_crowd = r.below(150) == 0;
+        let count = if is_crowd { 200 } else { u64::from(r.below(100) < rate) };
+        for _ in 0..count {
             id += 1;
-            let known = !crowd && r.below(4) > 0;
+            let is_verified = !is_crowd && r.below(4) > 0;
             events.push(Event::Request(Request {
                 id,
                 class: 0,
@@ -95,12 +95,12 @@
                 load_time: 500 * MS,
                 is_repeat: false,
                 accepted_at: now,
-                client_verified: known || verified,
+                client_verified: is_verified || verified,
             }));
-            if crowd {
+            if is_crowd {
                 withdrawn.push(id);
             } else {
-                taken.push(now);
+                accepted.push(now);
             }
         }
         if step % 2 == 0 {
@@ -116,28 +116,28 @@
             });
         }
         // The checker counts an order when it arrives, against the orders and the calls of the window.
-        for o in orders.iter_mut().filter(|o| !o.is_checked && o.arrives.is_some_and(|at| at <= now)) {
+        for o in orders.iter_mut().filter(|o| !o.is_checked && o.arrives_at.is_some_and(|at| at <= now)) {
             o.is_checked = true;
-            let at = o.arrives.unwrap();
+            let at = o.arrives_at.unwrap();
             arrived.push(at);
             let within = |list: &[Micros]| {
-                list.iter().filter(|t| **t > at - notified_at.load_window && **t <= at).count()
+                list.iter().filter(|t| **t > at - true_settings.load_window && **t <= at).count()
             };
-            let (many, calls) = (within(&arrived) as f64, within(&taken) as f64);
-            // The budget allows at least one order, which covers a fraction of an order.
-            let ration = (notified_at.load_free + notified_at.load_share * calls).max(1.0);
-            seen.arrived += 1;
-            seen.most = seen.most.max(many / ration);
+            let (count, calls) = (within(&arrived) as f64, within(&accepted) as f64);
+            // At least one order is allowed: the tolerance that the protocol states covers a fraction of an order.
+            let budget = (true_settings.load_free + true_settings.load_share * calls).max(1.0);
+            observed.arrived += 1;
+            observed.max_used = observed.max_used.max(count / budget);
         }
         orders.retain(|o| {
             if o.notified_at <= now {
                 let (worker, function, outcome) = (o.worker, o.function, o.outcome);
-                let (took, copies) = (now - o.given, u8::from(outcome == Outcome::Ok));
-                events.push(Event::Loaded { worker, function, outcome, elapsed: took, copies });
+                let (elapsed_time, copies) = (now - o.sent, u8::from(outcome == Outcome::Ok));
+                events.push(Event::Loaded { worker, function, outcome, elapsed: elapsed_time, copies });
             }
             o.notified_at > now
         });
-        answers.retain(|(at, event)| {
+        scheduled_events.retain(|(at, event)| {
             if *at <= now {
                 events.push(event.clone());
             }
@@ -152,45 +152,45 @@
                     let outcome =
                         r.one_of(&[Outcome::Ok, Outcome::Ok, Outcome::Miss, Outcome::Full, Outcome::Error]);
                     let concluded = outcome == Outcome::Ok;
-                    let attempt = answers
+                    let attempt = scheduled_events
                         .iter()
                         .filter(|(_, e)| matches!(e, Event::AttemptEnded(e) if e.request == request))
                         .count() as u16;
-                    let note = CopyReport::default();
-                    let took = (20 + r.below(300) as Micros) * MS;
+                    let copy_report = CopyReport::default();
+                    let elapsed_time = (20 + r.below(300) as Micros) * MS;
                     let end = AttemptEnd {
                         request,
                         attempt,
                         worker,
                         concluded,
                         outcome,
-                        copy: note,
-                        elapsed: took,
+                        copy: copy_report,
+                        elapsed: elapsed_time,
                         report: None,
                     };
-                    answers.push((now + took, Event::AttemptEnded(end)));
+                    scheduled_events.push((now + elapsed_time, Event::AttemptEnded(end)));
                 }
                 Action::Load { worker, function, .. } => {
-                    seen.given += 1;
-                    seen.after_drain += usize::from(!ready[worker as usize]);
-                    let span = notified_at.load_timeout;
-                    let late = if cut_until > now { cut_until - now } else { 0 };
+                    observed.sent += 1;
+                    observed.after_drain += usize::from(!ready[worker as usize]);
+                    let span = true_settings.load_timeout;
+                    let delay = if interrupted_until > now { interrupted_until - now } else { 0 };
                     let spread = r.one_of(&[2, 300, (span / MS) as u64]);
-                    let late = (late + r.below(spread) as Micros * MS).min(span);
-                    let (arrives, told_at, outcome) = match r.below(8) {
-                        0 => (None, now + late, Outcome::ConnectFailed),
+                    let delay = (delay + r.below(spread) as Micros * MS).min(span);
+                    let (arrives_at, reported_at, outcome) = match r.below(8) {
+                        0 => (None, now + delay, Outcome::ConnectFailed),
                         1 => (None, now + span, Outcome::Timeout),
-                        2 => (Some(now + late), now + span, Outcome::Timeout),
-                        3 => (Some(now + late), now + late, Outcome::Full),
-                        4 => (Some(now + late), (now + late + 300 * MS).min(now + span), Outcome::Reset),
-                        _ => (Some(now + late), (now + late + 900 * MS).min(now + span), Outcome::Ok),
+                        2 => (Some(now + delay), now + span, Outcome::Timeout),
+                        3 => (Some(now + delay), now + delay, Outcome::Full),
+                        4 => (Some(now + delay), (now + delay + 300 * MS).min(now + span), Outcome::Reset),
+                        _ => (Some(now + delay), (now + delay + 900 * MS).min(now + span), Outcome::Ok),
                     };
                     orders.push(Order {
                         worker,
                         function,
-                        given: now,
-                        arrives,
-                        notified_at: told_at.max(now + STEP),
+                        sent: now,
+                        arrives_at,
+                        notified_at: reported_at.max(now + STEP),
                         outcome,
                         is_checked: false,
                     });
@@ -200,34 +200,34 @@
         }
         now += STEP;
     }
-    seen
+    observed
 }
 
 #[test]
-fn however_late_orders_arrive_they_are_inside_the_ration() {
-    let (mut given, mut near) = (0, 0);
+fn orders_stay_within_the_budget_however_late_they_arrive() {
+    let (mut sent, mut near_limit) = (0, 0);
     for seed in 0..60 {
-        let seen = run(seed, false, |_| {});
-        assert!(seen.most <= 1.0, "seed {seed}: {seen:?}");
-        assert_eq!(seen.after_drain, 0, "seed {seed}");
-        given += seen.given;
-        near += usize::from(seen.most > 0.5);
+        let observed = run(seed, false, |_| {});
+        assert!(observed.max_used <= 1.0, "seed {seed}: {observed:?}");
+        assert_eq!(observed.after_drain, 0, "seed {seed}");
+        sent += observed.sent;
+        near_limit += usize::from(observed.max_used > 0.5);
     }
     // The budget must also be used: a limit that is never approached proves nothing.
-    assert!(given > 600 && near > 10, "{given} given, {near} near");
+    assert!(sent > 600 && near_limit > 10, "{sent} orders sent, {near_limit} runs near the limit");
 }
 
 /// Negative control: the checker finds a violation if orders count when they are sent.
 #[test]
-fn orders_counted_when_given_break_the_ration() {
-    let broken = (0..60).filter(|&seed| run(seed, false, |s| s.load_delay = 0).most > 1.0).count();
+fn orders_counted_when_sent_exceed_the_budget() {
+    let broken = (0..60).filter(|&seed| run(seed, false, |s| s.load_delay = 0).max_used > 1.0).count();
     assert!(broken >= 3, "{broken}");
 }
 
 /// Negative control: the checker finds a violation if the withdrawn requests of unverified callers count.
 #[test]
-fn requests_that_nothing_speaks_for_would_break_the_ration() {
-    let broken = (0..60).filter(|&seed| run(seed, true, |s| s.load_delay = 0).most > 1.2).count();
-    let apart = (0..60).filter(|&seed| run(seed, false, |s| s.load_delay = 0).most > 1.2).count();
-    assert!(broken > apart, "{broken} {apart}");
+fn counting_requests_of_unverified_callers_exceeds_the_budget() {
+    let broken = (0..60).filter(|&seed| run(seed, true, |s| s.load_delay = 0).max_used > 1.2).count();
+    let without = (0..60).filter(|&seed| run(seed, false, |s| s.load_delay = 0).max_used > 1.2).count();
+    assert!(broken > without, "{broken} {without}");
 }
--- a/crates/core/tests/rules/drawn.rs
+++ b/crates/core/tests/rules/drawn.rs
@@ -29,13 +29,14 @@
 }
 
 /// Generates random legal events, checks every action against the five rules, and returns all actions.
-pub fn run(s: &Settings, seed: u64, steps: usize, beside: bool) -> Vec<Action> {
+pub fn run(s: &Settings, seed: u64, steps: usize, with_second_front_end: bool) -> Vec<Action> {
     let mut r = Random(seed);
     let mut now = 5_000_000;
     let mut front_end = FrontEnd::new(s.clone(), seed, now);
     let mut other = FrontEnd::new(s.clone(), seed + 1, now);
     let mut all = Vec::new();
-    let (mut open, mut over): (BTreeMap<RequestId, Open>, BTreeSet<RequestId>) = Default::default();
+    let (mut open, mut concluded_requests): (BTreeMap<RequestId, Open>, BTreeSet<RequestId>) =
+        Default::default();
     let mut outstanding: Vec<(RequestId, u16, WorkerId)> = Vec::new();
     let mut ready: BTreeMap<WorkerId, bool> = (1..9).map(|w| (w, true)).collect();
     let mut timers: Vec<(Micros, u32)> = Vec::new();
@@ -43,12 +44,14 @@
     let (mut orders, mut calls): (Vec<Micros>, Vec<Micros>) = Default::default();
     // By function (0) or worker (1): send times of attempts, and whether they were retries.
     let mut tries: BTreeMap<(u8, u64), Vec<(Micros, bool)>> = BTreeMap::new();
-    let mut events =
-        vec![roster(EndpointUpdate::Cached, ready.keys().map(|&w| row(w, Lifecycle::Ready, 0)).collect())];
+    let mut events = vec![endpoint_list(
+        EndpointUpdate::Cached,
+        ready.keys().map(|&w| endpoint(w, Lifecycle::Ready, 0)).collect(),
+    )];
     for n in 0..steps as u32 {
         events.append(&mut answers);
-        let calm = n as usize > steps - 1500.min(steps / 2);
-        if !calm && r.below(3) == 0 {
+        let is_final_phase = n as usize > steps - 1500.min(steps / 2);
+        if !is_final_phase && r.below(3) == 0 {
             let class = r.below(s.classes.len() as u64) as u16;
             let budget = (r.below(4) * 700 * MS as u64) as Micros;
             let Event::Request(mut q) = request(n, class, r.below(12)) else { unreachable!() };
@@ -73,7 +76,7 @@
             let outcome = if timed_out { Timeout } else { drawn };
             let Event::AttemptEnded(mut e) = ended(id, attempt, worker, outcome) else { unreachable!() };
             e.elapsed = (r.below(400_000)) as Micros;
-            e.concluded = over.contains(&id) || outcome == Ok;
+            e.concluded = concluded_requests.contains(&id) || outcome == Ok;
             e.copy.state = r.below(5) as u8;
             e.report = (r.below(2) == 0).then_some([r.below(9) as f32, 0.5, 0.0, 0.0]);
             if let Some(o) = open.get_mut(&id) {
@@ -82,7 +85,7 @@
             }
             if outcome == Ok {
                 open.remove(&id);
-                over.insert(id);
+                concluded_requests.insert(id);
             }
             events.push(Event::AttemptEnded(e));
         }
@@ -92,7 +95,7 @@
                 [r.below(4) as usize];
             ready.insert(w, lifecycle == Lifecycle::Ready);
             let started = if r.below(2) == 0 { now } else { 0 };
-            events.push(roster(EndpointUpdate::Delta, vec![row(w, lifecycle, started)]));
+            events.push(endpoint_list(EndpointUpdate::Delta, vec![endpoint(w, lifecycle, started)]));
         }
         if r.below(200) == 0 {
             // Late or unknown ids are legal and must be ignored.
@@ -114,22 +117,22 @@
             }
             at > now
         });
-        let mut out = Vec::new();
-        front_end.handle(now, &events, &mut out);
-        if beside {
+        let mut actions = Vec::new();
+        front_end.handle(now, &events, &mut actions);
+        if with_second_front_end {
             other.handle(now, &events, &mut Vec::new());
         }
         events.clear();
-        for action in &out {
+        for action in &actions {
             match action {
                 Action::Send { request, worker, .. } => {
-                    assert!(!over.contains(request), "rule 1: sent after its final answer");
+                    assert!(!concluded_requests.contains(request), "rule 1: sent after its final answer");
                     assert!(ready[worker], "rule 3: sent to a worker that is not ready");
                     let zone = |w: WorkerId| w % 2;
                     let o = open.get_mut(request).expect("known");
-                    let anyone = o.attempts.iter().any(|a| a.2);
+                    let has_attempt_in_flight = o.attempts.iter().any(|a| a.2);
                     let ran: Vec<_> = o.attempts.iter().filter(|a| a.2 || a.3).copied().collect();
-                    assert!(!anyone || s.hedging, "rule 2: two attempts in flight");
+                    assert!(!has_attempt_in_flight || s.hedging, "rule 2: two attempts in flight");
                     assert!(o.attempts.len() < s.max_attempts as usize);
                     match s.classes[o.class].effect {
                         Effect::Idempotent => {}
@@ -147,20 +150,20 @@
                             }
                         }
                     }
-                    let further = !o.attempts.is_empty();
+                    let is_retry = !o.attempts.is_empty();
                     for key in [(0, o.function), (1, u64::from(*worker))] {
                         let list = tries.entry(key).or_default();
-                        list.push((now, further));
+                        list.push((now, is_retry));
                         // The window moves in buckets: the oldest one counts entirely or not at all.
                         let b = &s.retry_budget;
                         let within = |what, span| {
                             list.iter().rev().take_while(|t| t.0 > now - span).filter(|t| t.1 == what).count()
                                 as f64
                         };
-                        let most = b.free + b.share * within(false, b.window);
+                        let allowed = b.free + b.share * within(false, b.window);
                         let spent = within(true, b.window * 7 / 8);
                         assert!(
-                            !further || b.window == 0 || spent <= most,
+                            !is_retry || b.window == 0 || spent <= allowed,
                             "retry budget exceeded for {key:?}"
                         );
                     }
@@ -169,7 +172,7 @@
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
                     let o = open.remove(request).expect("rule 1: one answer for each request");
-                    over.insert(*request);
+                    concluded_requests.insert(*request);
                     assert!(now <= o.deadline + 8 * MS, "rule 1: answered too late");
                     let clean = o.attempts.iter().all(|a| !a.2 && !a.3);
                     let harmless = match s.classes[o.class].effect {
@@ -194,7 +197,7 @@
                         else {
                             unreachable!()
                         };
-                        e.concluded = over.contains(&id);
+                        e.concluded = concluded_requests.contains(&id);
                         answers.push(Event::AttemptEnded(e));
                     }
                 }
@@ -205,9 +208,9 @@
                         orders.push(now);
                         let within =
                             |list: &[Micros]| list.iter().filter(|t| **t > now - s.load_window).count();
-                        let most = s.load_free + s.load_share * within(&calls) as f64;
+                        let allowed = s.load_free + s.load_share * within(&calls) as f64;
                         assert!(
-                            s.load_window == 0 || within(&orders) as f64 <= most,
+                            s.load_window == 0 || within(&orders) as f64 <= allowed,
                             "rule 5: load budget exceeded"
                         );
                     }
@@ -235,7 +238,7 @@
                 _ => {}
             }
         }
-        all.append(&mut out);
+        all.append(&mut actions);
         now += 2 * MS;
         let overdue = open.values().filter(|o| o.deadline + 8 * MS < now).count();
         assert_eq!(overdue, 0, "rule 1: a request is overdue");
@@ -244,7 +247,7 @@
 }
 
 /// Returns settings of known deployments and of further combinations.
-pub fn table() -> Vec<Settings> {
+pub fn settings_table() -> Vec<Settings> {
     [
         "",
         "limits.second_copies=false\nlimits.most_tries=5\nspecifics.tells_warm=true\nspecifics.counts_alike=true\n",
@@ -261,7 +264,7 @@
         "specifics.idle_life=99999999\ninvariants.overload_factor=1000000\nlimits.most_tries=60000\nlimits.cancel=false\n",
     ]
     .iter()
-    .map(|more| settings(more))
+    .map(|overrides| settings(overrides))
     .chain([0.05, 0.5].map(|share| {
         let retry_budget = RetryBudget { window: 2_000 * MS, free: 2.0, share };
         Settings { retry_budget, ..settings("specifics.placement_calls=true\n") }
@@ -270,8 +273,8 @@
 }
 
 #[test]
-fn the_rules_hold_under_drawn_events() {
-    for (i, s) in table().iter().enumerate() {
+fn the_rules_hold_under_random_events() {
+    for (i, s) in settings_table().iter().enumerate() {
         for seed in 1..3 {
             let all = run(s, seed * 7919 + i as u64, 3000, false);
             let sent = sends(&all).len();
@@ -282,8 +285,8 @@
 }
 
 #[test]
-fn identical_events_give_identical_actions() {
-    for s in table().iter().take(4) {
+fn identical_events_produce_identical_actions() {
+    for s in settings_table().iter().take(4) {
         let first = run(s, 31, 1500, false);
         assert_eq!(first, run(s, 31, 1500, false));
         assert_eq!(first, run(s, 31, 1500, true));
--- a/crates/core/tests/rules/load_reports.rs
+++ b/crates/core/tests/rules/load_reports.rs
@@ -11,9 +11,9 @@
 /// Returns the workers that get requests and the workers that are health-checked, over ten seconds with forty requests
 /// per second.
 fn used_and_checked(workers: u32) -> (BTreeSet<WorkerId>, BTreeSet<WorkerId>) {
-    let more = "limits.probes=true\nload_info.via=on_probe\nload_info.fields=rif\n";
+    let overrides = "limits.probes=true\nload_info.via=on_probe\nload_info.fields=rif\n";
     let ids: Vec<WorkerId> = (1..=workers).collect();
-    let mut bench = Bench::new(more, &ids);
+    let mut harness = Harness::new(overrides, &ids);
     let (mut used, mut checked) = (BTreeSet::new(), BTreeSet::new());
     let mut running: Vec<Event> = Vec::new();
     for step in 0..STEPS {
@@ -22,7 +22,7 @@
             let id = step / REQUEST_INTERVAL_STEPS + 1;
             events.push(request(id, 0, u64::from(id % FUNCTIONS)));
         }
-        let actions = bench.step(5 * MS, events);
+        let actions = harness.step(5 * MS, events);
         for (id, worker) in sends(&actions) {
             used.insert(worker);
             running.push(ended(id, 0, worker, Outcome::Ok));
@@ -39,7 +39,7 @@
 
 /// Guards against checking all workers of a large fleet, which would open a connection for each check.
 #[test]
-fn with_a_thousand_workers_only_those_with_copies_are_asked_for_load_reports() {
+fn of_a_thousand_workers_only_those_with_copies_are_checked_for_load_reports() {
     let (used, checked) = used_and_checked(1000);
     assert!(!checked.is_empty());
     assert!(
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn with_a_hundred_workers_all_are_asked_for_load_reports_in_turn() {
+fn of_a_hundred_workers_all_are_checked_for_load_reports_in_turn() {
     let (_, checked) = used_and_checked(100);
     assert_eq!(checked.len(), 100);
 }
--- a/crates/core/tests/slow_start/main.rs
+++ b/crates/core/tests/slow_start/main.rs
@@ -10,7 +10,7 @@
 mod world;
 
 use overload_checker::Worst;
-use scenario::{Late, Scenario, Traffic};
+use scenario::{Delay, Scenario, Traffic};
 use stagehoist::Micros;
 use world::World;
 
@@ -21,7 +21,7 @@
 fn run(name: &str, s: &Scenario) -> (Worst, f64) {
     let mut world = World::new(s);
     world.run();
-    let (w, used) = (world.checker.worst, world.checker.arrived / world.checker.could);
+    let (w, used) = (world.checker.worst, world.checker.arrived / world.checker.allowed_total);
     println!(
         "{name}: {:.2} of the bound, {:.1} of N {:.1} ({:.2} N), {:.1} s after the start; {used:.2} used",
         w.of_bound,
@@ -34,84 +34,85 @@
 }
 
 /// Runs a scenario and asserts that it keeps the rule. Returns the used part of the allowed work.
-fn assert_kept(name: &str, s: &Scenario) -> f64 {
+fn assert_rule_kept(name: &str, s: &Scenario) -> f64 {
     let (worst, used) = run(name, s);
     assert!(worst.of_bound <= 1.0, "{name}: {worst:?} in {s:?}");
     used
 }
 
-fn drawn(seeds: std::ops::Range<u64>) {
-    let days = (seeds.end - seeds.start) as f64;
-    let used: f64 = seeds.map(|seed| assert_kept(&format!("day {seed}"), &Scenario::drawn(seed))).sum();
+fn run_random_scenarios(seeds: std::ops::Range<u64>) {
+    let scenarios = (seeds.end - seeds.start) as f64;
+    let used: f64 = seeds.map(|seed| assert_rule_kept(&format!("day {seed}"), &Scenario::random(seed))).sum();
     // The budget must also be used: a rule that is kept because nothing is sent proves nothing.
-    assert!(used / days > 0.15, "{}", used / days);
+    assert!(used / scenarios > 0.15, "{}", used / scenarios);
 }
 
 #[test]
-fn drawn_days_keep_the_sum() {
-    drawn(0..14);
+fn random_scenarios_keep_the_sum() {
+    run_random_scenarios(0..14);
 }
 
 #[test]
-fn further_drawn_days_keep_the_sum() {
-    drawn(14..30);
+fn further_random_scenarios_keep_the_sum() {
+    run_random_scenarios(14..30);
 }
 
 #[test]
-fn yet_other_drawn_days_keep_the_sum() {
-    drawn(30..48);
+fn more_random_scenarios_keep_the_sum() {
+    run_random_scenarios(30..48);
 }
 
 /// Guards against front ends without observations counting the arriving calls as served work, so that an overload raised
 /// their budget.
 #[test]
-fn front_ends_that_learned_nothing_add_no_more_than_the_others() {
+fn front_ends_without_observations_send_no_more_than_the_others() {
     let fleet =
         Scenario { returning: true, restarted: true, retention: 2 * S, load: 3.0, ..Scenario::plain() };
     let traffic = Traffic::Bursts(5 * S, 2 * S);
-    assert_kept("restarted, bursts", &Scenario { traffic, ..fleet.clone() });
+    assert_rule_kept("restarted, bursts", &Scenario { traffic, ..fleet.clone() });
     let traffic = Traffic::Turns(3 * S);
-    assert_kept("restarted, in turns", &Scenario { traffic, unequal: true, ..fleet.clone() });
-    assert_kept("restarted, none established", &Scenario { established: 0, cold: 3, traffic, ..fleet });
+    assert_rule_kept("restarted, in turns", &Scenario { traffic, unequal: true, ..fleet.clone() });
+    assert_rule_kept("restarted, none established", &Scenario { established: 0, cold: 3, traffic, ..fleet });
 }
 
 /// Guards against counting an attempt only in the slot in which it was sent: the attempts of three slots then arrived in
 /// one window.
 #[test]
-fn what_waits_for_its_connection_counts_until_it_has_ended() {
-    let late = Late::Stalls(2500 * MS, S);
-    let plain = Scenario { capacity: 24.0, late, lag: 0, until: 13 * S, ..Scenario::plain() };
+fn an_attempt_that_waits_for_its_connection_counts_until_it_ends() {
+    let delay = Delay::Stalls(2500 * MS, S);
+    let plain = Scenario { capacity: 24.0, delay, lag: 0, until: 13 * S, ..Scenario::plain() };
     for seed in 1..3 {
         let traffic = Traffic::Pauses(2500 * MS, 500 * MS);
-        assert_kept(
+        assert_rule_kept(
             "late after a pause",
-            &Scenario { seed, fronts: 60, traffic, load: 2.5, ..plain.clone() },
+            &Scenario { seed, front_ends: 60, traffic, load: 2.5, ..plain.clone() },
         );
-        let (traffic, keep) = (Traffic::Bursts(5 * S, 2 * S), 2 * S);
+        let (traffic, retention_time) = (Traffic::Bursts(5 * S, 2 * S), 2 * S);
         let s = Scenario {
             seed,
-            fronts: 350,
+            front_ends: 350,
             traffic,
-            retention: keep,
-            notified_at: 0.5,
+            retention: retention_time,
+            count_ratio: 0.5,
             load: 3.0,
             ..plain.clone()
         };
         let s = Scenario { established: 0, cold: 1, returning: true, restarted: true, until: 18 * S, ..s };
-        assert_kept("late bursts, none established", &s);
+        assert_rule_kept("late bursts, none established", &s);
     }
-    assert_kept("few front ends, late", &Scenario { fronts: 12, load: 3.0, ..plain.clone() });
-    assert_kept("late by connection", &Scenario { late: Late::Connections(S), ..plain });
+    assert_rule_kept("few front ends, late", &Scenario { front_ends: 12, load: 3.0, ..plain.clone() });
+    assert_rule_kept("late by connection", &Scenario { delay: Delay::Connections(S), ..plain });
 }
 
 /// Guards against ending a listed warm-up early: a silent cold worker was assumed to have restarted; an answer to an
 /// earlier call then cleared that assumption together with the listed start, and the worker counted as established.
 #[test]
-fn an_answer_after_doubt_leaves_a_told_start() {
-    let late = Late::Stalls(2500 * MS, S);
-    let fleet = Scenario { fronts: 8, unequal: true, capacity: 2.0, late, load: 3.0, ..Scenario::plain() };
+fn an_answer_after_an_assumed_restart_keeps_the_listed_start() {
+    let delay = Delay::Stalls(2500 * MS, S);
+    let fleet =
+        Scenario { front_ends: 8, unequal: true, capacity: 2.0, delay, load: 3.0, ..Scenario::plain() };
     for seed in 0..3 {
-        assert_kept("silent while cold", &Scenario { seed, established: 5, cold: 5, ..fleet.clone() });
+        assert_rule_kept("silent while cold", &Scenario { seed, established: 5, cold: 5, ..fleet.clone() });
     }
 }
 
@@ -120,27 +121,27 @@
 fn a_mass_restart_does_not_raise_the_budget() {
     let s =
         Scenario { established: 1, cold: 8, returning: true, load: 1.3, window: 2 * S, ..Scenario::plain() };
-    assert_kept("eight of nine restart", &s);
-    assert_kept("with few front ends", &Scenario { fronts: 8, unequal: true, ..s.clone() });
-    assert_kept("in turns", &Scenario { traffic: Traffic::Turns(500 * MS), unequal: true, ..s });
+    assert_rule_kept("eight of nine restart", &s);
+    assert_rule_kept("with few front ends", &Scenario { front_ends: 8, unequal: true, ..s.clone() });
+    assert_rule_kept("in turns", &Scenario { traffic: Traffic::Turns(500 * MS), unequal: true, ..s });
 }
 
 /// Negative control: the checker finds a violation if front ends are configured with three times the multiple.
 #[test]
 fn a_budget_three_times_too_large_breaks_the_rule() {
-    let s = Scenario { doctored: 3.0, ..Scenario::plain() };
+    let s = Scenario { multiple_factor: 3.0, ..Scenario::plain() };
     assert!(run("three times the multiple", &s).0.of_bound > 1.0);
-    let s = Scenario { late: Late::Stalls(2500 * MS, S), fronts: 24, ..s };
+    let s = Scenario { delay: Delay::Stalls(2500 * MS, S), front_ends: 24, ..s };
     assert!(run("three times the multiple, late", &s).0.of_bound > 1.0);
-    assert_kept("the true multiple", &Scenario { doctored: 1.0, ..s });
+    assert_rule_kept("the true multiple", &Scenario { multiple_factor: 1.0, ..s });
 }
 
 /// Negative control: the checker finds a violation if the endpoint list does not report the start of a worker.
 #[test]
-fn an_untold_start_breaks_the_rule() {
-    for fronts in [8, 60, 350] {
-        let s = Scenario { fronts, tells_start: false, start_share: 0.1, ..Scenario::plain() };
-        assert!(run("an untold start", &s).0.of_bound > 1.0, "{fronts}");
-        assert_kept("a notified start", &Scenario { tells_start: true, ..s });
+fn an_unlisted_start_breaks_the_rule() {
+    for front_ends in [8, 60, 350] {
+        let s = Scenario { front_ends, lists_start: false, start_share: 0.1, ..Scenario::plain() };
+        assert!(run("an untold start", &s).0.of_bound > 1.0, "{front_ends}");
+        assert_rule_kept("a notified start", &Scenario { lists_start: true, ..s });
     }
 }
--- a/crates/core/tests/slow_start/overload_checker.rs
+++ b/crates/core/tests/slow_start/overload_checker.rs
@@ -38,19 +38,31 @@
     pub worst: Worst,
     /// Work that reached cold workers, and the work that the settings would have allowed.
     pub arrived: f64,
-    pub could: f64,
+    pub allowed_total: f64,
 }
 
 impl OverloadChecker {
     pub fn new(s: &Scenario) -> OverloadChecker {
-        let (least, over) = (s.start_share, s.warm_up);
-        let share = move |age: Micros| least + (1.0 - least) * (age as f64 / over as f64).clamp(0.0, 1.0);
+        let (start_share, warm_up_time) = (s.start_share, s.warm_up);
+        let share = move |age: Micros| {
+            start_share + (1.0 - start_share) * (age as f64 / warm_up_time as f64).clamp(0.0, 1.0)
+        };
         let full = s.multiple * s.rate() * s.window as f64 / S as f64;
         let warm = (s.until - START).min(s.warm_up);
-        let could = s.cold as f64 * full * warm as f64 / s.window as f64 * (share(0) + share(warm)) / 2.0;
+        let allowed_total =
+            s.cold as f64 * full * warm as f64 / s.window as f64 * (share(0) + share(warm)) / 2.0;
         let (recent, worst) = Default::default();
         let (window, warm_up) = (s.window, s.warm_up);
-        OverloadChecker { window, warm_up, share: Box::new(share), full, recent, worst, arrived: 0.0, could }
+        OverloadChecker {
+            window,
+            warm_up,
+            share: Box::new(share),
+            full,
+            recent,
+            worst,
+            arrived: 0.0,
+            allowed_total,
+        }
     }
 
     pub fn arrived(&mut self, worker: WorkerId, arrival: Arrival) {
--- a/crates/core/tests/slow_start/scenario.rs
+++ b/crates/core/tests/slow_start/scenario.rs
@@ -6,7 +6,7 @@
 pub struct Draw(pub u64);
 
 impl Draw {
-    pub fn part(&mut self) -> f64 {
+    pub fn fraction(&mut self) -> f64 {
         // SplitMix64.
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let x = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -14,7 +14,7 @@
         ((x ^ (x >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
     pub fn below(&mut self, n: i64) -> i64 {
-        (self.part() * n as f64) as i64
+        (self.fraction() * n as f64) as i64
     }
 }
 
@@ -31,8 +31,8 @@
 
 /// Delay of the attempts sent to cold workers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Late {
-    Never,
+pub enum Delay {
+    None,
     /// Maximum delay until a front end's connection is established; the attempts waiting for it then arrive together.
     Connections(Micros),
     /// Period and length: within each period, nothing arrives during this length.
@@ -42,9 +42,9 @@
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub seed: u64,
-    pub fronts: usize,
+    pub front_ends: usize,
     /// Configured number of front ends relative to the actual number.
-    pub notified_at: f64,
+    pub count_ratio: f64,
     pub established: WorkerId,
     pub cold: WorkerId,
     /// Whether the cold workers were established before and restart; otherwise they are new.
@@ -61,18 +61,18 @@
     pub load: f64,
     pub traffic: Traffic,
     pub unequal: bool,
-    pub late: Late,
+    pub delay: Delay,
     /// Whether seven front ends in ten restart together with the workers.
     pub restarted: bool,
     /// Maximum delay until front ends are notified of the start.
     pub lag: Micros,
     /// A worker rejects attempts that would wait longer than this.
-    pub waits: Micros,
+    pub max_wait: Micros,
     pub until: Micros,
     /// Front ends are configured with this factor times the multiple; above 1 the checker must find a violation.
-    pub doctored: f64,
+    pub multiple_factor: f64,
     /// Whether the endpoint list reports that a worker has started.
-    pub tells_start: bool,
+    pub lists_start: bool,
 }
 
 impl Scenario {
@@ -81,8 +81,8 @@
     pub fn plain() -> Scenario {
         Scenario {
             seed: 1,
-            fronts: 150,
-            notified_at: 1.0,
+            front_ends: 150,
+            count_ratio: 1.0,
             established: 3,
             cold: 1,
             returning: false,
@@ -96,51 +96,51 @@
             load: 2.0,
             traffic: Traffic::Steady,
             unequal: false,
-            late: Late::Never,
+            delay: Delay::None,
             restarted: false,
             lag: 300 * MS,
-            waits: 100 * MS,
+            max_wait: 100 * MS,
             until: 20 * S,
-            doctored: 1.0,
-            tells_start: true,
+            multiple_factor: 1.0,
+            lists_start: true,
         }
     }
 
-    pub fn drawn(seed: u64) -> Scenario {
-        let mut r = Draw(seed << 32);
-        let mut of = |list: &[f64]| list[r.below(list.len() as i64) as usize];
-        let run = of(&[60.0, 120.0]) as Micros * MS;
-        let established = of(&[0.0, 1.0, 2.0, 3.0, 5.0]) as WorkerId;
+    pub fn random(seed: u64) -> Scenario {
+        let mut draw = Draw(seed << 32);
+        let mut pick = |list: &[f64]| list[draw.below(list.len() as i64) as usize];
+        let run = pick(&[60.0, 120.0]) as Micros * MS;
+        let established = pick(&[0.0, 1.0, 2.0, 3.0, 5.0]) as WorkerId;
         Scenario {
             seed,
-            fronts: of(&[8.0, 12.0, 24.0, 60.0, 150.0, 300.0, 350.0]) as usize,
-            notified_at: of(&[0.5, 1.0, 2.0]),
+            front_ends: pick(&[8.0, 12.0, 24.0, 60.0, 150.0, 300.0, 350.0]) as usize,
+            count_ratio: pick(&[0.5, 1.0, 2.0]),
             established,
-            cold: of(&[1.0, 1.0, 3.0, 5.0]) as WorkerId,
-            returning: of(&[0.0, 1.0]) > 0.0 || established == 0,
-            capacity: of(&[2.0, 4.0, 8.0]),
-            run: [run, run * of(&[1.0, 3.0]) as Micros],
-            window: of(&[1.0, 2.0]) as Micros * S,
-            multiple: of(&[2.0, 2.5, 3.0]),
-            start_share: of(&[0.1, 0.25, 0.3]),
-            warm_up: of(&[10.0, 17.0]) as Micros * S,
-            retention: of(&[2.0, 9.0]) as Micros * S,
-            load: of(&[0.9, 1.3, 2.0, 3.0]),
-            traffic: match of(&[0.0, 1.0, 2.0, 3.0]) as i64 {
+            cold: pick(&[1.0, 1.0, 3.0, 5.0]) as WorkerId,
+            returning: pick(&[0.0, 1.0]) > 0.0 || established == 0,
+            capacity: pick(&[2.0, 4.0, 8.0]),
+            run: [run, run * pick(&[1.0, 3.0]) as Micros],
+            window: pick(&[1.0, 2.0]) as Micros * S,
+            multiple: pick(&[2.0, 2.5, 3.0]),
+            start_share: pick(&[0.1, 0.25, 0.3]),
+            warm_up: pick(&[10.0, 17.0]) as Micros * S,
+            retention: pick(&[2.0, 9.0]) as Micros * S,
+            load: pick(&[0.9, 1.3, 2.0, 3.0]),
+            traffic: match pick(&[0.0, 1.0, 2.0, 3.0]) as i64 {
                 0 => Traffic::Steady,
                 1 => Traffic::Bursts(3 * S, 600 * MS),
                 2 => Traffic::Bursts(5 * S, 2 * S),
-                _ => Traffic::Turns(of(&[500.0, 3000.0]) as Micros * MS),
+                _ => Traffic::Turns(pick(&[500.0, 3000.0]) as Micros * MS),
             },
-            unequal: of(&[0.0, 1.0]) > 0.0,
-            late: match of(&[0.0, 1.0, 2.0]) as i64 {
-                0 => Late::Never,
-                1 => Late::Connections(S),
-                _ => Late::Stalls(2500 * MS, S),
+            unequal: pick(&[0.0, 1.0]) > 0.0,
+            delay: match pick(&[0.0, 1.0, 2.0]) as i64 {
+                0 => Delay::None,
+                1 => Delay::Connections(S),
+                _ => Delay::Stalls(2500 * MS, S),
             },
-            restarted: of(&[0.0, 1.0]) > 0.0,
-            lag: of(&[0.0, 300.0, 1000.0]) as Micros * MS,
-            waits: of(&[100.0, 400.0]) as Micros * MS,
+            restarted: pick(&[0.0, 1.0]) > 0.0,
+            lag: pick(&[0.0, 300.0, 1000.0]) as Micros * MS,
+            max_wait: pick(&[100.0, 400.0]) as Micros * MS,
             ..Scenario::plain()
         }
     }
@@ -156,8 +156,8 @@
     }
 
     pub fn share(&self, age: Micros) -> f64 {
-        let grown = (age as f64 / self.warm_up as f64).clamp(0.0, 1.0);
-        self.start_share + (1.0 - self.start_share) * grown
+        let progress = (age as f64 / self.warm_up as f64).clamp(0.0, 1.0);
+        self.start_share + (1.0 - self.start_share) * progress
     }
 
     pub fn load_at(&self, now: Micros) -> f64 {
@@ -180,9 +180,9 @@
              invariants.start_capacity={}\ninvariants.warm_up={}\nlimits.most_tries=3\n\
              limits.connect_timeout=1500\nspecifics.idle_life={}\nspecifics.if_cold=load\n\
              specifics.ram_mb_by_kind=16000\n",
-            ((self.fronts as f64 * self.notified_at) as usize).max(1),
+            ((self.front_ends as f64 * self.count_ratio) as usize).max(1),
             ms(self.window),
-            self.multiple * self.doctored,
+            self.multiple * self.multiple_factor,
             self.start_share,
             ms(self.warm_up),
             ms(self.retention),
--- a/crates/core/tests/slow_start/world.rs
+++ b/crates/core/tests/slow_start/world.rs
@@ -2,7 +2,7 @@
 //! workers that start cold, and slow connections.
 
 use crate::overload_checker::{Arrival, OverloadChecker};
-use crate::scenario::{Draw, Late, Scenario, Traffic};
+use crate::scenario::{Delay, Draw, Scenario, Traffic};
 use crate::{MS, S};
 use stagehoist::*;
 use std::collections::BTreeMap;
@@ -12,39 +12,39 @@
 /// When the cold workers start.
 pub const START: Micros = 9 * S;
 
-struct Front {
+struct FrontEndState {
     front_end: FrontEnd,
     /// Incarnation; events for an earlier one are dropped.
-    life: u32,
+    incarnation: u32,
     /// Whether it has been notified of the start.
-    on_inquiry_answer: bool,
+    knows_start: bool,
     /// When its connection to each cold worker is established.
     connected: BTreeMap<WorkerId, Micros>,
     attempts: BTreeMap<RequestId, u16>,
 }
 
 struct Worker {
-    row: Endpoint,
+    endpoint: Endpoint,
     /// When each slot is free.
-    free: Vec<Micros>,
+    free_at: Vec<Micros>,
 }
 
 /// A send: its front end and incarnation, call, attempt, worker, and whether it was notified of the start.
-type Flight = (usize, u32, RequestId, u16, WorkerId, bool);
+type AttemptInTransit = (usize, u32, RequestId, u16, WorkerId, bool);
 
 pub struct World<'a> {
     s: &'a Scenario,
     now: Micros,
     draw: Draw,
-    fronts: Vec<Front>,
+    front_ends: Vec<FrontEndState>,
     workers: Vec<Worker>,
-    coming: BTreeMap<(Micros, usize), Vec<(u32, Event)>>,
+    scheduled: BTreeMap<(Micros, usize), Vec<(u32, Event)>>,
     /// Attempts in transit, by arrival time and number.
-    flying: BTreeMap<(Micros, u64), Flight>,
-    made: u64,
+    in_transit: BTreeMap<(Micros, u64), AttemptInTransit>,
+    sent_count: u64,
     next: RequestId,
     /// Cumulative traffic of the front ends.
-    parts: Vec<f64>,
+    cumulative_traffic: Vec<f64>,
     pub checker: OverloadChecker,
 }
 
@@ -56,38 +56,46 @@
     pub fn new(s: &'a Scenario) -> World<'a> {
         let mut draw = Draw(s.seed);
         let all = s.established + s.cold;
-        let row = |w: WorkerId| Endpoint {
+        let endpoint = |w: WorkerId| Endpoint {
             worker: w,
             lifecycle: if w < s.established || s.returning { Lifecycle::Ready } else { Lifecycle::Gone },
             capacity: s.capacity,
             ..Default::default()
         };
-        let workers = (0..all).map(|w| Worker { row: row(w), free: vec![0; s.capacity as usize] }).collect();
+        let workers = (0..all)
+            .map(|w| Worker { endpoint: endpoint(w), free_at: vec![0; s.capacity as usize] })
+            .collect();
         let mut sum = 0.0;
-        let part = |_| {
+        let fraction = |_| {
             // With unequal traffic, one in ten front ends gets several times the mean.
-            sum += if s.unequal && draw.below(10) == 0 { 8.0 } else { 0.5 + draw.part() };
+            sum += if s.unequal && draw.below(10) == 0 { 8.0 } else { 0.5 + draw.fraction() };
             sum
         };
-        let parts = (0..s.fronts).map(part).collect();
+        let cumulative_traffic = (0..s.front_ends).map(fraction).collect();
         let mut world = World {
             s,
             now: S,
             draw,
-            fronts: Vec::new(),
+            front_ends: Vec::new(),
             workers,
-            coming: BTreeMap::new(),
-            flying: BTreeMap::new(),
-            made: 0,
+            scheduled: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
+            sent_count: 0,
             next: 0,
-            parts,
+            cumulative_traffic,
             checker: OverloadChecker::new(s),
         };
-        for k in 0..s.fronts {
+        for k in 0..s.front_ends {
             let front_end = world.start_front_end(k as u64);
             let (connected, attempts) = Default::default();
-            world.fronts.push(Front { front_end, life: 0, on_inquiry_answer: false, connected, attempts });
-            world.list(k, S);
+            world.front_ends.push(FrontEndState {
+                front_end,
+                incarnation: 0,
+                knows_start: false,
+                connected,
+                attempts,
+            });
+            world.schedule_list(k, S);
         }
         world
     }
@@ -96,37 +104,39 @@
         FrontEnd::new(self.s.settings(), seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ self.s.seed, self.now)
     }
 
-    fn tell(&mut self, k: usize, at: Micros, event: Event) {
+    fn schedule(&mut self, k: usize, at: Micros, event: Event) {
         let at = (at + TICK - 1) / TICK * TICK;
-        self.coming.entry((at, k)).or_default().push((self.fronts[k].life, event));
+        self.scheduled.entry((at, k)).or_default().push((self.front_ends[k].incarnation, event));
     }
 
     /// Schedules the current full endpoint list for a front end at a time.
-    fn list(&mut self, k: usize, at: Micros) {
-        let started = |w: &Worker| if self.s.tells_start { w.row.started } else { 0 };
-        let rows = self.workers.iter().map(|w| Endpoint { started: started(w), ..w.row.clone() }).collect();
-        self.tell(k, at, Event::Endpoints { update: EndpointUpdate::Full, endpoints: rows });
+    fn schedule_list(&mut self, k: usize, at: Micros) {
+        let started = |w: &Worker| if self.s.lists_start { w.endpoint.started } else { 0 };
+        let entries =
+            self.workers.iter().map(|w| Endpoint { started: started(w), ..w.endpoint.clone() }).collect();
+        self.schedule(k, at, Event::Endpoints { update: EndpointUpdate::Full, endpoints: entries });
     }
 
     pub fn run(&mut self) {
-        let mut owed = 0.0;
-        let before = self.workers.iter().filter(|w| w.row.lifecycle == Lifecycle::Ready).count();
+        let mut due_calls = 0.0;
+        let before = self.workers.iter().filter(|w| w.endpoint.lifecycle == Lifecycle::Ready).count();
         let size = before as f64 * self.s.rate();
         while self.now < self.s.until {
             self.now += TICK;
             if self.now == START {
                 self.start();
             }
-            owed += size * self.s.load_at(self.now) * TICK as f64 / S as f64;
-            while owed >= 1.0 {
-                owed -= 1.0;
-                self.call();
+            due_calls += size * self.s.load_at(self.now) * TICK as f64 / S as f64;
+            while due_calls >= 1.0 {
+                due_calls -= 1.0;
+                self.send_call();
             }
-            self.land();
-            while let Some((&(at, k), _)) = self.coming.first_key_value().filter(|(key, _)| key.0 <= self.now)
+            self.serve_arrivals();
+            while let Some((&(at, k), _)) =
+                self.scheduled.first_key_value().filter(|(key, _)| key.0 <= self.now)
             {
-                let batch = self.coming.remove(&(at, k)).unwrap();
-                self.batch(k, batch);
+                let handle_batch = self.scheduled.remove(&(at, k)).unwrap();
+                self.handle_batch(k, handle_batch);
             }
         }
     }
@@ -134,29 +144,30 @@
     fn start(&mut self) {
         let now = self.now;
         for w in self.workers.iter_mut().skip(self.s.established as usize) {
-            (w.row.lifecycle, w.row.started) = (Lifecycle::Ready, now);
+            (w.endpoint.lifecycle, w.endpoint.started) = (Lifecycle::Ready, now);
         }
-        for k in 0..self.s.fronts {
+        for k in 0..self.s.front_ends {
             if self.s.restarted && self.draw.below(10) < 7 {
-                self.fronts[k].front_end = self.start_front_end(1000 + k as u64);
-                let f = &mut self.fronts[k];
-                (f.life, f.connected, f.attempts) = (f.life + 1, BTreeMap::new(), BTreeMap::new());
+                self.front_ends[k].front_end = self.start_front_end(1000 + k as u64);
+                let f = &mut self.front_ends[k];
+                (f.incarnation, f.connected, f.attempts) =
+                    (f.incarnation + 1, BTreeMap::new(), BTreeMap::new());
             }
             let lag = self.draw.below(self.s.lag.max(1));
-            self.list(k, now + lag);
+            self.schedule_list(k, now + lag);
         }
     }
 
-    fn call(&mut self) {
+    fn send_call(&mut self) {
         self.next += 1;
         let id = self.next;
-        let some = self.draw.part();
-        let at = some * self.parts[self.s.fronts - 1];
-        let mut k = self.parts.partition_point(|&p| p <= at).min(self.s.fronts - 1);
+        let drawn = self.draw.fraction();
+        let at = drawn * self.cumulative_traffic[self.s.front_ends - 1];
+        let mut k = self.cumulative_traffic.partition_point(|&p| p <= at).min(self.s.front_ends - 1);
         if let Traffic::Turns(span) = self.s.traffic {
             // Each fifth of the front ends in turn has all the traffic.
             let turn = (self.now / span % 5) as usize;
-            k = (k - k % 5 + turn) % self.s.fronts;
+            k = (k - k % 5 + turn) % self.s.front_ends;
         }
         let request = Request {
             id,
@@ -172,58 +183,62 @@
             accepted_at: 0,
             client_verified: true,
         };
-        self.tell(k, self.now, Event::Request(request));
+        self.schedule(k, self.now, Event::Request(request));
     }
 
-    fn batch(&mut self, k: usize, batch: Vec<(u32, Event)>) {
-        let life = self.fronts[k].life;
-        let events: Vec<Event> = batch.into_iter().filter(|e| e.0 == life).map(|e| e.1).collect();
+    fn handle_batch(&mut self, k: usize, handle_batch: Vec<(u32, Event)>) {
+        let incarnation = self.front_ends[k].incarnation;
+        let events: Vec<Event> =
+            handle_batch.into_iter().filter(|e| e.0 == incarnation).map(|e| e.1).collect();
         if events.is_empty() {
             return;
         }
         let listed = events.iter().any(|e| matches!(e, Event::Endpoints { .. }));
-        self.fronts[k].on_inquiry_answer |= listed && self.now >= START;
+        self.front_ends[k].knows_start |= listed && self.now >= START;
         let mut out = Vec::new();
-        self.fronts[k].front_end.handle(self.now, &events, &mut out);
+        self.front_ends[k].front_end.handle(self.now, &events, &mut out);
         for action in out {
             match action {
                 Action::Send { request, worker, .. } => self.send(k, request, worker),
-                Action::SetTimer { after, token } => self.tell(k, self.now + after, Event::Timer { token }),
+                Action::SetTimer { after, token } => {
+                    self.schedule(k, self.now + after, Event::Timer { token })
+                }
                 _ => {}
             }
         }
     }
 
     fn send(&mut self, k: usize, id: RequestId, worker: WorkerId) {
-        let (now, cold) = (self.now, self.workers[worker as usize].row.started > 0);
-        let late = match self.s.late {
-            Late::Connections(most) if cold => most / 2 + self.draw.below(most / 2),
+        let (now, cold) = (self.now, self.workers[worker as usize].endpoint.started > 0);
+        let delay = match self.s.delay {
+            Delay::Connections(max_delay) if cold => max_delay / 2 + self.draw.below(max_delay / 2),
             _ => 0,
         };
-        let f = &mut self.fronts[k];
-        let at = (*f.connected.entry(worker).or_insert(now + late)).max(now);
+        let f = &mut self.front_ends[k];
+        let at = (*f.connected.entry(worker).or_insert(now + delay)).max(now);
         // During each stall nothing reaches cold workers; the delayed attempts then arrive together.
-        let at = match self.s.late {
-            Late::Stalls(every, span) if cold && at % every < span => at - at % every + span,
+        let at = match self.s.delay {
+            Delay::Stalls(every, span) if cold && at % every < span => at - at % every + span,
             _ => at,
         };
         let number = f.attempts.entry(id).or_default();
-        self.made += 1;
-        self.flying.insert((at + MS, self.made), (k, f.life, id, *number, worker, f.on_inquiry_answer));
+        self.sent_count += 1;
+        self.in_transit
+            .insert((at + MS, self.sent_count), (k, f.incarnation, id, *number, worker, f.knows_start));
         *number += 1;
     }
 
     /// Serves the attempts that have arrived at workers, or rejects them if they would wait too long.
-    fn land(&mut self) {
-        while let Some((&key, _)) = self.flying.first_key_value().filter(|(key, _)| key.0 <= self.now) {
-            let (k, life, id, attempt, worker, notified) = self.flying.remove(&key).unwrap();
+    fn serve_arrivals(&mut self) {
+        while let Some((&key, _)) = self.in_transit.first_key_value().filter(|(key, _)| key.0 <= self.now) {
+            let (k, incarnation, id, attempt, worker, notified) = self.in_transit.remove(&key).unwrap();
             let (at, w) = (key.0, &mut self.workers[worker as usize]);
             let (usual, mut share) = (self.s.run[class_of(id) as usize] as f64, 1.0);
-            if w.row.started > 0 {
-                share = self.s.share(at - w.row.started);
+            if w.endpoint.started > 0 {
+                share = self.s.share(at - w.endpoint.started);
                 self.checker.arrived(worker, Arrival { at, work: usual / self.s.mean_run(), notified });
             }
-            let slot = w.free.iter_mut().min().expect("a slot");
+            let slot = w.free_at.iter_mut().min().expect("a slot");
             let from = (*slot).max(at);
             let mut ended = AttemptEnd {
                 request: id,
@@ -235,15 +250,15 @@
                 elapsed: 0,
                 report: None,
             };
-            if from - at > self.s.waits {
+            if from - at > self.s.max_wait {
                 (ended.concluded, ended.outcome) = (false, Outcome::Full);
                 ended.elapsed = 2 * MS;
             } else {
-                *slot = from + (usual * (0.5 + self.draw.part()) / share) as Micros;
+                *slot = from + (usual * (0.5 + self.draw.fraction()) / share) as Micros;
                 ended.elapsed = *slot - at;
             }
-            if self.fronts[k].life == life {
-                self.tell(k, at + ended.elapsed, Event::AttemptEnded(ended));
+            if self.front_ends[k].incarnation == incarnation {
+                self.schedule(k, at + ended.elapsed, Event::AttemptEnded(ended));
             }
         }
     }
