--- a/crates/core/src/policy/completion.rs
+++ b/crates/core/src/policy/completion.rs
@@ -25,7 +25,7 @@
         }
         self.verify_client(end);
         if end.concluded {
-            self.forget(end.request);
+            self.remove_request(end.request);
             return;
         }
         self.record_execution(end);
--- a/crates/core/src/policy/confirmation.rs
+++ b/crates/core/src/policy/confirmation.rs
@@ -77,8 +77,8 @@
 
     /// Returns the time up to which new work may be written to a worker's connection.
     pub(super) fn confirmed_until(&self, worker: &Worker) -> Micros {
-        let vouched_at = self.list_validity.until.max(worker.confirmation.confirmed_at);
-        vouched_at.saturating_add(self.confirmation_lifetime())
+        let valid_from = self.list_validity.until.max(worker.confirmation.confirmed_at);
+        valid_from.saturating_add(self.confirmation_lifetime())
     }
 
     /// Whether a worker is confirmed, by the list or by itself, and may get new work now.
--- a/crates/core/src/policy/dispatch.rs
+++ b/crates/core/src/policy/dispatch.rs
@@ -46,7 +46,7 @@
                 healthy -= usize::from(worker.is_healthy(now));
             }
         }
-        FleetHealth { ready, ejections_doubted: healthy * 2 < ready }
+        FleetHealth { ready, ignore_ejections: healthy * 2 < ready }
     }
 
     /// Gives up the objective of queued requests that can't meet it any more.
@@ -178,7 +178,7 @@
         let others = self.other_requests(worker, now).likely;
         let requests = worker.in_flight.len() as f64 + 1.0 + others;
         worker.ready
-            && (worker.is_healthy(now) || health.ejections_doubted)
+            && (worker.is_healthy(now) || health.ignore_ejections)
             && worker.estimates.full_until <= now
             && requests <= MAX_STRETCH * worker.endpoint.capacity.max(1.0)
     }
--- a/crates/core/src/policy/estimates.rs
+++ b/crates/core/src/policy/estimates.rs
@@ -15,7 +15,7 @@
 }
 
 impl CachedCopy {
-    /// Returns an entry without a copy. For half of the retention time the worker is known to lack one.
+    /// Returns an entry without a copy. For half of the retention time the worker is assumed to lack one.
     pub fn absent(now: Micros, idle_retention: Micros) -> CachedCopy {
         CachedCopy { ready_at: now + idle_retention / 2, expires_at: now, used_at: now, copies: 0 }
     }
--- a/crates/core/src/policy/fleet.rs
+++ b/crates/core/src/policy/fleet.rs
@@ -28,15 +28,15 @@
 
 impl Contribution {
     fn of(worker: &Worker, now: Micros) -> Contribution {
-        let of_ready = |value: f64| if worker.ready { value } else { 0.0 };
+        let if_ready = |value: f64| if worker.ready { value } else { 0.0 };
         let capacity = worker.endpoint.capacity;
         Contribution {
             is_ready: worker.ready,
             is_healthy: worker.ready && worker.is_healthy(now),
             is_warming: worker.warming_since.is_some(),
-            capacity: of_ready(capacity),
+            capacity: if_ready(capacity),
             established_capacity: if worker.is_established(now) { capacity } else { 0.0 },
-            error_rate: of_ready(worker.estimates.error_rate),
+            error_rate: if_ready(worker.estimates.error_rate),
         }
     }
 }
@@ -65,7 +65,7 @@
     pub busy: BTreeSet<usize>,
     /// Workers that are health-checked in turn for their load reports, by the time of their last check.
     pub check_round: BTreeSet<WorkerTime>,
-    /// Workers that are gone, by the time of their last change in the endpoint list.
+    /// Workers that are gone, by their `list_updated_at`.
     pub gone: BTreeSet<WorkerTime>,
     /// Workers whose confirmation check is in progress or has failed.
     pub unconfirmed: BTreeSet<usize>,
@@ -108,9 +108,9 @@
     /// Returns warming workers of a fleet of `workers`: all of them in a small fleet, the next few in turn in a larger one.
     pub fn take_warming_batch(&mut self, workers: usize) -> Vec<usize> {
         let max_count = if workers <= MAX_CONSIDERED { usize::MAX } else { MAX_WARMING_CONSIDERED };
-        let from_next = self.warming.range(self.next_warming..);
+        let unwrapped = self.warming.range(self.next_warming..);
         let wrapped = self.warming.range(..self.next_warming);
-        let batch: Vec<usize> = from_next.chain(wrapped).copied().take(max_count).collect();
+        let batch: Vec<usize> = unwrapped.chain(wrapped).copied().take(max_count).collect();
         self.next_warming = batch.last().map_or(0, |last| last + 1);
         batch
     }
@@ -170,14 +170,14 @@
     fn next_change(&self, index: usize, since: Micros) -> Option<Micros> {
         let worker = &self.workers[index];
         let estimates = &worker.estimates;
-        let warm_at = worker.warming_since.map(|warming_since| warming_since + self.settings.warm_up);
-        let first_order = estimates.load_orders.values().min();
-        let lost_at = first_order.map(|ordered_at| ordered_at + self.lost_order_after() + 1);
+        let warm_up_ends_at = worker.warming_since.map(|warming_since| warming_since + self.settings.warm_up);
+        let oldest_order_at = estimates.load_orders.values().min();
+        let lost_order_at = oldest_order_at.map(|ordered_at| ordered_at + self.lost_order_after() + 1);
         let is_decayed = self.workers.len() > MAX_CONSIDERED && is_fully_decayed(estimates);
         let decays_at = (!is_decayed).then(|| estimates.slowdown_at + self.estimate_decay_interval() + 1);
         let reopen_times = [estimates.full_until, estimates.ejected_until, estimates.loading_until];
         let reopen_times = reopen_times.into_iter().filter(|until| *until > since);
-        warm_at.into_iter().chain(lost_at).chain(decays_at).chain(reopen_times).min()
+        warm_up_ends_at.into_iter().chain(lost_order_at).chain(decays_at).chain(reopen_times).min()
     }
 
     /// Refreshes the workers whose scheduled time has passed.
@@ -190,7 +190,7 @@
     }
 
     /// Updates the sums after a worker's entry in the endpoint list changed, as the next events of the batch use them.
-    /// `listed_before` is the time of the entry's previous change.
+    /// `previous_update` is its `list_updated_at` before the change.
     pub(super) fn update_listing(&mut self, index: usize, previous_update: Micros, now: Micros) {
         self.fleet.gone.remove(&WorkerTime { at: previous_update, index });
         let worker = &self.workers[index];
--- a/crates/core/src/policy/intake.rs
+++ b/crates/core/src/policy/intake.rs
@@ -68,9 +68,10 @@
         let observed = 1.0 - decay(now - self.started_at, time_constant);
         let shortest = self.shortest_objective.max(1) as f64;
         self.observed_span = (time_constant as f64 * observed).max(shortest);
-        let to_fill_the_fleet = self.fleet_capacity * self.observed_span / self.recent_work.value.max(1.0);
+        let front_ends_to_fill_fleet =
+            self.fleet_capacity * self.observed_span / self.recent_work.value.max(1.0);
         let front_ends = self.settings.front_ends.max(1) as f64;
-        self.similar_front_ends = to_fill_the_fleet.max(1.0).min(front_ends);
+        self.similar_front_ends = front_ends_to_fill_fleet.max(1.0).min(front_ends);
     }
 
     /// Returns the run time at a worker of the usual speed without contention: from the declared work, else the
@@ -95,7 +96,7 @@
     }
 
     /// Removes a request that was answered or whose client is gone.
-    pub(super) fn forget(&mut self, id: RequestId) {
+    pub(super) fn remove_request(&mut self, id: RequestId) {
         self.dequeue(id);
         let Some(call) = self.pending.remove(&id) else { return };
         self.deadlines.remove(&Deadline { at: call.deadline, request: id });
--- a/crates/core/src/policy/learning.rs
+++ b/crates/core/src/policy/learning.rs
@@ -28,7 +28,7 @@
         let none_in_flight = worker.in_flight.is_empty();
         let estimates = &mut worker.estimates;
         estimates.lost_connections += u32::from(end.outcome == Reset);
-        let is_gone = end.outcome == ConnectFailed || none_in_flight && estimates.lost_connections > 1;
+        let is_unreachable = end.outcome == ConnectFailed || none_in_flight && estimates.lost_connections > 1;
         if !matches!(end.outcome, Timeout | Cancelled | ConnectFailed | Reset) {
             estimates.last_response_at = now;
         }
@@ -47,7 +47,7 @@
                 self.workers[index].estimates.copies.remove(&attempt.function);
             }
             Error => self.record_failure(index, Failure::Error, now, actions),
-            ConnectFailed | Reset if is_gone => {
+            ConnectFailed | Reset if is_unreachable => {
                 self.record_failure(index, Failure::Unreachable, now, actions)
             }
             ConnectFailed | Reset => self.record_failure(index, Failure::Error, now, actions),
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -195,7 +195,7 @@
                 self.on_attempt_ended(end, now, actions);
                 self.reconsider_worker(end.worker);
             }
-            Event::ClientGone { request } => self.forget(*request),
+            Event::ClientGone { request } => self.remove_request(*request),
             Event::Timer { token } => self.on_timer(*token),
             Event::Loaded { worker, function, outcome, elapsed, copies } => {
                 let load = loading::LoadResult {
--- a/crates/core/src/policy/outliers.rs
+++ b/crates/core/src/policy/outliers.rs
@@ -110,8 +110,8 @@
             (MAX_HEALTH_CHECK_COST / settings.price_health_check.max(MAX_HEALTH_CHECK_COST)).min(1.0);
         let workers = self.fleet.check_round.len();
         let request_interval = self.arrivals_window() as f64 / self.arrivals.len() as f64;
-        let affordable = (request_interval * workers as f64 / checks_per_request) as Micros;
-        let interval = affordable.max(self.shortest_objective / MAX_CHECKS_PER_OBJECTIVE);
+        let affordable_interval = (request_interval * workers as f64 / checks_per_request) as Micros;
+        let interval = affordable_interval.max(self.shortest_objective / MAX_CHECKS_PER_OBJECTIVE);
         let due = self.fleet.check_round.iter().take_while(|check| now - check.at >= interval);
         let mut due: Vec<usize> = due.map(|check| check.index).collect();
         due.sort_unstable();
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -18,7 +18,7 @@
     pub ready: usize,
     /// Whether most of them are ejected. The ejections are then ignored, as a false judgement is likelier than so many
     /// faulty workers.
-    pub ejections_doubted: bool,
+    pub ignore_ejections: bool,
 }
 
 /// The decision about a queued request.
--- a/crates/core/src/policy/prediction.rs
+++ b/crates/core/src/policy/prediction.rs
@@ -22,7 +22,7 @@
 const MAX_JITTER: f64 = 1000.0;
 /// Maximum part of a worker's capacity that unreported requests of other front ends are assumed to use when the
 /// finish is predicted.
-const MAX_GUESSED_FILL: f64 = 0.5;
+const MAX_ASSUMED_FILL: f64 = 0.5;
 
 pub(super) struct Prediction {
     pub finish: Micros,
@@ -84,8 +84,11 @@
             return OtherRequests { likely: reported, possible: reported };
         }
         let others = (self.similar_front_ends - 1.0).max(0.0);
-        let guess = others * worker.recent_load_at(now, self.settings.idle_retention);
-        OtherRequests { likely: guess.min(worker.endpoint.capacity * MAX_GUESSED_FILL), possible: guess }
+        let estimate = others * worker.recent_load_at(now, self.settings.idle_retention);
+        OtherRequests {
+            likely: estimate.min(worker.endpoint.capacity * MAX_ASSUMED_FILL),
+            possible: estimate,
+        }
     }
 
     fn contention(&self, worker: &Worker, now: Micros) -> Contention {
@@ -113,9 +116,9 @@
         // If a miss is only answered and starts no load, the risk that a preferred worker lacks the copy raises the
         // cost but not the predicted finish. Otherwise a front end with few observations would reject, without an
         // attempt, requests for functions that others have loaded. Could harm by more misses.
-        let is_doubtful = self.settings.on_miss == OnMiss::Miss && preference.copy_chance() > 0.0;
-        let doubt = if is_doubtful { load_wait } else { 0 };
-        let copy_ready = copy.map_or(now + load_wait - doubt, |copy| copy.ready_at.max(now));
+        let may_miss = self.settings.on_miss == OnMiss::Miss && preference.copy_chance() > 0.0;
+        let miss_penalty = if may_miss { load_wait } else { 0 };
+        let copy_ready = copy.map_or(now + load_wait - miss_penalty, |copy| copy.ready_at.max(now));
         let slots = copy_slots(function, copy);
         let own_requests = worker.in_flight_of(call.request.function);
         let start = copy_ready.max(start_of_free_slot(worker, call.request.function, own_requests, slots));
@@ -124,7 +127,7 @@
             .and_then(Function::run_percentile_99)
             .map(|run| run * worker.estimates.slowdown * contention.slowdown);
         let finish = start + slow_run.unwrap_or(mean_run) as Micros;
-        let cost = (finish + doubt) as f64
+        let cost = (finish + miss_penalty) as f64
             + mean_run * contention.possible_stretch()
             + self.zone_cost(worker, call.request.class)
             + self.affinity_cost(worker, call.request.function, copy, load_time, preference, now)
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -17,9 +17,9 @@
     /// idempotent none may have run.
     pub(super) fn may_send_again(&self, id: RequestId, now: Micros) -> bool {
         let Some(call) = self.pending.get(&id) else { return false };
-        let would_hedge = !self.settings.hedging && call.has_attempt_in_flight();
+        let is_forbidden_hedge = !self.settings.hedging && call.has_attempt_in_flight();
         let has_no_attempts_left = call.attempts.len() as u32 >= self.settings.max_attempts;
-        if would_hedge || has_no_attempts_left || now >= call.deadline {
+        if is_forbidden_hedge || has_no_attempts_left || now >= call.deadline {
             return false;
         }
         match self.settings.classes[call.request.class as usize].effect {
--- a/crates/core/src/policy/shedding.rs
+++ b/crates/core/src/policy/shedding.rs
@@ -55,6 +55,6 @@
         } else {
             Action::Fail { request: id }
         });
-        self.forget(id);
+        self.remove_request(id);
     }
 }
--- a/crates/core/src/policy/worker.rs
+++ b/crates/core/src/policy/worker.rs
@@ -40,7 +40,7 @@
     pub slot_usage: SlotUsage,
     /// When the endpoint list first contained it.
     pub first_listed_at: Micros,
-    /// When its entry in the endpoint list last changed.
+    /// Time of the last list update that named it, or of the last full list that omitted it.
     pub list_updated_at: Micros,
     pub in_flight: Vec<Attempt>,
     /// When it was last health-checked.
--- a/crates/core/src/policy/worker_checks.rs
+++ b/crates/core/src/policy/worker_checks.rs
@@ -60,11 +60,11 @@
         let timeout = self.check_timeout();
         let worker = &mut self.workers[index];
         worker.confirmation.waiting.extend(group);
-        let is_under_way = worker
+        let is_in_progress = worker
             .confirmation
             .check_started_at
             .is_some_and(|check_started_at| now - check_started_at <= timeout);
-        if is_under_way {
+        if is_in_progress {
             return;
         }
         worker.confirmation.check_started_at = Some(now);
--- a/crates/core/src/policy/worker_search.rs
+++ b/crates/core/src/policy/worker_search.rs
@@ -124,7 +124,7 @@
         let is_reliable = worker.is_healthy(self.now) && !(effect == Effect::NonIdempotent && is_error_prone);
         worker.ready
             && !self.front_end.is_withdrawn(worker, self.now)
-            && (is_reliable || self.health.ejections_doubted)
+            && (is_reliable || self.health.ignore_ejections)
             && self.front_end.allows_attempt(self.call, &worker.attempts, self.now)
     }
 
--- a/crates/core/tests/slow_start/scenario.rs
+++ b/crates/core/tests/slow_start/scenario.rs
@@ -32,7 +32,7 @@
 /// Delay of the attempts sent to cold workers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Delay {
-    None,
+    Immediate,
     /// Maximum delay until a front end's connection is established; the attempts waiting for it then arrive together.
     Connections(Micros),
     /// Period and length: within each period, nothing arrives during this length.
@@ -96,7 +96,7 @@
             load: 2.0,
             traffic: Traffic::Steady,
             unequal: false,
-            delay: Delay::None,
+            delay: Delay::Immediate,
             restarted: false,
             lag: 300 * MS,
             max_wait: 100 * MS,
@@ -134,7 +134,7 @@
             },
             unequal: pick(&[0.0, 1.0]) > 0.0,
             delay: match pick(&[0.0, 1.0, 2.0]) as i64 {
-                0 => Delay::None,
+                0 => Delay::Immediate,
                 1 => Delay::Connections(S),
                 _ => Delay::Stalls(2500 * MS, S),
             },
