--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -14,7 +14,7 @@
 /// Summary of the ready workers' health.
 #[derive(Clone, Copy)]
 pub(super) struct FleetHealth {
-    /// Workers that take requests.
+    /// Number of workers that are ready for requests.
     pub ready: usize,
     /// Whether most of them are ejected. The ejections are then ignored, as a false judgement is likelier than so many
     /// faulty workers.
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Rule 2: a request with an idempotency key that may have run stays among the workers that drop its repeats.
+    /// Rule 2: whether the worker is within the deduplication scope of the earlier attempts that may have run.
     pub(super) fn is_in_scope(&self, call: &PendingCall, worker: &Worker) -> bool {
         let effect = self.settings.classes[call.request.class as usize].effect;
         let Effect::IdempotentWithKey { scope, .. } = effect else { return true };
--- a/crates/core/tests/load_budget.rs
+++ b/crates/core/tests/load_budget.rs
@@ -22,8 +22,8 @@
 struct Order {
     worker: WorkerId,
     function: FunctionId,
-    sent: Micros,
-    /// None: it never arrives.
+    sent_at: Micros,
+    /// `None` if it never arrives.
     arrives_at: Option<Micros>,
     notified_at: Micros,
     outcome: Outcome,
@@ -132,7 +132,7 @@
         orders.retain(|o| {
             if o.notified_at <= now {
                 let (worker, function, outcome) = (o.worker, o.function, o.outcome);
-                let (elapsed_time, copies) = (now - o.sent, u8::from(outcome == Outcome::Ok));
+                let (elapsed_time, copies) = (now - o.sent_at, u8::from(outcome == Outcome::Ok));
                 events.push(Event::Loaded { worker, function, outcome, elapsed: elapsed_time, copies });
             }
             o.notified_at > now
@@ -188,7 +188,7 @@
                     orders.push(Order {
                         worker,
                         function,
-                        sent: now,
+                        sent_at: now,
                         arrives_at,
                         notified_at: reported_at.max(now + STEP),
                         outcome,
--- a/crates/core/tests/rules/drawn.rs
+++ b/crates/core/tests/rules/drawn.rs
@@ -4,7 +4,7 @@
 use stagehoist::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-// ---- the randomised checker ----
+// The randomised checker.
 
 struct Random(u64);
 
--- a/crates/core/tests/rules/queueing.rs
+++ b/crates/core/tests/rules/queueing.rs
@@ -38,15 +38,15 @@
 #[test]
 fn at_overload_calls_with_a_higher_value_per_work_are_served() {
     for by_tenant in [false, true] {
-        let mut with = settings("limits.second_copies=false\n");
-        with.front_ends = 1;
-        with.classes[0].effect = Effect::Idempotent;
-        with.classes[1].effect = Effect::Idempotent;
-        for (class, value) in with.classes.iter_mut().zip([1.0, 4.0]) {
+        let mut config = settings("limits.second_copies=false\n");
+        config.front_ends = 1;
+        config.classes[0].effect = Effect::Idempotent;
+        config.classes[1].effect = Effect::Idempotent;
+        for (class, value) in config.classes.iter_mut().zip([1.0, 4.0]) {
             (class.priority_weight, class.late_value) = (if by_tenant { 1.0 } else { value }, 0.0);
         }
         if by_tenant {
-            (with.tenant_quotas, with.over_quota_weight) = (vec![5.0, 1000.0], 0.1);
+            (config.tenant_quotas, config.over_quota_weight) = (vec![5.0, 1000.0], 0.1);
         }
         // One worker serves about forty calls per second; forty of each kind arrive per second.
         let mut served = [0, 0];
@@ -58,16 +58,16 @@
             };
             kinds.map(call).collect()
         };
-        Harness::with(with, &[1]).flow(
+        Harness::with(config, &[1]).flow(
             2400,
             calls,
             |_| 100 * MS,
             |_, id| served[id as usize % 2] += u32::from(id > 2 * 500),
         );
-        let [less, overrides] = served;
+        let [lower, higher] = served;
         assert!(
-            overrides > 2 * less,
-            "by tenant {by_tenant}: {less} of lower value, {overrides} of higher value served"
+            higher > 2 * lower,
+            "by tenant {by_tenant}: {lower} of lower value, {higher} of higher value served"
         );
     }
 }
@@ -77,10 +77,10 @@
 /// little.
 #[test]
 fn calls_of_about_equal_value_are_not_deferred() {
-    let mut with = settings("limits.second_copies=false\n");
-    (with.front_ends, with.classes[0].late_value) = (1, 0.1);
+    let mut config = settings("limits.second_copies=false\n");
+    (config.front_ends, config.classes[0].late_value) = (1, 0.1);
     let (mut sent, mut late) = (0, 0);
-    Harness::with(with, &[1]).flow(
+    Harness::with(config, &[1]).flow(
         4000,
         // About three times the throughput of two permits.
         |step| if step.is_multiple_of(3) { vec![request(step, 0, 5)] } else { Vec::new() },
@@ -102,8 +102,8 @@
 fn retries_stay_inside_the_budget_of_function_and_worker() {
     let run = |window| {
         let retry_budget = RetryBudget { window, free: 2.0, share: 0.25 };
-        let with = Settings { retry_budget, ..settings("limits.second_copies=false\n") };
-        let mut harness = Harness::with(with, &[1, 2, 3]);
+        let config = Settings { retry_budget, ..settings("limits.second_copies=false\n") };
+        let mut harness = Harness::with(config, &[1, 2, 3]);
         let (mut first_attempts, mut retries, mut answered) = (0, 0, 0);
         let mut numbers: BTreeMap<RequestId, u16> = BTreeMap::new();
         let mut next_events: Vec<Event> = Vec::new();
--- a/crates/core/tests/slow_start/overload_checker.rs
+++ b/crates/core/tests/slow_start/overload_checker.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy)]
 pub struct Arrival {
     pub at: Micros,
-    /// In requests of mean work.
+    /// Work in multiples of the mean request.
     pub work: f64,
     /// Whether the front end had been notified of the start.
     pub notified: bool,
