--- a/crates/core/src/policy/dispatch.rs
+++ b/crates/core/src/policy/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: which queued requests are considered in a batch, and in which order.
+//! Dispatch: selects the queued requests that a batch considers, and their order.
 
 use super::call::{CallGroup, QueuePosition};
 use super::placement::{FleetHealth, Placement};
@@ -8,10 +8,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Requests of a group that may find no worker before the rest of the group waits for the next batch.
+/// After this many requests of a group found no worker, the rest of the group waits for the next batch.
 const MAX_BLOCKED: u32 = 2;
 
-/// A queued request that is to be considered, in the order of the queue.
+/// A queued request that the batch may consider; ordered by queue position.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     position: QueuePosition,
@@ -19,9 +19,9 @@
 }
 
 impl FrontEnd {
-    /// Considers the queued requests whose answer can have changed, in the order of the queue: of groups that a request
-    /// came to, that a worker which changed could take, and a few others in turn. Guards against a cost that grows with
-    /// the queue; could harm where a change is not seen until the sweep comes by.
+    /// Considers, in queue order, the queued requests whose placement may have changed: those of groups that a request
+    /// joined, of groups that a changed worker could serve, and of a few other groups in turn. This keeps the cost
+    /// independent of the queue's length. Could harm if a change is noticed only when the sweep reaches the group.
     pub(super) fn decide(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.maintain(now, actions);
         self.give_up_objectives(now, actions);
@@ -46,14 +46,15 @@
                 healthy -= usize::from(worker.is_healthy(now));
             }
         }
-        FleetHealth { ready, ejections_doubted: healthy * 2 < ready }
+        FleetHealth { ready, ignore_ejections: healthy * 2 < ready }
     }
 
-    /// Queued requests that can't meet their objective any more.
+    /// Gives up the objective of queued requests that can't meet it any more.
     fn give_up_objectives(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let is_over = |position: &&QueuePosition| !position.late && position.required_start < now;
-        let over: Vec<_> = self.queue.iter().take_while(is_over).map(|position| position.request).collect();
-        for request in over {
+        let is_expired = |position: &&QueuePosition| !position.late && position.required_start < now;
+        let expired: Vec<_> =
+            self.queue.iter().take_while(is_expired).map(|position| position.request).collect();
+        for request in expired {
             self.give_up_objective(request, now, actions);
         }
     }
@@ -69,9 +70,9 @@
         let mut candidates = self.first_candidates(due_groups, open_workers, now);
         let mut blocked: BTreeMap<CallGroup, u32> = BTreeMap::new();
         while let Some(Candidate { position, group }) = candidates.pop_first() {
-            let is_reached =
-                |&index: &usize| self.is_open(index, health, now) && self.can_reach(index, &group, now);
-            if !due_groups.contains(&group) && !open_workers.iter().any(is_reached) {
+            let serves_group =
+                |&index: &usize| self.is_open(index, health, now) && self.can_serve(index, &group, now);
+            if !due_groups.contains(&group) && !open_workers.iter().any(serves_group) {
                 continue;
             }
             let is_blocked = self.dispatch(position.request, health, now, actions);
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The first request of each group that is due or could go to an open worker.
+    /// Returns the first request of each group that is due or could be served by an open worker.
     fn first_candidates(
         &self,
         due_groups: &BTreeSet<CallGroup>,
@@ -97,9 +98,9 @@
         let mut candidates: BTreeSet<Candidate> =
             due_groups.iter().filter_map(|&group| first(group)).collect();
         if !open_workers.is_empty() {
-            let can_reach =
-                |group: &CallGroup| open_workers.iter().any(|&index| self.can_reach(index, group, now));
-            let reached = self.queued_by_group.keys().filter(|group| can_reach(group));
+            let can_serve =
+                |group: &CallGroup| open_workers.iter().any(|&index| self.can_serve(index, group, now));
+            let reached = self.queued_by_group.keys().filter(|group| can_serve(group));
             candidates.extend(reached.filter_map(|&group| first(group)));
         }
         candidates
@@ -111,7 +112,7 @@
         Some(Candidate { position, group })
     }
 
-    /// Considers late requests whose required start has come.
+    /// Considers late requests whose required start has passed.
     fn dispatch_overdue(&mut self, health: FleetHealth, now: Micros, actions: &mut Vec<Action>) {
         let overdue = self.queue.range(QueuePosition::FIRST_LATE..=QueuePosition::last_late(now));
         let overdue: Vec<RequestId> = overdue.map(|position| position.request).collect();
@@ -120,8 +121,9 @@
         }
     }
 
-    /// Sends a queued request, settles it, or returns true where it waits. One that no worker would finish in time is
-    /// queued behind others: else those about to be late keep back others of their group until they are late too.
+    /// Sends a queued request, concludes it, or returns true if it waits. A request that no worker would finish in time is
+    /// queued behind the others: otherwise requests that are about to be late would block others of their group until
+    /// those are late too.
     fn dispatch(
         &mut self,
         id: RequestId,
@@ -154,15 +156,15 @@
         false
     }
 
-    /// Notes whether a request's function wants a further copy: the request waits, or would be late at a copy.
+    /// Records whether a request's function wants another copy: if the request waits, or would be late at a copy.
     fn update_wanted_load(&mut self, id: RequestId, placement: &Placement, now: Micros) {
         let Some(call) = self.pending.get(&id) else { return };
         let function = call.request.function;
-        let is_short = match placement {
+        let needs_copy = match placement {
             Placement::Send(prediction) => prediction.copy_expected && prediction.finish > call.objective_at,
             Placement::WaitUntil(until) => *until > now,
         };
-        let priority = if is_short { self.load_priority(function, now) } else { 0.0 };
+        let priority = if needs_copy { self.load_priority(function, now) } else { 0.0 };
         if priority > 0.0 {
             self.wanted_loads.insert(function, WantedLoad { priority, request: id });
         } else {
@@ -170,33 +172,33 @@
         }
     }
 
-    /// Whether a worker takes requests and has capacity.
+    /// Whether a worker is ready, not ejected and has capacity.
     fn is_open(&self, index: usize, health: FleetHealth, now: Micros) -> bool {
         let worker = &self.workers[index];
         let others = self.other_requests(worker, now).likely;
         let requests = worker.in_flight.len() as f64 + 1.0 + others;
         worker.ready
-            && (worker.is_healthy(now) || health.ejections_doubted)
-            && worker.beliefs.full_until <= now
+            && (worker.is_healthy(now) || health.ignore_ejections)
+            && worker.estimates.full_until <= now
             && requests <= MAX_STRETCH * worker.endpoint.capacity.max(1.0)
     }
 
-    /// Whether requests of a group could go to a worker that has capacity, as far as is seen without a prediction.
-    fn can_reach(&self, index: usize, group: &CallGroup, now: Micros) -> bool {
+    /// Whether a worker with capacity could serve requests of a group. A cheap test without a prediction.
+    fn can_serve(&self, index: usize, group: &CallGroup, now: Micros) -> bool {
         let worker = &self.workers[index];
         let Some(function) = self.functions.get(&group.function) else { return false };
-        let is_home = || {
-            let mut homes = function.ranked_workers.iter().take(function.home_count.get());
-            homes.any(|&home| home as usize == index)
+        let is_preferred = || {
+            let mut preferred = function.ranked_workers.iter().take(function.preferred_count.get());
+            preferred.any(|&worker_index| worker_index as usize == index)
         };
-        match worker.beliefs.expected_copy(group.function, now) {
+        match worker.estimates.expected_copy(group.function, now) {
             Some(copy) => {
                 let slots = copy_slots(Some(function), Some(copy)) + QUEUE_ALLOWANCE;
                 worker.in_flight.len() < slots || worker.in_flight_of(group.function) < slots
             }
-            None if worker.beliefs.loading_until > now => false,
-            None if self.settings.on_miss == OnMiss::Miss => is_home(),
-            None => function.wants_copy.get() || is_home(),
+            None if worker.estimates.loading_until > now => false,
+            None if self.settings.on_miss == OnMiss::Miss => is_preferred(),
+            None => function.wants_copy.get() || is_preferred(),
         }
     }
 }
--- a/crates/core/src/policy/endpoints.rs
+++ b/crates/core/src/policy/endpoints.rs
@@ -1,47 +1,49 @@
-//! Endpoint lists: which workers there are and whether they take requests (rule 3).
+//! Endpoint lists: which workers exist and whether they are ready for requests (rule 3).
 
-use super::beliefs::Beliefs;
+use super::estimates::Estimates;
 use super::fleet::WorkerTime;
-use super::numbers::hash_fraction;
+use super::math::hash_fraction;
 use super::worker::Worker;
 use super::FrontEnd;
 use crate::interface::*;
 use std::collections::BTreeSet;
 
-/// A worker's place is free for another after this many retention times or retry windows.
+/// The slot of a worker that is gone may be reused after this many retention times or retry windows, whichever is
+/// longer.
 const REUSE_AFTER: Micros = 8;
-/// Start time of a worker of which no list has told yet.
+/// Start time of a new worker until its list entry is processed.
 const NEVER_STARTED: Micros = -1;
 
-/// Pauses before a failed subscription is tried again, as parts of the longest time between polls: the shortest, and the
-/// longest after doublings.
+/// Shortest and longest pause before a failed subscription is retried, as divisors of the longest poll interval. The
+/// pause doubles with each failure.
 const MIN_PAUSE_DIVISOR: Micros = 16;
 const MAX_PAUSE_DIVISOR: Micros = 2;
-/// The longest time between polls, where none is configured.
+/// Longest poll interval if none is configured.
 const DEFAULT_POLL_WITHIN: Micros = 10_000_000;
-/// Most doublings of a pause.
+/// Maximum number of times that a pause is doubled.
 const MAX_DOUBLINGS: u32 = 8;
 
 /// The subscription to endpoint updates.
 #[derive(Default)]
 pub(super) struct Subscription {
-    /// It was asked for, and did not fail since.
-    is_on: bool,
-    /// When it is asked for again after a failure.
+    /// Whether it was requested and has not failed since.
+    is_active: bool,
+    /// When it is requested again after a failure.
     pub retry_at: Option<Micros>,
-    /// Failures since the last list.
+    /// Number of failures since the last list.
     failures: u32,
 }
 
 impl Subscription {
-    /// It could not be had, or broke: it is asked for again after a pause that no two front ends share.
-    fn failed(&mut self, settings: &Settings, seed: u64, now: Micros) {
+    /// Handles a subscription that could not be established or broke: schedules a retry after a pause that is random for
+    /// each front end.
+    fn schedule_retry(&mut self, settings: &Settings, seed: u64, now: Micros) {
         let within = if settings.poll_within > 0 { settings.poll_within } else { DEFAULT_POLL_WITHIN };
         let pause = (within / MIN_PAUSE_DIVISOR) << self.failures.min(MAX_DOUBLINGS);
         let spread = 0.5 + 0.5 * hash_fraction(seed, u64::from(self.failures));
         let pause = (pause.min(within / MAX_PAUSE_DIVISOR) as f64 * spread) as Micros;
         self.failures = self.failures.saturating_add(1);
-        self.is_on = false;
+        self.is_active = false;
         self.retry_at = settings.subscribe_endpoints.then_some(now + pause);
     }
 }
@@ -55,7 +57,7 @@
         actions: &mut Vec<Action>,
     ) {
         if update == EndpointUpdate::Failed {
-            self.subscription.failed(&self.settings, self.seed, now);
+            self.subscription.schedule_retry(&self.settings, self.seed, now);
             return;
         }
         self.subscription.failures = 0;
@@ -70,15 +72,15 @@
         self.fleet_capacity = self.fleet.capacity();
     }
 
-    /// Subscribes to endpoint updates where that is needed.
+    /// Subscribes to endpoint updates, if this is configured and not done yet.
     fn subscribe(&mut self, actions: &mut Vec<Action>) {
-        if self.settings.subscribe_endpoints && !self.subscription.is_on {
-            self.subscription.is_on = true;
+        if self.settings.subscribe_endpoints && !self.subscription.is_active {
+            self.subscription.is_active = true;
             actions.push(Action::SubscribeEndpoints { on: true });
         }
     }
 
-    /// Subscribes again, once the pause after a failure is over: nothing else brings a list any more.
+    /// Subscribes again once the pause after a failure is over. Without a subscription no further list arrives.
     pub(super) fn resubscribe(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.subscription.retry_at.is_some_and(|at| at <= now) {
             self.subscription.retry_at = None;
@@ -93,11 +95,11 @@
             if listed.contains(&worker.endpoint.worker) {
                 continue;
             }
-            let listed_before = worker.listed_at;
+            let previous_update = worker.list_updated_at;
             worker.ready = false;
             worker.endpoint.lifecycle = Lifecycle::Gone;
-            worker.listed_at = now;
-            self.count_listed(index, listed_before, now);
+            worker.list_updated_at = now;
+            self.update_listing(index, previous_update, now);
         }
     }
 
@@ -105,21 +107,21 @@
         let known = self.worker_index.get(&endpoint.worker).copied();
         let index = known.unwrap_or_else(|| self.add_worker(endpoint, now));
         let worker = &mut self.workers[index];
-        let listed_before = worker.listed_at;
+        let previous_update = worker.list_updated_at;
         if endpoint.started > worker.endpoint.started {
             worker.warming_since = (endpoint.started > 0).then_some(endpoint.started);
-            worker.beliefs = Beliefs::restarted(now);
+            worker.estimates = Estimates::restarted(now);
         }
         worker.ready = endpoint.lifecycle == Lifecycle::Ready;
-        worker.confirmation.listed();
+        worker.confirmation.clear_failures();
         worker.endpoint = endpoint.clone();
-        worker.listed_at = now;
-        self.count_listed(index, listed_before, now);
+        worker.list_updated_at = now;
+        self.update_listing(index, previous_update, now);
         self.changed_workers.insert(index);
     }
 
-    /// Adds a worker in the place of one that is gone, so that lists which change for ever leave nothing behind, else
-    /// in a further one.
+    /// Adds a worker and returns its index. It reuses the slot of a worker that is long gone, so that the table does not
+    /// grow without bound as workers come and go; if there is none, it adds a slot.
     fn add_worker(&mut self, endpoint: &Endpoint, now: Micros) -> usize {
         let reuse_after = REUSE_AFTER * self.settings.idle_retention.max(self.settings.retry_budget.window);
         let long_gone = self.fleet.gone.iter().take_while(|gone| now - gone.at > reuse_after);
@@ -137,16 +139,16 @@
         index
     }
 
-    /// Puts a worker in the place of one that is long gone.
+    /// Puts a worker into the slot of one that is long gone.
     fn replace_worker(&mut self, index: usize, worker: Worker) {
         let replaced = std::mem::replace(&mut self.workers[index], worker);
         self.worker_index.remove(&replaced.endpoint.worker);
-        self.fleet.gone.remove(&WorkerTime { at: replaced.listed_at, index });
+        self.fleet.gone.remove(&WorkerTime { at: replaced.list_updated_at, index });
         self.fleet.unconfirmed.remove(&index);
-        // The sums hold the former one until this one is counted.
+        // The sums contain the contribution of the replaced worker until the new one is counted.
         let worker = &mut self.workers[index];
         worker.contribution = replaced.contribution;
-        worker.due_at = replaced.due_at;
-        worker.is_touched = replaced.is_touched;
+        worker.refresh_at = replaced.refresh_at;
+        worker.is_dirty = replaced.is_dirty;
     }
 }
--- a/crates/core/src/policy/learning.rs
+++ b/crates/core/src/policy/learning.rs
@@ -1,14 +1,14 @@
-//! What the end of an attempt tells of its worker and function.
+//! Updates the estimates of a worker and a function when an attempt ends.
 
-use super::beliefs::CachedCopy;
-use super::numbers::{update_average, GAIN};
+use super::estimates::CachedCopy;
+use super::math::{update_average, GAIN};
 use super::outliers::Failure;
 use super::worker::Attempt;
 use super::FrontEnd;
 use crate::interface::Outcome::{Cancelled, ConnectFailed, Error, Full, Miss, Reset, Timeout};
 use crate::interface::*;
 
-/// Bounds of the ratio of a run to its prediction that one attempt can show.
+/// Bounds of the ratio of an attempt's run time to its prediction.
 const MIN_RUN_RATIO: f64 = 0.1;
 const MAX_RUN_RATIO: f64 = 20.0;
 /// Bounds of a worker's slowdown.
@@ -16,7 +16,7 @@
 const MAX_SLOWDOWN: f64 = 20.0;
 
 impl FrontEnd {
-    pub(super) fn learn(
+    pub(super) fn update_estimates(
         &mut self,
         index: usize,
         attempt: &Attempt,
@@ -26,100 +26,100 @@
     ) {
         let worker = &mut self.workers[index];
         let none_in_flight = worker.in_flight.is_empty();
-        let beliefs = &mut worker.beliefs;
-        beliefs.lost_connections += u32::from(end.outcome == Reset);
-        let is_gone = end.outcome == ConnectFailed || none_in_flight && beliefs.lost_connections > 1;
+        let estimates = &mut worker.estimates;
+        estimates.lost_connections += u32::from(end.outcome == Reset);
+        let is_unreachable = end.outcome == ConnectFailed || none_in_flight && estimates.lost_connections > 1;
         if !matches!(end.outcome, Timeout | Cancelled | ConnectFailed | Reset) {
-            beliefs.last_response_at = now;
+            estimates.last_response_at = now;
         }
         if !self.functions.contains_key(&attempt.function) {
             return;
         }
-        self.learn_home_hit(attempt, end);
+        self.record_preferred_hit(attempt, end);
         match end.outcome {
-            Outcome::Ok => self.learn_from_answer(index, attempt, end, now),
+            Outcome::Ok => self.record_answer(index, attempt, end, now),
             Miss => {
                 let absent = CachedCopy::absent(now, self.settings.idle_retention);
                 self.set_copy(index, attempt.function, absent);
             }
-            Full => self.learn_full(index, attempt, now),
+            Full => self.record_full(index, attempt, now),
             Error if end.copy.state == CopyReport::LOAD_FAILED => {
-                self.workers[index].beliefs.copies.remove(&attempt.function);
+                self.workers[index].estimates.copies.remove(&attempt.function);
             }
             Error => self.record_failure(index, Failure::Error, now, actions),
-            ConnectFailed | Reset if is_gone => {
+            ConnectFailed | Reset if is_unreachable => {
                 self.record_failure(index, Failure::Unreachable, now, actions)
             }
             ConnectFailed | Reset => self.record_failure(index, Failure::Error, now, actions),
-            Timeout | Cancelled => self.learn_from_silence(index, attempt, end, now),
+            Timeout | Cancelled => self.record_unanswered(index, attempt, end, now),
             Outcome::Superseded => {}
         }
     }
 
-    /// Whether a home that was not known to have the copy had it.
-    fn learn_home_hit(&mut self, attempt: &Attempt, end: &AttemptEnd) {
-        if attempt.predicted.at_home && matches!(end.outcome, Outcome::Ok | Miss) {
+    /// Updates the fraction of preferred workers that had a copy which was not known.
+    fn record_preferred_hit(&mut self, attempt: &Attempt, end: &AttemptEnd) {
+        if attempt.predicted.at_preferred_worker && matches!(end.outcome, Outcome::Ok | Miss) {
             let found_copy = end.outcome == Outcome::Ok && end.copy.state <= CopyReport::LOADED;
-            update_average(&mut self.home_hit_rate, f64::from(u8::from(found_copy)), GAIN);
+            update_average(&mut self.preferred_hit_rate, f64::from(u8::from(found_copy)), GAIN);
         }
     }
 
-    /// A worker without a free place is passed over for half a run.
-    fn learn_full(&mut self, index: usize, attempt: &Attempt, now: Micros) {
-        let beliefs = &mut self.workers[index].beliefs;
-        let run = (attempt.predicted.base_run * beliefs.slowdown) as Micros;
-        beliefs.full_until = now + run / 2;
+    /// Marks a worker without free capacity as full for half of a run time.
+    fn record_full(&mut self, index: usize, attempt: &Attempt, now: Micros) {
+        let estimates = &mut self.workers[index].estimates;
+        let run = (attempt.predicted.base_run * estimates.slowdown) as Micros;
+        estimates.full_until = now + run / 2;
     }
 
-    fn learn_from_answer(&mut self, index: usize, attempt: &Attempt, end: &AttemptEnd, now: Micros) {
+    fn record_answer(&mut self, index: usize, attempt: &Attempt, end: &AttemptEnd, now: Micros) {
         let ratio = run_ratio(attempt, end);
-        let beliefs = &mut self.workers[index].beliefs;
-        beliefs.consecutive_ejections = 0;
-        beliefs.lost_connections = 0;
-        beliefs.error_rate *= 1.0 - GAIN;
-        if !attempt.predicted.copy_expected && !attempt.predicted.at_home {
-            beliefs.loading_until = now;
+        let estimates = &mut self.workers[index].estimates;
+        estimates.consecutive_ejections = 0;
+        estimates.lost_connections = 0;
+        estimates.error_rate *= 1.0 - GAIN;
+        if !attempt.predicted.copy_expected && !attempt.predicted.at_preferred_worker {
+            estimates.loading_until = now;
         }
-        let copies = beliefs.copies.get(&attempt.function).map_or(1, |copy| copy.copies.max(1));
+        let copies = estimates.copies.get(&attempt.function).map_or(1, |copy| copy.copies.max(1));
         let expires_at = now + self.settings.idle_retention;
         let copy = CachedCopy { ready_at: now, expires_at, used_at: now, copies };
         self.set_copy(index, attempt.function, copy);
-        let beliefs = &mut self.workers[index].beliefs;
+        let estimates = &mut self.workers[index].estimates;
         let Some(function) = self.functions.get_mut(&attempt.function) else { return };
         if end.copy.state == CopyReport::LOAD_STARTED {
-            let run = attempt.predicted.base_run * beliefs.slowdown * attempt.predicted.slowdown;
+            let run = attempt.predicted.base_run * estimates.slowdown * attempt.predicted.slowdown;
             function.record_load((end.elapsed as f64 - run).max(1.0), &mut self.store_slowdown);
         } else if end.copy.state <= CopyReport::LOADED {
-            // Only runs on a loaded copy enter the run profile and the worker's slowdown.
-            let slowdown = beliefs.slowdown + GAIN * (ratio - beliefs.slowdown);
-            beliefs.slowdown = slowdown.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
-            beliefs.slowdown_at = now;
-            let run = end.elapsed as f64 / (beliefs.slowdown * attempt.predicted.slowdown);
+            // Only runs on a loaded copy update the run profile and the worker's slowdown.
+            let slowdown = estimates.slowdown + GAIN * (ratio - estimates.slowdown);
+            estimates.slowdown = slowdown.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
+            estimates.slowdown_at = now;
+            let run = end.elapsed as f64 / (estimates.slowdown * attempt.predicted.slowdown);
             function.record_run(run);
             update_average(&mut self.class_mean_run[function.class as usize], run, GAIN);
         }
         self.on_report(index, &end.report, now);
     }
 
-    /// No answer came before the attempt was abandoned.
-    fn learn_from_silence(&mut self, index: usize, attempt: &Attempt, end: &AttemptEnd, now: Micros) {
-        if !attempt.predicted.copy_expected && !attempt.predicted.at_home {
-            // It was waiting for a load: that is the store's slowness, not the worker's.
+    /// Updates the estimates after an attempt that was abandoned without an answer.
+    fn record_unanswered(&mut self, index: usize, attempt: &Attempt, end: &AttemptEnd, now: Micros) {
+        if !attempt.predicted.copy_expected && !attempt.predicted.at_preferred_worker {
+            // The attempt waited for a load, so the store was slow and not the worker.
             if let Some(function) = self.functions.get_mut(&attempt.function) {
                 function.record_load(end.elapsed as f64, &mut self.store_slowdown);
             }
             return;
         }
         let ratio = run_ratio(attempt, end);
-        let beliefs = &mut self.workers[index].beliefs;
-        if ratio > beliefs.slowdown {
-            beliefs.slowdown += GAIN * (ratio - beliefs.slowdown);
-            beliefs.slowdown_at = now;
+        let estimates = &mut self.workers[index].estimates;
+        if ratio > estimates.slowdown {
+            estimates.slowdown += GAIN * (ratio - estimates.slowdown);
+            estimates.slowdown_at = now;
         }
     }
 }
 
-/// Time that an attempt took relative to a run at a worker of the usual speed.
+/// Returns the time that an attempt took relative to a run at a worker of the usual speed.
 fn run_ratio(attempt: &Attempt, end: &AttemptEnd) -> f64 {
     let expected = (attempt.predicted.base_run * attempt.predicted.slowdown).max(1.0);
     (end.elapsed.max(1) as f64 / expected).clamp(MIN_RUN_RATIO, MAX_RUN_RATIO)
--- a/crates/core/src/policy/ranking.rs
+++ b/crates/core/src/policy/ranking.rs
@@ -1,36 +1,36 @@
-//! Ranking: the workers that a function may go to where it is not known to be loaded, in an order that all front ends
-//! share, and the workers that are known to hold it.
+//! Ranking: the workers that a function's requests may be sent to without a known copy, in an order that all front
+//! ends share, and the workers that are known to hold the function.
 //!
-//! Of a large fleet only the first ranks are kept. A function that fills more workers than are kept goes to a sample of
-//! its first ranks, another at each front end, so that all of them together use them all.
+//! For a large fleet only the first ranks are stored. If a function's demand fills more workers than are stored, each
+//! front end stores a different sample of the first ranks, so that together the front ends use all of them.
 
-use super::beliefs::CachedCopy;
+use super::estimates::CachedCopy;
 use super::fleet::MAX_CONSIDERED;
 use super::function::Function;
-use super::numbers::hash;
+use super::math::hash;
 use super::worker::Worker;
 use super::FrontEnd;
 use crate::interface::*;
 use std::collections::BTreeSet;
 
-/// Ranks are kept to so many times the depth that the fleet's demand for the function fills.
+/// The depth of a ranking is this multiple of the number of workers that the fleet's demand for the function fills.
 const DEPTH_MARGIN: f64 = 2.0;
-/// The depth is reduced once so many times less would do.
+/// The depth is reduced once it exceeds the required depth by this factor.
 const DEPTH_REDUCTION: usize = 4;
 
 /// How the workers were ranked for a function.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Ranking {
-    /// The version of the fleet; 0: never.
+    /// The `ranking_version` at the time of the ranking; 0 if never ranked.
     version: u64,
-    /// How many ranks those kept are a sample of.
+    /// Number of first ranks that the stored ones were sampled from.
     depth: usize,
-    /// Part of them that is kept.
-    pub kept_part: f64,
+    /// Fraction of these ranks that is stored.
+    pub stored_fraction: f64,
 }
 
 impl FrontEnd {
-    /// Ranks the workers for a function, where its ranks are out of date.
+    /// Ranks the workers for a function if its ranking is out of date.
     pub(super) fn rank(&mut self, id: FunctionId, now: Micros) {
         let Some(function) = self.functions.get(&id) else { return };
         let depth = self.ranking_depth(function, now);
@@ -39,11 +39,11 @@
         if ranking.version == self.ranking_version && fits {
             return;
         }
-        let Ranked { workers, sampled } = ranked(id, &self.workers, depth, self.seed);
-        let kept_part = workers.len() as f64 / sampled.max(1) as f64;
+        let Ranked { workers, sampled_from } = ranked(id, &self.workers, depth, self.seed);
+        let stored_fraction = workers.len() as f64 / sampled_from.max(1) as f64;
         let Some(function) = self.functions.get_mut(&id) else { return };
         function.ranked_workers = workers;
-        function.ranking = Ranking { version: self.ranking_version, depth, kept_part };
+        function.ranking = Ranking { version: self.ranking_version, depth, stored_fraction };
     }
 
     /// Ranks the workers for the functions of pending requests.
@@ -53,19 +53,22 @@
         functions.into_iter().for_each(|function| self.rank(function, now));
     }
 
-    /// How many ranks a function may go to: a power of two beyond those that its demand fills.
+    /// Returns the number of ranks that a function's requests may be sent to: a power of two above the number of workers
+    /// that its demand fills.
     fn ranking_depth(&self, function: &Function, now: Micros) -> usize {
         if self.workers.len() <= MAX_CONSIDERED {
             return MAX_CONSIDERED;
         }
         let mean_capacity = self.fleet_capacity / self.fleet.ready().max(1) as f64;
-        let home_capacity = self.usual_home_capacity(function, mean_capacity).max(f64::MIN_POSITIVE);
-        let homes = self.fleet_demand(function, now) / home_capacity;
-        let depth = (homes * DEPTH_MARGIN).min(self.workers.len() as f64) as usize;
+        let preferred_capacity =
+            self.established_preferred_capacity(function, mean_capacity).max(f64::MIN_POSITIVE);
+        let filled_workers = self.fleet_demand(function, now) / preferred_capacity;
+        let depth = (filled_workers * DEPTH_MARGIN).min(self.workers.len() as f64) as usize;
         depth.next_power_of_two().max(MAX_CONSIDERED)
     }
 
-    /// Workers known to hold a function, or ordered to, that come after the first ranks of it; in the order of ranks.
+    /// Returns the workers that rank after the first `ranks` of a function and are known to hold it or to have an order to
+    /// load it, in rank order.
     pub(super) fn holders_beyond(&self, id: FunctionId, function: &Function, ranks: usize) -> Vec<usize> {
         let key = |index: usize| (hash(id, u64::from(self.workers[index].endpoint.worker)), index);
         let last = ranks.checked_sub(1).map(|last| key(function.ranked_workers[last] as usize));
@@ -76,7 +79,7 @@
         holders.into_iter().map(|(_, index)| index).take(MAX_CONSIDERED).collect()
     }
 
-    /// Workers at which a function may be loaded: all of a small fleet, else the first ranks.
+    /// Returns the workers at which a function may be loaded: all of a small fleet, else the first ranks.
     pub(super) fn considered_workers(&self, id: FunctionId) -> Box<dyn Iterator<Item = usize> + '_> {
         match self.functions.get(&id) {
             Some(function) if self.workers.len() > MAX_CONSIDERED => {
@@ -86,20 +89,20 @@
         }
     }
 
-    /// What is believed of a function's copies at a worker.
+    /// Records the expected copies of a function at a worker.
     pub(super) fn set_copy(&mut self, index: usize, id: FunctionId, copy: CachedCopy) {
-        self.workers[index].beliefs.copies.insert(id, copy);
+        self.workers[index].estimates.copies.insert(id, copy);
         self.holders.entry(id).or_default().insert(index);
-        self.join_check_round(index);
+        self.add_to_check_round(index);
     }
 }
 
 /// Workers ranked for a function.
 struct Ranked {
-    /// Indices in the order of their ranks.
+    /// Worker indices in rank order.
     workers: Vec<u32>,
-    /// Of how many ranks they are a sample.
-    sampled: usize,
+    /// Number of first ranks that they were sampled from.
+    sampled_from: usize,
 }
 
 /// Ranks workers for a function: all of a small fleet, else a sample of the first ranks.
@@ -115,11 +118,11 @@
         order.select_nth_unstable(depth);
         order.truncate(depth);
     }
-    let sampled = order.len();
+    let sampled_from = order.len();
     if order.len() > MAX_CONSIDERED {
         order.select_nth_unstable_by_key(MAX_CONSIDERED, |&(_, index)| hash(seed, number(index as usize)));
         order.truncate(MAX_CONSIDERED);
     }
     order.sort_unstable();
-    Ranked { workers: order.into_iter().map(|(_, index)| index).collect(), sampled }
+    Ranked { workers: order.into_iter().map(|(_, index)| index).collect(), sampled_from }
 }
