--- a/crates/admission/src/intake.rs
+++ b/crates/admission/src/intake.rs
@@ -1,40 +1,41 @@
-//! Whether a call may be held: bounds on calls and bytes, shared by dynamic thresholds.
+//! Decides whether a call may be held: limits on calls and bytes, shared by dynamic thresholds.
 //!
-//! Each party (a queue and tenant) may hold a multiple of what is still free (Choudhury and Hahne, "Dynamic Queue Length
-//! Thresholds for Shared-Memory Packet Switches", IEEE/ACM Transactions on Networking 6(2), 1998). A party alone fills most
-//! of the room; the more parties press, the less each may hold, and some room stays free for one that comes anew. So one
-//! flood does not shut out another's steady calls, and no share has to be told.
+//! Each tenant class (a queue and a tenant) may hold a multiple of the capacity that is still free (Choudhury and Hahne,
+//! "Dynamic Queue Length Thresholds for Shared-Memory Packet Switches", IEEE/ACM Transactions on Networking 6(2), 1998).
+//! A single class can use most of the capacity; the more classes compete, the less each may hold, and some capacity stays
+//! free for a new one. So a flood of one class does not shut out the steady calls of another, and no shares have to be
+//! configured.
 
 use std::collections::HashMap;
 
-/// A party may hold this many times what is free: one alone four fifths of all, two four ninths each.
+/// A tenant class may hold this many times the free capacity: a single class four fifths of the total, two four ninths each.
 const MULTIPLE: u64 = 4;
 
-/// Bounds on what is held.
+/// Limits on the held calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Calls held at most.
+    /// Maximum number of held calls.
     pub calls: u64,
-    /// Bytes of all their messages at most.
+    /// Maximum size of all their messages in bytes.
     pub bytes: u64,
 }
 
-/// Whose call it is: the number of its queue, or listener, and its tenant.
+/// Identifies who a call belongs to: the number of its queue or listener, and its tenant.
 pub type TenantClass = (u32, u32);
 
-/// Why a call is not held.
+/// Why a call is rejected at intake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// As many calls are held as may be.
-    #[error("more calls are held than may be")]
+    /// The limit on held calls is reached.
+    #[error("limit on held calls reached")]
     Calls,
-    /// As many bytes are held as may be.
-    #[error("more bytes are held than may be")]
+    /// The limit on held bytes is reached.
+    #[error("limit on held bytes reached")]
     Bytes,
 }
 
 impl Refusal {
-    /// The word for the reply.
+    /// Returns the reason code for the reply.
     pub fn reason(self) -> &'static str {
         match self {
             Refusal::Calls => "too-many-held",
@@ -43,7 +44,7 @@
     }
 }
 
-/// A call's room; to be given back by [`Intake::release`].
+/// The capacity that a held call uses; must be returned by [`Intake::release`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Held {
@@ -51,7 +52,7 @@
     bytes: u64,
 }
 
-/// What is held, by party.
+/// Accounts for the held calls and bytes by tenant class.
 #[derive(Clone, Debug)]
 pub struct Intake {
     bounds: Bounds,
@@ -61,45 +62,45 @@
 }
 
 impl Intake {
-    /// An intake that holds nothing yet.
+    /// Creates an intake that holds no calls.
     pub fn new(bounds: Bounds) -> Intake {
         Intake { bounds, calls: 0, bytes: 0, tenant_classes: HashMap::new() }
     }
 
-    /// Calls held.
+    /// Returns the number of held calls.
     pub fn calls(&self) -> u64 {
         self.calls
     }
 
-    /// Bytes held.
+    /// Returns the number of held bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Parties that hold something.
+    /// Returns the number of tenant classes with held calls.
     pub fn tenant_classes(&self) -> usize {
         self.tenant_classes.len()
     }
 
-    /// Room for a call of so many bytes, or why there is none.
-    pub fn admit(&mut self, party: TenantClass, bytes: u64) -> Result<Held, Refusal> {
-        let (calls, held) = self.tenant_classes.get(&party).copied().unwrap_or_default();
+    /// Reserves capacity for a call of `bytes` bytes, or returns why the call is rejected.
+    pub fn admit(&mut self, owner: TenantClass, bytes: u64) -> Result<Held, Refusal> {
+        let (calls, held) = self.tenant_classes.get(&owner).copied().unwrap_or_default();
         let free = self.bounds.calls.saturating_sub(self.calls);
         if free == 0 || calls >= MULTIPLE.saturating_mul(free) {
             return Err(Refusal::Calls);
         }
         let free = self.bounds.bytes.saturating_sub(self.bytes);
-        // One call alone may fill all, or a body just under the bound could never be served.
+        // A single call may use all bytes; otherwise a body just under the limit could never be served.
         if bytes > free || (held > 0 && held + bytes > MULTIPLE.saturating_mul(free)) {
             return Err(Refusal::Bytes);
         }
         self.calls += 1;
         self.bytes += bytes;
-        self.tenant_classes.insert(party, (calls + 1, held + bytes));
-        Ok(Held { tenant_class: party, bytes })
+        self.tenant_classes.insert(owner, (calls + 1, held + bytes));
+        Ok(Held { tenant_class: owner, bytes })
     }
 
-    /// The call was answered or left.
+    /// Releases the capacity of a call that was answered or abandoned.
     pub fn release(&mut self, held: Held) {
         let Some((calls, bytes)) = self.tenant_classes.get_mut(&held.tenant_class) else { return };
         (*calls, *bytes) = (calls.saturating_sub(1), bytes.saturating_sub(held.bytes));
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions at a front end's intake, without I/O: how many messages it asks a broker for ([`Window`]), how
-//! long a message has waited where nothing on it tells ([`Age`]), whether a call may be held ([`Intake`]),
-//! and when a caller that is rejected had better return ([`Advice`]), and whether a call may start a run
+//! Admission decisions of a front end, without I/O: how many messages it requests from a broker ([`Window`]), how
+//! long a message without a timestamp has waited ([`Age`]), whether a call may be held ([`Intake`]),
+//! when a rejected caller should retry ([`Advice`]), and whether a call may start a run
 //! in a pool that front ends share ([`permits::PermitPools`]).
 //!
-//! What happens to a call once taken is the module's matter alone.
+//! The decision module alone decides about a call once it is admitted.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/admission/src/permits/mod.rs
+++ b/crates/admission/src/permits/mod.rs
@@ -1,10 +1,10 @@
-//! Whether a call may start a run in a pool now: by the permits that this front end was allocated and its guaranteed minimum
-//! there.
+//! Decides whether a call may start a run in a pool now, by the permits allocated to this front end and its guaranteed
+//! minimum in that pool.
 //!
-//! A tenant with a reservation goes by the permits allocated to it (of its own or borrowed), the others share those
-//! allocated to all without one, in turns by tenant. The guaranteed minimum is anybody's, owners first. All runs of a pool
-//! together stay within its guaranteed minimum and permits when one is started; runs that are left over from larger leases
-//! keep counting until they end.
+//! A tenant with a reservation uses the permits allocated to it (its own or borrowed). All other tenants share the
+//! permits allocated to tenants without a reservation, in round-robin order. The guaranteed minimum is open to every
+//! tenant, those with a reservation first. A run starts only if all runs of the pool stay within its guaranteed minimum
+//! plus its permits; runs that remain from larger leases count until they end.
 
 mod class;
 mod tenant_queue;
@@ -16,10 +16,10 @@
 
 pub use class::{PoolDemand, PoolRules};
 
-/// The word for the reply of a call that is refused here.
+/// Reason code in the reply to a call that is rejected here.
 pub const NO_PERMIT: &str = "no-lane";
 
-/// A permit in use; to be given back by [`PermitPools::leave`] once all attempts of its call are known to have ended.
+/// A permit in use; must be returned by [`PermitPools::leave`] once all attempts of its call are known to have ended.
 #[derive(Debug, PartialEq, Eq, Hash)]
 #[must_use]
 pub struct Permit {
@@ -27,36 +27,36 @@
     class: usize,
 }
 
-/// What becomes of a call that asks for a permit.
+/// The decision about a call that requests a permit.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub enum PermitDecision {
-    /// It starts now.
+    /// The call starts now.
     Granted(Permit),
-    /// Until [`PermitPools::take_ready`] names it.
+    /// The call waits until [`PermitPools::take_ready`] returns it.
     Wait,
-    /// With the reason [`NO_PERMIT`].
+    /// The call is rejected with the reason [`NO_PERMIT`].
     Rejected {
-        /// How long the caller had better stay away, in microseconds.
+        /// Advised retry delay, in microseconds.
         retry_after: Micros,
     },
 }
 
-/// A call that waits no longer.
+/// How a call's wait for a permit ended.
 #[derive(Debug, PartialEq, Eq)]
 pub enum WaitOutcome {
-    /// It starts now.
+    /// The call starts now.
     Granted {
         /// The call.
         call: u64,
         /// Its permit.
         permit: Permit,
     },
-    /// With the reason [`NO_PERMIT`].
+    /// The call is rejected with the reason [`NO_PERMIT`].
     Rejected {
         /// The call.
         call: u64,
-        /// How long the caller had better stay away, in microseconds.
+        /// Advised retry delay, in microseconds.
         retry_after: Micros,
     },
 }
@@ -70,14 +70,14 @@
     latest_start: Micros,
 }
 
-/// The gate of one front end.
+/// The pools of one front end, with the permits in use and the calls that wait for one.
 #[derive(Debug)]
 pub struct PermitPools {
-    /// Calls that may wait in one pool.
+    /// Maximum number of calls that wait in one pool.
     max_waiting: usize,
     max_retry_after: Micros,
     seed: u64,
-    /// Until then runs of an earlier run of this front end may go on at workers, on its guaranteed minimum.
+    /// Until this time, runs started by an earlier incarnation of this front end may still use its guaranteed minimum at workers.
     quiet_until: Micros,
     pools: Vec<Pool>,
     until: Micros,
@@ -88,15 +88,16 @@
 }
 
 impl PermitPools {
-    /// A gate without pools. `most` calls may wait in each pool, advice is at most `retry_most` microseconds.
-    /// `rests_until`: see [`PermitPools::demand`]; the moment of start where workers end a run with its connection,
-    /// else the longest run after it.
-    pub fn new(most: usize, retry_most: Micros, rests_until: Micros, seed: u64) -> PermitPools {
+    /// Creates an instance without pools. At most `wait_limit` calls may wait in each pool, and advised retry delays are
+    /// at most `delay_limit` microseconds. The guaranteed minimum is not used before `unused_until` (see also
+    /// [`PermitPools::demand`]): the start time if workers end a run together with its connection, otherwise the start
+    /// time plus the longest run.
+    pub fn new(wait_limit: usize, delay_limit: Micros, unused_until: Micros, seed: u64) -> PermitPools {
         PermitPools {
-            max_waiting: most,
-            max_retry_after: retry_most,
+            max_waiting: wait_limit,
+            max_retry_after: delay_limit,
             seed,
-            quiet_until: rests_until,
+            quiet_until: unused_until,
             pools: Vec::new(),
             until: Micros::MIN,
             applied: 0,
@@ -106,24 +107,25 @@
         }
     }
 
-    /// The pools as they stand now, each with this front end's guaranteed minimum. One that is not told any more keeps its
-    /// place, without a guaranteed minimum, for the runs under way. Whoever is not seated in the fleet tells guaranteed minimums of 0.
+    /// Replaces the rules of the pools, each with this front end's guaranteed minimum. A pool that is no longer configured
+    /// keeps its index, without a guaranteed minimum, for the runs in progress. For a front end that is not a member of
+    /// the fleet the guaranteed minimums are 0.
     pub fn configure(&mut self, pools: &[PoolRules], now: Micros) {
         for pool in &mut self.pools {
             pool.close();
         }
         for rules in pools {
-            let place = self.pool(&rules.name).unwrap_or_else(|| {
+            let index = self.pool(&rules.name).unwrap_or_else(|| {
                 self.seed = self.seed.wrapping_add(1);
                 self.pools.push(Pool::new(&rules.name));
                 self.pools.len() - 1
             });
-            self.pools[place].configure(rules, self.max_retry_after, self.seed, now);
+            self.pools[index].configure(rules, self.max_retry_after, self.seed, now);
         }
     }
 
-    /// Permits allocated by grant `number`, by names of pool and tenant (empty: those without a reservation), until
-    /// that time; they take the place of all allocated before.
+    /// Applies grant `number`: permits by names of pool and tenant (empty: the tenants without a reservation), valid until
+    /// `until`. They replace all permits allocated before.
     pub fn apply_grant<'a>(
         &mut self,
         number: u64,
@@ -141,12 +143,12 @@
         }
     }
 
-    /// The number of a pool, for [`PermitPools::enter`].
+    /// Returns the index of a pool, for [`PermitPools::enter`].
     pub fn pool(&self, name: &str) -> Option<usize> {
         self.pools.iter().position(|p| p.name() == name)
     }
 
-    /// A call wants to run in a pool, and can be answered in its time only if it starts before `latest`.
+    /// Requests a permit for a call, which can be answered in time only if it starts before `latest`.
     pub fn enter(
         &mut self,
         pool: usize,
@@ -156,77 +158,84 @@
         now: Micros,
     ) -> PermitDecision {
         self.expire(now);
-        let floored = now >= self.quiet_until;
-        let Some(of) = self.pools.get_mut(pool) else {
+        let use_guaranteed = now >= self.quiet_until;
+        let Some(state) = self.pools.get_mut(pool) else {
             return PermitDecision::Rejected { retry_after: self.max_retry_after };
         };
-        let class = of.class(tenant);
-        if of.may_pass(class, floored) {
-            of.start(class);
+        let class = state.class(tenant);
+        if state.can_start_now(class, use_guaranteed) {
+            state.start(class);
             return PermitDecision::Granted(Permit { pool, class });
         }
-        if latest <= now || of.waiting() >= self.max_waiting || of.is_hopeless(class, latest, now) {
-            return PermitDecision::Rejected { retry_after: of.retry_after(class) };
+        if latest <= now || state.waiting() >= self.max_waiting || state.is_hopeless(class, latest, now) {
+            return PermitDecision::Rejected { retry_after: state.retry_after(class) };
         }
         self.next_position += 1;
-        let place = self.next_position;
-        of.wait(class, tenant, place, call, now);
-        self.waiting.insert(call, WaitingCall { pool, class, tenant, position: place, latest_start: latest });
+        let queue_position = self.next_position;
+        state.wait(class, tenant, queue_position, call, now);
+        self.waiting.insert(
+            call,
+            WaitingCall { pool, class, tenant, position: queue_position, latest_start: latest },
+        );
         self.deadlines.insert((latest, call));
         PermitDecision::Wait
     }
 
-    /// A call that waits was answered otherwise; false where it does not wait.
+    /// Removes a waiting call that was answered otherwise; returns false if it was not waiting.
     pub fn cancel(&mut self, call: u64) -> bool {
-        let Some(waits) = self.waiting.remove(&call) else { return false };
-        self.deadlines.remove(&(waits.latest_start, call));
-        self.pools[waits.pool].cancel_wait(waits.class, waits.tenant, waits.position);
+        let Some(waiting_call) = self.waiting.remove(&call) else { return false };
+        self.deadlines.remove(&(waiting_call.latest_start, call));
+        self.pools[waiting_call.pool].cancel_wait(
+            waiting_call.class,
+            waiting_call.tenant,
+            waiting_call.position,
+        );
         true
     }
 
-    /// All attempts of a call are known to have ended.
+    /// Returns the permit of a call whose attempts are all known to have ended.
     pub fn leave(&mut self, permit: Permit, now: Micros) {
         if let Some(pool) = self.pools.get_mut(permit.pool) {
             pool.leave(permit.class, now);
         }
     }
 
-    /// Calls that need wait no longer, in order, appended to `woken`. To be asked after any change and at
-    /// [`PermitPools::next`].
+    /// Appends the calls whose wait has ended to `outcomes`, in order. Must be called after any change and at the time
+    /// given by [`PermitPools::next`].
     pub fn take_ready(&mut self, now: Micros, outcomes: &mut Vec<WaitOutcome>) {
         self.expire(now);
         while let Some((_, call)) = self.deadlines.first().copied().filter(|(latest, _)| *latest <= now) {
-            let Some(waits) = self.waiting.get(&call).copied() else { break };
+            let Some(waiting_call) = self.waiting.get(&call).copied() else { break };
             self.cancel(call);
-            let retry_after = self.pools[waits.pool].retry_after(waits.class);
+            let retry_after = self.pools[waiting_call.pool].retry_after(waiting_call.class);
             outcomes.push(WaitOutcome::Rejected { call, retry_after });
         }
-        let floored = now >= self.quiet_until;
-        for (place, pool) in self.pools.iter_mut().enumerate() {
-            while let Some((class, call)) = pool.next(floored) {
-                if let Some(waits) = self.waiting.remove(&call) {
-                    self.deadlines.remove(&(waits.latest_start, call));
+        let use_guaranteed = now >= self.quiet_until;
+        for (index, pool) in self.pools.iter_mut().enumerate() {
+            while let Some((class, call)) = pool.next(use_guaranteed) {
+                if let Some(waiting_call) = self.waiting.remove(&call) {
+                    self.deadlines.remove(&(waiting_call.latest_start, call));
                 }
-                outcomes.push(WaitOutcome::Granted { call, permit: Permit { pool: place, class } });
+                outcomes.push(WaitOutcome::Granted { call, permit: Permit { pool: index, class } });
             }
         }
     }
 
-    /// When [`PermitPools::take_ready`] has something though nothing changes.
+    /// Returns when [`PermitPools::take_ready`] must be called next if nothing changes.
     pub fn next(&self, now: Micros) -> Option<Micros> {
         let deadline = self.deadlines.first().map(|(latest, _)| *latest);
-        let rested = Some(self.quiet_until).filter(|t| *t > now && !self.waiting.is_empty());
-        deadline.into_iter().chain(rested).min()
+        let quiet_end = Some(self.quiet_until).filter(|t| *t > now && !self.waiting.is_empty());
+        deadline.into_iter().chain(quiet_end).min()
     }
 
-    /// What to report. While runs of an earlier run may go on the grant in force is not named, so that a
-    /// leader that allocates anew counts on nothing yet.
+    /// Returns the demand to report. While runs of an earlier incarnation may still be in progress, the number of the
+    /// grant in force is reported as 0, so that the leader does not yet rely on this front end having applied it.
     pub fn demand(&self, now: Micros) -> impl Iterator<Item = PoolDemand<'_>> {
         let applied = if now < self.quiet_until { 0 } else { self.applied };
-        self.pools.iter().flat_map(move |pool| pool.wanted(applied))
+        self.pools.iter().flat_map(move |pool| pool.demand(applied))
     }
 
-    /// Calls that wait.
+    /// Returns the number of waiting calls.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
--- a/crates/admission/src/permits/tenant_queue.rs
+++ b/crates/admission/src/permits/tenant_queue.rs
@@ -1,28 +1,28 @@
-//! Calls that wait, in turns by tenant.
+//! Queue of waiting calls with round-robin order between tenants.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Void turns kept at most before they are swept out.
+/// Maximum number of void turns in excess of the tenants before they are removed.
 const MAX_VOID_TURNS: usize = 16;
 
-/// A tenant with calls that wait.
+/// A tenant with waiting calls.
 #[derive(Debug)]
 struct WaitingTenant {
-    /// Tells its turn from those that it left before.
+    /// Distinguishes the tenant's current turn from void earlier ones.
     stamp: u64,
-    /// Calls by place.
+    /// Calls by position.
     calls: BTreeMap<u64, u64>,
 }
 
-/// A tenant's place in the rotation; void where the tenant has another stamp by now, or none.
+/// A tenant's turn in the rotation; void if the tenant meanwhile has another stamp, or no waiting calls.
 #[derive(Clone, Copy, Debug)]
 struct Turn {
     stamp: u64,
     tenant: u32,
 }
 
-/// Calls in order of their places, tenants in turn. Each step takes O(log n), sweeping apart, which each step
-/// pays a part of.
+/// Calls in order of their positions per tenant, tenants in round-robin order. Each operation takes O(log n), plus the
+/// amortized cost of removing void turns.
 #[derive(Debug, Default)]
 pub(super) struct TenantQueue {
     tenants: HashMap<u32, WaitingTenant>,
@@ -31,23 +31,23 @@
 }
 
 impl TenantQueue {
-    /// Calls that wait.
+    /// Returns the number of waiting calls.
     pub fn len(&self) -> usize {
         self.calls
     }
 
-    /// Adds a call of a tenant.
-    pub fn push(&mut self, tenant: u32, place: u64, call: u64) {
+    /// Enqueues a call of a tenant.
+    pub fn push(&mut self, tenant: u32, position: u64, call: u64) {
         let turns = &mut self.turns;
         let waiting = self.tenants.entry(tenant).or_insert_with(|| {
-            turns.push_back(Turn { stamp: place, tenant });
-            WaitingTenant { stamp: place, calls: BTreeMap::new() }
+            turns.push_back(Turn { stamp: position, tenant });
+            WaitingTenant { stamp: position, calls: BTreeMap::new() }
         });
-        waiting.calls.insert(place, call);
+        waiting.calls.insert(position, call);
         self.calls += 1;
     }
 
-    /// Takes the next call, tenants in turn.
+    /// Dequeues the next call, tenants in round-robin order.
     pub fn pop(&mut self) -> Option<u64> {
         loop {
             let turn = self.turns.pop_front()?;
@@ -64,10 +64,10 @@
         }
     }
 
-    /// Removes a call wherever it waits.
-    pub fn remove(&mut self, tenant: u32, place: u64) {
+    /// Removes a call at any position of the queue.
+    pub fn remove(&mut self, tenant: u32, position: u64) {
         let Some(waiting) = self.tenants.get_mut(&tenant) else { return };
-        self.calls -= usize::from(waiting.calls.remove(&place).is_some());
+        self.calls -= usize::from(waiting.calls.remove(&position).is_some());
         if waiting.calls.is_empty() {
             self.tenants.remove(&tenant);
         }
--- a/crates/core/src/bin/stagehoist-adapter.rs
+++ b/crates/core/src/bin/stagehoist-adapter.rs
@@ -1,5 +1,5 @@
-//! Runs many front ends' decision modules on the simulator's wire: batches on standard input, one reply for each on
-//! standard output. It decides nothing.
+//! Runs the decision modules of many front ends on the simulator's wire: reads batches from standard input and writes one
+//! reply per batch to standard output. The adapter itself makes no decisions.
 #![forbid(unsafe_code)]
 
 use stagehoist::wire::{
@@ -49,7 +49,7 @@
     Ok(())
 }
 
-/// `None` at the end of input between two frames.
+/// Returns `None` if the input ends between two frames.
 fn read_header(input: &mut impl Read) -> Result<Option<BatchHeader>, AdapterError> {
     let mut header = [0u8; BATCH_HEADER_SIZE];
     let mut read = 0;
--- a/crates/core/src/interface/action.rs
+++ b/crates/core/src/interface/action.rs
@@ -1,8 +1,8 @@
-//! What the decision module may order.
+//! The actions that the decision module may order.
 
 use super::{FunctionId, Micros, RequestId, WorkerId};
 
-/// An order to the process around the module. Orders are executed in their sequence.
+/// An order to the process around the module. Orders are executed in sequence.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt of a request.
@@ -11,9 +11,9 @@
         request: RequestId,
         /// The worker.
         worker: WorkerId,
-        /// Time limit of the attempt; 0: as long as the request has.
+        /// Time limit of the attempt; 0: the remaining time of the request.
         timeout: Micros,
-        /// No byte of it is written after this time; [`Micros::MAX`]: whenever it can be.
+        /// No byte of the attempt is written after this time; [`Micros::MAX`]: no limit.
         start_by: Micros,
     },
     /// Answer that the request was rejected and had no effect.
@@ -77,9 +77,9 @@
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// Copies to hold at least; 0 only asks how many there are.
+        /// Copies to hold at least; 0 only queries the number of loaded copies.
         copies: u8,
-        /// No byte of the order is written after this time; [`Micros::MAX`]: whenever it can be.
+        /// No byte of the order is written after this time; [`Micros::MAX`]: no limit.
         start_by: Micros,
     },
     /// Unload the idle copies of a function.
--- a/crates/core/src/interface/event.rs
+++ b/crates/core/src/interface/event.rs
@@ -1,22 +1,22 @@
-//! What the decision module observes.
+//! The events that the decision module observes.
 
 use super::{FunctionId, Micros, Request, RequestId, WorkerId};
 use std::rc::Rc;
 
-/// Most values in a load report.
+/// Maximum number of values in a load report.
 pub const MAX_REPORT_VALUES: usize = 4;
 
 /// Values of a load report, in the order of [`super::Settings::report_fields`].
 pub type LoadReport = Option<[f32; MAX_REPORT_VALUES]>;
 
-/// State of a worker by the endpoint list.
+/// State of a worker according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes the requests that it holds and accepts no new ones.
     Draining,
-    /// It is not there.
+    /// It is not in the list.
     #[default]
     Gone,
 }
@@ -26,9 +26,9 @@
 pub struct Endpoint {
     /// The worker.
     pub worker: WorkerId,
-    /// Kind of machine, a place in [`super::Settings::memory_mb`].
+    /// Kind of machine, as an index into [`super::Settings::memory_mb`].
     pub kind: u16,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub lifecycle: Lifecycle,
     /// Zone in which it runs.
     pub zone: u8,
@@ -36,7 +36,7 @@
     pub started: Micros,
     /// Cell in which it runs.
     pub cell: u16,
-    /// Requests that it runs at a time at full speed.
+    /// Requests that it runs concurrently at full speed.
     pub capacity: f64,
 }
 
@@ -60,9 +60,9 @@
     Ok,
     /// The worker answered with an error.
     Error,
-    /// The worker rejected it for want of capacity; nothing ran.
+    /// The worker rejected it for lack of capacity; nothing ran.
     Full,
-    /// No answer came in time.
+    /// No answer arrived in time.
     Timeout,
     /// No connection was established; nothing ran.
     ConnectFailed,
@@ -76,23 +76,23 @@
     Miss,
 }
 
-/// What an answer tells of the copy that served it.
+/// What an answer reports about the copy that served it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub struct CopyReport {
-    /// One of the codes of this type's constants.
+    /// One of the state codes defined as constants of this type.
     pub state: u8,
     /// Requests for the function that the worker holds.
     pub concurrency: u32,
 }
 
 impl CopyReport {
-    /// The answer does not tell.
+    /// The answer does not report the state.
     pub const UNKNOWN: u8 = 0;
     /// The copy was loaded before.
     pub const LOADED: u8 = 1;
     /// The request started the load.
     pub const LOAD_STARTED: u8 = 2;
-    /// The request waited for a load under way.
+    /// The request waited for a load already in progress.
     pub const LOAD_JOINED: u8 = 3;
     /// The load failed.
     pub const LOAD_FAILED: u8 = 4;
@@ -103,15 +103,16 @@
 pub enum Event {
     /// An endpoint list arrived.
     Endpoints {
-        /// What it covers.
+        /// What the list covers.
         update: EndpointUpdate,
         /// Its entries.
         endpoints: Rc<[Endpoint]>,
     },
-    /// The source of the endpoint list vouches for it up to this time, by the clock of the events. What the source would
-    /// have reported after that counts as known, though it did not come. Without this event a list is valid for ever.
+    /// The source guarantees that the endpoint list is up to date until this time, by the clock of the events. Changes
+    /// that the source would have reported after that time count as known, though no report of them arrived. Without
+    /// this event a list is valid forever.
     EndpointListValid {
-        /// Until when; may be in the past.
+        /// End of the validity; may be in the past.
         until: Micros,
     },
     /// The first connection to a worker was established, or the last one closed.
@@ -148,9 +149,9 @@
         worker: WorkerId,
         /// How it ended.
         outcome: Outcome,
-        /// Time that it took.
+        /// Duration of the health check.
         elapsed: Micros,
-        /// The worker's load report, where it came.
+        /// The worker's load report, if the answer carried one.
         report: LoadReport,
     },
     /// Another front end sent a message.
@@ -170,7 +171,7 @@
         outcome: Outcome,
         /// Time from the order to its answer.
         elapsed: Micros,
-        /// Copies that the worker then holds.
+        /// Copies that the worker holds after the order.
         copies: u8,
     },
 }
@@ -188,10 +189,10 @@
     pub concluded: bool,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// What the answer tells of the copy.
+    /// What the answer reports about the copy.
     pub copy: CopyReport,
-    /// Time from its sending to its end.
+    /// Time from sending the attempt to its end.
     pub elapsed: Micros,
-    /// The worker's load report, where it came with the answer.
+    /// The worker's load report, if the answer carried one.
     pub report: LoadReport,
 }
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -1,5 +1,5 @@
-//! The interface of the decision module: its configuration ([`Settings`]), what it observes ([`Event`]) and
-//! what it may order ([`Action`]). Plain data; all times are integer microseconds. Nothing here decides.
+//! The interface of the decision module: its configuration ([`Settings`]), the events that it observes ([`Event`]) and
+//! the actions that it may order ([`Action`]). Plain data without logic; all times are integer microseconds.
 
 mod action;
 mod event;
@@ -22,5 +22,5 @@
 pub type RequestId = u32;
 /// Number of a worker, the same at every front end.
 pub type WorkerId = u32;
-/// Number of a function, the program that a call needs loaded.
+/// Number of a function, the program that a worker must have loaded to run a call.
 pub type FunctionId = u64;
--- a/crates/core/src/interface/request.rs
+++ b/crates/core/src/interface/request.rs
@@ -7,27 +7,27 @@
 pub struct Request {
     /// Number of the request at this front end.
     pub id: RequestId,
-    /// Number of its class in [`super::Settings::classes`].
+    /// Index of its class in [`super::Settings::classes`].
     pub class: u16,
-    /// Number of its tenant in [`super::Settings::tenant_quotas`].
+    /// Index of its tenant in [`super::Settings::tenant_quotas`].
     pub tenant: u32,
     /// The function that it calls.
     pub function: FunctionId,
-    /// Time until its client times out, from its arrival.
+    /// Time from the arrival of the request until its client times out.
     pub budget: Micros,
-    /// Work on a standard core, where it is declared.
+    /// Run time on a standard core, if declared.
     pub work: Option<Micros>,
     /// Memory of a loaded copy, in megabytes.
     pub memory_mb: f64,
-    /// Calls that one copy runs at a time.
+    /// Calls that one copy runs concurrently.
     pub concurrency: f64,
-    /// Usual time of a load; 0 where it is not declared.
+    /// Usual duration of a load; 0 if not declared.
     pub load_time: Micros,
-    /// The client sends it again after an earlier rejection.
+    /// The client resent it after an earlier rejection.
     pub is_repeat: bool,
-    /// When it was accepted; 0: with this batch.
+    /// When the request was accepted; 0: with this batch.
     pub accepted_at: Micros,
-    /// Its client counts as genuine, so that the request adds to the load budget: a worker served an earlier call of
-    /// the same connection, or the deployment asks for no such proof.
+    /// The client counts as genuine, so that the request adds to the load budget: a worker served an earlier call on
+    /// the same connection, or the deployment requires no such proof.
     pub client_verified: bool,
 }
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -5,16 +5,16 @@
 /// Whether a request that may have run can be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Running twice does no harm.
+    /// Running it twice does no harm.
     Idempotent,
-    /// Workers that share an idempotency key drop repeats for as long as they remember the key.
+    /// Workers that share their idempotency keys drop a repeated request for as long as they remember its key.
     IdempotentWithKey {
         /// The workers that share their memory of keys.
         scope: DeduplicationScope,
         /// How long a worker remembers a key.
         window: Micros,
     },
-    /// Must never run twice.
+    /// It must never run twice.
     NonIdempotent,
 }
 
@@ -34,11 +34,11 @@
 pub struct ClassSettings {
     /// An answer within this time earns the full value.
     pub latency_objective: Micros,
-    /// The objective grows by this many times the request's own work.
+    /// The objective is extended by the request's own work times this factor.
     pub objective_work_factor: f64,
     /// Whether a request may be sent again after it may have run.
     pub effect: Effect,
-    /// Value of an answer in time, relative to other classes.
+    /// Value of an answer within the objective, relative to other classes.
     pub priority_weight: f64,
     /// Fraction of the value that an answer past the objective still earns.
     pub late_value: f64,
@@ -81,7 +81,7 @@
     HealthChecks,
 }
 
-/// How many retries are allowed beside first attempts, in a sliding window.
+/// How many retries are allowed in addition to first attempts, in a sliding window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryBudget {
     /// Length of the window in microseconds; 0: no limit.
@@ -92,7 +92,7 @@
     pub share: f64,
 }
 
-/// The configuration of one front end. Limits are those of the deployment; nothing is tuned to one of them.
+/// The configuration of one front end. The limits describe the deployment; no decision rule is tuned to one deployment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Front ends in the fleet.
@@ -101,31 +101,31 @@
     pub zone: u32,
     /// Classes of requests, by number.
     pub classes: Vec<ClassSettings>,
-    /// Requests a second within each tenant's quota, over all front ends; empty without tenants.
+    /// Quota of each tenant in requests per second, over all front ends; empty without tenants.
     pub tenant_quotas: Vec<f64>,
     /// Factor on the value of a request beyond its tenant's quota.
     pub over_quota_weight: f64,
-    /// The value of a request is counted for each unit of its work in place of each request.
+    /// A request's value is counted per unit of its work instead of per request.
     pub weight_by_work: bool,
     /// Granularity of the clock.
     pub tick: Micros,
-    /// Endpoint updates have to be subscribed to.
+    /// Endpoint updates require a subscription.
     pub subscribe_endpoints: bool,
-    /// Longest time between two polls of the endpoint list.
+    /// Maximum time between two polls of the endpoint list.
     pub poll_within: Micros,
-    /// Time after the notice of a drain in which new requests may still reach a worker.
+    /// Time after a drain notice during which new requests may still reach the worker.
     pub drain_grace: Micros,
     /// Window over which the load of a warming worker is limited.
     pub overload_window: Micros,
-    /// Multiple of its share of the work that a warming worker stands in a window.
+    /// Load that a warming worker can take in a window, as a multiple of its share of the work.
     pub overload_factor: f64,
     /// Capacity of a worker at its start, as a fraction of its full capacity.
     pub start_capacity: f64,
     /// Time from a worker's start to its full capacity.
     pub warm_up: Micros,
-    /// Attempts of one request, at most.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// Two attempts of a request may be in flight at a time.
+    /// Two attempts of a request may be in flight at the same time.
     pub hedging: bool,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
@@ -135,21 +135,21 @@
     pub may_order_loads: bool,
     /// Front ends may send each other messages.
     pub may_gossip: bool,
-    /// Answers tell how the copy that served them stood.
+    /// Answers report the state of the copy that served them.
     pub answers_report_copy: bool,
-    /// Answers tell how many requests for the function the worker holds.
+    /// Answers report how many requests for the function the worker holds.
     pub answers_report_concurrency: bool,
     /// Time limit of a connection attempt.
     pub connect_timeout: Micros,
-    /// Longest advice on when to send a rejected request again; 0: none is given.
+    /// Maximum retry delay advised to the caller of a rejected request; 0: no delay is advised.
     pub max_retry_after: Micros,
-    /// Time for which a worker retains an unused copy at least.
+    /// Minimum time for which a worker retains an unused copy.
     pub idle_retention: Micros,
     /// What a worker does with a call for a function that it has not loaded.
     pub on_miss: OnMiss,
     /// Time after which a load order without an answer counts as lost.
     pub load_timeout: Micros,
-    /// Longest time from a load order to its arrival; 0: it counts when it is given.
+    /// Maximum time from issuing a load order to its arrival; 0: it counts as arrived when issued.
     pub load_delay: Micros,
     /// Window of the load budget; 0: no limit.
     pub load_window: Micros,
@@ -169,7 +169,7 @@
     pub price_cross_zone: f64,
     /// Price of a request for the endpoint list.
     pub price_fetch: f64,
-    /// Values of a load report, in their order.
+    /// Meaning of the values of a load report, in order.
     pub report_fields: Vec<ReportField>,
     /// How load reports arrive.
     pub report_channel: ReportChannel,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,6 +1,6 @@
-//! stagehoist decides for a front end that sends calls to workers which load programs on demand: where each
-//! call goes, when it is sent, and when it is rejected. It predicts the finish of each request on each worker
-//! and sends it to the earliest finish within the deadline, or rejects it, after Clockwork (Gujarati et al.,
+//! Decides for a front end that sends calls to workers, which load programs on demand: where each
+//! call goes, when it is sent, and when it is rejected. It predicts the finish time of each request on each worker
+//! and sends it to the worker that finishes first within the deadline, or rejects it, as Clockwork does (Gujarati et al.,
 //! OSDI 2020). It opens no socket and reads no clock: the caller passes events in and executes the actions.
 //!
 //! ```
--- a/crates/core/src/wire/decode.rs
+++ b/crates/core/src/wire/decode.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Endpoint lists by number, as the process holds them.
+/// The endpoint lists that the process holds, by number.
 #[derive(Default)]
 pub struct EndpointLists(HashMap<u8, Rc<[Endpoint]>>);
 
@@ -58,7 +58,7 @@
 /// Reads and checks the header of a frame.
 ///
 /// # Errors
-/// The length or the count of records can't be right.
+/// Returns an error if the length or the count of records is impossible.
 pub fn batch_header(header: &[u8; BATCH_HEADER_SIZE]) -> Result<BatchHeader, WireError> {
     let length = u32_at(header, 8) as usize;
     let count = u32_at(header, 12) as usize;
@@ -71,11 +71,11 @@
     Ok(BatchHeader { now: millis_at(header, 0), length, count })
 }
 
-/// Decodes the records of a frame, of which `body` is all behind the header, in their order. Endpoint lists go to
-/// `lists`, from which later records take them.
+/// Decodes the records of a frame in order; `body` is the frame without its header. Endpoint lists are stored in
+/// `lists`, where later records look them up.
 ///
 /// # Errors
-/// The first record that can't be read.
+/// Returns the error of the first record that can't be read.
 pub fn decode(body: &[u8], count: usize, lists: &mut EndpointLists) -> Result<Vec<Record>, WireError> {
     if body.len() / EVENT_SIZE < count {
         return Err(WireError::Truncated { count, available: body.len() });
--- a/crates/core/src/wire/encode.rs
+++ b/crates/core/src/wire/encode.rs
@@ -22,12 +22,12 @@
     pub const UNLOAD: u8 = 140;
 }
 
-/// Number of a peer that stands for all of them.
+/// Peer number that addresses all peers.
 const ALL_PEERS: u16 = u16::MAX;
-/// Bytes of a reply's header.
+/// Size of a reply's header in bytes.
 const REPLY_HEADER_SIZE: usize = 8;
 
-/// An action of one of a process's front ends.
+/// An action of one of the front ends in this process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstanceAction {
     /// Number of the front end in this process.
@@ -36,12 +36,12 @@
     pub action: Action,
 }
 
-/// A front end of the process failed.
+/// The failure (panic) of one front end in this process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceFault {
     /// Number of the front end in this process.
     pub instance: u16,
-    /// What happened.
+    /// Description of the failure.
     pub text: String,
 }
 
@@ -125,11 +125,11 @@
         self
     }
 
-    fn millis(&mut self, position: usize, span: Micros) -> &mut Record {
-        self.put(position, &millis(span).to_be_bytes())
+    fn millis(&mut self, position: usize, duration: Micros) -> &mut Record {
+        self.put(position, &millis(duration).to_be_bytes())
     }
 
-    /// Appends bytes to the tail, and puts their offset and length into the cluster state.
+    /// Appends bytes to the tail and writes their offset and length into the record.
     fn tail(&mut self, position: usize, bytes: &[u8], tail: &mut Vec<u8>) -> &mut Record {
         let offset = tail.len() as u32;
         let length = bytes.len() as u32;
--- a/crates/core/src/wire/error.rs
+++ b/crates/core/src/wire/error.rs
@@ -1,21 +1,21 @@
-//! What can be wrong with a frame or with the settings, and where.
+//! Errors in frames and in the settings, with their positions.
 
 /// What is wrong with a field of an event.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldError {
-    /// The code of an outcome is not known.
+    /// Unknown outcome code.
     #[error("unknown outcome")]
     Outcome,
-    /// The code of the kind of an endpoint update is not known.
+    /// Unknown code of the kind of an endpoint update.
     #[error("unknown kind {0}")]
     UpdateKind(u8),
-    /// An event names an endpoint list that did not come.
+    /// An event refers to an endpoint list that was never received.
     #[error("list {0} unknown")]
     List(u8),
-    /// The code of a worker's state is not known.
+    /// Unknown code of a worker's state.
     #[error("unknown state {0} in an entry")]
     Lifecycle(u8),
-    /// The settings are no UTF-8.
+    /// The settings are not valid UTF-8.
     #[error("settings are no text")]
     SettingsText,
 }
@@ -29,16 +29,16 @@
     /// Neither true nor false.
     #[error("is neither true nor false")]
     Flag,
-    /// A count beyond any deployment.
+    /// A count larger than any deployment could have.
     #[error("is absurd")]
     Count,
-    /// It is required.
+    /// The setting is required.
     #[error("is missing or nought")]
     Missing,
     /// Not one of the known words.
     #[error("is unknown")]
     Word,
-    /// It has to be above 0.
+    /// The value must be above 0.
     #[error("must be above nought")]
     NotPositive,
     /// Not a list of finite numbers of 0 or more.
@@ -46,16 +46,16 @@
     NumberList,
 }
 
-/// What is wrong with a frame or with the settings, and where. Positions are bytes from the start of the frame.
+/// An error in a frame or in the settings. Positions are byte offsets from the start of the frame.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// The header tells an impossible length of the frame.
+    /// The header declares an impossible frame length.
     #[error("batch header: length {length} at byte 8 is out of range")]
     FrameLength {
         /// The length.
         length: usize,
     },
-    /// The header tells more records than the frame can hold.
+    /// The header declares more records than the frame can hold.
     #[error("batch header: {count} records at byte 12 do not fit in {length} bytes")]
     RecordCount {
         /// Records by the header.
@@ -63,26 +63,26 @@
         /// Length of the frame.
         length: usize,
     },
-    /// The frame ends before its records do.
+    /// The frame ends before the last of its records.
     #[error("frame cut off: {count} records announced, {available} bytes here")]
     Truncated {
         /// Records by the header.
         count: usize,
-        /// Bytes behind the header.
+        /// Bytes available after the header.
         available: usize,
     },
-    /// A record points beyond the frame's tail.
+    /// A record refers to bytes beyond the frame's tail.
     #[error("event code {code} at byte {position}: tail offset {offset}+{length} past {available} bytes")]
     TailRange {
         /// Code of the event.
         code: u8,
         /// Position of the field.
         position: usize,
-        /// Where the part of the tail would begin.
+        /// Offset in the tail where the part would begin.
         offset: usize,
         /// Its length in units of the field.
         length: usize,
-        /// Bytes of the tail.
+        /// Length of the tail in bytes.
         available: usize,
     },
     /// A field of an event can't be read.
@@ -95,12 +95,12 @@
         /// What is wrong with it.
         source: FieldError,
     },
-    /// The code of an event is not known.
+    /// Unknown event code.
     #[error("unknown event code {code} at byte {position}")]
     UnknownEvent {
         /// The code.
         code: u8,
-        /// Position of the cluster state.
+        /// Position of the record.
         position: usize,
     },
     /// A setting can't be read.
--- a/crates/core/src/wire/fields.rs
+++ b/crates/core/src/wire/fields.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::Micros;
 
-/// Longest time that is taken as it is, in milliseconds.
+/// Longest time that is accepted unclamped, in milliseconds.
 const MAX_MILLIS: f64 = 1e12;
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: f64 = 1000.0;
@@ -23,7 +23,7 @@
     u64::from_be_bytes(bytes_at(record, position))
 }
 
-/// A number of 32 bits; 0 where it is not finite.
+/// Reads a 32-bit float; 0 if it is not finite.
 pub(super) fn f32_at(record: &[u8], position: usize) -> f64 {
     let value = f32::from_be_bytes(bytes_at(record, position));
     if value.is_finite() {
@@ -33,12 +33,12 @@
     }
 }
 
-/// Milliseconds as a number of 64 bits.
+/// Reads a time given in milliseconds as a 64-bit float.
 pub(super) fn millis_at(record: &[u8], position: usize) -> Micros {
     micros(f64::from_be_bytes(bytes_at(record, position)))
 }
 
-/// Milliseconds to microseconds; what is not a number is 0, what is absurd is cut.
+/// Converts milliseconds to microseconds. NaN becomes 0; values beyond [`MAX_MILLIS`] are clamped.
 pub(super) fn micros(millis: f64) -> Micros {
     if millis.is_nan() {
         0
@@ -47,7 +47,7 @@
     }
 }
 
-/// Microseconds to milliseconds.
+/// Converts microseconds to milliseconds.
 pub(super) fn millis(micros: Micros) -> f64 {
     micros as f64 / MICROS_PER_MILLI
 }
--- a/crates/core/src/wire/mod.rs
+++ b/crates/core/src/wire/mod.rs
@@ -1,5 +1,5 @@
 //! The codec of the simulator's wire: frames of fixed-size big-endian records with a tail, the settings text and the
-//! endpoint lists. It translates and checks; it decides nothing.
+//! endpoint lists. It translates and validates, and makes no decisions.
 
 mod decode;
 mod encode;
@@ -13,13 +13,13 @@
 pub use error::{FieldError, SettingError, WireError};
 pub use settings::parse_settings;
 
-/// Bytes of the header of a frame of events.
+/// Size of the header of an event frame in bytes.
 pub const BATCH_HEADER_SIZE: usize = 16;
-/// Bytes of an event's record.
+/// Size of an event's record in bytes.
 pub const EVENT_SIZE: usize = 56;
-/// No frame of the wire comes near this size; a length above it is taken for a malformed header.
+/// Maximum frame size. Real frames are far smaller, so a greater length means a malformed header.
 pub const MAX_FRAME_SIZE: usize = 1 << 30;
-/// Bytes of an action's record.
+/// Size of an action's record in bytes.
 const ACTION_SIZE: usize = 24;
-/// Bytes of an entry of an endpoint list.
+/// Size of an endpoint list entry in bytes.
 const ENDPOINT_SIZE: usize = 22;
--- a/crates/core/src/wire/raw_record.rs
+++ b/crates/core/src/wire/raw_record.rs
@@ -27,13 +27,13 @@
 /// Flags of a request.
 const HAS_WORK: u8 = 1;
 const IS_REPEAT: u8 = 2;
-/// The state of the copy stands in these bits, the count of requests alike above them.
+/// Number of low bits that hold the state of the copy; the bits above hold the number of requests for the function.
 const COPY_STATE_BITS: u32 = 3;
 
 /// The bytes of one record.
 pub(super) struct RawRecord<'a> {
     pub bytes: &'a [u8],
-    /// Of the cluster state in its frame.
+    /// Position of the record in its frame.
     pub position: usize,
     pub tail: &'a [u8],
 }
@@ -44,7 +44,7 @@
         self.bytes[0]
     }
 
-    /// The record; endpoint lists that it names are taken from `lists`.
+    /// Decodes the record; endpoint lists that it refers to are looked up in `lists`.
     pub fn decode(&self, lists: &EndpointLists) -> Result<Record, WireError> {
         let instance = u16_at(self.bytes, 1);
         let event = match self.code() {
@@ -148,7 +148,7 @@
         })
     }
 
-    /// The endpoint list of a record that brings one.
+    /// Decodes the endpoint list that the record contains.
     pub fn endpoints(&self) -> Result<Rc<[Endpoint]>, WireError> {
         self.tail_part(2, ENDPOINT_SIZE)?
             .chunks_exact(ENDPOINT_SIZE)
@@ -181,7 +181,7 @@
         outcome.ok_or_else(|| self.error(field, FieldError::Outcome))
     }
 
-    /// The part of the tail that a field names by offset and length in units of so many bytes.
+    /// Returns the part of the tail that a field refers to by offset and length; the length counts units of `unit` bytes.
     fn tail_part(&self, field: usize, unit: usize) -> Result<&'a [u8], WireError> {
         let offset = u32_at(self.bytes, field) as usize;
         let length = u32_at(self.bytes, field + 4) as usize;
--- a/crates/core/src/wire/settings.rs
+++ b/crates/core/src/wire/settings.rs
@@ -5,16 +5,16 @@
 use crate::interface::*;
 use std::collections::HashMap;
 
-/// Most classes or tenants.
+/// Maximum number of classes or tenants.
 const MAX_COUNT: f64 = 65_536.0;
-/// Most attempts of one request.
+/// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: f64 = 60_000.0;
 
-/// Reads the settings of a front end: `path=value` lines. Unknown keys are passed over; one that is absent takes the
-/// meaning that asks least of the other side (a permission: no; a price, limit or window: none).
+/// Reads the settings of a front end: `path=value` lines. Unknown keys are ignored. An absent key gets the default that
+/// requires least of the workers and the platform (a permission: no; a price, limit or window: none).
 ///
 /// # Errors
-/// The first key that can't be read.
+/// Returns the error of the first key whose value can't be read.
 pub fn parse_settings(text: &str) -> Result<Settings, WireError> {
     let lines = Lines::new(text);
     Ok(Settings {
@@ -24,14 +24,14 @@
         tenant_quotas: tenant_quotas(&lines)?,
         over_quota_weight: lines.number("over_share_worth", 1.0)?,
         weight_by_work: lines.get("counted_by") == Some("work"),
-        tick: lines.span("granularity", 1.0)?,
+        tick: lines.duration("granularity", 1.0)?,
         subscribe_endpoints: lines.get("registry_mode") == Some("subscribe"),
-        poll_within: lines.span("invariants.ask_within", 0.0)?,
-        drain_grace: lines.span("invariants.drain_grace", 0.0)?,
-        overload_window: lines.span("invariants.fall", 0.0)?,
+        poll_within: lines.duration("invariants.ask_within", 0.0)?,
+        drain_grace: lines.duration("invariants.drain_grace", 0.0)?,
+        overload_window: lines.duration("invariants.fall", 0.0)?,
         overload_factor: lines.number("invariants.overload_factor", 1.0)?,
         start_capacity: lines.number("invariants.start_capacity", 1.0)?,
-        warm_up: lines.span("invariants.warm_up", 0.0)?,
+        warm_up: lines.duration("invariants.warm_up", 0.0)?,
         max_attempts: lines.number("limits.most_tries", 1.0)?.clamp(1.0, MAX_ATTEMPTS) as u32,
         hedging: lines.flag("limits.second_copies")?,
         may_cancel: lines.flag("limits.cancel")?,
@@ -40,13 +40,13 @@
         may_gossip: lines.flag("limits.peers")?,
         answers_report_copy: lines.flag("specifics.tells_warm")?,
         answers_report_concurrency: lines.flag("specifics.counts_alike")?,
-        connect_timeout: lines.span("limits.connect_timeout", 0.0)?,
+        connect_timeout: lines.duration("limits.connect_timeout", 0.0)?,
         max_retry_after: max_retry_after(&lines)?,
-        idle_retention: lines.span("specifics.idle_life", 0.0)?,
+        idle_retention: lines.duration("specifics.idle_life", 0.0)?,
         on_miss: on_miss(&lines),
-        load_timeout: lines.span("specifics.load_wait", 0.0)?,
+        load_timeout: lines.duration("specifics.load_wait", 0.0)?,
         load_delay: 0,
-        load_window: lines.span("specifics.loads_within", 0.0)?,
+        load_window: lines.duration("specifics.loads_within", 0.0)?,
         load_free: lines.number("specifics.load_free", 0.0)?,
         load_share: lines.number("specifics.load_part", 0.0)?,
         retry_budget: RetryBudget::default(),
@@ -73,14 +73,14 @@
         self.0.get(key).map(|value| value.trim()).filter(|value| !value.is_empty())
     }
 
-    fn number(&self, key: &str, absent: f64) -> Result<f64, WireError> {
-        let Some(text) = self.get(key) else { return Ok(absent) };
+    fn number(&self, key: &str, default: f64) -> Result<f64, WireError> {
+        let Some(text) = self.get(key) else { return Ok(default) };
         number(text).ok_or_else(|| error(key, SettingError::Number))
     }
 
     /// A duration in milliseconds.
-    fn span(&self, key: &str, absent: f64) -> Result<Micros, WireError> {
-        self.number(key, absent).map(micros)
+    fn duration(&self, key: &str, default: f64) -> Result<Micros, WireError> {
+        self.number(key, default).map(micros)
     }
 
     fn flag(&self, key: &str) -> Result<bool, WireError> {
@@ -100,7 +100,7 @@
         Ok(count as usize)
     }
 
-    /// Parts of a value between commas.
+    /// The comma-separated parts of a value.
     fn list(&self, key: &str) -> Vec<&'a str> {
         self.get(key).map(|value| value.split(',').map(str::trim).collect()).unwrap_or_default()
     }
@@ -149,7 +149,7 @@
                 Some("zone") => DeduplicationScope::Zone,
                 _ => DeduplicationScope::Cell,
             };
-            Ok(Effect::IdempotentWithKey { scope, window: lines.span(&key("key_ttl"), 0.0)? })
+            Ok(Effect::IdempotentWithKey { scope, window: lines.duration(&key("key_ttl"), 0.0)? })
         }
         Some("at_most_once") | None => Ok(Effect::NonIdempotent),
         Some(_) => Err(error(&key("effect"), SettingError::Word)),
@@ -163,7 +163,7 @@
 
 fn max_retry_after(lines: &Lines<'_>) -> Result<Micros, WireError> {
     if lines.flag("limits.retry_after")? {
-        lines.span("limits.max_retry_after", 0.0)
+        lines.duration("limits.max_retry_after", 0.0)
     } else {
         Ok(0)
     }
--- a/crates/endpoints/src/blocking_query.rs
+++ b/crates/endpoints/src/blocking_query.rs
@@ -1,18 +1,18 @@
-//! The state of blocking queries as Consul's HTTP API defines them (feature "Blocking Queries"): which index to ask with,
-//! what an answer's index means, when to ask again.
+//! State of blocking queries as Consul's HTTP API defines them (feature "Blocking Queries"): the index for the next query,
+//! the meaning of an answer's index, and the pause before the next query.
 
 use stagehoist::Micros;
 
-/// What an answer to a query means.
+/// Whether the answer to a query may carry a changed list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryOutcome {
-    /// The list may have changed: use it.
+    /// The list may have changed and has to be applied.
     Changed,
-    /// The wait ran out with nothing new.
+    /// The wait expired without a change.
     Same,
 }
 
-/// One follower's place in the sequence of indices.
+/// The index state of one watch on the list.
 #[derive(Clone, Debug)]
 pub struct BlockingQuery {
     index: u64,
@@ -22,19 +22,19 @@
 }
 
 impl BlockingQuery {
-    /// A follower that asks again after a failure in `first` at the earliest and `most` at the latest.
-    pub fn new(first: Micros, most: Micros) -> BlockingQuery {
-        BlockingQuery { index: 0, failures: 0, first, max_pause: most }
+    /// Creates a watch whose pause after a failure grows from `first` to at most `max`.
+    pub fn new(first: Micros, max: Micros) -> BlockingQuery {
+        BlockingQuery { index: 0, failures: 0, first, max_pause: max }
     }
 
-    /// The index for the next query; 0 answers at once.
+    /// Returns the index for the next query; a query with index 0 is answered at once.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// An answer came with this `X-Consul-Index`. An index that went backwards, or is missing or nought, starts the
-    /// sequence anew: the next query asks with 0, as the documentation wants it, so that it can't block for long on an
-    /// index that the restarted service will only reach much later.
+    /// Processes an answer with this `X-Consul-Index`. If the index decreased, is missing or is 0, the next query uses
+    /// index 0, as the documentation requires. Otherwise that query could block for long on an index that a restarted
+    /// service reaches only much later.
     pub fn on_answer(&mut self, index: Option<u64>) -> QueryOutcome {
         self.failures = 0;
         match index {
@@ -54,10 +54,10 @@
         }
     }
 
-    /// A query failed. Gives the pause before the next one; `part` from 0 to 1 spreads followers apart.
-    pub fn on_failure(&mut self, part: f64) -> Micros {
-        let grown = self.first.saturating_mul(1 << self.failures.min(20)).min(self.max_pause);
+    /// Records a failed query and returns the pause before the next one. `jitter`, from 0 to 1, spreads out many watches.
+    pub fn on_failure(&mut self, jitter: f64) -> Micros {
+        let pause = self.first.saturating_mul(1 << self.failures.min(20)).min(self.max_pause);
         self.failures = self.failures.saturating_add(1);
-        grown / 2 + (grown as f64 / 2.0 * part.clamp(0.0, 1.0)) as Micros
+        pause / 2 + (pause as f64 / 2.0 * jitter.clamp(0.0, 1.0)) as Micros
     }
 }
--- a/crates/endpoints/src/entry.rs
+++ b/crates/endpoints/src/entry.rs
@@ -1,30 +1,30 @@
-//! What sources say of workers, and what the module is notified of it.
+//! Workers as the endpoint sources report them, and the updates that the decision module receives.
 
 use stagehoist::{Endpoint, EndpointUpdate, Micros};
 
-/// A worker as a list names it.
+/// A worker as an endpoint list describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedWorker {
-    /// Name, unique in the list and kept over restarts.
+    /// Name, unique in the list and stable across restarts.
     pub name: String,
     /// `host:port`.
     pub address: String,
-    /// It finishes what it has and gets nothing new.
+    /// The worker finishes the calls that it holds and accepts no new ones.
     pub draining: bool,
-    /// Hardware kind, by the name that the configuration uses; empty where the list has none.
+    /// Hardware kind, by the name that the configuration uses; empty if the list has none.
     pub kind: String,
-    /// Zone, by the name that the configuration uses; empty where the list has none.
+    /// Zone, by the name that the configuration uses; empty if the list has none.
     pub zone: String,
-    /// Number of the group that shares its memory of keys; 0 where none is configured.
+    /// Number of the cell, the group of workers that shares its idempotency keys; 0 if none is configured.
     pub cell: u16,
-    /// Size for comparison with other workers; 1 where none is configured.
+    /// Capacity relative to other workers; 1 if none is configured.
     pub capacity: f64,
-    /// Last start, microseconds since 1970; 0 where none is configured.
+    /// Last start, in microseconds since 1970; 0 if none is configured.
     pub started: Micros,
 }
 
 impl ListedWorker {
-    /// A ready worker with the usual size and nothing else told.
+    /// Creates a ready worker with capacity 1 and no other properties.
     pub fn new(name: impl Into<String>, address: impl Into<String>) -> ListedWorker {
         ListedWorker {
             name: name.into(),
@@ -39,7 +39,7 @@
     }
 }
 
-/// A worker as a source tells it that numbers workers itself and tells changes.
+/// A worker as reported by a source that numbers workers itself and reports changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NumberedEndpoint {
     /// Name, for logs.
@@ -50,10 +50,10 @@
     pub endpoint: Endpoint,
 }
 
-/// What to tell the module.
+/// An endpoint update for the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update {
-    /// Whether the rows are all workers, those that changed, or none as the list failed.
+    /// Whether the rows are all workers, only the changed ones, or none because the list failed.
     pub kind: EndpointUpdate,
     /// The rows.
     pub endpoints: Vec<Endpoint>,
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which workers there are: what lists say and what workers announce of themselves, put together to the rows that the
-//! decision module is given. Pure: entries and the time go in, rows come out.
+//! The set of known workers: merges endpoint lists with the workers' own drain announcements into the rows that the
+//! decision module receives. Pure: takes entries and the time, returns rows.
 //!
-//! Lists are late, so a worker's own word that it drains counts until the list has caught up: until it shows the worker
-//! draining, gone or started anew, until the worker says otherwise, or until a stated time has passed, as a list that
-//! goes on saying "ready" for so long is right.
+//! Lists lag behind, so a worker's own drain announcement overrides the list until the list has caught up: until it shows
+//! the worker draining, gone or restarted, until the worker revokes the announcement, or until a configured time has
+//! passed. A list that still reports "ready" after that time is taken to be right.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -18,10 +18,11 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Most workers kept where nothing else is configured ([`EndpointSet::with_max_workers`]); entries beyond are left out, the last by name first.
+/// Default maximum number of workers ([`EndpointSet::with_max_workers`] changes it). Of the entries beyond it, those with
+/// the last names are omitted.
 pub const MAX_WORKERS: usize = 10_000;
 
-/// How long a worker that was reported gone is kept, in microseconds: until its last attempts have ended.
+/// How long a worker that was reported gone is retained, in microseconds, so that its last attempts can end.
 pub const GONE_RETENTION: Micros = 30_000_000;
 
 #[derive(Clone, Debug)]
@@ -30,21 +31,21 @@
     address: String,
     endpoint: Endpoint,
     listed: Lifecycle,
-    /// The worker itself said that it drains.
+    /// The worker's own announcement that it drains.
     announced: Option<DrainAnnouncement>,
-    /// When it was reported gone, where it is.
+    /// When it was reported gone, if it is gone.
     departed_at: Option<Micros>,
 }
 
-/// A worker's own word that it drains.
+/// A worker's own announcement that it drains.
 #[derive(Clone, Copy, Debug)]
 struct DrainAnnouncement {
     at: Micros,
-    /// Which start of the worker announced it.
+    /// Start time of the worker process that announced it.
     started: Micros,
 }
 
-/// A worker was reported gone.
+/// A worker that was reported gone.
 #[derive(Clone, Copy, Debug)]
 struct Departure {
     at: Micros,
@@ -57,27 +58,27 @@
     kinds: Vec<String>,
     zones: Vec<String>,
     announcement_retention: Micros,
-    /// Most workers kept.
+    /// Maximum number of workers.
     max_workers: usize,
-    /// Entries of the last whole list that were left out as over that, and whether it was reported.
+    /// Entries of the last full list omitted because of `max_workers`, and whether the omission was reported.
     omitted: usize,
     omission_reported: bool,
     workers: BTreeMap<WorkerId, Known>,
     ids: BTreeMap<String, WorkerId>,
-    /// Told gone, in order of time.
+    /// Workers that were reported gone, in order of time.
     departed: VecDeque<Departure>,
-    /// Workers that are ready; None until they are counted after a change.
+    /// Cached number of ready workers; None after a change until they are counted again.
     ready: Cell<Option<usize>>,
 }
 
 impl EndpointSet {
-    /// `kinds` and `zones` in the order that the module's settings have them; a worker's announcement counts against
-    /// the list for `announcement_keep` at most.
-    pub fn new(kinds: Vec<String>, zones: Vec<String>, announcement_keep: Micros) -> EndpointSet {
+    /// Creates an empty set. `kinds` and `zones` are in the order of the module's settings; a worker's announcement
+    /// overrides the list for at most `retention`.
+    pub fn new(kinds: Vec<String>, zones: Vec<String>, retention: Micros) -> EndpointSet {
         EndpointSet {
             kinds,
             zones,
-            announcement_retention: announcement_keep,
+            announcement_retention: retention,
             max_workers: MAX_WORKERS,
             omitted: 0,
             omission_reported: false,
@@ -88,29 +89,29 @@
         }
     }
 
-    /// The same with room for so many workers, in place of [`MAX_WORKERS`].
-    pub fn with_max_workers(self, most: usize) -> EndpointSet {
-        EndpointSet { max_workers: most, ..self }
+    /// Replaces the maximum number of workers, by default [`MAX_WORKERS`].
+    pub fn with_max_workers(self, max: usize) -> EndpointSet {
+        EndpointSet { max_workers: max, ..self }
     }
 
-    /// Entries that the last whole list had over the bound, told once: again only after a list that fitted.
+    /// Returns the number of entries omitted from the last full list, once; again only after a list within the maximum.
     pub fn take_new_omission(&mut self) -> Option<usize> {
-        let news = self.omitted > 0 && !self.omission_reported;
+        let is_new = self.omitted > 0 && !self.omission_reported;
         self.omission_reported = self.omitted > 0;
-        news.then_some(self.omitted)
+        is_new.then_some(self.omitted)
     }
 
-    /// The address of a worker, also of one that is gone, as answers may still come from it.
+    /// Returns the address of a worker, also of a gone one, because answers may still arrive from it.
     pub fn address(&self, worker: WorkerId) -> Option<&str> {
         self.workers.get(&worker).map(|k| k.address.as_str())
     }
 
-    /// The name of a worker.
+    /// Returns the name of a worker.
     pub fn name(&self, worker: WorkerId) -> Option<&str> {
         self.workers.get(&worker).map(|k| k.name.as_str())
     }
 
-    /// Workers that are ready as far as is known.
+    /// Returns the number of workers known to be ready.
     pub fn ready_count(&self) -> usize {
         let count = || self.workers.values().filter(|k| k.endpoint.lifecycle == Lifecycle::Ready).count();
         let ready = self.ready.get().unwrap_or_else(count);
@@ -118,8 +119,8 @@
         ready
     }
 
-    /// Workers known by their own numbers: the whole list, or what changed. The gone are forgotten after
-    /// [`GONE_RETENTION`].
+    /// Applies workers from a source that numbers them itself: the full list, or the changes. Gone workers are removed
+    /// after [`GONE_RETENTION`].
     pub fn apply(&mut self, kind: EndpointUpdate, workers: Vec<NumberedEndpoint>, now: Micros) -> Update {
         self.ready.set(None);
         if kind != EndpointUpdate::Delta {
@@ -135,7 +136,7 @@
         Update { kind, endpoints }
     }
 
-    /// Workers that a whole list does not name are gone.
+    /// Marks workers that are missing from a full list as gone.
     fn mark_unlisted_gone(&mut self, workers: &[NumberedEndpoint], now: Micros) {
         let listed: BTreeSet<WorkerId> = workers.iter().map(|worker| worker.endpoint.worker).collect();
         for (id, known) in &mut self.workers {
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Takes a worker by its own number, unless there is no room for another.
+    /// Inserts or replaces a worker under its own number; does nothing if it is new and the set is full.
     fn insert_numbered(&mut self, worker: NumberedEndpoint, now: Micros) -> Option<Endpoint> {
         let NumberedEndpoint { name, address, endpoint } = worker;
         let id = endpoint.worker;
@@ -163,7 +164,7 @@
         Some(endpoint)
     }
 
-    /// Since when a worker that is reported gone is gone: reported again, it stays gone since it first was.
+    /// Returns the time since which a worker is gone. A repeated report does not change the time of the first one.
     fn departure(&mut self, id: WorkerId, now: Micros) -> Micros {
         let at = self.workers.get(&id).and_then(|known| known.departed_at).unwrap_or(now);
         if at == now {
@@ -178,7 +179,7 @@
                 return;
             }
             self.departed.pop_front();
-            // One that came back and went again is kept from then on.
+            // A worker that returned and departed again is retained from its last departure.
             let known = self.workers.get(&departure.worker);
             if known.is_some_and(|known| known.departed_at == Some(departure.at)) {
                 self.workers.remove(&departure.worker);
@@ -186,7 +187,7 @@
         }
     }
 
-    /// A worker said in an answer whether it drains. Gives what the module must be told, if that is inputs.
+    /// Processes a worker's announcement, made in an answer, whether it drains. Returns an update if this changes its state.
     pub fn on_announcement(&mut self, worker: WorkerId, draining: bool, now: Micros) -> Option<Update> {
         self.ready.set(None);
         let known = self.workers.get_mut(&worker)?;
@@ -198,7 +199,7 @@
         Some(Update { kind: EndpointUpdate::Delta, endpoints: vec![known.endpoint.clone()] })
     }
 
-    /// The list could not be had; what is known stands.
+    /// Returns the update for a list that could not be obtained; the known workers stay unchanged.
     pub fn on_list_failure(&self) -> Update {
         Update { kind: EndpointUpdate::Failed, endpoints: Vec::new() }
     }
--- a/crates/endpoints/src/list.rs
+++ b/crates/endpoints/src/list.rs
@@ -1,4 +1,4 @@
-//! Whole lists of workers by name.
+//! Full lists of workers by name.
 
 use super::{DrainAnnouncement, EndpointSet, Known, ListedWorker, Update};
 use fnv::FnvHasher;
@@ -7,8 +7,8 @@
 use std::hash::Hasher;
 
 impl EndpointSet {
-    /// The number of a worker: from its name alone, so that it is the same at every front end; where two names would
-    /// have one number, the later met gets the next free one.
+    /// Returns the number of a worker. It is a hash of the name alone, so that it is the same at every front end. If two
+    /// names collide, the name seen later is hashed with the next salt until its number is free.
     fn id(&mut self, name: &str) -> WorkerId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// A whole list came. Of two entries with one name the first counts.
+    /// Applies a full list. Of several entries with the same name only the first is used.
     pub fn apply_list(&mut self, mut entries: Vec<ListedWorker>, now: Micros) -> Update {
         self.ready.set(None);
         entries.sort_by(|a, b| a.name.cmp(&b.name));
@@ -42,15 +42,15 @@
             let known = self.listed_worker(id, entry, now);
             self.workers.insert(id, known);
         }
-        self.forget_departed(&seen);
+        self.mark_missing_gone(&seen);
         Update { kind: EndpointUpdate::Full, endpoints: self.endpoints() }
     }
 
-    /// A worker as the list has it, and its own announcement where that still counts.
+    /// Builds the state of a listed worker, with its own announcement if that is still valid.
     fn listed_worker(&self, id: WorkerId, entry: ListedWorker, now: Micros) -> Known {
         let position = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let listed = if entry.draining { Lifecycle::Draining } else { Lifecycle::Ready };
-        let announced = self.standing_announcement(id, listed, entry.started, now);
+        let announced = self.valid_announcement(id, listed, entry.started, now);
         let endpoint = Endpoint {
             worker: id,
             kind: position(&self.kinds, &entry.kind).map_or(u16::MAX, |index| index as u16),
@@ -63,9 +63,9 @@
         Known { name: entry.name, address: entry.address, endpoint, listed, announced, departed_at: None }
     }
 
-    /// The worker's announcement, as long as the list has it ready throughout, it did not start anew, and the list
-    /// may still be behind.
-    fn standing_announcement(
+    /// Returns the worker's announcement if it is still valid: the list showed the worker ready before and now, the
+    /// worker has not restarted, and the list may still lag behind.
+    fn valid_announcement(
         &self,
         id: WorkerId,
         listed: Lifecycle,
@@ -80,7 +80,7 @@
         (stays_ready && same_start && is_recent).then_some(announced)
     }
 
-    fn forget_departed(&mut self, seen: &BTreeSet<WorkerId>) {
+    fn mark_missing_gone(&mut self, seen: &BTreeSet<WorkerId>) {
         for (id, known) in &mut self.workers {
             if !seen.contains(id) {
                 known.listed = Lifecycle::Gone;
@@ -88,7 +88,7 @@
                 known.announced = None;
             }
         }
-        // The gone are kept so that their numbers and addresses stay, up to a bound.
+        // Gone workers are retained, up to a limit, so that their numbers and addresses stay known.
         while self.workers.len() > 2 * self.max_workers {
             let Some(id) = self.workers.iter().find(|(_, k)| k.listed == Lifecycle::Gone).map(|(id, _)| *id)
             else {
