--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Intake by its behaviour; time and counts alone drive it.
+//! Behaviour of queue ages, windows, intake and retry advice, driven by given times and counts.
 
 use proptest::prelude::*;
 use stagehoist_admission::*;
@@ -7,7 +7,7 @@
 const S: i64 = 1_000_000;
 
 #[test]
-fn a_message_of_a_queue_just_seen_empty_is_young_whatever_its_stamp_says() {
+fn a_recently_empty_queue_bounds_the_age_whatever_the_timestamp() {
     let mut age = Age::default();
     age.empty(10 * S);
     // A clock an hour behind, and one an hour ahead.
@@ -17,28 +17,28 @@
 }
 
 #[test]
-fn a_backlog_since_the_queue_was_empty_is_dated_by_place() {
+fn ages_in_a_backlog_since_the_queue_was_empty_follow_position() {
     let mut age = Age::default();
     age.empty(0);
     age.restart();
-    // An outage of ten seconds left 1,000 messages: about one every 10 ms.
+    // An outage of 10 s left 1,000 messages: about one every 10 ms.
     age.depth(1000, 1, 10 * S);
     let ages: Vec<i64> = (0..1000).map(|_| age.taken(None, false, 10 * S)).collect();
     assert!((9_900 * MS..=10 * S).contains(&ages[0]), "{}", ages[0]);
     assert!((4_900 * MS..5_100 * MS).contains(&ages[500]), "{}", ages[500]);
     assert!(ages[999] < 50 * MS, "{}", ages[999]);
     assert!(ages.windows(2).all(|w| w[1] <= w[0]), "oldest first");
-    // What comes after the look is as old as the look at most.
+    // A message that arrived after the depth report is at most as old as the report.
     assert!(age.taken(None, false, 10 * S + 200 * MS) <= 200 * MS);
 }
 
 #[test]
-fn a_backlog_met_at_start_is_dated_by_the_pace_between_two_looks() {
+fn ages_in_a_backlog_found_at_start_follow_the_rate_between_two_depths() {
     let mut age = Age::default();
     age.depth(10_000, 1, 0);
-    // Nothing is known yet but that it was there at the first look.
+    // So far it is only known that the message was queued at the first depth report.
     assert_eq!(age.taken(None, false, 5 * MS), 5 * MS);
-    // 100 more in 250 ms while one was taken: 400 a second, so that 10,000 took 25 s to come.
+    // 100 arrivals in 250 ms, with one message received: 400 per second, so 10,000 messages took 25 s to arrive.
     age.depth(10_099, 1, 250 * MS);
     let first = age.taken(None, false, 250 * MS);
     assert!((24 * S..26 * S).contains(&first), "{first}");
@@ -48,25 +48,29 @@
 }
 
 #[test]
-fn a_pause_within_a_backlog_is_not_its_end() {
+fn a_pause_within_a_backlog_does_not_mean_an_empty_queue() {
     let mut age = Age::default();
     age.dry(0);
-    assert!(age.is_unsure(0, S), "nothing is known of a queue before its depth is told");
+    assert!(age.is_unsure(0, S), "the age must be unsure before a depth is reported");
     age.depth(100, 1, S);
     (0..40).for_each(|_| assert!(age.taken(None, false, 2 * S) >= S));
     age.dry(2 * S);
-    assert_eq!(age.taken(None, false, 3 * S), 2 * S, "still as old as the first look");
+    assert_eq!(
+        age.taken(None, false, 3 * S),
+        2 * S,
+        "the message must be at least as old as the first depth report"
+    );
     (0..59).for_each(|_| assert!(age.taken(None, false, 3 * S) > 0));
     age.dry(4 * S);
     assert_eq!(age.taken(Some(0), false, 4 * S + MS), MS);
 }
 
 #[test]
-fn after_a_stop_silence_tells_nothing_until_the_broker_answered() {
+fn after_a_suspension_a_pause_means_nothing_until_the_depth_is_reported() {
     let mut age = Age::default();
     age.empty(0);
     age.doubt();
-    // Stopped for two seconds; what came meanwhile is read in two parts.
+    // The process was suspended for 2 s; the messages that arrived meanwhile are read in two parts.
     assert_eq!(age.taken(Some(100 * MS), false, 2 * S), 1_900 * MS);
     age.dry(2 * S);
     assert_eq!(age.taken(Some(500 * MS), false, 2 * S + 5 * MS), 1_505 * MS);
@@ -76,18 +80,18 @@
 }
 
 #[test]
-fn several_consumers_of_one_queue_count_for_each_other() {
+fn positions_are_scaled_by_the_number_of_consumers() {
     let mut age = Age::default();
     age.empty(0);
     age.depth(900, 3, 9 * S);
-    // The hundredth here is about the three-hundredth of all.
+    // With three consumers, the 100th message here is about the 300th of the queue.
     (0..99).for_each(|_| assert!(age.taken(None, false, 9 * S) >= 0));
     let hundredth = age.taken(None, false, 9 * S);
     assert!((5_900 * MS..6_100 * MS).contains(&hundredth), "{hundredth}");
 }
 
 #[test]
-fn a_message_delivered_again_has_no_place_in_the_queue() {
+fn a_redelivered_message_has_no_position_in_the_queue() {
     let mut age = Age::default();
     age.empty(0);
     assert_eq!(age.taken(None, true, 3 * S), 0);
@@ -95,25 +99,25 @@
 }
 
 #[test]
-fn the_window_stands_open_under_growing_load_and_narrows_after_it() {
+fn the_window_stays_open_under_growing_load_and_narrows_after_it() {
     let mut window = Window::new(0);
     let mut asked = window.requested();
     let mut unsettled = 0usize;
-    let mut shut = 0;
+    let mut blocked = 0;
     for ms in 0..4000 {
-        // 4,000 a second come and a quarter of them leave.
+        // 4,000 messages per second arrive and a quarter of them are settled.
         for n in 0..4 {
             if unsettled < asked as usize {
                 unsettled += 1;
                 window.delivered();
             } else {
-                shut += 1;
+                blocked += 1;
             }
             unsettled -= usize::from(n == 0 && unsettled > 0);
         }
         asked = window.next_request(unsettled, ms * MS).unwrap_or(asked);
     }
-    assert!(shut < 40, "{shut} of 16,000 waited in the broker");
+    assert!(blocked < 40, "{blocked} of 16,000 messages waited in the broker");
     assert!(asked as usize > unsettled && (asked as usize) < unsettled + 8_000);
     let mut asks = 0;
     for ms in 4000..20_000 {
@@ -125,9 +129,9 @@
 }
 
 #[test]
-fn a_stopped_front_end_is_sent_little() {
+fn the_window_stays_small_at_a_low_message_rate() {
     let mut window = Window::new(0);
-    // 200 a second, all answered at once; then nothing is settled any more.
+    // 200 messages per second, all settled at once, so that the window stays small for when settling stops.
     for ms in 0..5000 {
         if ms % 5 == 0 {
             window.delivered();
@@ -148,7 +152,7 @@
     let steady: Vec<_> = (0..100).map(|_| intake.admit((0, 1), 10)).collect();
     assert!(steady.iter().all(Result::is_ok));
     assert_eq!(intake.admit((0, 0), 10), Err(Refusal::Calls));
-    // As the flood drains it gets its part again, not before.
+    // The flooding class is admitted again only after part of its calls were released.
     flood.drain(..400).for_each(|held| intake.release(held));
     assert!(intake.admit((0, 0), 10).is_ok());
 }
@@ -156,7 +160,7 @@
 #[test]
 fn bytes_are_bounded_and_one_large_call_fits() {
     let mut intake = Intake::new(Bounds { calls: 1000, bytes: 1000 });
-    let large = intake.admit((0, 0), 1000).expect("one call alone may fill all");
+    let large = intake.admit((0, 0), 1000).expect("a single call may use all bytes");
     assert_eq!(intake.admit((0, 1), 1), Err(Refusal::Bytes));
     intake.release(large);
     assert_eq!((intake.calls(), intake.bytes(), intake.tenant_classes()), (0, 0, 0));
@@ -164,22 +168,22 @@
 }
 
 #[test]
-fn advice_follows_the_drain_and_is_spread() {
+fn advised_delays_follow_the_rate_of_ending_calls_and_are_spread() {
     let mut advice = Advice::new(5 * S, 7, 0);
-    // Nothing left yet: away for long.
+    // No call has ended yet, so the advised delay is long.
     assert!((0..50).all(|_| advice.retry_after(10) > S));
-    // 100 a second leave, 50 are held: half a second.
+    // 100 calls per second end and 50 are held: a mean delay of 0.5 s.
     (0..400).for_each(|n| advice.on_departure(n * 10 * MS));
-    let told: Vec<i64> = (0..400).map(|_| advice.retry_after(50)).collect();
-    assert!(told.iter().all(|t| (240 * MS..=760 * MS).contains(t)));
-    let in_a_tenth = |from: i64| told.iter().filter(|t| (from..from + 50 * MS).contains(*t)).count();
-    assert!((250..750).step_by(50).all(|ms| in_a_tenth(ms * MS) < 80), "returns come together");
+    let delays: Vec<i64> = (0..400).map(|_| advice.retry_after(50)).collect();
+    assert!(delays.iter().all(|t| (240 * MS..=760 * MS).contains(t)));
+    let in_a_tenth = |from: i64| delays.iter().filter(|t| (from..from + 50 * MS).contains(*t)).count();
+    assert!((250..750).step_by(50).all(|ms| in_a_tenth(ms * MS) < 80), "retries are not spread out");
     assert!((0..200).all(|_| advice.retry_after(1_000_000) <= 5 * S));
 }
 
 proptest! {
     #[test]
-    fn what_is_held_never_passes_the_bounds(steps in prop::collection::vec((0u32..4, 0u32..3, 0u64..400, any::<bool>()), 1..400)) {
+    fn held_calls_and_bytes_never_exceed_the_limits(steps in prop::collection::vec((0u32..4, 0u32..3, 0u64..400, any::<bool>()), 1..400)) {
         let bounds = Bounds { calls: 50, bytes: 2000 };
         let mut intake = Intake::new(bounds);
         let mut held = Vec::new();
@@ -197,7 +201,7 @@
     }
 
     #[test]
-    fn an_age_is_never_below_nought_nor_beyond_the_moment_of_emptiness(
+    fn an_age_is_never_negative_nor_greater_than_the_time_since_the_queue_was_empty(
         steps in prop::collection::vec((0u8..4, 0u64..500, 1u64..4, 0i64..400), 1..200),
     ) {
         let (mut age, mut now, mut empty) = (Age::default(), S, None);
--- a/crates/admission/tests/lanes.rs
+++ b/crates/admission/tests/lanes.rs
@@ -1,31 +1,31 @@
-//! Which calls may start by permits and guaranteed minimum, in which order, and which are refused.
+//! Which calls may start by permits and guaranteed minimum, in which order, and which are rejected.
 
 use stagehoist_admission::permits::{Permit, PermitDecision, PermitPools, PoolRules, WaitOutcome};
 
 const S: i64 = 1_000_000;
 const OWNER: u32 = 7;
 
-fn rules(floor: u32) -> PoolRules {
-    PoolRules { name: "p".into(), guaranteed: floor, reserved: vec![(OWNER, "owner".into())] }
+fn rules(guaranteed: u32) -> PoolRules {
+    PoolRules { name: "p".into(), guaranteed: guaranteed, reserved: vec![(OWNER, "owner".into())] }
 }
 
-fn gate(floor: u32) -> PermitPools {
-    let mut lanes = PermitPools::new(8, S, 0, 1);
-    lanes.configure(&[rules(floor)], 0);
-    lanes
+fn pools_with_minimum(guaranteed: u32) -> PermitPools {
+    let mut pools = PermitPools::new(8, S, 0, 1);
+    pools.configure(&[rules(guaranteed)], 0);
+    pools
 }
 
-fn go(lanes: &mut PermitPools, tenant: u32, call: u64, now: i64) -> Option<Permit> {
-    match lanes.enter(0, tenant, call, 10 * S, now) {
-        PermitDecision::Granted(lane) => Some(lane),
+fn request_permit(pools: &mut PermitPools, tenant: u32, call: u64, now: i64) -> Option<Permit> {
+    match pools.enter(0, tenant, call, 10 * S, now) {
+        PermitDecision::Granted(permit) => Some(permit),
         PermitDecision::Wait => None,
-        PermitDecision::Rejected { .. } => panic!("call {call} refused"),
+        PermitDecision::Rejected { .. } => panic!("call {call} was rejected"),
     }
 }
 
-fn woken(lanes: &mut PermitPools, now: i64) -> Vec<WaitOutcome> {
+fn woken(pools: &mut PermitPools, now: i64) -> Vec<WaitOutcome> {
     let mut woken = Vec::new();
-    lanes.take_ready(now, &mut woken);
+    pools.take_ready(now, &mut woken);
     woken
 }
 
@@ -39,128 +39,143 @@
 }
 
 #[test]
-fn the_floor_is_there_without_any_word_and_lanes_only_until_their_time() {
-    let mut lanes = gate(1);
-    let first = go(&mut lanes, 1, 1, 0).expect("the floor");
-    assert_eq!(go(&mut lanes, 1, 2, 0), None);
-    lanes.apply_grant(1, S, [("p", "", 2)]);
-    let lent = woken(&mut lanes, 0);
-    assert_eq!(calls(&lent), [2]);
-    let third = go(&mut lanes, 2, 3, S - 1).expect("floor and two lanes");
-    // The lease ran out: the runs go on and count, and no other starts before all but the guaranteed minimum have ended.
-    lanes.leave(third, S);
-    lanes.leave(first, S);
-    assert_eq!(go(&mut lanes, 2, 4, S), None);
-    assert_eq!(woken(&mut lanes, S), []);
-    let Some(WaitOutcome::Granted { permit: lane, .. }) = lent.into_iter().next() else { panic!("went") };
-    lanes.leave(lane, S);
-    assert_eq!(calls(&woken(&mut lanes, S)), [4]);
+fn the_guaranteed_minimum_needs_no_grant_and_permits_expire() {
+    let mut pools = pools_with_minimum(1);
+    let first = request_permit(&mut pools, 1, 1, 0).expect("the guaranteed minimum is free");
+    assert_eq!(request_permit(&mut pools, 1, 2, 0), None);
+    pools.apply_grant(1, S, [("p", "", 2)]);
+    let granted = woken(&mut pools, 0);
+    assert_eq!(calls(&granted), [2]);
+    let third = request_permit(&mut pools, 2, 3, S - 1)
+        .expect("the guaranteed minimum and two permits allow three runs");
+    // The lease expired: its runs continue and count, and no other run starts until fewer than the guaranteed minimum remain.
+    pools.leave(third, S);
+    pools.leave(first, S);
+    assert_eq!(request_permit(&mut pools, 2, 4, S), None);
+    assert_eq!(woken(&mut pools, S), []);
+    let Some(WaitOutcome::Granted { permit: granted_permit, .. }) = granted.into_iter().next() else {
+        panic!("went")
+    };
+    pools.leave(granted_permit, S);
+    assert_eq!(calls(&woken(&mut pools, S)), [4]);
 }
 
 #[test]
-fn runs_left_over_from_a_larger_grant_hold_back_those_of_another_tenant() {
-    let mut lanes = gate(0);
-    lanes.apply_grant(1, S, [("p", "", 2)]);
-    let held: Vec<Permit> = (0..2).filter_map(|n| go(&mut lanes, 1, n, 0)).collect();
+fn runs_remaining_from_a_larger_grant_hold_back_those_of_another_tenant() {
+    let mut pools = pools_with_minimum(0);
+    pools.apply_grant(1, S, [("p", "", 2)]);
+    let held: Vec<Permit> = (0..2).filter_map(|n| request_permit(&mut pools, 1, n, 0)).collect();
     assert_eq!(held.len(), 2);
-    lanes.apply_grant(2, S, [("p", "owner", 2)]);
-    assert_eq!(go(&mut lanes, OWNER, 5, 0), None, "four runs would be out of two lanes");
-    for lane in held {
-        lanes.leave(lane, 0);
+    pools.apply_grant(2, S, [("p", "owner", 2)]);
+    assert_eq!(request_permit(&mut pools, OWNER, 5, 0), None, "four runs would use two permits");
+    for permit in held {
+        pools.leave(permit, 0);
     }
-    assert_eq!(calls(&woken(&mut lanes, 0)), [5]);
+    assert_eq!(calls(&woken(&mut pools, 0)), [5]);
 }
 
 #[test]
-fn an_owner_goes_by_its_own_lanes_and_first_on_the_floor() {
-    let mut lanes = gate(1);
-    lanes.apply_grant(1, S, [("p", "owner", 1)]);
-    let lane = go(&mut lanes, 1, 1, 0).expect("the floor is anybody's");
-    assert_eq!(go(&mut lanes, 1, 2, 0), None, "the owner's lane is not lent here");
-    let _own = go(&mut lanes, OWNER, 3, 0).expect("its own lane");
-    assert_eq!(go(&mut lanes, OWNER, 4, 0), None);
-    lanes.leave(lane, 0);
-    // Nobody who comes now passes those that wait.
-    assert_eq!(go(&mut lanes, 1, 5, 0), None);
-    assert_eq!(calls(&woken(&mut lanes, 0)), [4]);
+fn a_tenant_with_a_reservation_uses_its_permits_and_has_priority_on_the_minimum() {
+    let mut pools = pools_with_minimum(1);
+    pools.apply_grant(1, S, [("p", "owner", 1)]);
+    let permit = request_permit(&mut pools, 1, 1, 0).expect("any tenant may use the guaranteed minimum");
+    assert_eq!(
+        request_permit(&mut pools, 1, 2, 0),
+        None,
+        "a permit of the tenant with a reservation must not be used by another"
+    );
+    let _own = request_permit(&mut pools, OWNER, 3, 0).expect("its own permit is free");
+    assert_eq!(request_permit(&mut pools, OWNER, 4, 0), None);
+    pools.leave(permit, 0);
+    // A new call does not overtake waiting calls.
+    assert_eq!(request_permit(&mut pools, 1, 5, 0), None);
+    assert_eq!(calls(&woken(&mut pools, 0)), [4]);
 }
 
 #[test]
 fn tenants_without_a_reservation_take_turns() {
-    let mut lanes = gate(0);
+    let mut pools = pools_with_minimum(0);
     for call in 0..4 {
-        assert_eq!(go(&mut lanes, 1, call, 0), None);
+        assert_eq!(request_permit(&mut pools, 1, call, 0), None);
     }
     for call in 4..6 {
-        assert_eq!(go(&mut lanes, 2, call, 0), None);
+        assert_eq!(request_permit(&mut pools, 2, call, 0), None);
     }
-    assert!(lanes.cancel(1) && !lanes.cancel(1));
-    lanes.apply_grant(1, S, [("p", "", 4)]);
-    assert_eq!(calls(&woken(&mut lanes, 0)), [0, 4, 2, 5]);
-    assert_eq!(lanes.waiting(), 1);
+    assert!(pools.cancel(1) && !pools.cancel(1));
+    pools.apply_grant(1, S, [("p", "", 4)]);
+    assert_eq!(calls(&woken(&mut pools, 0)), [0, 4, 2, 5]);
+    assert_eq!(pools.waiting(), 1);
 }
 
 #[test]
-fn a_call_waits_no_longer_than_it_can_be_answered_and_no_more_than_may() {
-    let mut lanes = gate(0);
-    assert_eq!(lanes.enter(0, 1, 1, 2 * S, 0), PermitDecision::Wait);
-    assert_eq!(lanes.enter(0, 1, 2, S, 0), PermitDecision::Wait);
-    assert!(matches!(lanes.enter(0, 1, 3, S, S), PermitDecision::Rejected { .. }), "too late already");
-    assert_eq!(lanes.next(0), Some(S));
-    assert_eq!(woken(&mut lanes, S - 1), []);
-    let late = woken(&mut lanes, S);
+fn waits_are_limited_by_the_latest_start_and_in_number() {
+    let mut pools = pools_with_minimum(0);
+    assert_eq!(pools.enter(0, 1, 1, 2 * S, 0), PermitDecision::Wait);
+    assert_eq!(pools.enter(0, 1, 2, S, 0), PermitDecision::Wait);
+    assert!(
+        matches!(pools.enter(0, 1, 3, S, S), PermitDecision::Rejected { .. }),
+        "the latest start has passed"
+    );
+    assert_eq!(pools.next(0), Some(S));
+    assert_eq!(woken(&mut pools, S - 1), []);
+    let late = woken(&mut pools, S);
     assert!(matches!(late[..], [WaitOutcome::Rejected { call: 2, retry_after: 1.. }]), "{late:?}");
     for call in 10..17 {
-        assert_eq!(go(&mut lanes, 1, call, S), None);
+        assert_eq!(request_permit(&mut pools, 1, call, S), None);
     }
-    assert!(matches!(lanes.enter(0, 1, 17, 9 * S, S), PermitDecision::Rejected { .. }), "eight wait");
+    assert!(
+        matches!(pools.enter(0, 1, 17, 9 * S, S), PermitDecision::Rejected { .. }),
+        "the maximum of eight calls waits"
+    );
 }
 
 #[test]
-fn a_call_that_would_wait_in_vain_is_refused_once_the_pace_is_settled() {
-    let mut lanes = gate(1);
-    let mut held = go(&mut lanes, 1, 0, 0);
+fn a_call_that_would_wait_too_long_is_rejected_once_the_rate_is_stable() {
+    let mut pools = pools_with_minimum(1);
+    let mut held = request_permit(&mut pools, 1, 0, 0);
     for call in 1..5 {
-        assert_eq!(go(&mut lanes, 1, call, 0), None);
+        assert_eq!(request_permit(&mut pools, 1, call, 0), None);
     }
-    // One leaves each 400 ms; two still wait.
+    // One call ends every 400 ms. With the new call two would wait, so its expected wait is 800 ms.
     for n in 1..=3 {
-        lanes.leave(held.take().expect("one at work"), n * 400_000);
-        if let Some(WaitOutcome::Granted { permit: lane, .. }) = woken(&mut lanes, n * 400_000).pop() {
-            held = Some(lane);
+        pools.leave(held.take().expect("one call is running"), n * 400_000);
+        if let Some(WaitOutcome::Granted { permit: granted_permit, .. }) =
+            woken(&mut pools, n * 400_000).pop()
+        {
+            held = Some(granted_permit);
         }
     }
     let now = 3 * 400_000;
-    assert!(matches!(lanes.enter(0, 1, 8, now + 700_000, now), PermitDecision::Rejected { .. }));
-    assert_eq!(lanes.enter(0, 1, 9, now + 900_000, now), PermitDecision::Wait);
-    // The owner's class has no such queue.
-    assert_eq!(lanes.enter(0, OWNER, 10, now + 700_000, now), PermitDecision::Wait);
+    assert!(matches!(pools.enter(0, 1, 8, now + 700_000, now), PermitDecision::Rejected { .. }));
+    assert_eq!(pools.enter(0, 1, 9, now + 900_000, now), PermitDecision::Wait);
+    // The class of the tenant with a reservation has no queue.
+    assert_eq!(pools.enter(0, OWNER, 10, now + 700_000, now), PermitDecision::Wait);
 }
 
 #[test]
-fn after_a_restart_the_floor_rests_and_no_grant_is_named() {
-    let mut lanes = PermitPools::new(8, S, S, 1);
-    lanes.configure(&[rules(1)], 0);
-    lanes.apply_grant(5, 3 * S, []);
-    assert_eq!(go(&mut lanes, 1, 1, 0), None);
-    assert!(lanes.demand(0).all(|w| w.applied == 0));
-    assert_eq!(lanes.next(0), Some(S));
-    assert_eq!(calls(&woken(&mut lanes, S)), [1]);
-    let told: Vec<_> = lanes.demand(S).map(|w| (w.tenant, w.in_use, w.waiting, w.applied)).collect();
-    assert_eq!(told, [("", 1, 0, 5), ("owner", 0, 0, 5)]);
+fn after_a_restart_the_minimum_is_unused_and_no_grant_is_reported() {
+    let mut pools = PermitPools::new(8, S, S, 1);
+    pools.configure(&[rules(1)], 0);
+    pools.apply_grant(5, 3 * S, []);
+    assert_eq!(request_permit(&mut pools, 1, 1, 0), None);
+    assert!(pools.demand(0).all(|w| w.applied == 0));
+    assert_eq!(pools.next(0), Some(S));
+    assert_eq!(calls(&woken(&mut pools, S)), [1]);
+    let demand: Vec<_> = pools.demand(S).map(|w| (w.tenant, w.in_use, w.waiting, w.applied)).collect();
+    assert_eq!(demand, [("", 1, 0, 5), ("owner", 0, 0, 5)]);
 }
 
 #[test]
-fn a_pool_told_anew_keeps_its_runs() {
-    let mut lanes = gate(1);
-    let lane = go(&mut lanes, OWNER, 1, 0).expect("the floor");
-    lanes.configure(&[], 0);
-    assert_eq!(go(&mut lanes, OWNER, 2, 0), None);
+fn a_reconfigured_pool_keeps_its_runs() {
+    let mut pools = pools_with_minimum(1);
+    let permit = request_permit(&mut pools, OWNER, 1, 0).expect("the guaranteed minimum is free");
+    pools.configure(&[], 0);
+    assert_eq!(request_permit(&mut pools, OWNER, 2, 0), None);
     let other = PoolRules { name: "q".into(), guaranteed: 1, reserved: vec![] };
-    lanes.configure(&[other, rules(2)], 0);
-    assert_eq!((lanes.pool("p"), lanes.pool("q")), (Some(0), Some(1)));
-    assert_eq!(calls(&woken(&mut lanes, 0)), [2]);
-    assert_eq!(go(&mut lanes, OWNER, 3, 0), None);
-    lanes.leave(lane, 0);
-    assert_eq!(calls(&woken(&mut lanes, 0)), [3]);
+    pools.configure(&[other, rules(2)], 0);
+    assert_eq!((pools.pool("p"), pools.pool("q")), (Some(0), Some(1)));
+    assert_eq!(calls(&woken(&mut pools, 0)), [2]);
+    assert_eq!(request_permit(&mut pools, OWNER, 3, 0), None);
+    pools.leave(permit, 0);
+    assert_eq!(calls(&woken(&mut pools, 0)), [3]);
 }
--- a/crates/core/benches/fleet_size.rs
+++ b/crates/core/benches/fleet_size.rs
@@ -1,4 +1,4 @@
-//! Cost of a call and of an event by the number of workers, for one front end with the same traffic: 300 functions, each call
+//! Cost of a call and of an event by the number of workers, for one front end with constant traffic: 300 functions, each call
 //! sent and answered before the next.
 //!
 //! `cargo bench -p stagehoist --bench fleet_size`
@@ -10,8 +10,8 @@
 const MS: Micros = 1000;
 const FUNCTIONS: u64 = 300;
 const SIZES: [u32; 4] = [10, 100, 800, 3200];
-/// Front ends of the fleet for each hundred workers.
-const FRONT_ENDS_IN_HUNDRED: u32 = 8;
+/// Front ends of the fleet per hundred workers.
+const FRONT_ENDS_PER_HUNDRED_WORKERS: u32 = 8;
 
 fn settings(workers: u32) -> Settings {
     let class = ClassSettings {
@@ -23,7 +23,7 @@
         streaming: false,
     };
     Settings {
-        front_ends: (workers * FRONT_ENDS_IN_HUNDRED / 100).max(1),
+        front_ends: (workers * FRONT_ENDS_PER_HUNDRED_WORKERS / 100).max(1),
         classes: vec![class],
         tick: MS,
         drain_grace: 250 * MS,
@@ -72,7 +72,7 @@
         self.front_end.handle(self.now, events, &mut self.actions);
     }
 
-    /// A call, and the answers that its attempts and orders get.
+    /// Handles a call, and the answers to its attempts and load orders.
     fn call(&mut self) {
         self.next += 1;
         let request = Request {
--- a/crates/core/benches/held.rs
+++ b/crates/core/benches/held.rs
@@ -1,8 +1,8 @@
-//! Cost of a batch while many calls are held: 100 workers, 100 front ends, every permit taken. Each batch is one call that
-//! comes and one attempt that ends, as in a front end that runs at its capacity with a standing backlog.
+//! Cost of a batch while many calls are held: 100 workers, 100 front ends, all capacity in use. Each batch is one arriving
+//! call and one ending attempt, as in a front end at capacity with a constant backlog.
 //!
 //! `cargo bench -p stagehoist --bench held`; `-- --save-baseline NAME` on one version and `-- --baseline NAME` on
-//! another set two versions beside each other.
+//! another compare two versions.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 use stagehoist::*;
@@ -45,33 +45,33 @@
     }
 }
 
-/// A front end whose workers all run what they can, with so many calls held beyond that.
-struct Crowded {
+/// A front end whose workers are all at capacity, with a backlog of held calls.
+struct Backlogged {
     front_end: FrontEnd,
     now: Micros,
     next: RequestId,
     aim: Micros,
-    flights: VecDeque<(RequestId, u16, WorkerId)>,
+    in_flight: VecDeque<(RequestId, u16, WorkerId)>,
     sent: HashMap<RequestId, u16>,
     answered: u32,
-    /// Answers that were no service: the backlog must stand, or the bench times something else.
-    given_up: u32,
+    /// Rejected and failed calls. The backlog must stay constant, or the bench measures something else.
+    rejected: u32,
     backlog: u32,
     out: Vec<Action>,
 }
 
-impl Crowded {
-    fn new(held: u32, aim: Micros) -> Crowded {
+impl Backlogged {
+    fn new(held: u32, aim: Micros) -> Backlogged {
         let now = 1000 * MS;
-        let mut crowded = Crowded {
+        let mut backlogged = Backlogged {
             front_end: FrontEnd::new(settings(aim), 7, now),
             now,
             next: 0,
             aim,
-            flights: VecDeque::new(),
+            in_flight: VecDeque::new(),
             sent: HashMap::new(),
             answered: 0,
-            given_up: 0,
+            rejected: 0,
             backlog: held,
             out: Vec::new(),
         };
@@ -84,28 +84,35 @@
             ..Endpoint::default()
         };
         let rows: Vec<Endpoint> = (0..WORKERS).map(row).collect();
-        crowded.turn(vec![Event::Endpoints { update: EndpointUpdate::Full, endpoints: Rc::from(rows) }]);
-        // Workers answer all along, or the module takes them for silent.
+        backlogged.handle_events(vec![Event::Endpoints {
+            update: EndpointUpdate::Full,
+            endpoints: Rc::from(rows),
+        }]);
+        // Workers answer throughout, or the module would treat them as unresponsive.
         for n in 0u32.. {
-            crowded.now += 100;
-            let mut events = vec![crowded.call()];
-            if n % 4 == 0 || crowded.held() > held {
-                events.extend(crowded.ending());
+            backlogged.now += 100;
+            let mut events = vec![backlogged.call()];
+            if n % 4 == 0 || backlogged.held() > held {
+                events.extend(backlogged.end_oldest());
             }
-            crowded.turn(events);
-            assert!(n < 50 * held + 50_000, "no backlog came about: {} out", crowded.flights.len());
-            if crowded.held() >= held && n > 300 {
+            backlogged.handle_events(events);
+            assert!(
+                n < 50 * held + 50_000,
+                "no backlog built up: {} attempts in flight",
+                backlogged.in_flight.len()
+            );
+            if backlogged.held() >= held && n > 300 {
                 break;
             }
         }
-        // All permits turn over a few times, so that profiles and beliefs stand.
-        (0..500).for_each(|_| crowded.exchange());
-        crowded
+        // All workers complete a few rounds of calls, so that profiles and estimates are stable.
+        (0..500).for_each(|_| backlogged.run_batch());
+        backlogged
     }
 
     fn call(&mut self) -> Event {
         self.next += 1;
-        // A few functions draw most calls.
+        // A few functions get most calls.
         let x = u64::from(self.next).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40;
         let share = x as f64 / (1u64 << 24) as f64;
         let function = (share.powi(3) * FUNCTIONS as f64) as u64 + 1;
@@ -125,9 +132,9 @@
         })
     }
 
-    /// The oldest attempt ends well.
-    fn ending(&mut self) -> Option<Event> {
-        let (request, attempt, worker) = self.flights.pop_front()?;
+    /// Returns the successful end of the oldest attempt.
+    fn end_oldest(&mut self) -> Option<Event> {
+        let (request, attempt, worker) = self.in_flight.pop_front()?;
         self.sent.remove(&request);
         self.answered += 1;
         Some(Event::AttemptEnded(AttemptEnd {
@@ -142,34 +149,34 @@
         }))
     }
 
-    /// Calls that were never sent and not abandoned.
+    /// Returns the number of calls that were neither sent nor rejected.
     fn held(&self) -> u32 {
-        self.next - self.answered - self.given_up - self.sent.len() as u32
+        self.next - self.answered - self.rejected - self.sent.len() as u32
     }
 
-    fn turn(&mut self, events: Vec<Event>) {
+    fn handle_events(&mut self, events: Vec<Event>) {
         self.front_end.handle(self.now, &events, &mut self.out);
         for action in self.out.drain(..) {
             match action {
                 Action::Send { request, worker, .. } => {
-                    let tries = self.sent.entry(request).or_default();
-                    self.flights.push_back((request, *tries, worker));
-                    *tries += 1;
+                    let attempts = self.sent.entry(request).or_default();
+                    self.in_flight.push_back((request, *attempts, worker));
+                    *attempts += 1;
                 }
-                Action::Reject { .. } | Action::Fail { .. } => self.given_up += 1,
+                Action::Reject { .. } | Action::Fail { .. } => self.rejected += 1,
                 _ => {}
             }
         }
     }
 
-    fn exchange(&mut self) {
+    fn run_batch(&mut self) {
         self.now += 200;
-        let mut events = Vec::from_iter(self.ending());
-        // The backlog is kept where it stands: one call comes for each that was sent.
+        let mut events = Vec::from_iter(self.end_oldest());
+        // Keep the backlog constant: one call arrives for each that was sent.
         if self.held() <= self.backlog {
             events.push(self.call());
         }
-        self.turn(events);
+        self.handle_events(events);
     }
 }
 
@@ -177,16 +184,16 @@
     let mut group = c.benchmark_group("held");
     group.sample_size(10).measurement_time(Duration::from_secs(2)).warm_up_time(Duration::from_millis(500));
     for held in [10, 100, 1000, 2000, 10_000] {
-        // Two events a batch.
+        // Two events per batch.
         group.throughput(Throughput::Elements(2));
         group.bench_with_input(BenchmarkId::new("in-time", held), &held, |b, &held| {
-            let mut crowded = Crowded::new(held, 3_600_000 * MS);
+            let mut backlogged = Backlogged::new(held, 3_600_000 * MS);
             b.iter_custom(|n| {
                 let start = Instant::now();
-                (0..n).for_each(|_| crowded.exchange());
+                (0..n).for_each(|_| backlogged.run_batch());
                 start.elapsed()
             });
-            assert_eq!(crowded.given_up, 0, "the backlog did not stand");
+            assert_eq!(backlogged.rejected, 0, "the backlog was not constant");
         });
     }
     group.finish();
--- a/crates/core/tests/recording/main.rs
+++ b/crates/core/tests/recording/main.rs
@@ -1,7 +1,7 @@
-//! What the module does is recorded: front ends live through seeded days, and every action of theirs goes into
-//! a digest that stands in `recorded.txt`. A change that only moves code leaves it as it is; one that changes
-//! a choice changes it, and records anew what the failing test prints. Nothing in the module depends on the
-//! order of a hash map, and actions hold whole numbers only; choices rest on `exp` of the mathematics library.
+//! Compares the module's actions with a recording: front ends run through seeded scenarios, and all of their actions are
+//! hashed into digests, which are stored in `recorded.txt`. A refactoring leaves the digests unchanged. A change of decisions
+//! changes them, and then the text that the failing test prints becomes the new recording. Nothing in the module depends on
+//! the order of a hash map, and actions contain only integers; decisions depend on `exp` of the math library.
 
 mod world;
 
@@ -12,11 +12,11 @@
 
 const MS: Micros = 1000;
 const STEPS: usize = 1200;
-/// Front ends that share the workers of a day, few and many.
+/// Number of front ends that share the workers of a scenario.
 const FEW: usize = 2;
 const MANY: usize = 30;
 
-/// Short windows, so that each closes many times within a day of half a minute.
+/// Short windows, so that each ends many times within a scenario of half a minute.
 const BASE: &str = "balancers=2\nclasses.count=3\nclasses.0.aim=600\nclasses.0.effect=idempotent\n\
     classes.0.late_worth=0.2\nclasses.1.aim=800\nclasses.1.effect=deduplicated\nclasses.1.dedup_scope=zone\n\
     classes.1.key_ttl=900\nclasses.1.gain=3\nclasses.2.aim=500\nclasses.2.effect=at_most_once\n\
@@ -26,25 +26,25 @@
     specifics.idle_life=1000\nspecifics.if_cold=load\nspecifics.load_wait=1200\n\
     specifics.ram_mb_by_kind=4000,2500\nzone=0\n";
 
-/// Orders to load, within a ration.
+/// Load orders within a load budget.
 const ORDERS: &str = "specifics.if_cold=miss\nspecifics.placement_calls=true\nspecifics.loads_within=2000\n\
     specifics.load_free=4\nspecifics.load_part=0.2\n";
 
 fn settings(more: &str) -> Settings {
-    // A later line of the same key stands.
+    // A later line overrides an earlier one with the same key.
     wire::parse_settings(&format!("{BASE}{more}")).unwrap()
 }
 
-/// One recorded day.
-struct Day {
+/// One recorded scenario.
+struct Scenario {
     name: &'static str,
     quiet: bool,
     front_ends: usize,
     settings: Settings,
 }
 
-/// Kinds of deployments: each with two front ends, two of them with thirty.
-fn table() -> Vec<Day> {
+/// Returns the scenarios: kinds of deployments with two front ends, and two more scenarios with thirty.
+fn scenarios() -> Vec<Scenario> {
     let probes = "limits.probes=true\nload_info.via=on_probe\nload_info.fields=rif,x0\ntariffs.probe=0.01\n";
     let inline = "load_info.via=inline\nload_info.fields=busy\nregistry_mode=subscribe\nbalancers=6\n";
     let queues =
@@ -59,26 +59,33 @@
     let retry_budget = RetryBudget { window: 2000 * MS, free: 3.0, share: 0.1 };
     let budget = Settings { retry_budget, ..settings(&[ORDERS, tenants].concat()) };
     let one = "limits.most_tries=1\nlimits.second_copies=false\nlimits.cancel=false\n";
-    let day = |name, quiet, settings| Day { name, quiet, front_ends: FEW, settings };
-    let crowd = |name, settings| Day { name, quiet: false, front_ends: MANY, settings };
+    let scenario = |name, quiet, settings| Scenario { name, quiet, front_ends: FEW, settings };
+    let large_scenario = |name, settings| Scenario { name, quiet: false, front_ends: MANY, settings };
     vec![
-        day("load on miss", false, settings("")),
-        day("load on miss, quiet", true, settings("")),
-        day("load on miss, tenants", false, settings(&[tenants, inline].concat())),
-        day("load on miss, orders", false, settings(&[ORDERS, queues, "specifics.if_cold=load\n"].concat())),
-        day("load on miss, cancels, quiet", true, settings("limits.second_copies=false\n")),
-        day("miss only", false, settings(&[ORDERS, inline].concat())),
-        day("miss only, late orders, probes", false, late),
-        day("miss only, retry budget", false, budget),
-        day("miss only, many front ends", false, settings(&[ORDERS, alone].concat())),
-        day("streams", false, settings(&[ORDERS, streams, "specifics.loads_within=0\n"].concat())),
-        day("miss only, one attempt", false, settings(&[ORDERS, one].concat())),
-        crowd("load on miss, thirty front ends", settings("balancers=30\n")),
-        crowd("miss only, thirty front ends", settings(&[ORDERS, inline, "balancers=30\n"].concat())),
+        scenario("load on miss", false, settings("")),
+        scenario("load on miss, quiet", true, settings("")),
+        scenario("load on miss, tenants", false, settings(&[tenants, inline].concat())),
+        scenario(
+            "load on miss, orders",
+            false,
+            settings(&[ORDERS, queues, "specifics.if_cold=load\n"].concat()),
+        ),
+        scenario("load on miss, cancels, quiet", true, settings("limits.second_copies=false\n")),
+        scenario("miss only", false, settings(&[ORDERS, inline].concat())),
+        scenario("miss only, late orders, probes", false, late),
+        scenario("miss only, retry budget", false, budget),
+        scenario("miss only, many front ends", false, settings(&[ORDERS, alone].concat())),
+        scenario("streams", false, settings(&[ORDERS, streams, "specifics.loads_within=0\n"].concat())),
+        scenario("miss only, one attempt", false, settings(&[ORDERS, one].concat())),
+        large_scenario("load on miss, thirty front ends", settings("balancers=30\n")),
+        large_scenario(
+            "miss only, thirty front ends",
+            settings(&[ORDERS, inline, "balancers=30\n"].concat()),
+        ),
     ]
 }
 
-/// FNV-1a of 64 bits.
+/// 64-bit FNV-1a hash.
 struct Digest(u64);
 
 impl Digest {
@@ -93,7 +100,7 @@
 struct Counts {
     batches: usize,
     events: usize,
-    /// Actions by kind.
+    /// Number of actions by kind.
     kinds: BTreeMap<&'static str, usize>,
 }
 
@@ -115,7 +122,7 @@
     }
 }
 
-/// An action as text. The words are part of the recording: they stay when the types are renamed.
+/// Formats an action as text. The words are part of the recording and stay the same if the types are renamed.
 fn text(action: &Action) -> String {
     match action {
         Action::Send { request, worker, timeout, .. } => {
@@ -140,19 +147,19 @@
     }
 }
 
-/// Plays one day; tells its digest and what it was made of.
-fn run_day(day: &Day, seed: u64) -> (u64, Counts) {
-    let Day { settings, quiet, front_ends, .. } = day;
+/// Runs one scenario; returns its digest and the counts of batches, events and actions.
+fn run_scenario(scenario: &Scenario, seed: u64) -> (u64, Counts) {
+    let Scenario { settings, quiet, front_ends, .. } = scenario;
     let mut world = World::new(settings, seed, *front_ends, *quiet);
-    let mut fronts: Vec<FrontEnd> =
+    let mut front_ends_run: Vec<FrontEnd> =
         (0..*front_ends).map(|k| FrontEnd::new(settings.clone(), seed + 100 * k as u64, world.now)).collect();
     let (mut digest, mut counts) = (Digest(0xcbf2_9ce4_8422_2325), Counts::default());
     for _ in 0..STEPS {
         world.step();
-        for (k, front) in fronts.iter_mut().enumerate() {
-            let events = world.due(k);
+        for (k, front_end) in front_ends_run.iter_mut().enumerate() {
+            let events = world.take_due(k);
             let mut out = Vec::new();
-            front.handle(world.now, &events, &mut out);
+            front_end.handle(world.now, &events, &mut out);
             counts.batches += 1;
             counts.events += events.len();
             let texts: Vec<String> = out.iter().map(text).collect();
@@ -163,8 +170,8 @@
             }
         }
     }
-    for front in &fronts {
-        let TableSizes { workers, functions } = front.table_sizes();
+    for front_end in &front_ends_run {
+        let TableSizes { workers, functions } = front_end.table_sizes();
         digest.add(&format!("({workers}, {functions})\n"));
     }
     for (name, n) in &world.observed {
@@ -173,9 +180,9 @@
     (digest.0, counts)
 }
 
-/// Kinds of actions, and of what follows from them, that each must come up, or the digest would say nothing
-/// of the step of the module that makes them. The module has no use for the three other kinds of actions.
-const EACH: [&str; 14] = [
+/// Kinds of actions, and of observations about them, that must all occur; otherwise the digests would not cover the part
+/// of the module that produces them. The module does not use the three other kinds of actions.
+const REQUIRED_KINDS: [&str; 14] = [
     "send",
     "refuse",
     "fail",
@@ -193,33 +200,37 @@
 ];
 
 #[test]
-fn every_action_is_as_recorded() {
+fn every_action_matches_the_recording() {
     let mut text = String::new();
     let mut all: BTreeMap<&str, usize> = BTreeMap::new();
     let mut batches = 0;
-    for (at, day) in table().iter().enumerate() {
-        let (digest, counts) = run_day(day, 7919 + at as u64);
+    for (index, scenario) in scenarios().iter().enumerate() {
+        let (digest, counts) = run_scenario(scenario, 7919 + index as u64);
         let kinds: Vec<String> = counts.kinds.iter().map(|(kind, n)| format!("{kind} {n}")).collect();
-        let (played, events) = (counts.batches, counts.events);
+        let (batch_count, events) = (counts.batches, counts.events);
         writeln!(
             text,
-            "{}: {digest:016x}, {played} batches, {events} events; {}",
-            day.name,
+            "{}: {digest:016x}, {batch_count} batches, {events} events; {}",
+            scenario.name,
             kinds.join(", ")
         )
         .unwrap();
         counts.kinds.iter().for_each(|(kind, n)| *all.entry(kind).or_default() += n);
         batches += counts.batches;
     }
-    assert!(batches >= 20_000, "{batches} batches only");
-    let missing: Vec<_> = EACH.iter().filter(|kind| all.get(*kind).is_none_or(|n| *n < 10)).collect();
-    assert!(missing.is_empty(), "{missing:?} seldom or never in\n{text}");
-    assert!(text == include_str!("recorded.txt"), "not as recorded; now it is\n{text}");
+    assert!(batches >= 20_000, "only {batches} batches");
+    let missing: Vec<_> =
+        REQUIRED_KINDS.iter().filter(|kind| all.get(*kind).is_none_or(|n| *n < 10)).collect();
+    assert!(missing.is_empty(), "{missing:?} occur fewer than 10 times in\n{text}");
+    assert!(
+        text == include_str!("recorded.txt"),
+        "actions differ from recorded.txt; the new recording is\n{text}"
+    );
 }
 
 #[test]
-fn another_seed_gives_another_digest() {
-    let day = &table()[0];
-    assert_eq!(run_day(day, 1).0, run_day(day, 1).0);
-    assert_ne!(run_day(day, 1).0, run_day(day, 2).0);
+fn different_seeds_give_different_digests() {
+    let scenario = &scenarios()[0];
+    assert_eq!(run_scenario(scenario, 1).0, run_scenario(scenario, 1).0);
+    assert_ne!(run_scenario(scenario, 1).0, run_scenario(scenario, 2).0);
 }
--- a/crates/core/tests/recording/worker.rs
+++ b/crates/core/tests/recording/worker.rs
@@ -1,4 +1,4 @@
-//! A worker of the world: what it holds loaded, what runs there, and the condition that it is in.
+//! A simulated worker: its loaded copies, running attempts and current condition.
 
 use crate::MS;
 use stagehoist::*;
@@ -6,25 +6,25 @@
 
 #[derive(Clone, Copy, PartialEq)]
 pub enum Condition {
-    Well,
-    /// Takes calls and says nothing.
+    Healthy,
+    /// Accepts calls and never answers.
     Silent,
     /// Answers most calls with an error.
     Failing,
-    /// No connection.
+    /// Refuses connections.
     Dead,
     Slow,
 }
 
 pub struct Worker {
     pub row: Endpoint,
-    /// Since the last list.
+    /// Whether the row changed since the last list.
     pub changed: bool,
-    /// Until when.
+    /// The condition, and when it ends.
     pub condition: (Condition, Micros),
-    /// Loaded copies by function: since when each stands (a load under way: when it will), and its last use.
+    /// Copies by function: when the load ended (in progress: will end), and the last use.
     pub copies: BTreeMap<FunctionId, (Micros, Micros)>,
-    /// By call and number; one that is lost in a restart breaks off.
+    /// Running attempts, by call and attempt number; a restart removes them.
     pub running: Vec<(RequestId, u16)>,
 }
 
@@ -34,26 +34,26 @@
         let capacity = 2.0 + f64::from(worker % 3);
         let row = Endpoint { worker, kind, lifecycle: Lifecycle::Ready, zone, started, cell, capacity };
         let (copies, running) = Default::default();
-        Worker { row, changed: true, condition: (Condition::Well, 0), copies, running }
+        Worker { row, changed: true, condition: (Condition::Healthy, 0), copies, running }
     }
 
-    pub fn turn(&mut self, to: Lifecycle) {
+    pub fn set_lifecycle(&mut self, to: Lifecycle) {
         (self.row.lifecycle, self.changed) = (to, true);
     }
 
     pub fn restart(&mut self, now: Micros) {
-        self.turn(Lifecycle::Ready);
+        self.set_lifecycle(Lifecycle::Ready);
         self.row.started = now;
         self.copies.clear();
         self.running.clear();
     }
 
-    /// Moods pass, and copies go that were not used for long.
-    pub fn age(&mut self, now: Micros, keep: Micros) {
+    /// Ends an expired condition and removes copies that were not used for long.
+    pub fn expire(&mut self, now: Micros, retention: Micros) {
         if self.condition.1 <= now {
-            self.condition = (Condition::Well, Micros::MAX);
+            self.condition = (Condition::Healthy, Micros::MAX);
         }
-        self.copies.retain(|_, (since, used)| now < (*since).max(*used) + keep + keep / 4);
+        self.copies.retain(|_, (since, used)| now < (*since).max(*used) + retention + retention / 4);
     }
 
     pub fn report(&self, s: &Settings) -> LoadReport {
@@ -69,12 +69,12 @@
     }
 }
 
-/// Usual run of a function.
+/// Returns the usual run time of a function.
 pub fn run(function: FunctionId) -> Micros {
     (30 + (function * 37 % 140) as Micros) * MS
 }
 
-/// Usual time of its load.
+/// Returns the usual load time of a function.
 pub fn load(function: FunctionId) -> Micros {
     (150 + (function * 53 % 350) as Micros) * MS
 }
--- a/crates/core/tests/recording/world.rs
+++ b/crates/core/tests/recording/world.rs
@@ -1,5 +1,5 @@
-//! A small seeded world for front ends to live in: callers whose traffic swells and ebbs, workers that load,
-//! run, slow down, fall silent, fail, restart, drain and go, a store that all share, and a list that is late.
+//! A small seeded simulation of the environment of front ends: callers with varying traffic, workers that load functions,
+//! run calls, slow down, stop responding, fail, restart, drain and depart, a shared store, and a delayed endpoint list.
 
 use crate::MS;
 use stagehoist::*;
@@ -22,7 +22,7 @@
         self.0 ^= self.0 << 17;
         (self.0 % n.max(1) as u64) as i64
     }
-    fn one_in(&mut self, n: i64) -> bool {
+    fn is_one_in(&mut self, n: i64) -> bool {
         self.below(n) == 0
     }
 }
@@ -32,33 +32,33 @@
     function: FunctionId,
     streaming: bool,
     deadline: Micros,
-    over: bool,
-    /// By number: the worker, and whether it is still out.
+    concluded_call: bool,
+    /// By attempt number: the worker, and whether the attempt is still in flight.
     attempts: Vec<(WorkerId, bool)>,
 }
 
 pub struct World {
     pub now: Micros,
-    /// What followed from actions, by kind.
+    /// Number of observations about actions, by kind.
     pub observed: BTreeMap<&'static str, usize>,
     settings: Settings,
-    /// No surges come, and no worker is slow; more fall silent.
+    /// There are no surges and no slow workers; more workers stop responding.
     quiet: bool,
     random: Random,
-    fronts: usize,
+    front_end_count: usize,
     workers: BTreeMap<WorkerId, Worker>,
     calls: BTreeMap<RequestId, Call>,
     next: RequestId,
-    /// Events on their way, by when they come, in order of their making.
-    coming: BTreeMap<(Micros, u64), (usize, Event)>,
-    made: u64,
+    /// Events in flight, by arrival time and then by creation order.
+    in_flight: BTreeMap<(Micros, u64), (usize, Event)>,
+    sequence: u64,
 }
 
 impl World {
-    pub fn new(settings: &Settings, seed: u64, fronts: usize, quiet: bool) -> World {
+    pub fn new(settings: &Settings, seed: u64, front_end_count: usize, quiet: bool) -> World {
         let now = 5_000 * MS;
         let workers = (0..6).map(|w| (w, Worker::new(w, 0))).collect();
-        let (observed, coming, calls) = Default::default();
+        let (observed, in_flight, calls) = Default::default();
         let (settings, random) = (settings.clone(), Random(seed | 1 << 40));
         let mut world = World {
             now,
@@ -66,74 +66,75 @@
             settings,
             quiet,
             random,
-            fronts,
+            front_end_count,
             workers,
             calls,
             next: 0,
-            coming,
-            made: 0,
+            in_flight,
+            sequence: 0,
         };
         world.list(EndpointUpdate::Cached, 0);
         world
     }
 
     fn send(&mut self, front: usize, at: Micros, event: Event) {
-        self.made += 1;
-        self.coming.insert((at, self.made), (front, event));
+        self.sequence += 1;
+        self.in_flight.insert((at, self.sequence), (front, event));
     }
 
-    /// The list as it is now comes to each front end some time later.
-    fn list(&mut self, form: EndpointUpdate, lag: Micros) {
-        let whole = form != EndpointUpdate::Delta;
-        // A worker that is gone is listed once more at most.
+    /// Sends the current list to each front end, with a delay.
+    fn list(&mut self, update_kind: EndpointUpdate, lag: Micros) {
+        let whole = update_kind != EndpointUpdate::Delta;
+        // A gone worker is listed at most once more.
         let listed = |w: &&Worker| w.changed || whole && w.row.lifecycle != Lifecycle::Gone;
         let rows = self.workers.values().filter(listed).map(|w| w.row.clone());
-        let rows: Rc<[Endpoint]> = if form == EndpointUpdate::Failed { Rc::from([]) } else { rows.collect() };
+        let rows: Rc<[Endpoint]> =
+            if update_kind == EndpointUpdate::Failed { Rc::from([]) } else { rows.collect() };
         self.workers.values_mut().for_each(|w| w.changed = false);
-        for front in 0..self.fronts {
+        for front in 0..self.front_end_count {
             let at = self.now + lag + self.random.below(lag / 2);
-            self.send(front, at, Event::Endpoints { update: form, endpoints: rows.clone() });
+            self.send(front, at, Event::Endpoints { update: update_kind, endpoints: rows.clone() });
         }
     }
 
     pub fn step(&mut self) {
         self.now += MS + self.random.below(38 * MS);
-        // Twelve phases: quiet, busy, and a surge of three times what the workers can do.
+        // Twelve phases: quiet, busy, and a surge of three times the workers' capacity.
         let rate = [1, 2, 3, 8, 1, 2, 14, 2, 4, 8, 2, 1][(self.now / (2_500 * MS) % 12) as usize];
         let rate = if self.quiet { rate.min(2) } else { rate };
         for _ in 0..self.random.below(2 * rate + 1) / 2 {
             self.call();
         }
-        if self.random.one_in(25) {
+        if self.random.is_one_in(25) {
             self.inject_fault();
         }
-        if self.random.one_in(12) {
-            let form = match self.random.below(12) {
+        if self.random.is_one_in(12) {
+            let update_kind = match self.random.below(12) {
                 0 => EndpointUpdate::Failed,
                 1 => EndpointUpdate::Full,
                 _ => EndpointUpdate::Delta,
             };
             let lag = self.random.below(300 * MS);
-            self.list(form, lag);
+            self.list(update_kind, lag);
         }
-        let (now, keep) = (self.now, self.settings.idle_retention);
-        self.workers.values_mut().for_each(|w| w.age(now, keep));
+        let (now, retention) = (self.now, self.settings.idle_retention);
+        self.workers.values_mut().for_each(|w| w.expire(now, retention));
     }
 
     fn call(&mut self) {
         self.next += 1;
         let id = self.next;
         let r = &mut self.random;
-        // A few functions draw most calls; one call in twenty is to a function of its own.
+        // A few functions get most calls; one call in twenty goes to a function of its own.
         let shared = r.below(24).min(r.below(24)) as FunctionId;
-        let function = if r.one_in(20) { 1000 + FunctionId::from(id) } else { shared };
+        let function = if r.is_one_in(20) { 1000 + FunctionId::from(id) } else { shared };
         let class = (function % self.settings.classes.len() as u64) as u16;
         let budget = [2500, 2500, 1500, 900, 300, 0][r.below(6).min(r.below(6)) as usize] * MS;
-        let came = if r.one_in(4) { self.now - r.below(5 * MS) } else { 0 };
+        let accepted_at_drawn = if r.is_one_in(4) { self.now - r.below(5 * MS) } else { 0 };
         let work = self.settings.weight_by_work.then(|| worker::run(function) + r.below(60 * MS));
-        let (tenant, front) = (r.below(4) as u32, r.below(self.fronts as i64) as usize);
-        let (repeat, known) = (r.one_in(30), !r.one_in(10));
-        let gives_up = r.one_in(40).then(|| self.now + r.below(1200 * MS));
+        let (tenant, front) = (r.below(4) as u32, r.below(self.front_end_count as i64) as usize);
+        let (repeat, known) = (r.is_one_in(30), !r.is_one_in(10));
+        let cancelled_at = r.is_one_in(40).then(|| self.now + r.below(1200 * MS));
         let (memory_mb, lanes) = (worker::memory(function), 1.0 + (function % 3) as f64);
         let load = if function % 4 == 0 { 0 } else { worker::load(function) };
         let request = Request {
@@ -147,54 +148,56 @@
             concurrency: lanes,
             load_time: load,
             is_repeat: repeat,
-            accepted_at: came,
+            accepted_at: accepted_at_drawn,
             client_verified: known,
         };
         let streaming = self.settings.classes[class as usize].streaming;
         let (deadline, attempts) = (self.now + budget, Vec::new());
-        self.calls.insert(id, Call { front, function, streaming, deadline, over: false, attempts });
+        self.calls.insert(id, Call { front, function, streaming, deadline, concluded_call: false, attempts });
         self.send(front, self.now, Event::Request(request));
-        if let Some(at) = gives_up {
+        if let Some(at) = cancelled_at {
             self.send(front, at, Event::ClientGone { request: id });
         }
     }
 
-    /// A worker restarts, drains, goes, comes back, is new, falls silent, fails, or is slow.
+    /// Changes one worker: it restarts, drains, departs, returns, is added, stops responding, fails, or is slow.
     fn inject_fault(&mut self) {
         let at = self.random.below(self.workers.len() as i64) as usize;
         let until = self.now + 500 * MS + self.random.below(3000 * MS);
-        let standing = self.workers.values().filter(|w| w.row.lifecycle == Lifecycle::Ready).count();
-        let (what, new) = (self.random.below(13), self.workers.len() as WorkerId);
-        let w = self.workers.values_mut().nth(at).expect("a worker of them");
+        let ready_count = self.workers.values().filter(|w| w.row.lifecycle == Lifecycle::Ready).count();
+        let (fault, new) = (self.random.below(13), self.workers.len() as WorkerId);
+        let w = self.workers.values_mut().nth(at).expect("the index is below the number of workers");
         let [ready, gone] = [Lifecycle::Ready, Lifecycle::Gone].map(|x| w.row.lifecycle == x);
-        match what {
+        match fault {
             0 | 1 if !gone => w.restart(self.now),
-            2 if ready && standing > 3 => w.turn(Lifecycle::Draining),
-            3 | 11 if ready && standing > 3 => w.turn(Lifecycle::Gone),
+            2 if ready && ready_count > 3 => w.set_lifecycle(Lifecycle::Draining),
+            3 | 11 if ready && ready_count > 3 => w.set_lifecycle(Lifecycle::Gone),
             2 | 3 if !gone => w.restart(self.now),
-            4 | 12 if standing < 7 => drop(self.workers.insert(new, Worker::new(new, self.now))),
+            4 | 12 if ready_count < 7 => drop(self.workers.insert(new, Worker::new(new, self.now))),
             5 | 6 => w.condition = (Condition::Silent, until),
             7 => w.condition = (Condition::Failing, until),
             8 => w.condition = (Condition::Dead, until),
             _ if self.quiet => w.condition = (Condition::Silent, until),
             _ => w.condition = (Condition::Slow, until),
         }
-        let front = self.random.below(self.fronts as i64) as usize;
+        let front = self.random.below(self.front_end_count as i64) as usize;
         self.send(front, self.now, Event::Gossip { from: 1, bytes: vec![0xff; 16] });
     }
 
-    /// The events that have come to a front end by now.
-    pub fn due(&mut self, front: usize) -> Vec<Event> {
-        let due = self.coming.range(..=(self.now, u64::MAX)).filter(|(_, (to, _))| *to == front);
-        let keys: Vec<_> = due.map(|(key, _)| *key).collect();
-        let due: Vec<_> = keys.iter().filter_map(|key| self.coming.remove(key)).collect();
-        due.into_iter().filter_map(|(_, event)| self.arrive(event)).collect()
+    /// Removes and returns the events that have arrived at a front end by now.
+    pub fn take_due(&mut self, front: usize) -> Vec<Event> {
+        let take_due = self.in_flight.range(..=(self.now, u64::MAX)).filter(|(_, (to, _))| *to == front);
+        let keys: Vec<_> = take_due.map(|(key, _)| *key).collect();
+        let take_due: Vec<_> = keys.iter().filter_map(|key| self.in_flight.remove(key)).collect();
+        take_due.into_iter().filter_map(|(_, event)| self.arrive(event)).collect()
     }
 
-    /// What the process around the module makes of an event as it comes; none where it is over.
+    /// Completes an arriving event as the process around the module does; None if its call or attempt has already ended.
     fn arrive(&mut self, mut event: Event) -> Option<Event> {
         match &mut event {
-            Event::ClientGone { request } => self.calls.get_mut(request).filter(|c| !c.over)?.over = true,
+            Event::ClientGone { request } => {
+                self.calls.get_mut(request).filter(|c| !c.concluded_call)?.concluded_call = true
+            }
             Event::AttemptEnded(e) => {
                 let w = self.workers.get_mut(&e.worker)?;
                 let ran = w.running.iter().position(|x| *x == (e.request, e.attempt));
@@ -207,8 +210,8 @@
                 let call = self.calls.get_mut(&e.request)?;
                 let slot = call.attempts.get_mut(e.attempt as usize).filter(|a| a.1)?;
                 slot.1 = false;
-                e.concluded = call.over || e.outcome == Outcome::Ok;
-                call.over = e.concluded;
+                e.concluded = call.concluded_call || e.outcome == Outcome::Ok;
+                call.concluded_call = e.concluded;
             }
             Event::HealthChecked { worker, report, outcome: Outcome::Ok, .. } => {
                 *report = self.workers.get(worker).and_then(|w| w.report(&self.settings));
@@ -222,7 +225,7 @@
         match *action {
             Action::Send { request, worker, .. } => self.attempt(front, request, worker),
             Action::Reject { request, .. } | Action::Fail { request } => {
-                self.calls.get_mut(&request).expect("a call that came").over = true;
+                self.calls.get_mut(&request).expect("the request arrived before").concluded_call = true;
             }
             Action::Cancel { request, attempt } => {
                 let worker = self.calls[&request].attempts[attempt as usize].0;
@@ -232,13 +235,14 @@
             Action::HealthCheck { worker } => {
                 let dead = self.workers[&worker].condition.0 == Condition::Dead;
                 let outcome = if dead { Outcome::ConnectFailed } else { Outcome::Ok };
-                let took = MS + self.random.below(3 * MS);
-                let probed = Event::HealthChecked { worker, outcome, elapsed: took, report: None };
-                self.send(front, self.now + took, probed);
+                let elapsed_time = MS + self.random.below(3 * MS);
+                let health_checked =
+                    Event::HealthChecked { worker, outcome, elapsed: elapsed_time, report: None };
+                self.send(front, self.now + elapsed_time, health_checked);
             }
-            Action::Load { worker, function, .. } => self.order(front, worker, function),
+            Action::Load { worker, function, .. } => self.order_load(front, worker, function),
             Action::Unload { worker, function } => {
-                self.workers.get_mut(&worker).expect("a worker of the list").copies.remove(&function);
+                self.workers.get_mut(&worker).expect("the worker is in the list").copies.remove(&function);
             }
             _ => {}
         }
--- a/crates/core/tests/wire.rs
+++ b/crates/core/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The codec against byte examples of the wire, written out as test data.
+//! Tests of the wire codec against examples of encoded bytes.
 
 use stagehoist::wire::{
     batch_header, decode, encode, parse_settings, BatchHeader, EndpointLists, InstanceAction, InstanceFault,
@@ -11,7 +11,7 @@
     digits.chunks(2).map(|p| p[0] * 16 + p[1]).collect()
 }
 
-/// A record padded to the event size.
+/// Returns a record padded to the event size.
 fn event(text: &str) -> Vec<u8> {
     let mut record = hex(text);
     record.resize(56, 0);
@@ -63,7 +63,7 @@
     assert_eq!((e.request, e.worker, e.concluded, e.attempt), (0x5d3a91c4, 0x03124a07, true, 0));
     assert_eq!((e.elapsed, e.outcome, e.copy), (18_500, Outcome::Ok, CopyReport::default()));
     assert_eq!(e.report.unwrap()[0], 0.62);
-    // The count of requests alike stands above three bits of note.
+    // The number of requests for the function is encoded above the three bits of the copy state.
     let text = "32 0003 5d3a91c4 03124a07 00 00000029 0001 4032800000000000 0002";
     let Event::AttemptEnded(e) = event_of(text) else { panic!() };
     assert_eq!((e.outcome, e.copy, e.report), (Outcome::Full, CopyReport { state: 1, concurrency: 5 }, None));
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_start_with_its_settings() {
+fn a_start_record_carries_its_settings() {
     let text = "balancers=2\nclasses.count=1\nclasses.0.aim=800.0\nclasses.0.effect=idempotent\nnew.key=7\n";
     let mut body = event(&format!("0a 0003 0000000000000007 00000000 {:08x}", text.len()));
     body.extend(text.as_bytes());
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn malformed_frames_are_named() {
+fn errors_of_malformed_frames_name_the_field() {
     let fail = |body: &[u8], n| decode(body, n, &mut EndpointLists::default()).unwrap_err().to_string();
     assert!(fail(&event("c8 0003"), 1).contains("unknown event code 200 at byte 16"));
     assert!(fail(&event("46 0003"), 2).contains("cut off"));
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn absurd_settings_are_named() {
+fn errors_of_invalid_settings_name_the_key() {
     let error = |text: &str| parse_settings(text).unwrap_err().to_string();
     assert!(error("balancers=3\n").contains("classes.count"));
     assert!(error("classes.count=1\nclasses.0.aim=-5\n").contains("classes.0.aim"));
@@ -163,7 +163,7 @@
         Action::Send { request: 0x5d3a91c4, worker: 0x03124a07, timeout: 80_000, start_by: Micros::MAX };
     let timer = Action::SetTimer { after: 500_000, token: 77 };
     let log = Action::Log { text: "two servers unknown".into() };
-    // 8 bytes of header, three records of 24, 19 of text.
+    // 8 bytes of header, three records of 24 bytes, 19 bytes of text.
     let want = "00000063 00000003
         0a 0003 5d3a91c4 4054000000000000 03124a07 0000000000
         32 0003 407f400000000000 0000004d 000000000000000000
--- a/crates/recovery/src/delivery_cache.rs
+++ b/crates/recovery/src/delivery_cache.rs
@@ -1,39 +1,39 @@
-//! The memory of messages: which are in progress, which are answered, and what is known of their replies. It answers a message
-//! that is delivered again without running it again.
+//! Cache of recent messages: which are in progress, which are answered, and the known state of their replies. With it a
+//! redelivered message is answered without running it again.
 
 use crate::{AttemptKnowledge, Key};
 use stagehoist::{Effect, Micros};
 use std::collections::{HashMap, VecDeque};
 
-/// What is known of a reply that was made.
+/// The known state of a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyState {
-    /// Its last byte never left: no caller can have it.
+    /// Its last byte was never sent: the caller can't have received it.
     Never,
-    /// It left whole and nothing came back: the caller may have it.
+    /// It was sent completely but not confirmed: the caller may have received it.
     Doubtful,
-    /// The broker answers for it.
+    /// The broker confirmed it.
     Confirmed,
 }
 
 /// What to do with a delivery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict<A> {
-    /// Take it as a call.
+    /// Run the message as a call.
     Run,
-    /// It is in progress under this number; its answer goes to this delivery.
+    /// The message is in progress under this number; this delivery gets the same answer.
     Join(u64),
-    /// Its answer is known and did not arrive: send it, run nothing.
+    /// The answer is known and did not arrive: send it again, run nothing.
     Resend(A),
-    /// Its answer arrived, or may have: acknowledge it, send nothing, run nothing.
+    /// The answer arrived or may have arrived: acknowledge the delivery, send nothing, run nothing.
     Settle {
-        /// Whether the answer arrived is not known.
+        /// Whether the arrival of the answer is unknown.
         doubtful: bool,
     },
-    /// It was delivered before and nothing is known of it here: whoever may have held it is asked, and until then it waits
-    /// as if it were in progress under its number. Given only after [`DeliveryCache::inquires`].
+    /// The message was delivered before and is unknown here: ask its possible former holders. Until they answer, the
+    /// message waits as if it were in progress under its number. Returned only after [`DeliveryCache::inquires`] enabled it.
     Inquire,
-    /// It was delivered before and nothing is known of it: answer `failed`, run nothing.
+    /// The message was delivered before and is unknown: answer `failed`, run nothing.
     Fail,
 }
 
@@ -41,9 +41,9 @@
 enum Known<A> {
     Running(u64),
     Answered(A, ReplyState),
-    /// Nothing is known but that it is being answered `failed` under this number.
+    /// The message is being answered `failed` under this number; nothing else is known about it.
     Failing(u64),
-    /// Another member was informed that no attempt leaves from here.
+    /// Another member was promised that no attempt is sent from here.
     Ceded,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl<A: Clone> Entry<A> {
-    /// What a second delivery of a message in progress, or answered, becomes; None for the others.
+    /// Returns the verdict on a redelivery of a message in progress or answered; None in the other states.
     fn on_redelivery(&mut self, resend_doubtful: bool) -> Option<Verdict<A>> {
         match &mut self.known {
             Known::Running(ticket) => Some(Verdict::Join(*ticket)),
@@ -63,7 +63,7 @@
                 Some(Verdict::Settle { doubtful: true })
             }
             Known::Answered(answer, reply_state) => {
-                // Sent anew, it is out of our hands until told otherwise.
+                // The answer is sent again, so its arrival is unknown until the broker reports it.
                 *reply_state = ReplyState::Doubtful;
                 Some(Verdict::Resend(answer.clone()))
             }
@@ -72,34 +72,35 @@
     }
 }
 
-/// When a message became known.
+/// When the entry of a message was created.
 #[derive(Clone, Debug)]
 struct Created {
     at: Micros,
     key: Key,
 }
 
-/// The messages of late, bounded in number and age.
+/// The recent messages, limited in number and age.
 #[derive(Clone, Debug)]
 pub struct DeliveryCache<A> {
     max_entries: usize,
     retention: Micros,
     resend_doubtful: bool,
     entries: HashMap<Key, Entry<A>>,
-    /// In order of creation; an entry that was replaced leaves a stale one, known by its time.
+    /// In order of creation; a replaced entry leaves a stale element here, which its time identifies.
     order: VecDeque<Created>,
     inquires: bool,
-    /// A message in progress was forgotten: what is not known may be in progress here, until then.
+    /// A message in progress was evicted, so until this time an unknown message may be in progress here.
     unproven_until: Micros,
 }
 
 impl<A: Clone> DeliveryCache<A> {
-    /// At most `most` messages, each for `keep`. Where `resend_doubtful`, a reply in doubt is sent again on redelivery,
-    /// which may give a caller two answers; else it is withheld, which may give it none.
-    pub fn new(most: usize, keep: Micros, resend_doubtful: bool) -> DeliveryCache<A> {
+    /// Creates a cache of at most `capacity` messages, each retained for `max_age`. With `resend_doubtful`, a reply whose
+    /// arrival is unknown is sent again on redelivery, so that a caller may get two answers; without it the reply is
+    /// withheld, so that a caller may get none.
+    pub fn new(capacity: usize, max_age: Micros, resend_doubtful: bool) -> DeliveryCache<A> {
         DeliveryCache {
-            max_entries: most,
-            retention: keep,
+            max_entries: capacity,
+            retention: max_age,
             resend_doubtful,
             entries: HashMap::new(),
             order: VecDeque::new(),
@@ -108,27 +109,27 @@
         }
     }
 
-    /// Messages of which nothing is known are asked about from now on: attempts of calls that are not idempotent
-    /// are recorded on disk, and somebody can tell.
-    pub fn inquires(&mut self, asks: bool) {
-        self.inquires = asks;
+    /// Enables or disables inquiries about unknown messages. They require that attempts of non-idempotent calls are recorded
+    /// on disk, so that former holders can answer.
+    pub fn inquires(&mut self, is_enabled: bool) {
+        self.inquires = is_enabled;
     }
 
-    /// Messages held.
+    /// Returns the number of messages.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is held.
+    /// Whether the cache is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// A delivery came. `ticket` is the number it will run under if the verdict is [`Verdict::Run`].
+    /// Processes a delivery. `ticket` is the number under which it runs if the verdict is [`Verdict::Run`].
     ///
-    /// A delivery that is not recorded as redelivered is a message of its own, even where a caller uses an id twice. One
-    /// that is and of which nothing is known was with another front end, or with this one before a restart: it may have
-    /// run there, so that only idempotent calls run.
+    /// A delivery that is not flagged as redelivered is a new message, even if a caller uses an id twice. An unknown
+    /// message that is flagged was delivered to another front end, or to this one before a restart. It may have run there,
+    /// so only idempotent calls run.
     pub fn on_delivery(
         &mut self,
         key: Option<&Key>,
@@ -150,7 +151,7 @@
             Effect::Idempotent => Verdict::Run,
             _ if redelivered && can_inquire => Verdict::Inquire,
             _ if redelivered => Verdict::Fail,
-            // It lay in the socket while another member was informed that nothing leaves from here.
+            // The delivery was unread in the socket when another member was promised that no attempt is sent from here.
             _ if ceded => Verdict::Fail,
             _ => Verdict::Run,
         };
@@ -160,22 +161,23 @@
         verdict
     }
 
-    /// A message of which nothing is known is answered `failed` under this number: an answer that may be in doubt as
-    /// another, and is not given twice. What was ceded stays so.
+    /// Records that an unknown message is being answered `failed` under this number. The arrival of this answer may become
+    /// unknown like that of any other, and it is not sent twice. A ceded message stays ceded.
     pub fn on_failing(&mut self, key: &Key, ticket: u64, now: Micros) {
         if !self.entries.contains_key(key) {
             self.insert(key, Known::Failing(ticket), now);
         }
     }
 
-    /// Another member asks about a message that was delivered to it. `marks` is what this one's intents tell, asked before.
+    /// Answers another member's inquiry about a message that was delivered to it. `intents` is the knowledge from this
+    /// member's intents, which the caller has looked up before.
     ///
-    /// After [`AttemptKnowledge::None`] no first delivery of the message is taken up here while this is remembered.
-    pub fn combine(&mut self, key: &Key, marks: AttemptKnowledge, now: Micros) -> AttemptKnowledge {
+    /// After [`AttemptKnowledge::None`], a first delivery of the message is not run here while the entry is retained.
+    pub fn combine(&mut self, key: &Key, intents: AttemptKnowledge, now: Micros) -> AttemptKnowledge {
         self.expire(now);
         match self.entries.get(key).map(|e| &e.known) {
             Some(Known::Running(_) | Known::Answered(..)) => AttemptKnowledge::MayHaveRun,
-            _ if marks != AttemptKnowledge::None => marks,
+            _ if intents != AttemptKnowledge::None => intents,
             Some(Known::Failing(_)) => AttemptKnowledge::NotKnown,
             _ if now < self.unproven_until => AttemptKnowledge::NotKnown,
             _ => {
@@ -203,28 +205,28 @@
 
     fn forget(&mut self, created: &Created, now: Micros) {
         if self.entries.get(&created.key).is_some_and(|entry| entry.created_at == created.at) {
-            let gone = self.entries.remove(&created.key);
-            if gone.is_some_and(|e| matches!(e.known, Known::Running(_))) {
-                // It may still have its first attempt before it, and no intent yet.
+            let removed = self.entries.remove(&created.key);
+            if removed.is_some_and(|e| matches!(e.known, Known::Running(_))) {
+                // The message may still be before its first attempt, without an intent.
                 self.unproven_until = now + self.retention;
             }
         }
     }
 
-    /// A message's call has its answer; what becomes of the reply is reported by [`DeliveryCache::on_reply_state`].
-    pub fn on_answer(&mut self, key: &Key, ticket: u64, answer: A, sent: ReplyState) {
+    /// Records the answer of a message's call; later states of the reply are reported by [`DeliveryCache::on_reply_state`].
+    pub fn on_answer(&mut self, key: &Key, ticket: u64, answer: A, reply_state: ReplyState) {
         if let Some(entry) = self.entries.get_mut(key) {
             if matches!(entry.known, Known::Running(t) | Known::Failing(t) if t == ticket) {
-                entry.known = Known::Answered(answer, sent);
+                entry.known = Known::Answered(answer, reply_state);
             }
         }
     }
 
-    /// More is known of a message's reply. Nothing undoes a confirm.
-    pub fn on_reply_state(&mut self, key: &Key, now_known: ReplyState) {
-        if let Some(Entry { known: Known::Answered(_, sent), .. }) = self.entries.get_mut(key) {
-            if *sent != ReplyState::Confirmed {
-                *sent = now_known;
+    /// Updates the state of a message's reply. A confirmed reply stays confirmed.
+    pub fn on_reply_state(&mut self, key: &Key, new_state: ReplyState) {
+        if let Some(Entry { known: Known::Answered(_, reply_state), .. }) = self.entries.get_mut(key) {
+            if *reply_state != ReplyState::Confirmed {
+                *reply_state = new_state;
             }
         }
     }
--- a/crates/recovery/src/inquiry.rs
+++ b/crates/recovery/src/inquiry.rs
@@ -1,52 +1,53 @@
-//! Messages that wait while former holders are asked whether an attempt for them may have left.
+//! Messages that wait while their former holders are asked whether an attempt may have been sent for them.
 //!
-//! A message runs only if each one asked says [`AttemptKnowledge::None`], in time. That word is a promise too: who gives it takes the
-//! message up no more (see [`crate::DeliveryCache::combine`]), though a delivery of it may still lie in its socket. One that is out of
-//! reach, or does not know, makes the message fail as if none had been asked.
+//! A message runs only if every member asked answers [`AttemptKnowledge::None`] in time. This answer is also a promise: the
+//! member that gives it no longer runs the message (see [`crate::DeliveryCache::combine`]), even if a delivery of it is
+//! still unread in the member's socket. If a member is unreachable or does not know, the message fails, as it would without
+//! an inquiry.
 
 use crate::Identity;
 use stagehoist::Micros;
 use std::collections::{BTreeSet, HashMap};
 
-/// What a member says of a message.
+/// What a member knows about the attempts of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptKnowledge {
-    /// No attempt left, and none will.
+    /// No attempt was sent, and none will be.
     None,
-    /// An attempt may have left, or may leave.
+    /// An attempt may have been sent, or may still be sent.
     MayHaveRun,
-    /// It can't tell.
+    /// The member does not know.
     NotKnown,
 }
 
-/// What becomes of a message that waited.
+/// The result of an inquiry about a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is known not to have run.
+    /// The message has not run and may run now.
     Run,
-    /// It may have run, or nobody can tell: its caller is answered `failed`.
+    /// The message may have run, or no member knows: its caller is answered `failed`.
     Fail,
 }
 
-/// Why a message is not asked about.
+/// Why no inquiry about a message is started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InquiryRejection {
-    /// As many wait as may.
+    /// The maximum number of inquiries is open.
     Full,
-    /// Nobody is known who could tell.
+    /// No member is known that could answer.
     Nobody,
-    /// Too little of the caller's time is left for question and run.
+    /// The caller's remaining time is too short for an inquiry and a run.
     TooLate,
 }
 
-/// Bounds of the questions.
+/// Limits on inquiries.
 #[derive(Clone, Copy, Debug)]
 pub struct InquiryLimits {
-    /// Messages that wait at once.
+    /// Maximum number of messages that wait at the same time.
     pub max_open: usize,
-    /// Longest wait.
+    /// Maximum wait.
     pub max_wait: Micros,
-    /// Part of the caller's remaining time that may go into waiting.
+    /// Maximum fraction of the caller's remaining time spent waiting.
     pub share: f64,
 }
 
@@ -56,36 +57,36 @@
     }
 }
 
-struct Open<M> {
+struct OpenInquiry<M> {
     identity: Identity,
-    left: BTreeSet<M>,
-    by: Micros,
+    unanswered: BTreeSet<M>,
+    deadline: Micros,
 }
 
-/// The questions that are out, by the number of the call that waits.
+/// The open inquiries, by the number of the waiting call.
 pub struct Inquiries<M> {
     limits: InquiryLimits,
-    open: HashMap<u64, Open<M>>,
+    open: HashMap<u64, OpenInquiry<M>>,
     deadlines: BTreeSet<(Micros, u64)>,
 }
 
 impl<M: Ord + Clone> Inquiries<M> {
-    /// No inquiries yet.
-    pub fn new(patience: InquiryLimits) -> Inquiries<M> {
-        Inquiries { limits: patience, open: HashMap::new(), deadlines: BTreeSet::new() }
+    /// Creates an instance without open inquiries.
+    pub fn new(bounds: InquiryLimits) -> Inquiries<M> {
+        Inquiries { limits: bounds, open: HashMap::new(), deadlines: BTreeSet::new() }
     }
 
-    /// Messages that wait.
+    /// Returns the number of open inquiries.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether none is open.
+    /// Whether no inquiry is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// Begins a question about a message to all who may have held it. `budget` is what is left of the caller's time.
+    /// Starts an inquiry about a message to all members that may have held it. `budget` is the caller's remaining time.
     pub fn start(
         &mut self,
         number: u64,
@@ -94,9 +95,9 @@
         budget: Micros,
         now: Micros,
     ) -> Result<(), InquiryRejection> {
-        let left: BTreeSet<M> = members.into_iter().collect();
+        let unanswered: BTreeSet<M> = members.into_iter().collect();
         let wait = self.limits.max_wait.min((budget as f64 * self.limits.share) as Micros);
-        if left.is_empty() {
+        if unanswered.is_empty() {
             return Err(InquiryRejection::Nobody);
         }
         if wait <= 0 {
@@ -105,27 +106,27 @@
         if self.open.len() >= self.limits.max_open || self.open.contains_key(&number) {
             return Err(InquiryRejection::Full);
         }
-        let by = now + wait;
-        self.deadlines.insert((by, number));
-        self.open.insert(number, Open { identity, left, by });
+        let deadline = now + wait;
+        self.deadlines.insert((deadline, number));
+        self.open.insert(number, OpenInquiry { identity, unanswered, deadline });
         Ok(())
     }
 
-    /// What is to be asked of a member, for a session that stands anew.
+    /// Returns the inquiries that a member has not answered, to be resent on a new session with it.
     pub fn awaiting<'a>(&'a self, member: &'a M) -> impl Iterator<Item = (u64, Identity)> + 'a {
-        let waiting = self.open.iter().filter(move |(_, open)| open.left.contains(member));
+        let waiting = self.open.iter().filter(move |(_, open)| open.unanswered.contains(member));
         waiting.map(|(number, open)| (*number, open.identity))
     }
 
-    /// A member's answer. Nothing while others are still to say.
-    pub fn on_answer(&mut self, number: u64, member: &M, told: AttemptKnowledge) -> Option<Outcome> {
+    /// Processes a member's answer. Returns the outcome if it is decided, None while other answers are still needed.
+    pub fn on_answer(&mut self, number: u64, member: &M, knowledge: AttemptKnowledge) -> Option<Outcome> {
         let open = self.open.get_mut(&number)?;
-        if !open.left.remove(member) {
-            // Not asked, or it has answered: a word that comes twice says no more than the first.
+        if !open.unanswered.remove(member) {
+            // The member was not asked or has already answered; a repeated answer is ignored.
             return None;
         }
-        let outcome = match told {
-            AttemptKnowledge::None if !open.left.is_empty() => return None,
+        let outcome = match knowledge {
+            AttemptKnowledge::None if !open.unanswered.is_empty() => return None,
             AttemptKnowledge::None => Outcome::Run,
             AttemptKnowledge::MayHaveRun | AttemptKnowledge::NotKnown => Outcome::Fail,
         };
@@ -133,22 +134,22 @@
         Some(outcome)
     }
 
-    /// A message needs no more answers.
+    /// Closes the inquiry about a message.
     pub fn end(&mut self, number: u64) {
         if let Some(open) = self.open.remove(&number) {
-            self.deadlines.remove(&(open.by, number));
+            self.deadlines.remove(&(open.deadline, number));
         }
     }
 
-    /// When [`Inquiries::take_expired`] is due.
+    /// Returns when [`Inquiries::take_expired`] must be called next.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.deadlines.first().map(|(at, _)| *at)
     }
 
-    /// Messages whose wait is over; each fails.
+    /// Closes and returns the inquiries whose wait has expired; each of these messages fails.
     pub fn take_expired(&mut self, now: Micros) -> Vec<u64> {
-        let over: Vec<u64> = self.deadlines.range(..=(now, u64::MAX)).map(|(_, number)| *number).collect();
-        over.iter().for_each(|number| self.end(*number));
-        over
+        let expired: Vec<u64> = self.deadlines.range(..=(now, u64::MAX)).map(|(_, number)| *number).collect();
+        expired.iter().for_each(|number| self.end(*number));
+        expired
     }
 }
--- a/crates/recovery/src/intent_gate.rs
+++ b/crates/recovery/src/intent_gate.rs
@@ -1,17 +1,17 @@
-//! Attempts that wait for their call's intent on disk. No other call waits for them, and what was decided is looked at again
-//! before one leaves: its time, its worker, whether it was taken back meanwhile.
+//! Attempts that wait until their call's intent is on disk. They do not block other calls. Before a waiting attempt is sent,
+//! its deadline, its worker and whether it was aborted meanwhile are checked again.
 
 use stagehoist::{Micros, RequestId, WorkerId};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// Bounds of the wait.
+/// Limits on the wait.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest wait for an intent; an attempt that waited so long is not sent.
+    /// Maximum wait for an intent; an attempt that has waited this long is not sent.
     pub longest: Micros,
-    /// Attempts that wait at once.
+    /// Maximum number of attempts that wait at the same time.
     pub most: usize,
-    /// An attempt decided before its worker began to drain still leaves within this time of that.
+    /// An attempt decided before its worker began to drain may still be sent within this time after the drain began.
     pub grace: Micros,
 }
 
@@ -21,39 +21,39 @@
     }
 }
 
-/// What becomes of an attempt.
+/// The decision about an attempt.
 #[derive(Debug, PartialEq)]
 pub enum GateDecision<A> {
-    /// It leaves now: the intent of its call is on disk, or it needs none.
+    /// The attempt is sent now: the intent of its call is on disk, or it needs none.
     Send(A),
-    /// It waits for the intent of its call.
+    /// The attempt waits for the intent of its call.
     Wait {
-        /// The intent is to be asked for.
+        /// Whether the caller has to request that the intent is recorded.
         record: bool,
     },
-    /// It never left, which is known: nothing ran. `why` is for people.
+    /// The attempt was certainly not sent, so nothing ran. The reason is for logs.
     Unsent(A, UnsentReason),
 }
 
 /// Why an attempt was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnsentReason {
-    /// No intent in time, or it could not be written.
+    /// The intent was not on disk in time or could not be written.
     NoIntent,
-    /// Its time was over when the intent came.
+    /// The attempt's deadline had passed when the intent was on disk.
     TooLate,
-    /// Its worker is gone, or drains for longer than its grace.
+    /// The worker is gone, or has been draining for longer than the grace.
     WorkerDraining,
-    /// As many wait as may.
+    /// The maximum number of attempts is waiting.
     Full,
-    /// Its call is answered.
+    /// The call was already answered.
     CallEnded,
 }
 
-/// Which attempt: of this request, the so-and-so-many-th.
+/// Identifies an attempt: its request, and its number among the attempts of the request.
 pub type AttemptId = (RequestId, u16);
 
-/// A call whose intent was asked for: whether it is on disk, and its attempts that wait for that.
+/// A call whose intent was requested: whether it is on disk, and the attempts that wait for it.
 #[derive(Default)]
 struct Call {
     on_disk: bool,
@@ -65,31 +65,31 @@
     number: u64,
     worker: WorkerId,
     due: Micros,
-    by: Micros,
+    wait_until: Micros,
 }
 
-/// When an attempt has waited too long.
+/// When the wait of an attempt expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     at: Micros,
     attempt: AttemptId,
 }
 
-/// The attempts of one front end that wait, and the calls whose intents are on disk. A call's number is never used twice in a
-/// run, as its request's may be.
+/// The waiting attempts of one front end, and the calls whose intents are on disk. A call's number is never reused within a
+/// run of the process; its request's number may be.
 pub struct IntentGate<A> {
     limits: Limits,
     calls: HashMap<u64, Call>,
-    /// Calls in the order in which they came.
+    /// Calls in order of arrival.
     order: VecDeque<u64>,
     waiting: HashMap<AttemptId, Waiting<A>>,
     deadlines: BTreeSet<Deadline>,
-    /// Workers that drain, since when, and (`Micros::MIN`) those that are gone.
+    /// Draining workers with the time since which they drain, and gone workers with `Micros::MIN`.
     leaving: HashMap<WorkerId, Micros>,
 }
 
 impl<A> IntentGate<A> {
-    /// A gate that holds nothing.
+    /// Creates a gate without attempts.
     pub fn new(limits: Limits) -> IntentGate<A> {
         IntentGate {
             limits,
@@ -101,40 +101,40 @@
         }
     }
 
-    /// Attempts that wait.
+    /// Returns the number of waiting attempts.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// An attempt of the call with this number, which needs an intent, was decided; `due` is when it is cut.
+    /// Adds an attempt of call `number`, which needs an intent. `due` is the deadline of the attempt.
     pub fn attempt(
         &mut self,
         (number, id): (u64, AttemptId),
         worker: WorkerId,
         due: Micros,
-        what: A,
+        payload: A,
         now: Micros,
     ) -> GateDecision<A> {
-        let known = self.calls.get(&number);
-        if known.is_some_and(|c| c.on_disk) {
-            return GateDecision::Send(what);
+        let call_state = self.calls.get(&number);
+        if call_state.is_some_and(|c| c.on_disk) {
+            return GateDecision::Send(payload);
         }
         if self.waiting.len() >= self.limits.most {
-            return GateDecision::Unsent(what, UnsentReason::Full);
+            return GateDecision::Unsent(payload, UnsentReason::Full);
         }
-        let ask = known.is_none();
-        if ask {
+        let is_new = call_state.is_none();
+        if is_new {
             self.forget();
             self.order.push_back(number);
         }
-        let by = due.min(now + self.limits.longest);
-        self.deadlines.insert(Deadline { at: by, attempt: id });
-        self.waiting.insert(id, Waiting { attempt: what, number, worker, due, by });
+        let wait_until = due.min(now + self.limits.longest);
+        self.deadlines.insert(Deadline { at: wait_until, attempt: id });
+        self.waiting.insert(id, Waiting { attempt: payload, number, worker, due, wait_until });
         self.calls.entry(number).or_default().waiting.push(id);
-        GateDecision::Wait { record: ask }
+        GateDecision::Wait { record: is_new }
     }
 
-    /// Makes room for one more call. One that is forgotten has its intent asked for anew before its next attempt.
+    /// Evicts calls to make room for one more. The intent of an evicted call is requested again before its next attempt.
     fn forget(&mut self) {
         while self.order.len() >= 2 * self.limits.most {
             let Some(oldest) = self.order.pop_front() else { return };
@@ -144,54 +144,55 @@
         }
     }
 
-    /// An intent is on disk, or (false) is not as far as is known. What becomes of the attempts that waited for it.
+    /// Processes the result of recording an intent: it is on disk, or (false) not known to be. Returns the decisions about
+    /// the attempts that waited for it.
     pub fn on_recorded(
         &mut self,
         number: u64,
         on_disk: bool,
         now: Micros,
     ) -> Vec<(AttemptId, GateDecision<A>)> {
-        // A call that is over has its intent go by its age.
+        // The call has ended; its intent expires by age.
         let Some(call) = self.calls.get_mut(&number) else { return Vec::new() };
         call.on_disk = on_disk;
         let ids = std::mem::take(&mut call.waiting);
         if !on_disk {
-            // The next attempt asks anew.
+            // The next attempt requests the intent again.
             self.calls.remove(&number);
         }
-        let steps = ids.into_iter().filter_map(|id| {
-            let held = self.take(id)?;
-            let step = match (on_disk, self.revocation(&held, now)) {
-                (false, _) => GateDecision::Unsent(held.attempt, UnsentReason::NoIntent),
-                (true, Some(why)) => GateDecision::Unsent(held.attempt, why),
-                (true, None) => GateDecision::Send(held.attempt),
+        let decisions = ids.into_iter().filter_map(|id| {
+            let waiting_attempt = self.remove(id)?;
+            let decision = match (on_disk, self.revocation(&waiting_attempt, now)) {
+                (false, _) => GateDecision::Unsent(waiting_attempt.attempt, UnsentReason::NoIntent),
+                (true, Some(reason)) => GateDecision::Unsent(waiting_attempt.attempt, reason),
+                (true, None) => GateDecision::Send(waiting_attempt.attempt),
             };
-            Some((id, step))
+            Some((id, decision))
         });
-        steps.collect()
+        decisions.collect()
     }
 
-    /// Why an attempt may no longer be sent; None where it may.
-    fn revocation(&self, held: &Waiting<A>, now: Micros) -> Option<UnsentReason> {
-        if now >= held.due {
+    /// Returns why an attempt may no longer be sent, or None if it may be sent.
+    fn revocation(&self, waiting_attempt: &Waiting<A>, now: Micros) -> Option<UnsentReason> {
+        if now >= waiting_attempt.due {
             return Some(UnsentReason::TooLate);
         }
-        let since = self.leaving.get(&held.worker)?;
+        let since = self.leaving.get(&waiting_attempt.worker)?;
         (now.saturating_sub(*since) > self.limits.grace).then_some(UnsentReason::WorkerDraining)
     }
 
-    /// An attempt is taken back. True: it waited here, and never leaves; else it is with its worker.
+    /// Aborts an attempt. Returns true if it was waiting here and will not be sent, false if it was already sent to its worker.
     pub fn abort(&mut self, id: AttemptId) -> bool {
-        self.take(id).is_some()
+        self.remove(id).is_some()
     }
 
-    /// A call is answered: its attempts that wait never leave, and its intent serves no more.
+    /// Removes an answered call and its intent; returns its waiting attempts, which are not sent.
     pub fn call_ended(&mut self, number: u64) -> Vec<(AttemptId, A)> {
         let ids = self.calls.remove(&number).unwrap_or_default().waiting;
-        ids.into_iter().filter_map(|id| Some((id, self.take(id)?.attempt))).collect()
+        ids.into_iter().filter_map(|id| Some((id, self.remove(id)?.attempt))).collect()
     }
 
-    /// What is known of a worker: that it drains since then, or is gone (`Some(Micros::MIN)`), or serves.
+    /// Sets the state of a worker: draining since a time, gone (`Some(Micros::MIN)`), or serving (None).
     pub fn worker(&mut self, worker: WorkerId, leaving: Option<Micros>) {
         match leaving {
             Some(since) => drop(self.leaving.insert(worker, since)),
@@ -199,29 +200,30 @@
         }
     }
 
-    /// When [`IntentGate::take_late`] is due.
+    /// Returns when [`IntentGate::take_late`] must be called next.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// Attempts that waited too long. An intent that comes later serves the call's next attempt.
+    /// Removes and returns the attempts whose wait has expired. An intent recorded later applies to the call's next attempt.
     pub fn take_late(&mut self, now: Micros) -> Vec<(AttemptId, A, UnsentReason)> {
         let due = self.deadlines.iter().take_while(|deadline| deadline.at <= now);
         let ids: Vec<AttemptId> = due.map(|deadline| deadline.attempt).collect();
         let late = ids.into_iter().filter_map(|id| {
-            let held = self.take(id)?;
-            let why = if now >= held.due { UnsentReason::TooLate } else { UnsentReason::NoIntent };
-            Some((id, held.attempt, why))
+            let waiting_attempt = self.remove(id)?;
+            let reason =
+                if now >= waiting_attempt.due { UnsentReason::TooLate } else { UnsentReason::NoIntent };
+            Some((id, waiting_attempt.attempt, reason))
         });
         late.collect()
     }
 
-    fn take(&mut self, id: AttemptId) -> Option<Waiting<A>> {
-        let held = self.waiting.remove(&id)?;
-        self.deadlines.remove(&Deadline { at: held.by, attempt: id });
-        if let Some(call) = self.calls.get_mut(&held.number) {
+    fn remove(&mut self, id: AttemptId) -> Option<Waiting<A>> {
+        let waiting_attempt = self.waiting.remove(&id)?;
+        self.deadlines.remove(&Deadline { at: waiting_attempt.wait_until, attempt: id });
+        if let Some(call) = self.calls.get_mut(&waiting_attempt.number) {
             call.waiting.retain(|w| *w != id);
         }
-        Some(held)
+        Some(waiting_attempt)
     }
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,10 +1,10 @@
-//! Recovery decisions: what to do with a message that a broker delivers again, with a reply of which nobody knows
-//! whether it arrived, when to connect anew, and whom to admitted after a restart. Pure: state and time in, choice out;
-//! randomness from a told seed.
+//! Recovery decisions: how to handle a redelivered message and a reply whose arrival is unknown, when to reconnect, and
+//! which calls to admit after a restart. Pure: takes state and time, returns decisions; random numbers come from a given
+//! seed.
 //!
-//! - [`DeliveryCache`]: messages of late; [`Inquiries`]: those that wait for the word of whoever may have held them.
+//! - [`DeliveryCache`]: recent messages; [`Inquiries`]: messages that wait for the answers of their possible former holders.
 //! - [`IntentGate`]: attempts that wait until their call's intent is on disk.
-//! - [`RecoveryPhases`]: waking, asking, reserved, open.
+//! - [`RecoveryPhases`]: opening storage, resolving in-doubt messages, ramping, serving.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/recovery/src/phases.rs
+++ b/crates/recovery/src/phases.rs
@@ -1,43 +1,44 @@
-//! The way back to service after a start, by stages. Each ends by itself: a limit that passes is a stated way on.
+//! The phases from process start to normal service. Every phase has a time limit, after which the next phase starts.
 //!
-//! | after a start | trusted | why |
+//! | state after a start | trusted | reason |
 //! | --- | --- | --- |
-//! | incarnation | as the cluster state tells; its own file until then, as "at least" | every run has a number of its own |
-//! | the cluster state | as far as replicas agreed, through a session of this run | a view kept on disk may be old |
-//! | intents of attempts | where the store shows that it is whole | see the `marks` package |
-//! | leases on views and permits | never | they count from a clock that is gone |
-//! | beliefs about copies, loads, lateness of workers | never | the workers may have started anew too |
-//! | clock readings of before | never | a monotonic clock begins anew |
+//! | incarnation | as reported by the cluster state; before that the process's own file gives a lower bound | every run has its own number |
+//! | cluster state | as far as replicas agreed, through a session of this run | a view stored on disk may be old |
+//! | intents of attempts | if the store proves to be complete | see the intent log package |
+//! | leases on views and permits | never | they are relative to a clock that no longer exists |
+//! | estimates of workers' copies, loads and lateness | never | the workers may have restarted too |
+//! | clock readings from before the start | never | a monotonic clock starts again |
 //!
-//! | stage | waits for | when its limit passes |
-//! | --- | --- | --- |
-//! | waking | own store opened, or quarantined | goes on without intents: messages delivered again fail, calls that need an intent are held back by the intent's own limit |
-//! | asking | a session with the cluster state, and answers of former members | goes on without: strict functions and borrowed permits stay shut by their own rules; messages asked about fail |
-//! | reserved | evidence that the fleet is warm | opens by steps, as much each as the evidence allows, at least the guaranteed minimum of it |
-//! | open | - | - |
+//! | phase | name in logs | waits for | after the time limit |
+//! | --- | --- | --- | --- |
+//! | opening storage | waking | own store opened or quarantined | continues without intents: redelivered messages fail, calls that need an intent are held back by the limit on waits for intents |
+//! | resolving in-doubt | asking | a session with the cluster state, and the answers of former members | continues without them: strict functions and borrowed permits stay closed by their own rules; messages under inquiry fail |
+//! | ramping | reserved | evidence that the fleet is warm | admits a share of the calls that grows in steps, as the evidence allows, and never falls below a minimum |
+//! | serving | open | - | - |
 //!
-//! In waking and asking calls wait, as far as their time allows, and are refused with a time to come back where it does not.
-//! A lone survivor, whose replicas and former members are all out of reach, goes by the limits: it serves with its guaranteed minimums,
-//! calls inside reservations (counted by its guaranteed minimums) first.
+//! While storage is opening and in-doubt messages are resolved, calls wait if their remaining time allows it; otherwise they
+//! are rejected with a retry delay. A lone survivor, whose replicas and former members are all unreachable, continues by the
+//! time limits: it serves with its guaranteed minimums, and calls within reservations (counted by its guaranteed minimums)
+//! first.
 
 use crate::Backoff;
 use stagehoist::Micros;
 
-/// How far this front end has come.
+/// The recovery phase of this front end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecoveryPhase {
-    /// The own store is not open yet, or the cluster state has not been read.
+    /// The process's own store is not open yet.
     OpeningStorage,
-    /// Former members are asked about messages that were delivered before.
+    /// A session with the cluster state is awaited, and former members are asked about redelivered messages.
     ResolvingInDoubt,
-    /// A growing part of the calls is admitted, those inside reservations first.
+    /// A growing share of the calls is admitted, and all calls within reservations.
     Ramping,
     /// Every call is admitted.
     Serving,
 }
 
 impl RecoveryPhase {
-    /// The word for logs and reasons.
+    /// Returns the name of the phase in logs and reason codes.
     pub fn word(self) -> &'static str {
         match self {
             RecoveryPhase::OpeningStorage => "waking",
@@ -48,22 +49,22 @@
     }
 }
 
-/// Times and shares, told.
+/// Time limits and thresholds of the phases.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest time in `waking`, in microseconds.
+    /// Maximum duration of [`RecoveryPhase::OpeningStorage`], in microseconds.
     pub opening_storage: Micros,
-    /// Longest time in `asking`, in microseconds.
+    /// Maximum duration of [`RecoveryPhase::ResolvingInDoubt`], in microseconds.
     pub resolving_in_doubt: Micros,
-    /// After this long in `reserved` the part admitted grows by time too, over as long again.
+    /// After this time in [`RecoveryPhase::Ramping`] the admitted share also grows with time, to 1 over the same time again.
     pub ramping: Micros,
-    /// Time that a call needs beside its wait, to be let wait at all.
+    /// Time that a call must have left after its wait to be allowed to wait.
     pub admission_wait: Micros,
-    /// Share of calls served in time at which the fleet counts as warm.
+    /// Fraction of calls served in time at which the fleet counts as warm.
     pub served: f64,
-    /// Part of the others' calls that is admitted at least, so that there is evidence to see.
+    /// Minimum share of the calls outside reservations that is admitted, so that there is evidence to observe.
     pub least: f64,
-    /// Fewest calls that make evidence.
+    /// Minimum number of ended calls that counts as evidence.
     pub calls: u32,
 }
 
@@ -81,29 +82,29 @@
     }
 }
 
-/// What is seen, whenever it changes. Counts are of the last second or so.
+/// The observations that the phases depend on. Counts cover about the last second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RecoveryEvidence {
-    /// Own store: opened, or quarantined and begun anew. Where no intents are told, true.
+    /// The own store was opened, or quarantined and recreated. True if no intents are configured.
     pub store: bool,
-    /// A session with the cluster state stands and its view came. Where no replicas are told, true.
+    /// A session with the cluster state is open and its view was received. True if no replicas are configured.
     pub record: bool,
-    /// Former members that are still to say what they know of messages delivered again.
+    /// Number of open inquiries to former members about redelivered messages.
     pub open_inquiries: u32,
-    /// Admitted calls that ended.
+    /// Number of admitted calls that ended.
     pub ended: u32,
-    /// Those served in time.
+    /// Number of ended calls that were served in time.
     pub in_time: u32,
-    /// Ready workers.
+    /// Number of ready workers.
     pub workers: u32,
-    /// Those with a warm copy of something.
+    /// Number of ready workers with at least one warm copy.
     pub warm_workers: u32,
-    /// Room for cold workers, loads under the ration, that stands unused, as a part of all of it; 1 where nothing is cold.
+    /// Unused fraction of the capacity for cold workers (loads within the load budget); 1 if nothing is cold.
     pub unused_capacity: f64,
 }
 
 impl RecoveryEvidence {
-    /// How warm the fleet shows itself, from 0 to 1: the least of what each sign allows.
+    /// Returns how warm the fleet is, from 0 to 1: the minimum over all signals.
     fn warmth(&self, limits: &Limits) -> f64 {
         if self.workers == 0 {
             return 0.0;
@@ -113,47 +114,47 @@
             n if n < limits.calls => 0.0,
             n => (f64::from(self.in_time) / f64::from(n) / limits.served).min(1.0),
         };
-        // Half of the allowance unused is as good as all of it.
+        // An allowance that is half unused counts as much as one that is entirely unused.
         copies.min(served).min((2.0 * self.unused_capacity).min(1.0)).clamp(0.0, 1.0)
     }
 }
 
-/// What is decided about a call that comes.
+/// The admission decision about a new call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is admitted.
+    /// The call is admitted.
     Enter,
-    /// It waits for a change of phase.
+    /// The call waits for a change of phase.
     Wait {
-        /// When to ask again where no change came.
+        /// When to request admission again if the phase has not changed.
         until: Micros,
     },
-    /// It is rejected.
+    /// The call is rejected.
     Refuse {
-        /// The reason in the answer.
+        /// Reason code for the answer.
         reason: &'static str,
-        /// How long the caller had better stay away, in microseconds.
+        /// Advised retry delay, in microseconds.
         retry_after: Micros,
     },
 }
 
-/// The stages of one front end.
+/// The recovery phases of one front end.
 #[derive(Clone, Debug)]
 pub struct RecoveryPhases {
     limits: Limits,
     phase: RecoveryPhase,
     since: Micros,
-    /// Part of the calls outside reservations that is admitted.
+    /// Share of the calls outside reservations that is admitted.
     admitted_share: f64,
     reported_at: Micros,
     random: Backoff,
 }
 
-/// Time in which the part admitted may double.
+/// Minimum time in which the admitted share doubles.
 const STEP: Micros = 500_000;
 
 impl RecoveryPhases {
-    /// A front end starts. One with no fleet configured serves from the start.
+    /// Creates the phases of a front end that starts now. Without a configured fleet use [`RecoveryPhases::open`].
     pub fn new(limits: Limits, seed: u64, now: Micros) -> RecoveryPhases {
         let random = Backoff::new(1, 1, seed);
         RecoveryPhases {
@@ -166,17 +167,17 @@
         }
     }
 
-    /// Without stages: everyone is admitted.
+    /// Skips the recovery phases: every call is admitted.
     pub fn open(now: Micros) -> RecoveryPhases {
         RecoveryPhases { phase: RecoveryPhase::Serving, ..RecoveryPhases::new(Limits::default(), 0, now) }
     }
 
-    /// The present phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> RecoveryPhase {
         self.phase
     }
 
-    /// Part of the calls outside reservations that is admitted now.
+    /// Returns the share of the calls outside reservations that is admitted now.
     pub fn admitted_share(&self) -> f64 {
         match self.phase {
             RecoveryPhase::OpeningStorage | RecoveryPhase::ResolvingInDoubt => 0.0,
@@ -185,7 +186,7 @@
         }
     }
 
-    /// When [`RecoveryPhases::observe`] is due though nothing changed.
+    /// Returns when [`RecoveryPhases::observe`] must be called next if nothing changes.
     pub fn due(&self) -> Option<Micros> {
         match self.phase {
             RecoveryPhase::OpeningStorage => Some(self.since + self.limits.opening_storage),
@@ -195,50 +196,51 @@
         }
     }
 
-    /// What is seen now. True where the harness changed: calls that wait are asked for again.
-    pub fn observe(&mut self, seen: &RecoveryEvidence, now: Micros) -> bool {
-        let before = self.phase;
-        let passed = |limit: Micros| now - self.since >= limit;
+    /// Processes the current evidence. Returns true if the phase changed; admission of the waiting calls must then be retried.
+    pub fn observe(&mut self, evidence: &RecoveryEvidence, now: Micros) -> bool {
+        let previous = self.phase;
+        let has_elapsed = |limit: Micros| now - self.since >= limit;
         match self.phase {
-            RecoveryPhase::OpeningStorage if seen.store || passed(self.limits.opening_storage) => {
+            RecoveryPhase::OpeningStorage if evidence.store || has_elapsed(self.limits.opening_storage) => {
                 self.enter(RecoveryPhase::ResolvingInDoubt, now)
             }
             RecoveryPhase::ResolvingInDoubt
-                if (seen.record && seen.open_inquiries == 0) || passed(self.limits.resolving_in_doubt) =>
+                if (evidence.record && evidence.open_inquiries == 0)
+                    || has_elapsed(self.limits.resolving_in_doubt) =>
             {
                 self.enter(RecoveryPhase::Ramping, now);
             }
-            RecoveryPhase::Ramping => self.grow(seen, now),
+            RecoveryPhase::Ramping => self.grow(evidence, now),
             _ => {}
         }
-        // A stage that has nothing to wait for is passed at once.
-        if self.phase != before && self.phase < RecoveryPhase::Ramping {
-            self.observe(seen, now);
+        // Leave the new phase at once if it has nothing to wait for.
+        if self.phase != previous && self.phase < RecoveryPhase::Ramping {
+            self.observe(evidence, now);
         }
-        self.phase != before
+        self.phase != previous
     }
 
-    fn enter(&mut self, stage: RecoveryPhase, now: Micros) {
-        (self.phase, self.since, self.reported_at) = (stage, now, now);
+    fn enter(&mut self, new_phase: RecoveryPhase, now: Micros) {
+        (self.phase, self.since, self.reported_at) = (new_phase, now, now);
     }
 
-    /// The part admitted doubles at most in each step, up to what the evidence allows; it falls at once where that falls.
-    fn grow(&mut self, seen: &RecoveryEvidence, now: Micros) {
+    /// Updates the admitted share: it at most doubles per [`STEP`], up to what the evidence allows, and falls at once with it.
+    fn grow(&mut self, evidence: &RecoveryEvidence, now: Micros) {
         let limits = self.limits;
-        let late = (now - self.since - limits.ramping) as f64 / limits.ramping.max(1) as f64;
-        // Evidence may never come: nobody calls, or nothing gets warm. Then time opens, slowly.
-        let allowed = seen.warmth(&limits).max(late).max(limits.least);
-        let steps = (now - self.reported_at).max(0) as f64 / STEP as f64;
-        self.admitted_share = allowed.min(self.admitted_share * 2f64.powf(steps.min(8.0))).min(1.0);
+        let time_share = (now - self.since - limits.ramping) as f64 / limits.ramping.max(1) as f64;
+        // Evidence may never appear, without calls or if no worker gets warm. Then the share grows slowly with time.
+        let allowed = evidence.warmth(&limits).max(time_share).max(limits.least);
+        let elapsed_steps = (now - self.reported_at).max(0) as f64 / STEP as f64;
+        self.admitted_share = allowed.min(self.admitted_share * 2f64.powf(elapsed_steps.min(8.0))).min(1.0);
         self.reported_at = now;
         if self.admitted_share >= 1.0 {
             self.enter(RecoveryPhase::Serving, now);
         }
     }
 
-    /// A call comes. `reserved`: its tenant has a permit by its reservation. `budget` is what is left of the caller's time.
+    /// Decides about a new call. `reserved`: its tenant has a permit by its reservation. `budget` is the caller's remaining time.
     pub fn admit(&mut self, reserved: bool, budget: Micros, now: Micros) -> Admission {
-        let (ends, reason) = match self.phase {
+        let (phase_end, reason) = match self.phase {
             RecoveryPhase::Serving => return Admission::Enter,
             RecoveryPhase::Ramping if reserved || self.random.next_fraction() < self.admitted_share => {
                 return Admission::Enter
@@ -249,18 +251,18 @@
             }
             RecoveryPhase::ResolvingInDoubt => (self.since + self.limits.resolving_in_doubt, "asking"),
         };
-        // Waiting is for calls that can still be served after the longest wait.
-        let wait = (ends - now).max(1);
+        // Only calls that can still be served after the longest wait may wait.
+        let wait = (phase_end - now).max(1);
         if budget >= wait + self.limits.admission_wait {
             return Admission::Wait { until: now + wait };
         }
-        let spread = (wait as f64 * (1.0 + self.random.next_fraction())) as Micros;
+        let jittered = (wait as f64 * (1.0 + self.random.next_fraction())) as Micros;
         let retry_after = match self.phase {
-            // As many as are admitted a step come back within a step.
+            // Spread retries so that about as many callers retry per step as are admitted per step.
             RecoveryPhase::Ramping => {
-                (spread as f64 / self.admitted_share.max(0.05)).min(30.0 * STEP as f64) as Micros
+                (jittered as f64 / self.admitted_share.max(0.05)).min(30.0 * STEP as f64) as Micros
             }
-            _ => spread,
+            _ => jittered,
         };
         Admission::Refuse { reason, retry_after: retry_after.max(1) }
     }
--- a/crates/recovery/tests/marked.rs
+++ b/crates/recovery/tests/marked.rs
@@ -1,4 +1,4 @@
-//! Attempts that wait for their intent: sent once it is on disk, and only if what was decided still holds.
+//! Attempts that wait for their intent: sent once it is on disk, and only if the decision is still valid.
 
 use stagehoist_recovery::intent_gate::{GateDecision, Limits, UnsentReason};
 use stagehoist_recovery::IntentGate;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn an_attempt_leaves_with_its_mark_and_the_next_at_once() {
+fn an_attempt_is_sent_with_its_intent_and_the_next_at_once() {
     let mut m = waiting();
     assert_eq!(m.attempt((CALL, (1, 1)), 8, 1000, "b", 5), GateDecision::Wait { record: false });
     assert_eq!(
@@ -22,12 +22,12 @@
     );
     assert_eq!(m.attempt((CALL, (1, 2)), 8, 1000, "c", 20), GateDecision::Send("c"));
     assert_eq!(m.waiting(), 0);
-    // A request's number used again by another call tells nothing.
+    // Another call that reuses the request's number needs an intent of its own.
     assert_eq!(m.attempt((CALL + 1, (1, 0)), 8, 1000, "d", 20), GateDecision::Wait { record: true });
 }
 
 #[test]
-fn what_was_taken_back_never_leaves() {
+fn an_aborted_attempt_is_never_sent() {
     let mut m = waiting();
     assert!(m.abort((1, 0)));
     assert!(!m.abort((1, 0)));
@@ -38,18 +38,18 @@
 }
 
 #[test]
-fn nothing_leaves_to_a_worker_that_is_gone_or_drains_for_longer_than_its_grace() {
-    for (leaving, at, left) in
+fn no_attempt_is_sent_to_a_worker_that_is_gone_or_draining_past_the_grace() {
+    for (leaving, at, is_sent) in
         [(None, 10, true), (Some(-30), 10, true), (Some(-50), 10, false), (Some(i64::MIN), 10, false)]
     {
         let mut m = waiting();
         m.worker(9, leaving);
-        let step = if left {
+        let decision = if is_sent {
             GateDecision::Send("a")
         } else {
             GateDecision::Unsent("a", UnsentReason::WorkerDraining)
         };
-        assert_eq!(m.on_recorded(CALL, true, at), [((1, 0), step)], "{leaving:?}");
+        assert_eq!(m.on_recorded(CALL, true, at), [((1, 0), decision)], "{leaving:?}");
     }
     let mut m = waiting();
     m.worker(9, Some(i64::MIN));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_mark_that_fails_or_is_late_leaves_the_attempt_unsent() {
+fn a_failed_or_late_intent_leaves_the_attempt_unsent() {
     let mut m = waiting();
     assert_eq!(m.on_recorded(CALL, false, 10), [((1, 0), GateDecision::Unsent("a", UnsentReason::NoIntent))]);
     assert_eq!(m.attempt((CALL, (1, 1)), 9, 1000, "b", 20), GateDecision::Wait { record: true });
@@ -66,14 +66,14 @@
     assert_eq!(m.take_late(120), [((1, 1), "b", UnsentReason::NoIntent)]);
     assert_eq!(m.on_recorded(CALL, true, 200), []);
     assert_eq!(m.attempt((CALL, (1, 2)), 9, 1000, "c", 200), GateDecision::Send("c"));
-    // Cut before its intent came, though the alarm did not ring.
+    // The attempt's deadline passed before its intent was recorded, although the expiry was not polled.
     let mut m = IntentGate::new(LIMITS);
     m.attempt((CALL, (1, 0)), 9, 60, "a", 0);
     assert_eq!(m.on_recorded(CALL, true, 60), [((1, 0), GateDecision::Unsent("a", UnsentReason::TooLate))]);
 }
 
 #[test]
-fn what_waits_and_what_is_remembered_is_bounded() {
+fn waiting_attempts_and_remembered_calls_are_limited() {
     let mut m = IntentGate::new(LIMITS);
     for n in 0..4 {
         assert_eq!(m.attempt((n, (n as u32, 0)), 9, 1000, "a", 0), GateDecision::Wait { record: true });
@@ -83,7 +83,7 @@
         m.attempt((n, (n as u32, 0)), 9, 1000, "a", 0);
         m.on_recorded(n, true, 1);
     }
-    // The first was forgotten: its intent is asked for again, which does no harm.
+    // The first call was evicted: its intent is requested again, which does no harm.
     assert_eq!(m.attempt((0, (0, 1)), 9, 1000, "a", 2), GateDecision::Wait { record: true });
     assert_eq!(m.attempt((99, (99, 1)), 9, 1000, "a", 2), GateDecision::Send("a"));
 }
--- a/crates/recovery/tests/restarts.rs
+++ b/crates/recovery/tests/restarts.rs
@@ -1,5 +1,6 @@
-//! One message that may run once, two processes with intents, and a broker that delivers again: over any drawn interleaving of
-//! deaths, lost connections, late deliveries and answers it never runs twice, and where nothing left it runs.
+//! Simulates one non-idempotent message, two processes with intents, and a broker that redelivers. In any random interleaving
+//! of crashes, lost connections, late deliveries and answers, the message never runs twice, and it runs if no attempt was
+//! sent.
 
 use proptest::prelude::*;
 use stagehoist::Effect;
@@ -7,57 +8,57 @@
 use stagehoist_recovery::intent_gate::{GateDecision, Limits};
 use stagehoist_recovery::{AttemptKnowledge, DeliveryCache, IntentGate, Key, ReplyState, Verdict};
 
-/// A guard that a variant of the play goes without.
+/// The safeguard that a variant of the simulation omits.
 #[derive(Clone, Copy, PartialEq)]
-enum Without {
+enum Omitted {
     Nothing,
-    /// Attempts leave before their intent is on disk.
-    Mark,
-    /// Only the own intents are asked.
-    Others,
-    /// Whoever says that nothing left may still take the message up.
+    /// Attempts are sent before their intent is on disk.
+    Intent,
+    /// Only the process's own intents are consulted.
+    OtherProcess,
+    /// A process that answered that no attempt was sent may still run the message.
     Promise,
 }
 
 struct Process {
-    memory: DeliveryCache<()>,
+    cache: DeliveryCache<()>,
     inquiries: Inquiries<usize>,
-    marked: IntentGate<()>,
-    /// Its disk: asked for, and there.
+    gate: IntentGate<()>,
+    /// Intents requested but not yet on its disk, and intents on its disk.
     writing: Vec<u64>,
     disk: Vec<u64>,
-    /// Deliveries in its socket; a connection may be lost to the broker and not yet to the process.
+    /// Unread deliveries in its socket; the broker may have lost the connection before the process notices.
     socket: Vec<bool>,
-    /// Questions and answers of the other under way: the number that waits there.
-    asked: Vec<u64>,
-    told: Vec<(u64, usize, AttemptKnowledge)>,
+    /// Inquiries and answers in flight from the other process, with the number of the call that waits there.
+    inquiries_received: Vec<u64>,
+    answers: Vec<(u64, usize, AttemptKnowledge)>,
 }
 
 impl Process {
     fn new(disk: Vec<u64>) -> Process {
-        let mut memory = DeliveryCache::new(100, 1_000_000, false);
-        memory.inquires(true);
-        let patience = InquiryLimits { max_open: 10, max_wait: 1000, share: 1.0 };
+        let mut cache = DeliveryCache::new(100, 1_000_000, false);
+        cache.inquires(true);
+        let limits = InquiryLimits { max_open: 10, max_wait: 1000, share: 1.0 };
         Process {
-            memory,
-            inquiries: Inquiries::new(patience),
-            marked: IntentGate::new(Limits { longest: 1000, most: 10, grace: 0 }),
+            cache,
+            inquiries: Inquiries::new(limits),
+            gate: IntentGate::new(Limits { longest: 1000, most: 10, grace: 0 }),
             writing: Vec::new(),
             disk,
             socket: Vec::new(),
-            asked: Vec::new(),
-            told: Vec::new(),
+            inquiries_received: Vec::new(),
+            answers: Vec::new(),
         }
     }
 }
 
-struct Play {
-    without: Without,
+struct Simulation {
+    omitted: Omitted,
     processes: [Process; 2],
-    /// Who the broker believes has the message; none: it is in the queue.
+    /// The process to which the broker has delivered the message; None: the message is in the queue.
     holder: Option<usize>,
     delivered: bool,
-    next: u64,
+    next_number: u64,
     now: i64,
     runs: u32,
     failed: u32,
@@ -67,13 +68,22 @@
     Key::new("replies", "c", "m").unwrap()
 }
 
-impl Play {
-    fn new(without: Without) -> Play {
+impl Simulation {
+    fn new(omitted: Omitted) -> Simulation {
         let processes = [Process::new(Vec::new()), Process::new(Vec::new())];
-        Play { without, processes, holder: None, delivered: false, next: 1, now: 0, runs: 0, failed: 0 }
+        Simulation {
+            omitted,
+            processes,
+            holder: None,
+            delivered: false,
+            next_number: 1,
+            now: 0,
+            runs: 0,
+            failed: 0,
+        }
     }
 
-    fn marks(&self, at: usize) -> AttemptKnowledge {
+    fn intents(&self, at: usize) -> AttemptKnowledge {
         if self.processes[at].disk.is_empty() {
             AttemptKnowledge::None
         } else {
@@ -83,8 +93,8 @@
 
     fn attempt(&mut self, at: usize, number: u64) {
         let process = &mut self.processes[at];
-        let step = process.marked.attempt((number, (number as u32, 0)), 1, i64::MAX, (), self.now);
-        if self.without == Without::Mark {
+        let step = process.gate.attempt((number, (number as u32, 0)), 1, i64::MAX, (), self.now);
+        if self.omitted == Omitted::Intent {
             self.runs += 1;
         }
         match step {
@@ -99,28 +109,28 @@
             Outcome::Run => self.attempt(at, number),
             Outcome::Fail => {
                 self.failed += 1;
-                self.processes[at].memory.on_answer(&key(), number, (), ReplyState::Doubtful);
+                self.processes[at].cache.on_answer(&key(), number, (), ReplyState::Doubtful);
             }
         }
     }
 
-    fn step(&mut self, what: u8, at: usize) {
+    fn step(&mut self, event: u8, at: usize) {
         self.now += 1;
         let other = 1 - at;
-        match what {
+        match event {
             // The broker delivers.
             0 | 1 if self.holder.is_none() => {
                 self.holder = Some(at);
                 let again = std::mem::replace(&mut self.delivered, true);
-                // On a connection of its own: what lay in the one before went with it.
+                // The delivery uses a new connection; unread deliveries on the previous one are lost.
                 self.processes[at].socket = vec![again];
             }
-            // The process reads its socket; what it held back from a connection that is lost comes too.
+            // The process reads its socket, including deliveries from a connection that the broker lost.
             2 | 3 => {
                 let Some(again) = self.processes[at].socket.pop() else { return };
-                let number = self.next;
-                self.next += 1;
-                let verdict = self.processes[at].memory.on_delivery(
+                let number = self.next_number;
+                self.next_number += 1;
+                let verdict = self.processes[at].cache.on_delivery(
                     Some(&key()),
                     again,
                     Effect::NonIdempotent,
@@ -130,49 +140,50 @@
                 match verdict {
                     Verdict::Run => self.attempt(at, number),
                     Verdict::Inquire => {
-                        let whom = if self.without == Without::Others { vec![at] } else { vec![at, other] };
-                        let asked = self.processes[at].inquiries.start(
+                        let members =
+                            if self.omitted == Omitted::OtherProcess { vec![at] } else { vec![at, other] };
+                        let inquiries_received = self.processes[at].inquiries.start(
                             number,
                             key().identity(),
-                            whom,
+                            members,
                             1000,
                             self.now,
                         );
-                        assert_eq!(asked, Ok(()));
-                        let own = self.marks(at);
-                        self.processes[at].told.push((number, at, own));
-                        self.processes[other].asked.push(number);
+                        assert_eq!(inquiries_received, Ok(()));
+                        let own = self.intents(at);
+                        self.processes[at].answers.push((number, at, own));
+                        self.processes[other].inquiries_received.push(number);
                     }
                     _ => self.failed += 1,
                 }
             }
-            // The disk is done.
+            // A write of an intent completes.
             4 | 5 => {
                 let Some(number) = self.processes[at].writing.pop() else { return };
                 self.processes[at].disk.push(number);
-                let sent = self.processes[at].marked.on_recorded(number, true, self.now);
-                if self.without != Without::Mark {
+                let sent = self.processes[at].gate.on_recorded(number, true, self.now);
+                if self.omitted != Omitted::Intent {
                     self.runs += sent.len() as u32;
                 }
             }
-            // The other's question comes.
+            // An inquiry of the other process arrives.
             6 => {
-                let Some(number) = self.processes[at].asked.pop() else { return };
-                let marks = self.marks(at);
-                let told = match self.without {
-                    Without::Promise => marks,
-                    _ => self.processes[at].memory.combine(&key(), marks, self.now),
+                let Some(number) = self.processes[at].inquiries_received.pop() else { return };
+                let intents = self.intents(at);
+                let answers = match self.omitted {
+                    Omitted::Promise => intents,
+                    _ => self.processes[at].cache.combine(&key(), intents, self.now),
                 };
-                self.processes[other].told.push((number, at, told));
+                self.processes[other].answers.push((number, at, answers));
             }
-            // An answer comes.
+            // An answer arrives.
             7 | 8 => {
-                let Some((number, from, told)) = self.processes[at].told.pop() else { return };
-                if let Some(outcome) = self.processes[at].inquiries.on_answer(number, &from, told) {
+                let Some((number, from, answers)) = self.processes[at].answers.pop() else { return };
+                if let Some(outcome) = self.processes[at].inquiries.on_answer(number, &from, answers) {
                     self.outcome(at, number, outcome);
                 }
             }
-            // The process dies and starts anew with its disk; answers and questions under way are lost.
+            // The process crashes and restarts with its disk; answers and inquiries in flight to it are lost.
             9 => {
                 let disk = std::mem::take(&mut self.processes[at].disk);
                 self.processes[at] = Process::new(disk);
@@ -180,58 +191,58 @@
                     self.holder = None;
                 }
             }
-            // The broker gives the connection up; the process does not know it yet.
+            // The broker closes the connection; the process has not noticed yet.
             10 if self.holder == Some(at) => self.holder = None,
             _ => {}
         }
     }
 }
 
-/// The most runs of one message in so many drawn plays.
-fn most_runs(without: Without) -> u32 {
-    let mut most = 0;
+/// Returns the maximum number of runs of one message over 20,000 random simulations.
+fn max_runs(omitted: Omitted) -> u32 {
+    let mut max = 0;
     let mut seed = 28u64;
     for _ in 0..20_000 {
-        let mut play = Play::new(without);
+        let mut simulation = Simulation::new(omitted);
         for _ in 0..60 {
             seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            play.step(((seed >> 33) % 11) as u8, ((seed >> 60) & 1) as usize);
+            simulation.step(((seed >> 33) % 11) as u8, ((seed >> 60) & 1) as usize);
         }
-        most = most.max(play.runs);
+        max = max.max(simulation.runs);
     }
-    most
+    max
 }
 
 #[test]
-fn no_message_runs_twice_over_drawn_restarts() {
-    assert_eq!(most_runs(Without::Nothing), 1);
+fn no_message_runs_twice_over_random_restarts() {
+    assert_eq!(max_runs(Omitted::Nothing), 1);
 }
 
 #[test]
-fn each_guard_matters() {
-    for without in [Without::Mark, Without::Others, Without::Promise] {
-        assert!(most_runs(without) > 1, "{}", without as u8);
+fn every_safeguard_is_needed() {
+    for omitted in [Omitted::Intent, Omitted::OtherProcess, Omitted::Promise] {
+        assert!(max_runs(omitted) > 1, "{}", omitted as u8);
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(28), ..Default::default() })]
 
-    /// Delivered and killed before any attempt, as often as drawn: it runs once in the end, and never fails.
+    /// Processes crash after a delivery and before any attempt, a random number of times: the message runs once in the end.
     #[test]
-    fn a_message_that_nobody_attempted_runs_once(deaths in prop::collection::vec((0usize..2, 0usize..3), 0..6)) {
-        let mut play = Play::new(Without::Nothing);
-        for (at, depth) in deaths.into_iter().chain([(0, 9)]) {
+    fn a_message_without_an_attempt_runs_once(crashes in prop::collection::vec((0usize..2, 0usize..3), 0..6)) {
+        let mut simulation = Simulation::new(Omitted::Nothing);
+        for (at, depth) in crashes.into_iter().chain([(0, 9)]) {
             let path = [(0, at), (2, at), (6, 1 - at), (7, at), (7, at), (4, at)];
-            // The last round goes its whole way; the others die before their intent is asked for or written.
-            for (what, who) in path.into_iter().take(1 + depth) {
-                play.step(what, who);
+            // The last round completes; in the others the process crashes before the intent is requested or written.
+            for (event, process) in path.into_iter().take(1 + depth) {
+                simulation.step(event, process);
             }
             if depth < 9 {
-                prop_assert_eq!(play.runs, 0);
-                play.step(9, at);
+                prop_assert_eq!(simulation.runs, 0);
+                simulation.step(9, at);
             }
         }
-        prop_assert_eq!((play.runs, play.failed), (1, 0));
+        prop_assert_eq!((simulation.runs, simulation.failed), (1, 0));
     }
 }
--- a/crates/recovery/tests/stages.rs
+++ b/crates/recovery/tests/stages.rs
@@ -1,4 +1,4 @@
-//! Stages end for whatever is seen, let reservations in first, and open by evidence.
+//! Recovery phases end whatever the evidence, admit calls within reservations first, and open by evidence.
 
 use proptest::prelude::*;
 use stagehoist_recovery::phases::{Admission, Limits, RecoveryEvidence, RecoveryPhase};
@@ -19,38 +19,38 @@
     RecoveryEvidence { ended: 100, in_time: 10, warm_workers: 0, unused_capacity: 0.0, ..WARM };
 
 fn at(stage: RecoveryPhase) -> RecoveryPhases {
-    let mut stages = RecoveryPhases::new(Limits::default(), 1, 0);
+    let mut phases = RecoveryPhases::new(Limits::default(), 1, 0);
     if stage >= RecoveryPhase::ResolvingInDoubt {
-        stages.observe(&RecoveryEvidence { store: true, ..RecoveryEvidence::default() }, 0);
+        phases.observe(&RecoveryEvidence { store: true, ..RecoveryEvidence::default() }, 0);
     }
     if stage >= RecoveryPhase::Ramping {
-        stages.observe(&COLD, 0);
+        phases.observe(&COLD, 0);
     }
-    assert_eq!(stages.phase(), stage);
-    stages
+    assert_eq!(phases.phase(), stage);
+    phases
 }
 
-/// How many of a thousand calls outside reservations enter.
-fn others(stages: &mut RecoveryPhases, now: i64) -> usize {
-    (0..1000).filter(|_| stages.admit(false, 5 * S, now) == Admission::Enter).count()
+/// Returns how many of a thousand calls outside reservations are admitted.
+fn admitted_of_1000(phases: &mut RecoveryPhases, now: i64) -> usize {
+    (0..1000).filter(|_| phases.admit(false, 5 * S, now) == Admission::Enter).count()
 }
 
 #[test]
-fn calls_wait_through_waking_and_asking_where_their_time_allows() {
+fn calls_wait_for_storage_and_in_doubt_resolution_if_their_time_allows() {
     for stage in [RecoveryPhase::OpeningStorage, RecoveryPhase::ResolvingInDoubt] {
-        let mut stages = at(stage);
-        assert!(matches!(stages.admit(true, 10 * S, 0), Admission::Wait { until } if until <= 5 * S));
-        let Admission::Refuse { reason, retry_after } = stages.admit(true, S, 0) else { panic!() };
+        let mut phases = at(stage);
+        assert!(matches!(phases.admit(true, 10 * S, 0), Admission::Wait { until } if until <= 5 * S));
+        let Admission::Refuse { reason, retry_after } = phases.admit(true, S, 0) else { panic!() };
         assert_eq!(reason, stage.word());
         assert!((3 * S..=10 * S).contains(&retry_after), "{retry_after}");
     }
 }
 
 #[test]
-fn refusals_come_back_spread_and_the_same_for_one_seed() {
+fn retry_delays_are_spread_and_reproducible_for_a_seed() {
     let times = |seed| -> Vec<i64> {
-        let mut stages = RecoveryPhases::new(Limits::default(), seed, 0);
-        let calls = (0..1000).map(|_| match stages.admit(false, 0, 0) {
+        let mut phases = RecoveryPhases::new(Limits::default(), seed, 0);
+        let calls = (0..1000).map(|_| match phases.admit(false, 0, 0) {
             Admission::Refuse { retry_after, .. } => retry_after,
             other => panic!("{other:?}"),
         });
@@ -65,32 +65,32 @@
 }
 
 #[test]
-fn reservations_enter_a_cold_fleet_and_of_the_others_only_the_least_part() {
-    let mut stages = at(RecoveryPhase::Ramping);
+fn a_cold_fleet_admits_reservations_and_a_minimum_share_of_other_calls() {
+    let mut phases = at(RecoveryPhase::Ramping);
     for second in 1..19 {
-        assert!(!stages.observe(&COLD, second * S));
-        assert_eq!(stages.admit(true, 0, second * S), Admission::Enter);
-        assert!((20..100).contains(&others(&mut stages, second * S)));
+        assert!(!phases.observe(&COLD, second * S));
+        assert_eq!(phases.admit(true, 0, second * S), Admission::Enter);
+        assert!((20..100).contains(&admitted_of_1000(&mut phases, second * S)));
     }
 }
 
 #[test]
-fn a_warm_fleet_opens_by_steps_before_any_limit() {
-    let mut stages = at(RecoveryPhase::Ramping);
-    let mut part = stages.admitted_share();
+fn a_warm_fleet_opens_in_steps_before_the_time_limit() {
+    let mut phases = at(RecoveryPhase::Ramping);
+    let mut part = phases.admitted_share();
     let mut now = 0;
-    while stages.phase() == RecoveryPhase::Ramping {
+    while phases.phase() == RecoveryPhase::Ramping {
         now += S / 2;
-        stages.observe(&WARM, now);
-        assert!(stages.admitted_share() <= 2.0 * part + 1e-9);
-        part = stages.admitted_share();
+        phases.observe(&WARM, now);
+        assert!(phases.admitted_share() <= 2.0 * part + 1e-9);
+        part = phases.admitted_share();
     }
     assert!((2 * S..5 * S).contains(&now), "{now}");
-    assert_eq!(others(&mut stages, now), 1000);
+    assert_eq!(admitted_of_1000(&mut phases, now), 1000);
 }
 
 #[test]
-fn each_sign_of_cold_alone_keeps_the_others_out() {
+fn each_cold_signal_alone_keeps_other_calls_at_the_minimum_share() {
     let signs = [
         RecoveryEvidence { warm_workers: 0, ..WARM },
         RecoveryEvidence { in_time: 0, ..WARM },
@@ -98,45 +98,48 @@
         RecoveryEvidence { ended: 3, in_time: 3, ..WARM },
         RecoveryEvidence { workers: 0, ..WARM },
     ];
-    for sign in signs {
-        let mut stages = at(RecoveryPhase::Ramping);
+    for signal in signs {
+        let mut phases = at(RecoveryPhase::Ramping);
         for second in 1..20 {
-            stages.observe(&sign, second * S);
+            phases.observe(&signal, second * S);
         }
-        assert!(stages.admitted_share() < 0.06, "{sign:?}: {}", stages.admitted_share());
+        assert!(phases.admitted_share() < 0.06, "{signal:?}: {}", phases.admitted_share());
     }
-    // Evidence that goes away shuts again.
-    let mut stages = at(RecoveryPhase::Ramping);
+    // The admitted share falls again when the evidence is lost.
+    let mut phases = at(RecoveryPhase::Ramping);
     for half in 1..4 {
-        stages.observe(&WARM, half * S / 2);
+        phases.observe(&WARM, half * S / 2);
     }
-    assert!(stages.admitted_share() > 0.3);
-    stages.observe(&COLD, 2 * S);
-    assert!(stages.admitted_share() < 0.06);
+    assert!(phases.admitted_share() > 0.3);
+    phases.observe(&COLD, 2 * S);
+    assert!(phases.admitted_share() < 0.06);
 }
 
 #[test]
-fn a_lone_survivor_serves_by_the_limits() {
-    let mut stages = RecoveryPhases::new(Limits::default(), 1, 0);
-    let nothing = RecoveryEvidence { open_inquiries: 4, ..RecoveryEvidence::default() };
+fn a_lone_survivor_serves_after_the_time_limits() {
+    let mut phases = RecoveryPhases::new(Limits::default(), 1, 0);
+    let no_evidence = RecoveryEvidence { open_inquiries: 4, ..RecoveryEvidence::default() };
     let mut entered = Vec::new();
-    while let Some(due) = stages.due() {
-        if stages.observe(&nothing, due) {
-            entered.push((stages.phase(), due));
+    while let Some(due) = phases.due() {
+        if phases.observe(&no_evidence, due) {
+            entered.push((phases.phase(), due));
         }
     }
-    let stages: Vec<RecoveryPhase> = entered.iter().map(|e| e.0).collect();
-    assert_eq!(stages, [RecoveryPhase::ResolvingInDoubt, RecoveryPhase::Ramping, RecoveryPhase::Serving]);
+    let entered_phases: Vec<RecoveryPhase> = entered.iter().map(|e| e.0).collect();
+    assert_eq!(
+        entered_phases,
+        [RecoveryPhase::ResolvingInDoubt, RecoveryPhase::Ramping, RecoveryPhase::Serving]
+    );
     assert_eq!((entered[0].1, entered[1].1), (2 * S, 5 * S));
     assert!(entered[2].1 <= 46 * S, "{entered:?}");
 }
 
-fn seen() -> impl Strategy<Value = RecoveryEvidence> {
+fn evidence() -> impl Strategy<Value = RecoveryEvidence> {
     (any::<[bool; 2]>(), 0u32..5, 0u32..100, 0u32..100, 0u32..20, 0u32..20, 0.0f64..1.0).prop_map(
-        |([store, record], unheard, ended, in_time, workers, warm, unused)| RecoveryEvidence {
+        |([store, record], open_inquiries_drawn, ended, in_time, workers, warm, unused)| RecoveryEvidence {
             store,
             record,
-            open_inquiries: unheard,
+            open_inquiries: open_inquiries_drawn,
             ended,
             in_time: in_time.min(ended),
             workers,
@@ -149,30 +152,30 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(28), ..Default::default() })]
 
-    /// Whatever is seen and whenever: stages only go on, each within its limit, and all are over in the end.
+    /// For any evidence at any time, phases only advance, each ends within its limit, and the last is always reached.
     #[test]
-    fn stages_end_for_any_answers_and_times(
+    fn phases_end_for_any_evidence_and_times(
         seed in any::<u64>(),
-        steps in prop::collection::vec((seen(), 1i64..3 * S), 60..120),
+        steps in prop::collection::vec((evidence(), 1i64..3 * S), 60..120),
     ) {
-        let mut stages = RecoveryPhases::new(Limits::default(), seed, 0);
+        let mut phases = RecoveryPhases::new(Limits::default(), seed, 0);
         let (mut now, mut last) = (0, RecoveryPhase::OpeningStorage);
-        for (seen, pause) in steps.into_iter().cycle().take(400) {
-            // As the driver does: when told, and when due.
+        for (evidence, pause) in steps.into_iter().cycle().take(400) {
+            // Update on new evidence and at the requested times, as the driver does.
             let then = now + pause;
-            while let Some(due) = stages.due().filter(|due| *due <= then) {
+            while let Some(due) = phases.due().filter(|due| *due <= then) {
                 now = now.max(due);
-                stages.observe(&seen, now);
-                prop_assert!(stages.due().is_none_or(|next| next > now));
+                phases.observe(&evidence, now);
+                prop_assert!(phases.due().is_none_or(|next| next > now));
             }
             now = then;
-            stages.observe(&seen, now);
-            prop_assert!(stages.phase() >= last);
-            last = stages.phase();
+            phases.observe(&evidence, now);
+            prop_assert!(phases.phase() >= last);
+            last = phases.phase();
             prop_assert!(now < 2 * S || last > RecoveryPhase::OpeningStorage);
             prop_assert!(now < 5 * S || last > RecoveryPhase::ResolvingInDoubt);
             prop_assert!(now < 60 * S || last == RecoveryPhase::Serving);
-            if let Admission::Wait { until } = stages.admit(false, 10 * S, now) {
+            if let Admission::Wait { until } = phases.admit(false, 10 * S, now) {
                 prop_assert!(until > now && until <= now + 10 * S);
             }
         }
