--- a/crates/fault-shim/src/calls.rs
+++ b/crates/fault-shim/src/calls.rs
@@ -1,6 +1,6 @@
-//! The functions that stand in for those of the C library.
+//! Replacements for functions of the C library.
 
-use crate::plan::{clock_offset, connections_break, file_fault, idle_part, socket_fault};
+use crate::plan::{clock_offset, connections_break, file_fault, idle_factor, socket_fault};
 use crate::real::Real;
 use libc::{c_int, c_void, clockid_t, epoll_event, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::cell::Cell;
@@ -8,23 +8,23 @@
 use std::time::Duration;
 
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
-/// Descriptors of which it is known who made the connection.
+/// Number of descriptors whose kind is tracked.
 const MAX_DESCRIPTORS: usize = 1 << 16;
-/// Of the calls on a connection that go wrong, every so many-th finds it broken; the others are interrupted or short.
+/// One in this many faulty calls on a connection breaks it; the others are interrupted or short.
 const BREAKS_EVERY: u64 = 16;
 
-/// A sleep shorter than this, in nanoseconds, is put together with the next.
+/// Minimum length of a sleep, in nanoseconds; shorter ones accumulate until they reach it.
 const MIN_SLEEP: i64 = 500_000;
 
-/// What a descriptor is known to be.
+/// Kind of a descriptor.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 enum Kind {
-    /// No network connection: a pipe between threads, for one. Its reads and writes always go through.
+    /// Not a network connection, for example a pipe between threads. Its reads and writes are always passed on.
     Other,
-    /// A connection that this process made.
+    /// A connection that this process opened.
     Connected,
-    /// A connection that it accepted.
+    /// A connection that this process accepted.
     Accepted,
 }
 
@@ -32,17 +32,17 @@
 static KINDS: [AtomicU8; MAX_DESCRIPTORS] = [const { AtomicU8::new(Kind::Other as u8) }; MAX_DESCRIPTORS];
 
 fn set_kind(descriptor: c_int, kind: Kind) {
-    if let Some(known) = usize::try_from(descriptor).ok().and_then(|index| KINDS.get(index)) {
-        known.store(kind as u8, Ordering::Relaxed);
+    if let Some(entry) = usize::try_from(descriptor).ok().and_then(|index| KINDS.get(index)) {
+        entry.store(kind as u8, Ordering::Relaxed);
     }
 }
 
 fn is_kind(descriptor: c_int, kind: Kind) -> bool {
-    let known = usize::try_from(descriptor).ok().and_then(|index| KINDS.get(index));
-    known.is_some_and(|known| known.load(Ordering::Relaxed) == kind as u8)
+    let entry = usize::try_from(descriptor).ok().and_then(|index| KINDS.get(index));
+    entry.is_some_and(|entry| entry.load(Ordering::Relaxed) == kind as u8)
 }
 
-/// A number for a read or write on a network connection that is to go wrong.
+/// Returns a random number if this read or write on a network connection is to fail.
 fn connection_fault(descriptor: c_int) -> Option<u64> {
     if is_kind(descriptor, Kind::Other) {
         return None;
@@ -51,23 +51,23 @@
 }
 
 thread_local! {
-    /// Processor time of this thread up to which it has slept for what it used, in nanoseconds.
-    static PACED: Cell<i64> = const { Cell::new(0) };
+    /// This thread's processor time after its last sleep, in nanoseconds.
+    static SLEPT_AT: Cell<i64> = const { Cell::new(0) };
 }
 
-/// Sleeps for the processor time that this thread used since it last did, so that it gets a share of a core alone.
-fn pace() {
-    let Some(idle_part) = idle_part() else { return };
+/// Sleeps in proportion to the processor time used since the last sleep, so that this thread gets only its share of a core.
+fn sleep_for_share() {
+    let Some(idle_factor) = idle_factor() else { return };
     let used = processor_time();
-    let debt = ((used - PACED.get()) as f64 * idle_part) as i64;
-    if debt < MIN_SLEEP {
+    let sleep_time = ((used - SLEPT_AT.get()) as f64 * idle_factor) as i64;
+    if sleep_time < MIN_SLEEP {
         return;
     }
-    std::thread::sleep(Duration::from_nanos(debt as u64));
-    PACED.set(processor_time());
+    std::thread::sleep(Duration::from_nanos(sleep_time as u64));
+    SLEPT_AT.set(processor_time());
 }
 
-/// Processor time of this thread, in nanoseconds.
+/// Returns the processor time of this thread, in nanoseconds.
 fn processor_time() -> i64 {
     let mut time = timespec { tv_sec: 0, tv_nsec: 0 };
     // SAFETY: `time` is valid, and the clock is the calling thread's own.
@@ -80,7 +80,7 @@
     unsafe { *libc::__errno_location() = errno };
 }
 
-/// One of these, by the number drawn.
+/// Selects one of the error codes by a random number.
 fn pick(number: u64, errnos: &[c_int]) -> c_int {
     errnos[(number % errnos.len() as u64) as usize]
 }
@@ -90,12 +90,12 @@
     -1
 }
 
-/// How many bytes of a read or a write are passed on at most; None where it fails, with errno set.
+/// Returns the maximum number of bytes of a read or write to pass on; None, with errno set, if the call fails.
 fn transfer_limit(descriptor: c_int, length: size_t) -> Option<size_t> {
-    pace();
+    sleep_for_share();
     let Some(number) = connection_fault(descriptor) else { return Some(length) };
     if connections_break() && number.is_multiple_of(BREAKS_EVERY) && is_kind(descriptor, Kind::Connected) {
-        // SAFETY: shutting down takes any descriptor; what it can't shut down it refuses.
+        // SAFETY: `shutdown` may be called with any descriptor and returns an error for an unsuitable one.
         unsafe { libc::shutdown(descriptor, libc::SHUT_RDWR) };
         set_errno(pick(number / BREAKS_EVERY, &[libc::ETIMEDOUT, libc::EHOSTUNREACH]));
         return None;
@@ -117,7 +117,7 @@
 type Sync = unsafe extern "C" fn(c_int) -> c_int;
 type Pwrite64 = unsafe extern "C" fn(c_int, *const c_void, size_t, libc::off64_t) -> ssize_t;
 
-// SAFETY, of all nine: the types above are those of the C library's headers.
+// SAFETY, for each of these: the nine types above are those of the C library's headers.
 static CLOCK_GETTIME: Real<ClockGettime> = unsafe { Real::new(c"clock_gettime") };
 static ACCEPT4: Real<Accept4> = unsafe { Real::new(c"accept4") };
 static SOCKET: Real<Socket> = unsafe { Real::new(c"socket") };
@@ -130,14 +130,14 @@
 static PWRITE64: Real<Pwrite64> = unsafe { Real::new(c"pwrite64") };
 
 /// # Safety
-/// As `clock_gettime(2)`.
+/// The caller must follow the requirements of `clock_gettime(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    // SAFETY: passed on as given.
+    // SAFETY: the arguments are passed on unchanged.
     let result = unsafe { CLOCK_GETTIME.get()(clock, time) };
-    let is_wall = clock == libc::CLOCK_REALTIME || clock == libc::CLOCK_REALTIME_COARSE;
-    // The plan reads the monotonic clock, which never comes here again.
-    let offset = if is_wall && result == 0 { clock_offset() } else { 0 };
+    let is_wall_clock = clock == libc::CLOCK_REALTIME || clock == libc::CLOCK_REALTIME_COARSE;
+    // The plan reads the monotonic clock, so that this does not recurse.
+    let offset = if is_wall_clock && result == 0 { clock_offset() } else { 0 };
     if offset != 0 {
         // SAFETY: the call succeeded, so that `time` is valid.
         let time = unsafe { &mut *time };
@@ -149,7 +149,7 @@
 }
 
 /// # Safety
-/// As `accept4(2)`.
+/// The caller must follow the requirements of `accept4(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     descriptor: c_int,
@@ -157,45 +157,45 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    pace();
+    sleep_for_share();
     if let Some(number) = socket_fault() {
         return fail(number, &[libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS, libc::EINTR]);
     }
-    // SAFETY: passed on as given.
+    // SAFETY: the arguments are passed on unchanged.
     let accepted = unsafe { ACCEPT4.get()(descriptor, address, length, flags) };
     set_kind(accepted, Kind::Accepted);
     accepted
 }
 
 /// # Safety
-/// As `socket(2)`.
+/// The caller must follow the requirements of `socket(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    pace();
+    sleep_for_share();
     if let Some(number) = socket_fault() {
         return fail(number, &[libc::ENFILE, libc::ENOBUFS]);
     }
-    // SAFETY: passed on as given.
+    // SAFETY: the arguments are passed on unchanged.
     let opened = unsafe { SOCKET.get()(domain, kind, protocol) };
     set_kind(opened, Kind::Other);
     opened
 }
 
 /// # Safety
-/// As `connect(2)`.
+/// The caller must follow the requirements of `connect(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn connect(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    pace();
+    sleep_for_share();
     if let Some(number) = socket_fault() {
         return fail(number, &[libc::ENOBUFS, libc::EADDRNOTAVAIL, libc::ENETUNREACH]);
     }
     set_kind(descriptor, Kind::Connected);
-    // SAFETY: passed on as given.
+    // SAFETY: the arguments are passed on unchanged.
     unsafe { CONNECT.get()(descriptor, address, length) }
 }
 
 /// # Safety
-/// As `epoll_wait(2)`.
+/// The caller must follow the requirements of `epoll_wait(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn epoll_wait(
     descriptor: c_int,
@@ -203,16 +203,16 @@
     max_events: c_int,
     timeout: c_int,
 ) -> c_int {
-    pace();
+    sleep_for_share();
     if let Some(number) = socket_fault() {
         return fail(number, &[libc::EINTR]);
     }
-    // SAFETY: passed on as given.
+    // SAFETY: the arguments are passed on unchanged.
     unsafe { EPOLL_WAIT.get()(descriptor, events, max_events, timeout) }
 }
 
 /// # Safety
-/// As `recv(2)`.
+/// The caller must follow the requirements of `recv(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn recv(
     descriptor: c_int,
@@ -221,12 +221,12 @@
     flags: c_int,
 ) -> ssize_t {
     let Some(limit) = transfer_limit(descriptor, length) else { return -1 };
-    // SAFETY: passed on as given, with a part of the buffer at most.
+    // SAFETY: the arguments are passed on unchanged, except that the length may be shorter.
     unsafe { RECV.get()(descriptor, buffer, limit, flags) }
 }
 
 /// # Safety
-/// As `send(2)`.
+/// The caller must follow the requirements of `send(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn send(
     descriptor: c_int,
@@ -235,34 +235,34 @@
     flags: c_int,
 ) -> ssize_t {
     let Some(limit) = transfer_limit(descriptor, length) else { return -1 };
-    // SAFETY: passed on as given, with a part of the buffer at most.
+    // SAFETY: the arguments are passed on unchanged, except that the length may be shorter.
     unsafe { SEND.get()(descriptor, buffer, limit, flags) }
 }
 
 /// # Safety
-/// As `fsync(2)`.
+/// The caller must follow the requirements of `fsync(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn fsync(descriptor: c_int) -> c_int {
     if let Some(number) = file_fault() {
         return fail(number, &[libc::EIO, libc::ENOSPC]);
     }
-    // SAFETY: passed on as given.
+    // SAFETY: the arguments are passed on unchanged.
     unsafe { FSYNC.get()(descriptor) }
 }
 
 /// # Safety
-/// As `fdatasync(2)`.
+/// The caller must follow the requirements of `fdatasync(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn fdatasync(descriptor: c_int) -> c_int {
     if let Some(number) = file_fault() {
         return fail(number, &[libc::EIO, libc::ENOSPC]);
     }
-    // SAFETY: passed on as given.
+    // SAFETY: the arguments are passed on unchanged.
     unsafe { FDATASYNC.get()(descriptor) }
 }
 
 /// # Safety
-/// As `pwrite(2)`.
+/// The caller must follow the requirements of `pwrite(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn pwrite64(
     descriptor: c_int,
@@ -274,6 +274,6 @@
         set_errno(pick(number, &[libc::EIO, libc::ENOSPC]));
         return -1;
     }
-    // SAFETY: passed on as given.
+    // SAFETY: the arguments are passed on unchanged.
     unsafe { PWRITE64.get()(descriptor, buffer, length, offset) }
 }
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -1,10 +1,10 @@
-//! What is to fail, and the draws that decide it. Nothing here is unsafe.
+//! The plan of faults, and the random draws that decide about each call. No unsafe code.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-/// The variable that holds the plan.
+/// The environment variable that holds the plan.
 const VARIABLE: &str = "FAULT_SHIM";
 const MILLION: u64 = 1_000_000;
 
@@ -13,11 +13,11 @@
 pub struct Step {
     /// Time from the start of the process.
     pub at: Duration,
-    /// By how many nanoseconds the clock is put forward, or back.
+    /// Size of the step in nanoseconds; negative: the clock is set back.
     pub by: i64,
 }
 
-/// What is to fail.
+/// The faults to inject.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
     seed: u64,
@@ -43,16 +43,16 @@
     }
 }
 
-/// A plan that can't be read.
+/// Error for a plan that can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlanError {
-    /// The part at fault.
+    /// The invalid part.
     pub part: String,
 }
 
 impl std::fmt::Display for PlanError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "{VARIABLE}: '{}' can't be read", self.part)
+        write!(formatter, "{VARIABLE}: '{}' is not valid", self.part)
     }
 }
 
@@ -64,9 +64,9 @@
     fn from_str(text: &str) -> Result<Plan, PlanError> {
         let mut plan = Plan::default();
         for part in text.split(',').filter(|part| !part.is_empty()) {
-            let wrong = || PlanError { part: part.to_string() };
-            let (name, value) = part.split_once('=').ok_or_else(wrong)?;
-            let number = || value.parse::<u64>().map_err(|_| wrong());
+            let invalid = || PlanError { part: part.to_string() };
+            let (name, value) = part.split_once('=').ok_or_else(invalid)?;
+            let number = || value.parse::<u64>().map_err(|_| invalid());
             match name {
                 "seed" => plan.seed = number()?,
                 "sockets" => plan.sockets = number()?,
@@ -74,9 +74,9 @@
                 "files" => plan.files = number()?,
                 "from" => plan.from = Duration::from_millis(number()?),
                 "to" => plan.to = Some(Duration::from_millis(number()?)),
-                "share" => plan.share = Some(Share::parse(value).ok_or_else(wrong)?),
-                "steps" => plan.steps = steps(value).ok_or_else(wrong)?,
-                _ => return Err(wrong()),
+                "share" => plan.share = Some(Share::parse(value).ok_or_else(invalid)?),
+                "steps" => plan.steps = steps(value).ok_or_else(invalid)?,
+                _ => return Err(invalid()),
             }
         }
         Ok(plan)
@@ -93,14 +93,14 @@
 }
 
 impl Plan {
-    /// By how many nanoseconds the wall clock is off, so long after the start.
+    /// Returns the offset of the wall clock in nanoseconds, `elapsed` after the start.
     pub fn clock_offset(&self, elapsed: Duration) -> i64 {
         self.steps.iter().filter(|step| step.at <= elapsed).map(|step| step.by).sum()
     }
 
-    /// For how long a thread that has its share of a core sleeps, relative to the processor time that it uses; None where
-    /// it has a whole core.
-    pub fn idle_part(&self) -> Option<f64> {
+    /// Returns how long a thread sleeps to stay within its share of a core, as a multiple of the processor time that it
+    /// uses; None if it has a whole core.
+    pub fn idle_factor(&self) -> Option<f64> {
         self.share.map(|share| 1.0 / share.0 - 1.0).filter(|idle| *idle > 0.0)
     }
 
@@ -109,66 +109,66 @@
     }
 }
 
-/// The plan of this process, since when it runs, and how many draws were made.
-struct Running {
+/// The plan of this process, its start time and the number of random draws so far.
+struct ActivePlan {
     plan: Plan,
     start: Instant,
     draws: AtomicU64,
 }
 
-fn running() -> &'static Running {
-    static RUNNING: OnceLock<Running> = OnceLock::new();
-    RUNNING.get_or_init(|| {
+fn active_plan() -> &'static ActivePlan {
+    static ACTIVE_PLAN: OnceLock<ActivePlan> = OnceLock::new();
+    ACTIVE_PLAN.get_or_init(|| {
         let text = std::env::var(VARIABLE).unwrap_or_default();
         let plan = text.parse().unwrap_or_else(|error: PlanError| {
-            // A test with a plan that means nothing must not pass.
+            // A test with an invalid plan must not pass.
             eprintln!("{error}");
             std::process::abort()
         });
-        Running { plan, start: Instant::now(), draws: AtomicU64::new(0) }
+        ActivePlan { plan, start: Instant::now(), draws: AtomicU64::new(0) }
     })
 }
 
-/// By how many nanoseconds the wall clock of this process is off now.
+/// Returns the current offset of this process's wall clock in nanoseconds.
 pub fn clock_offset() -> i64 {
-    let running = running();
-    if running.plan.steps.is_empty() {
+    let active_plan = active_plan();
+    if active_plan.plan.steps.is_empty() {
         return 0;
     }
-    running.plan.clock_offset(running.start.elapsed())
+    active_plan.plan.clock_offset(active_plan.start.elapsed())
 }
 
-/// For how long a thread sleeps, relative to the processor time that it uses; None where it has a whole core.
-pub fn idle_part() -> Option<f64> {
-    running().plan.idle_part()
+/// Returns how long a thread sleeps, as a multiple of the processor time that it uses; None if it has a whole core.
+pub fn idle_factor() -> Option<f64> {
+    active_plan().plan.idle_factor()
 }
 
-/// Whether connections that this process made may break.
+/// Whether connections that this process opened may break.
 pub fn connections_break() -> bool {
-    running().plan.breaks
+    active_plan().plan.breaks
 }
 
-/// A number for a call on a socket that is to go wrong; None where it goes through.
+/// Returns a random number if this socket call is to fail, None if it is passed on.
 pub fn socket_fault() -> Option<u64> {
-    fault(running().plan.sockets)
+    fault(active_plan().plan.sockets)
 }
 
-/// A number for a write or sync of a file that is to fail; None where it goes through.
+/// Returns a random number if this file write or sync is to fail, None if it is passed on.
 pub fn file_fault() -> Option<u64> {
-    fault(running().plan.files)
+    fault(active_plan().plan.files)
 }
 
 fn fault(per_million: u64) -> Option<u64> {
-    let running = running();
-    if per_million == 0 || !running.plan.is_on(running.start.elapsed()) {
+    let active_plan = active_plan();
+    if per_million == 0 || !active_plan.plan.is_on(active_plan.start.elapsed()) {
         return None;
     }
-    let draw = running.draws.fetch_add(1, Ordering::Relaxed);
-    let number = hash(running.plan.seed ^ hash(draw));
+    let draw = active_plan.draws.fetch_add(1, Ordering::Relaxed);
+    let number = hash(active_plan.plan.seed ^ hash(draw));
     (number % MILLION < per_million).then_some(number / MILLION)
 }
 
-/// The finaliser of SplitMix64.
+/// The finalizer of SplitMix64.
 fn hash(number: u64) -> u64 {
     let mut x = number.wrapping_add(0x9E37_79B9_7F4A_7C15);
     x = (x ^ (x >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/crates/fault-shim/tests/plan.rs
+++ b/crates/fault-shim/tests/plan.rs
@@ -1,10 +1,10 @@
-//! Tests of plans: what they say, and that one which means nothing is refused.
+//! Tests that plans are parsed and that invalid ones are rejected.
 
 use stagehoist_fault_shim::{Plan, PlanError};
 use std::time::Duration;
 
 #[test]
-fn steps_of_the_clock_add_up_from_their_times_on() {
+fn clock_steps_accumulate_from_their_times() {
     let plan: Plan = "seed=7,steps=1000:3600000;2000:-7000".parse().unwrap();
     let offset = |ms| plan.clock_offset(Duration::from_millis(ms));
     assert_eq!(offset(999), 0);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_plan_that_can_not_be_read_names_the_part() {
+fn the_error_for_an_invalid_plan_names_the_part() {
     for part in ["sockets", "sockets=many", "steps=1000", "noise=3"] {
         let error = PlanError { part: part.to_string() };
         assert_eq!(format!("seed=1,{part}").parse::<Plan>(), Err(error));
