--- a/crates/consensus/src/store/tests/mod.rs
+++ b/crates/consensus/src/store/tests/mod.rs
@@ -10,7 +10,7 @@
 use openraft::{EntryPayload, LeaderId, RaftSnapshotBuilder};
 use redb::Database;
 use stagehoist_cluster_state::{Command, Retirement, RetirementMode};
-use stagehoist_faulty_disk::{Disk, Draw};
+use stagehoist_faulty_disk::{Disk, Random};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::Path;
@@ -59,7 +59,7 @@
 }
 
 /// Works until the disk dies, as Raft does.
-async fn work(disk: &Disk, guard: &Path, draw: &mut Draw) -> Model {
+async fn work(disk: &Disk, guard: &Path, draw: &mut Random) -> Model {
     let mut model = Model { term: 1, ..Model::default() };
     let Some(mut store) = open(disk, guard) else { return model };
     let Ok((mut machine, _told)) = StateMachine::new(store.clone()) else { return model };
@@ -106,7 +106,7 @@
             break;
         }
     }
-    disk.state().left = Some(0);
+    disk.state().operations_left = Some(0);
     model
 }
 
@@ -152,11 +152,11 @@
     // The guard's own syncs are not what is tested here.
     let folder = tempfile::tempdir_in("/dev/shm").or_else(|_| tempfile::tempdir()).unwrap();
     let deaths = (0..seeds).filter_map(|seed| {
-        let mut draw = Draw(seed);
+        let mut draw = Random(seed);
         let guard = folder.path().join(format!("{seed}"));
         let disk = Disk::default();
-        disk.state().left = Some(draw.below(180));
-        disk.state().lies = lies;
+        disk.state().operations_left = Some(draw.below(180));
+        disk.state().ignores_syncs = lies;
         let model = runtime.block_on(work(&disk, &guard, &mut draw));
         let after = disk.after_power_loss(&mut draw);
         // Where the store can't be read at all redb may panic; `open` takes that for damage.
@@ -182,7 +182,7 @@
     let folder = tempfile::tempdir().unwrap();
     let disk = Disk::default();
     let mut store = open(&disk, &folder.path().join("guard")).unwrap();
-    disk.state().stalls = Duration::from_millis(300);
+    disk.state().sync_delay = Duration::from_millis(300);
     runtime.block_on(async {
         let (turns, counted) = tokio::sync::watch::channel(0u32);
         let others = tokio::spawn(async move {
--- a/crates/faulty-disk/src/lib.rs
+++ b/crates/faulty-disk/src/lib.rs
@@ -22,13 +22,13 @@
     live: Vec<u8>,
     pending: Vec<Pending>,
     /// Duration of each sync.
-    pub stalls: Duration,
+    pub sync_delay: Duration,
     /// Remaining operations (writes, syncs and changes of length) before the disk fails; None: it does not fail.
-    pub left: Option<u64>,
+    pub operations_left: Option<u64>,
     /// Number of operations (writes, syncs and changes of length) so far.
-    pub done: u64,
+    pub operations_done: u64,
     /// Whether syncs report success without making anything durable.
-    pub lies: bool,
+    pub ignores_syncs: bool,
 }
 
 /// A disk; clones share its contents.
@@ -36,9 +36,9 @@
 pub struct Disk(Arc<Mutex<State>>);
 
 /// A small random number generator (SplitMix64) that produces the same numbers on every run.
-pub struct Draw(pub u64);
+pub struct Random(pub u64);
 
-impl Draw {
+impl Random {
     /// Returns the next number, at least 0 and below `limit`.
     pub fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
@@ -74,28 +74,28 @@
 
     fn begin_operation(&self) -> io::Result<MutexGuard<'_, State>> {
         let mut state = self.state();
-        if state.left == Some(0) {
+        if state.operations_left == Some(0) {
             return Err(io::Error::other("the simulated disk failed"));
         }
-        state.left = state.left.map(|n| n - 1);
-        state.done += 1;
+        state.operations_left = state.operations_left.map(|n| n - 1);
+        state.operations_done += 1;
         Ok(state)
     }
 
     /// Returns a disk with the contents that survive a power loss now.
-    pub fn after_power_loss(&self, draw: &mut Draw) -> Disk {
+    pub fn after_power_loss(&self, random: &mut Random) -> Disk {
         let state = self.state();
         let mut bytes = state.synced.clone();
         for operation in &state.pending {
-            if draw.below(2) == 0 {
+            if random.below(2) == 0 {
                 continue;
             }
             match operation {
                 Pending::SetLength(len) => bytes.resize(*len as usize, 0),
                 Pending::Write { offset, data } => {
-                    let is_torn = draw.below(4) == 0;
+                    let is_torn = random.below(4) == 0;
                     let length = data.len() as u64;
-                    let written = if is_torn { draw.below(length) } else { length };
+                    let written = if is_torn { random.below(length) } else { length };
                     write_at(&mut bytes, *offset, &data[..written as usize]);
                 }
             }
@@ -104,12 +104,12 @@
     }
 
     /// Returns a copy of the disk in its current state, to be restored later.
-    pub fn set_back(&self) -> Disk {
+    pub fn snapshot(&self) -> Disk {
         Disk::with_contents(self.state().live.clone())
     }
 
     /// Corrupts every byte.
-    pub fn spoil(&self) {
+    pub fn corrupt(&self) {
         self.state().live.iter_mut().for_each(|b| *b ^= 0x5a);
     }
 }
@@ -134,8 +134,8 @@
 
     fn sync_data(&self, _eventual: bool) -> io::Result<()> {
         let mut state = self.begin_operation()?;
-        std::thread::sleep(state.stalls);
-        if !state.lies {
+        std::thread::sleep(state.sync_delay);
+        if !state.ignores_syncs {
             for operation in std::mem::take(&mut state.pending) {
                 match operation {
                     Pending::SetLength(len) => state.synced.resize(len as usize, 0),
--- a/crates/intent-log/tests/store.rs
+++ b/crates/intent-log/tests/store.rs
@@ -1,7 +1,7 @@
 //! What was acknowledged is there after any loss of power, and a store that may lack something proves nothing.
 
 use redb::Database;
-use stagehoist_faulty_disk::{Disk, Draw};
+use stagehoist_faulty_disk::{Disk, Random};
 use stagehoist_intent_log::{
     read_last_run, start, Batch, Intent, IntentLogError, IntentStore, LastRun, LogEvent, LogLocation, Options,
 };
@@ -44,7 +44,7 @@
 }
 
 /// Commits until the disk dies; the numbers that were acknowledged.
-fn work(disk: &Disk, draw: &mut Draw) -> Vec<u64> {
+fn work(disk: &Disk, draw: &mut Random) -> Vec<u64> {
     let mut acknowledged = Vec::new();
     let Ok(mut store) = open(disk, 0) else { return acknowledged };
     if store.begin(1, None, 0).is_err() {
@@ -60,22 +60,22 @@
         acknowledged.extend(batch);
     }
     // The process is killed: nothing is closed in order.
-    disk.state().left = Some(0);
+    disk.state().operations_left = Some(0);
     acknowledged
 }
 
 /// Intents lost, and kept, over drawn moments of death.
 fn lost(lies: bool, seeds: u64) -> (u64, u64) {
     let whole = Disk::default();
-    work(&whole, &mut Draw(0));
-    let operations = whole.state().done;
+    work(&whole, &mut Random(0));
+    let operations = whole.state().operations_done;
     assert!(operations > 100, "{operations}");
     let (mut lost, mut kept) = (0, 0);
     for seed in 0..seeds {
-        let mut draw = Draw(seed);
+        let mut draw = Random(seed);
         let disk = Disk::default();
-        disk.state().left = Some(draw.below(operations));
-        disk.state().lies = lies;
+        disk.state().operations_left = Some(draw.below(operations));
+        disk.state().ignores_syncs = lies;
         let acknowledged = work(&disk, &mut draw);
         let after = disk.after_power_loss(&mut draw);
         let Ok(mut store) = open(&after, 0) else {
@@ -115,7 +115,7 @@
     let last = store.commits();
     drop(store);
     let told = |before: Option<LastRun>| {
-        let mut store = open(&disk.set_back(), 0).unwrap();
+        let mut store = open(&disk.snapshot(), 0).unwrap();
         assert_eq!(store.query(mark(2).identity, 0), AttemptKnowledge::NotKnown, "no run has begun");
         store.begin(9, before, 0).unwrap();
         store.query(mark(2).identity, 0)
@@ -212,11 +212,11 @@
     let disk = Disk::default();
     let mut store = grown(&disk);
     store.commit(&marks([5]), 0).unwrap();
-    disk.state().left = Some(1);
+    disk.state().operations_left = Some(1);
     assert!(store.commit(&marks([6]), 0).is_err());
     assert!(store.commit(&marks([7]), 0).is_err());
     assert_eq!(store.query(mark(8).identity, 0), AttemptKnowledge::NotKnown);
-    disk.state().left = None;
+    disk.state().operations_left = None;
     store.commit(&marks([8]), 0).unwrap();
     assert_eq!(store.query(mark(5).identity, 0), AttemptKnowledge::MayHaveRun);
     assert_eq!(store.query(mark(8).identity, 0), AttemptKnowledge::MayHaveRun);
@@ -226,7 +226,7 @@
 fn a_spoiled_file_is_told_as_damaged() {
     let disk = Disk::default();
     drop(grown(&disk));
-    disk.spoil();
+    disk.corrupt();
     assert!(matches!(open(&disk, 0), Err(IntentLogError::Damaged(_))));
 }
 
