--- a/crates/admission/src/age.rs
+++ b/crates/admission/src/age.rs
@@ -16,7 +16,7 @@
 
 /// Age estimate for the messages of one queue, from the view of one consumer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Age {
+pub struct QueueAge {
     /// When the queue was last empty; None: this process has never seen it empty.
     empty: Option<Micros>,
     /// Messages received here since `empty`, or since the first observation.
@@ -30,34 +30,34 @@
     is_doubtful: bool,
 }
 
-impl Default for Age {
-    fn default() -> Age {
-        Age { empty: None, taken: 0, consumers: 1, first: None, last: None, is_doubtful: false }
+impl Default for QueueAge {
+    fn default() -> QueueAge {
+        QueueAge { empty: None, taken: 0, consumers: 1, first: None, last: None, is_doubtful: false }
     }
 }
 
-impl Age {
+impl QueueAge {
     /// Records that the queue is empty: the broker may send and has no message.
-    pub fn empty(&mut self, now: Micros) {
-        *self = Age { empty: Some(now), consumers: self.consumers, ..Age::default() };
+    pub fn on_empty(&mut self, now: Micros) {
+        *self = QueueAge { empty: Some(now), consumers: self.consumers, ..QueueAge::default() };
     }
 
     /// Records that the broker may send and sends nothing. The queue counts as empty only if all messages known to wait
     /// were received, because a broker also pauses between two parts of a long backlog.
-    pub fn dry(&mut self, now: Micros) {
+    pub fn on_idle(&mut self, now: Micros) {
         let known = (self.empty.is_some() || self.last.is_some()) && !self.is_doubtful;
         let has_backlog = self.last.is_some_and(|l| ((self.taken * self.consumers) as f64) < l.messages);
         if known && !has_backlog {
-            self.empty(now);
+            self.on_empty(now);
         }
     }
 
     /// Records the queue's depth (messages ready) and number of consumers, as the broker reports them for a passive declare.
-    pub fn depth(&mut self, depth: u64, consumers: u64, now: Micros) {
+    pub fn on_depth(&mut self, depth: u64, consumers: u64, now: Micros) {
         self.consumers = consumers.max(1);
         self.is_doubtful = false;
         if depth == 0 {
-            return self.empty(now);
+            return self.on_empty(now);
         }
         // With several consumers in round-robin, each has received an equal share.
         let arrived = (self.taken * self.consumers + depth) as f64;
@@ -68,30 +68,30 @@
 
     /// Records that the connection was lost or is new: messages already received may be redelivered, so only the time at
     /// which the queue was empty is kept.
-    pub fn restart(&mut self) {
-        *self = Age { empty: self.empty, ..Age::default() };
+    pub fn on_reconnect(&mut self) {
+        *self = QueueAge { empty: self.empty, ..QueueAge::default() };
     }
 
     /// Records that this process was suspended for a while. The messages sent to it meanwhile arrive in parts with pauses
     /// between them, so a pause does not mean an empty queue. The answer to a depth query sent now arrives after all of
     /// them.
-    pub fn doubt(&mut self) {
+    pub fn on_suspended(&mut self) {
         self.is_doubtful = true;
     }
 
-    /// Whether the broker has not yet reported the depth since [`Age::doubt`].
-    pub fn is_doubted(&self) -> bool {
+    /// Whether the broker has not yet reported the depth since [`QueueAge::on_suspended`].
+    pub fn awaits_depth(&self) -> bool {
         self.is_doubtful
     }
 
     /// Whether the depth should be queried: the queue has not been seen empty for `after` microseconds.
-    pub fn is_unsure(&self, now: Micros, after: Micros) -> bool {
+    pub fn needs_depth(&self, now: Micros, after: Micros) -> bool {
         self.empty.is_none_or(|t| now - t > after)
     }
 
     /// Records a received message and returns how long it waited, in microseconds. `stamp` is the time at which it was
     /// published, if the message carries it, converted to this process's clock.
-    pub fn taken(&mut self, stamp: Option<Micros>, redelivered: bool, now: Micros) -> Micros {
+    pub fn on_message(&mut self, stamp: Option<Micros>, redelivered: bool, now: Micros) -> Micros {
         self.taken += 1;
         if redelivered {
             // It was delivered to another consumer before, so its position in the queue is not known.
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,5 +1,5 @@
 //! Admission decisions of a front end, without I/O: how many messages it requests from a broker ([`Window`]), how
-//! long a message without a timestamp has waited ([`Age`]), whether a call may be held ([`Intake`]),
+//! long a message without a timestamp has waited ([`QueueAge`]), whether a call may be held ([`Intake`]),
 //! when a rejected caller should retry ([`Advice`]), and whether a call may start a run
 //! in a pool that front ends share ([`permits::PermitPools`]).
 //!
@@ -14,6 +14,6 @@
 mod window;
 
 pub use advice::Advice;
-pub use age::Age;
+pub use age::QueueAge;
 pub use intake::{Bounds, Held, Intake, Refusal, TenantClass};
 pub use window::Window;
--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -8,94 +8,94 @@
 
 #[test]
 fn a_recently_empty_queue_bounds_the_age_whatever_the_timestamp() {
-    let mut age = Age::default();
-    age.empty(10 * S);
+    let mut age = QueueAge::default();
+    age.on_empty(10 * S);
     // A clock an hour behind, and one an hour ahead.
-    assert_eq!(age.taken(Some(10 * S - 3600 * S), false, 10 * S + 40 * MS), 40 * MS);
-    assert_eq!(age.taken(Some(10 * S + 3600 * S), false, 10 * S + 40 * MS), 0);
-    assert_eq!(age.taken(Some(10 * S + 10 * MS), false, 10 * S + 40 * MS), 30 * MS);
+    assert_eq!(age.on_message(Some(10 * S - 3600 * S), false, 10 * S + 40 * MS), 40 * MS);
+    assert_eq!(age.on_message(Some(10 * S + 3600 * S), false, 10 * S + 40 * MS), 0);
+    assert_eq!(age.on_message(Some(10 * S + 10 * MS), false, 10 * S + 40 * MS), 30 * MS);
 }
 
 #[test]
 fn ages_in_a_backlog_since_the_queue_was_empty_follow_position() {
-    let mut age = Age::default();
-    age.empty(0);
-    age.restart();
+    let mut age = QueueAge::default();
+    age.on_empty(0);
+    age.on_reconnect();
     // An outage of 10 s left 1,000 messages: about one every 10 ms.
-    age.depth(1000, 1, 10 * S);
-    let ages: Vec<i64> = (0..1000).map(|_| age.taken(None, false, 10 * S)).collect();
+    age.on_depth(1000, 1, 10 * S);
+    let ages: Vec<i64> = (0..1000).map(|_| age.on_message(None, false, 10 * S)).collect();
     assert!((9_900 * MS..=10 * S).contains(&ages[0]), "{}", ages[0]);
     assert!((4_900 * MS..5_100 * MS).contains(&ages[500]), "{}", ages[500]);
     assert!(ages[999] < 50 * MS, "{}", ages[999]);
     assert!(ages.windows(2).all(|w| w[1] <= w[0]), "oldest first");
     // A message that arrived after the depth report is at most as old as the report.
-    assert!(age.taken(None, false, 10 * S + 200 * MS) <= 200 * MS);
+    assert!(age.on_message(None, false, 10 * S + 200 * MS) <= 200 * MS);
 }
 
 #[test]
 fn ages_in_a_backlog_found_at_start_follow_the_rate_between_two_depths() {
-    let mut age = Age::default();
-    age.depth(10_000, 1, 0);
+    let mut age = QueueAge::default();
+    age.on_depth(10_000, 1, 0);
     // So far it is only known that the message was queued at the first depth report.
-    assert_eq!(age.taken(None, false, 5 * MS), 5 * MS);
+    assert_eq!(age.on_message(None, false, 5 * MS), 5 * MS);
     // 100 arrivals in 250 ms, with one message received: 400 per second, so 10,000 messages took 25 s to arrive.
-    age.depth(10_099, 1, 250 * MS);
-    let first = age.taken(None, false, 250 * MS);
+    age.on_depth(10_099, 1, 250 * MS);
+    let first = age.on_message(None, false, 250 * MS);
     assert!((24 * S..26 * S).contains(&first), "{first}");
-    (0..9_900).for_each(|_| assert!(age.taken(None, false, 300 * MS) >= 0));
-    let near_end = age.taken(None, false, 300 * MS);
+    (0..9_900).for_each(|_| assert!(age.on_message(None, false, 300 * MS) >= 0));
+    let near_end = age.on_message(None, false, 300 * MS);
     assert!(near_end < S, "{near_end}");
 }
 
 #[test]
 fn a_pause_within_a_backlog_does_not_mean_an_empty_queue() {
-    let mut age = Age::default();
-    age.dry(0);
-    assert!(age.is_unsure(0, S), "the age must be unsure before a depth is reported");
-    age.depth(100, 1, S);
-    (0..40).for_each(|_| assert!(age.taken(None, false, 2 * S) >= S));
-    age.dry(2 * S);
+    let mut age = QueueAge::default();
+    age.on_idle(0);
+    assert!(age.needs_depth(0, S), "the age must be unsure before a depth is reported");
+    age.on_depth(100, 1, S);
+    (0..40).for_each(|_| assert!(age.on_message(None, false, 2 * S) >= S));
+    age.on_idle(2 * S);
     assert_eq!(
-        age.taken(None, false, 3 * S),
+        age.on_message(None, false, 3 * S),
         2 * S,
         "the message must be at least as old as the first depth report"
     );
-    (0..59).for_each(|_| assert!(age.taken(None, false, 3 * S) > 0));
-    age.dry(4 * S);
-    assert_eq!(age.taken(Some(0), false, 4 * S + MS), MS);
+    (0..59).for_each(|_| assert!(age.on_message(None, false, 3 * S) > 0));
+    age.on_idle(4 * S);
+    assert_eq!(age.on_message(Some(0), false, 4 * S + MS), MS);
 }
 
 #[test]
 fn after_a_suspension_a_pause_means_nothing_until_the_depth_is_reported() {
-    let mut age = Age::default();
-    age.empty(0);
-    age.doubt();
+    let mut age = QueueAge::default();
+    age.on_empty(0);
+    age.on_suspended();
     // The process was suspended for 2 s; the messages that arrived meanwhile are read in two parts.
-    assert_eq!(age.taken(Some(100 * MS), false, 2 * S), 1_900 * MS);
-    age.dry(2 * S);
-    assert_eq!(age.taken(Some(500 * MS), false, 2 * S + 5 * MS), 1_505 * MS);
-    age.depth(0, 1, 2 * S + 10 * MS);
-    assert!(!age.is_doubted());
-    assert_eq!(age.taken(Some(500 * MS), false, 2 * S + 20 * MS), 10 * MS);
+    assert_eq!(age.on_message(Some(100 * MS), false, 2 * S), 1_900 * MS);
+    age.on_idle(2 * S);
+    assert_eq!(age.on_message(Some(500 * MS), false, 2 * S + 5 * MS), 1_505 * MS);
+    age.on_depth(0, 1, 2 * S + 10 * MS);
+    assert!(!age.awaits_depth());
+    assert_eq!(age.on_message(Some(500 * MS), false, 2 * S + 20 * MS), 10 * MS);
 }
 
 #[test]
 fn positions_are_scaled_by_the_number_of_consumers() {
-    let mut age = Age::default();
-    age.empty(0);
-    age.depth(900, 3, 9 * S);
+    let mut age = QueueAge::default();
+    age.on_empty(0);
+    age.on_depth(900, 3, 9 * S);
     // With three consumers, the 100th message here is about the 300th of the queue.
-    (0..99).for_each(|_| assert!(age.taken(None, false, 9 * S) >= 0));
-    let hundredth = age.taken(None, false, 9 * S);
+    (0..99).for_each(|_| assert!(age.on_message(None, false, 9 * S) >= 0));
+    let hundredth = age.on_message(None, false, 9 * S);
     assert!((5_900 * MS..6_100 * MS).contains(&hundredth), "{hundredth}");
 }
 
 #[test]
 fn a_redelivered_message_has_no_position_in_the_queue() {
-    let mut age = Age::default();
-    age.empty(0);
-    assert_eq!(age.taken(None, true, 3 * S), 0);
-    assert_eq!(age.taken(Some(S), true, 3 * S), 2 * S);
+    let mut age = QueueAge::default();
+    age.on_empty(0);
+    assert_eq!(age.on_message(None, true, 3 * S), 0);
+    assert_eq!(age.on_message(Some(S), true, 3 * S), 2 * S);
 }
 
 #[test]
@@ -204,16 +204,16 @@
     fn an_age_is_never_negative_nor_greater_than_the_time_since_the_queue_was_empty(
         steps in prop::collection::vec((0u8..4, 0u64..500, 1u64..4, 0i64..400), 1..200),
     ) {
-        let (mut age, mut now, mut empty) = (Age::default(), S, None);
+        let (mut age, mut now, mut empty) = (QueueAge::default(), S, None);
         for (what, n, consumers, after) in steps {
             now += after * MS;
             match what {
-                0 => { age.empty(now); empty = Some(now); }
-                1 => { age.depth(n, consumers, now); if n == 0 { empty = Some(now) } }
-                2 => age.restart(),
+                0 => { age.on_empty(now); empty = Some(now); }
+                1 => { age.on_depth(n, consumers, now); if n == 0 { empty = Some(now) } }
+                2 => age.on_reconnect(),
                 _ => {
                     let stamp = (n % 2 == 0).then_some(now - n as i64 * 10 * MS);
-                    let got = age.taken(stamp, false, now);
+                    let got = age.on_message(stamp, false, now);
                     prop_assert!(got >= 0);
                     prop_assert!(empty.is_none_or(|t| got <= now - t), "{} at {}, empty {:?}", got, now, empty);
                 }
--- a/crates/gateway/src/amqp/front/consuming.rs
+++ b/crates/gateway/src/amqp/front/consuming.rs
@@ -13,7 +13,7 @@
         }
         for (age, queue) in self.ages.iter_mut().zip(&self.queues) {
             if queue.from.prefetch.is_none_or(|most| self.acks.outstanding() < usize::from(most)) {
-                age.dry(now);
+                age.on_idle(now);
             }
         }
     }
@@ -26,7 +26,7 @@
         if now - self.depth_requested_at >= CHECK_INTERVAL {
             self.depth_requested_at = now;
             for index in self.consumed().collect::<Vec<_>>() {
-                if self.ages[index].is_unsure(now, CHECK_INTERVAL) {
+                if self.ages[index].needs_depth(now, CHECK_INTERVAL) {
                     self.declare(index, true, false);
                 }
             }
@@ -74,12 +74,12 @@
     /// What it was sent meanwhile may come in many parts. The answer to a question about a queue comes after all of them.
     pub fn receive(&mut self, bytes: &[u8], now: Micros, blind: Micros) {
         if blind > 0 && self.phase == Phase::Ready {
-            if !self.ages.iter().any(Age::is_doubted) {
+            if !self.ages.iter().any(QueueAge::awaits_depth) {
                 self.blind_from = now - blind;
             }
             self.depth_requested_at = now;
             for index in self.consumed().collect::<Vec<_>>() {
-                self.ages[index].doubt();
+                self.ages[index].on_suspended();
                 self.declare(index, true, false);
             }
         }
@@ -144,7 +144,7 @@
                     let select = confirm::Select { nowait: false };
                     self.send(AMQPClass::Confirm(confirm::AMQPMethod::Select(select)));
                 }
-                self.ages.iter_mut().for_each(Age::restart);
+                self.ages.iter_mut().for_each(QueueAge::on_reconnect);
                 self.on_channel_open(now);
             }
             AMQPClass::Basic(basic::AMQPMethod::ConsumeOk(ok)) => {
@@ -157,7 +157,7 @@
                 // Before its consumer stands, this one is not among those told.
                 let own = u64::from(index.is_none_or(|i| !self.consuming.contains(&i)));
                 if let Some(age) = index.and_then(|i| self.ages.get_mut(i)) {
-                    age.depth(u64::from(ok.message_count), u64::from(ok.consumer_count) + own, now);
+                    age.on_depth(u64::from(ok.message_count), u64::from(ok.consumer_count) + own, now);
                 }
             }
             AMQPClass::Tx(tx::AMQPMethod::CommitOk(_)) => {
--- a/crates/gateway/src/amqp/front/deliveries.rs
+++ b/crates/gateway/src/amqp/front/deliveries.rs
@@ -94,8 +94,8 @@
         now: Micros,
     ) -> Micros {
         let stamp = stamp(properties);
-        let waited = self.ages.get_mut(queue).map_or(0, |age| age.taken(stamp, redelivered, now));
-        if stamp.is_none() && self.ages.get(queue).is_some_and(Age::is_doubted) {
+        let waited = self.ages.get_mut(queue).map_or(0, |age| age.on_message(stamp, redelivered, now));
+        if stamp.is_none() && self.ages.get(queue).is_some_and(QueueAge::awaits_depth) {
             return waited.max(now - self.blind_from);
         }
         waited
--- a/crates/gateway/src/amqp/front/mod.rs
+++ b/crates/gateway/src/amqp/front/mod.rs
@@ -19,7 +19,7 @@
 use crate::state::{Answer, Arrival, FunctionProperties, Ticket};
 use queues::Queue;
 use stagehoist::{Effect, Micros};
-use stagehoist_admission::{Advice, Age, Bounds, Held, Intake, Window};
+use stagehoist_admission::{Advice, Bounds, Held, Intake, QueueAge, Window};
 use stagehoist_amqp::{basic, channel, confirm, queue, short, tx};
 use stagehoist_amqp::{AMQPClass, Acks, BasicProperties, Client, ClientEvent, ClientOptions, Message};
 use stagehoist_config::{Broker, Config, Consume};
@@ -101,7 +101,7 @@
     acks: Acks,
     /// Of the present channel, where a queue is consumed without a told prefetch.
     window: Option<Window>,
-    ages: Vec<Age>,
+    ages: Vec<QueueAge>,
     depth_requested_at: Micros,
     /// This process did not run from then on; ends for a queue once the broker answered a question about it.
     blind_from: Micros,
@@ -123,7 +123,7 @@
             reader: Reader::new(config.clone()),
             acks: Acks::default(),
             window: None,
-            ages: vec![Age::default(); queues.len()],
+            ages: vec![QueueAge::default(); queues.len()],
             depth_requested_at: 0,
             blind_from: 0,
             intake: Intake::new(bounds),
@@ -213,7 +213,7 @@
         let again = self.retry_at.values().min().copied();
         let confirm = self.confirm_due();
         let unsure =
-            |i: usize| self.ages[i].is_unsure(self.depth_requested_at + CHECK_INTERVAL, CHECK_INTERVAL);
+            |i: usize| self.ages[i].needs_depth(self.depth_requested_at + CHECK_INTERVAL, CHECK_INTERVAL);
         let look = self.phase == Phase::Ready && self.consumed().any(unsure);
         let look = look.then_some(self.depth_requested_at + CHECK_INTERVAL);
         let asking = self.inquiries.as_ref().and_then(inquiries::PendingInquiries::due);
--- a/crates/gateway/src/amqp/front/queues.rs
+++ b/crates/gateway/src/amqp/front/queues.rs
@@ -63,7 +63,7 @@
         }
         for (hold, told, from) in held.into_values() {
             self.queues.push(Queue { from, hold: QueueState::Released, division: told.0 });
-            self.ages.push(Age::default());
+            self.ages.push(QueueAge::default());
             arrives.push(told);
             self.set_queue_state(self.queues.len() - 1, hold, now);
         }
@@ -80,7 +80,7 @@
             return;
         }
         if is {
-            self.ages[index].restart();
+            self.ages[index].on_reconnect();
             return self.consume(index, now);
         }
         // One that the broker cancelled has no consumer to cancel.
