--- a/crates/endpoints/src/blocking_query.rs
+++ b/crates/endpoints/src/blocking_query.rs
@@ -9,7 +9,7 @@
     /// The list may have changed and has to be applied.
     Changed,
     /// The wait expired without a change.
-    Same,
+    Unchanged,
 }
 
 /// The index state of one watch on the list.
@@ -42,7 +42,7 @@
                 let same = new == self.index;
                 self.index = new;
                 if same {
-                    QueryOutcome::Same
+                    QueryOutcome::Unchanged
                 } else {
                     QueryOutcome::Changed
                 }
--- a/crates/endpoints/tests/membership.rs
+++ b/crates/endpoints/tests/membership.rs
@@ -74,7 +74,7 @@
 fn a_decreasing_index_resets_the_query_and_pauses_grow_with_failures() {
     let mut b = BlockingQuery::new(S, 8 * S);
     assert_eq!((b.index(), b.on_answer(Some(40))), (0, QueryOutcome::Changed));
-    assert_eq!((b.index(), b.on_answer(Some(40))), (40, QueryOutcome::Same));
+    assert_eq!((b.index(), b.on_answer(Some(40))), (40, QueryOutcome::Unchanged));
     assert_eq!((b.on_answer(Some(7)), b.index()), (QueryOutcome::Changed, 0));
     assert_eq!((b.on_answer(Some(7)), b.index()), (QueryOutcome::Changed, 7));
     assert_eq!((b.on_answer(None), b.index()), (QueryOutcome::Changed, 0));
