--- a/crates/gateway/src/amqp/front/inquiries.rs
+++ b/crates/gateway/src/amqp/front/inquiries.rs
@@ -29,7 +29,7 @@
     /// From now on attempts are recorded on disk, and messages delivered again of which nothing is known wait for the word of
     /// these members, this one's intents among them. Questions are to be asked from [`Front::take_questions`].
     pub fn set_inquiry(&mut self, members: Vec<Rc<str>>, patience: InquiryLimits) {
-        self.memory.inquires(true);
+        self.memory.enable_inquiries(true);
         let inquiries = Inquiries::new(patience);
         let (waiting, questions) = (HashMap::new(), Vec::new());
         self.inquiries = Some(PendingInquiries { members, inquiries, waiting, questions, known: true });
@@ -58,9 +58,9 @@
         self.deliveries.get(&ticket)?.key.as_ref()
     }
 
-    /// Another member asks; see [`DeliveryCache::combine`].
+    /// Another member asks; see [`DeliveryCache::answer_inquiry`].
     pub fn on_peer_inquiry(&mut self, key: &Key, marks: AttemptKnowledge, now: Micros) -> AttemptKnowledge {
-        self.memory.combine(key, marks, now)
+        self.memory.answer_inquiry(key, marks, now)
     }
 
     /// Questions to be asked now; few and seldom, beside a restart none.
--- a/crates/gateway/src/amqp/front/replies.rs
+++ b/crates/gateway/src/amqp/front/replies.rs
@@ -46,7 +46,7 @@
             self.advice.on_departure(now);
         }
         if let Some(key) = &delivery.key {
-            self.memory.on_answer(key, ticket, answer.clone(), ReplyState::Never);
+            self.memory.on_answer(key, ticket, answer.clone(), ReplyState::NotSent);
         }
         if delivery.generation != self.generation || self.client.as_ref().is_none_or(|c| !c.is_open()) {
             // Its connection is lost: the broker delivers it again, here or elsewhere.
@@ -77,7 +77,7 @@
                 // had no reply: there is no doubt to keep.
                 let tag = delivery.tag;
                 if let Some(key) = &delivery.key {
-                    self.memory.on_reply_state(key, ReplyState::Never);
+                    self.memory.on_reply_state(key, ReplyState::NotSent);
                 }
                 self.open.0.push(ticket);
                 return self.ack(tag);
@@ -93,7 +93,7 @@
         // that the last try was not taken: nothing left, and the message comes again.
         let delivery = self.deliveries.remove(&ticket);
         if let Some(key) = delivery.and_then(|d| d.key) {
-            self.memory.on_reply_state(&key, ReplyState::Never);
+            self.memory.on_reply_state(&key, ReplyState::NotSent);
         }
     }
 
@@ -129,7 +129,7 @@
             let Some(delivery) = self.deliveries.remove(&ticket) else { continue };
             let (Some(key), Some((seq, _))) = (&delivery.key, delivery.published) else { continue };
             let unsent = self.client.as_ref().is_some_and(|c| c.surely_unsent(channel, seq));
-            self.memory.on_reply_state(key, if unsent { ReplyState::Never } else { ReplyState::Doubtful });
+            self.memory.on_reply_state(key, if unsent { ReplyState::NotSent } else { ReplyState::Doubtful });
         }
         // Tags mean nothing on another channel.
         self.acks = Acks::default();
--- a/crates/gateway/src/fleet/recovery.rs
+++ b/crates/gateway/src/fleet/recovery.rs
@@ -64,8 +64,8 @@
             opening_storage: told.waking,
             resolving_in_doubt: told.asking,
             ramping: told.reserved,
-            least: told.share,
-            calls: CALLS,
+            min_share: told.share,
+            min_calls: CALLS,
             ..Limits::default()
         };
         let start = if unordered { Start::Unheard } else { Start::Warm };
@@ -94,7 +94,7 @@
 
     /// When the phase may change though nothing happens.
     pub fn due(&self) -> Option<Micros> {
-        self.phases.due()
+        self.phases.next_update()
     }
 
     /// What the endpoint list says.
@@ -153,7 +153,7 @@
                 RecoveryPhase::Ramping => "the limit passed without the cluster status",
                 RecoveryPhase::Serving => "the fleet is warm, or time opened it",
             };
-            tracing::info!(stage = self.phase().word(), why, ?seen, "recovery");
+            tracing::info!(stage = self.phase().name(), why, ?seen, "recovery");
         }
         self.phase() != before
     }
@@ -161,7 +161,7 @@
     /// What is decided about a call of a tenant.
     pub fn admit(&mut self, call: (u32, &str), left: Micros, now: Micros) -> Admission {
         if self.phase() == RecoveryPhase::Serving {
-            return Admission::Enter;
+            return Admission::Admit;
         }
         let first = priority::is_first(&self.first, call.0, call.1);
         self.phases.admit(first, left, now)
--- a/crates/gateway/src/intent_recorder.rs
+++ b/crates/gateway/src/intent_recorder.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// What is known of a worker: see [`IntentGate::worker`].
+    /// What is known of a worker: see [`IntentGate::set_worker_state`].
     pub fn worker_draining(&mut self, worker: WorkerId, leaving: Option<Micros>) {
         let _ = self.messages.send(RecorderMessage::Worker(worker, leaving));
     }
@@ -141,7 +141,7 @@
             RecorderMessage::Attempt(identity, ticket, attempt) => {
                 let id = (attempt.request, attempt.attempt);
                 let (worker, due) = (attempt.worker, attempt.deadline);
-                let step = self.gate.attempt((ticket, id), worker, due, attempt, now);
+                let step = self.gate.submit((ticket, id), worker, due, attempt, now);
                 if matches!(step, GateDecision::Wait { record: true }) {
                     let mark = Intent { identity, number: ticket };
                     self.latency.begin(ticket, now);
@@ -159,7 +159,7 @@
                     over.map(|(id, attempt)| (id, GateDecision::Unsent(attempt, UnsentReason::CallEnded))),
                 );
             }
-            RecorderMessage::Worker(worker, leaving) => self.gate.worker(worker, leaving),
+            RecorderMessage::Worker(worker, leaving) => self.gate.set_worker_state(worker, leaving),
         }
     }
 }
@@ -191,7 +191,7 @@
                 }
             }
             () = alarm.rings(), if due.is_some() => {
-                let late = holder.gate.take_late(clock.now()).into_iter();
+                let late = holder.gate.take_expired(clock.now()).into_iter();
                 out.extend(late.map(|(id, attempt, why)| (id, GateDecision::Unsent(attempt, why))));
             }
         }
--- a/crates/gateway/src/state/core/calls.rs
+++ b/crates/gateway/src/state/core/calls.rs
@@ -40,9 +40,9 @@
             arrival.read_at = now;
         }
         match self.recovery_admission(now, &arrival) {
-            Admission::Enter => self.enter(now, arrival, f, commands),
+            Admission::Admit => self.enter(now, arrival, f, commands),
             Admission::Wait { until } => self.waiting.insert(until, arrival, f),
-            Admission::Refuse { retry_after, .. } => {
+            Admission::Reject { retry_after, .. } => {
                 self.reject_in_recovery(now, arrival, retry_after, commands)
             }
         }
--- a/crates/gateway/src/state/core/recovery.rs
+++ b/crates/gateway/src/state/core/recovery.rs
@@ -19,7 +19,7 @@
 
     /// Whether a call may go in now. Its `read` is set.
     pub(super) fn recovery_admission(&mut self, now: Micros, arrival: &Arrival) -> Admission {
-        let Some(recovery) = self.recovery.as_mut() else { return Admission::Enter };
+        let Some(recovery) = self.recovery.as_mut() else { return Admission::Admit };
         let left = arrival.read_at.min(now) + arrival.budget - now;
         recovery.admit((arrival.tenant, &arrival.function), left, now)
     }
@@ -62,13 +62,13 @@
             }
             let known = self.names.on_call(waiting.properties.id, &waiting.arrival.function, now);
             match self.recovery_admission(now, &waiting.arrival) {
-                Admission::Enter if known => self.enter(now, waiting.arrival, waiting.properties, commands),
-                Admission::Enter => {
+                Admission::Admit if known => self.enter(now, waiting.arrival, waiting.properties, commands),
+                Admission::Admit => {
                     let answer = Answer::Refused { reason: "unknown-function", retry_after: 0 };
                     self.reject_waiting(now, waiting.arrival, answer, commands);
                 }
                 Admission::Wait { until } => self.waiting.requeue(until, waiting),
-                Admission::Refuse { retry_after, .. } => {
+                Admission::Reject { retry_after, .. } => {
                     self.reject_in_recovery(now, waiting.arrival, retry_after, commands);
                 }
             }
--- a/crates/gateway/tests/front_marks.rs
+++ b/crates/gateway/tests/front_marks.rs
@@ -111,7 +111,7 @@
         let (news, heard) = mpsc::channel(16);
         let (config, clock) = (config(""), Clock::new());
         let workers = Rc::new(Workers::new(config.clone(), clock, news.clone(), None));
-        let limits = Limits { longest: 60_000_000, ..Limits::default() };
+        let limits = Limits { max_wait: 60_000_000, ..Limits::default() };
         let (marker, task) = IntentRecorder::start(config, clock, marks.clone(), workers, news, limits);
         play(marker, marks, heard, TcpListener::bind("127.0.0.1:0").await.unwrap()).await;
         task.await.unwrap();
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -26,7 +26,7 @@
     for (wait, leaves) in [(90 * MS, true), (110 * MS, false)] {
         let mut held = IntentGate::new(Limits::default());
         let id = (attempt.request, attempt.attempt);
-        let step = held.attempt((1, id), attempt.worker, attempt.deadline, (), stage.now);
+        let step = held.submit((1, id), attempt.worker, attempt.deadline, (), stage.now);
         assert_eq!(step, GateDecision::Wait { record: true });
         // The worker's own word, in the answer to a health check.
         let probed = |draining| Input::HealthChecked {
@@ -39,7 +39,7 @@
         for command in stage.turn(MS, vec![probed(true)]) {
             if let Command::WorkerDraining { worker, since } = command {
                 assert_eq!((worker, since), (attempt.worker, Some(stage.now)));
-                held.worker(worker, since);
+                held.set_worker_state(worker, since);
             }
         }
         let steps: Vec<_> = held.on_recorded(1, true, stage.now + wait).into_iter().map(|s| s.1).collect();
--- a/crates/recovery/src/delivery_cache.rs
+++ b/crates/recovery/src/delivery_cache.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyState {
     /// Its last byte was never sent: the caller can't have received it.
-    Never,
+    NotSent,
     /// It was sent completely but not confirmed: the caller may have received it.
     Doubtful,
     /// The broker confirmed it.
@@ -31,7 +31,7 @@
         doubtful: bool,
     },
     /// The message was delivered before and is unknown here: ask its possible former holders. Until they answer, the
-    /// message waits as if it were in progress under its number. Returned only after [`DeliveryCache::inquires`] enabled it.
+    /// message waits as if it were in progress under its number. Returned only after [`DeliveryCache::enable_inquiries`] enabled it.
     Inquire,
     /// The message was delivered before and is unknown: answer `failed`, run nothing.
     Fail,
@@ -88,7 +88,7 @@
     entries: HashMap<Key, Entry<A>>,
     /// In order of creation; a replaced entry leaves a stale element here, which its time identifies.
     order: VecDeque<Created>,
-    inquires: bool,
+    inquiries_enabled: bool,
     /// A message in progress was evicted, so until this time an unknown message may be in progress here.
     unproven_until: Micros,
 }
@@ -104,15 +104,15 @@
             resend_doubtful,
             entries: HashMap::new(),
             order: VecDeque::new(),
-            inquires: false,
+            inquiries_enabled: false,
             unproven_until: 0,
         }
     }
 
     /// Enables or disables inquiries about unknown messages. They require that attempts of non-idempotent calls are recorded
     /// on disk, so that former holders can answer.
-    pub fn inquires(&mut self, is_enabled: bool) {
-        self.inquires = is_enabled;
+    pub fn enable_inquiries(&mut self, is_enabled: bool) {
+        self.inquiries_enabled = is_enabled;
     }
 
     /// Returns the number of messages.
@@ -146,7 +146,7 @@
         {
             return verdict;
         }
-        let can_inquire = self.inquires && key.is_some() && now >= self.unproven_until;
+        let can_inquire = self.inquiries_enabled && key.is_some() && now >= self.unproven_until;
         let verdict = match effect {
             Effect::Idempotent => Verdict::Run,
             _ if redelivered && can_inquire => Verdict::Inquire,
@@ -173,7 +173,7 @@
     /// member's intents, which the caller has looked up before.
     ///
     /// After [`AttemptKnowledge::None`], a first delivery of the message is not run here while the entry is retained.
-    pub fn combine(&mut self, key: &Key, intents: AttemptKnowledge, now: Micros) -> AttemptKnowledge {
+    pub fn answer_inquiry(&mut self, key: &Key, intents: AttemptKnowledge, now: Micros) -> AttemptKnowledge {
         self.expire(now);
         match self.entries.get(key).map(|e| &e.known) {
             Some(Known::Running(_) | Known::Answered(..)) => AttemptKnowledge::MayHaveRun,
--- a/crates/recovery/src/inquiry.rs
+++ b/crates/recovery/src/inquiry.rs
@@ -1,7 +1,7 @@
 //! Messages that wait while their former holders are asked whether an attempt may have been sent for them.
 //!
 //! A message runs only if every member asked answers [`AttemptKnowledge::None`] in time. This answer is also a promise: the
-//! member that gives it no longer runs the message (see [`crate::DeliveryCache::combine`]), even if a delivery of it is
+//! member that gives it no longer runs the message (see [`crate::DeliveryCache::answer_inquiry`]), even if a delivery of it is
 //! still unread in the member's socket. If a member is unreachable or does not know, the message fails, as it would without
 //! an inquiry.
 
@@ -130,12 +130,12 @@
             AttemptKnowledge::None => Outcome::Run,
             AttemptKnowledge::MayHaveRun | AttemptKnowledge::NotKnown => Outcome::Fail,
         };
-        self.end(number);
+        self.close(number);
         Some(outcome)
     }
 
     /// Closes the inquiry about a message.
-    pub fn end(&mut self, number: u64) {
+    pub fn close(&mut self, number: u64) {
         if let Some(open) = self.open.remove(&number) {
             self.deadlines.remove(&(open.deadline, number));
         }
@@ -149,7 +149,7 @@
     /// Closes and returns the inquiries whose wait has expired; each of these messages fails.
     pub fn take_expired(&mut self, now: Micros) -> Vec<u64> {
         let expired: Vec<u64> = self.deadlines.range(..=(now, u64::MAX)).map(|(_, number)| *number).collect();
-        expired.iter().for_each(|number| self.end(*number));
+        expired.iter().for_each(|number| self.close(*number));
         expired
     }
 }
--- a/crates/recovery/src/intent_gate.rs
+++ b/crates/recovery/src/intent_gate.rs
@@ -8,16 +8,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Maximum wait for an intent; an attempt that has waited this long is not sent.
-    pub longest: Micros,
+    pub max_wait: Micros,
     /// Maximum number of attempts that wait at the same time.
-    pub most: usize,
+    pub max_waiting: usize,
     /// An attempt decided before its worker began to drain may still be sent within this time after the drain began.
     pub grace: Micros,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { longest: 250_000, most: 100_000, grace: 100_000 }
+        Limits { max_wait: 250_000, max_waiting: 100_000, grace: 100_000 }
     }
 }
 
@@ -107,7 +107,7 @@
     }
 
     /// Adds an attempt of call `number`, which needs an intent. `due` is the deadline of the attempt.
-    pub fn attempt(
+    pub fn submit(
         &mut self,
         (number, id): (u64, AttemptId),
         worker: WorkerId,
@@ -119,7 +119,7 @@
         if call_state.is_some_and(|c| c.on_disk) {
             return GateDecision::Send(payload);
         }
-        if self.waiting.len() >= self.limits.most {
+        if self.waiting.len() >= self.limits.max_waiting {
             return GateDecision::Unsent(payload, UnsentReason::Full);
         }
         let is_new = call_state.is_none();
@@ -127,7 +127,7 @@
             self.forget();
             self.order.push_back(number);
         }
-        let wait_until = due.min(now + self.limits.longest);
+        let wait_until = due.min(now + self.limits.max_wait);
         self.deadlines.insert(Deadline { at: wait_until, attempt: id });
         self.waiting.insert(id, Waiting { attempt: payload, number, worker, due, wait_until });
         self.calls.entry(number).or_default().waiting.push(id);
@@ -136,7 +136,7 @@
 
     /// Evicts calls to make room for one more. The intent of an evicted call is requested again before its next attempt.
     fn forget(&mut self) {
-        while self.order.len() >= 2 * self.limits.most {
+        while self.order.len() >= 2 * self.limits.max_waiting {
             let Some(oldest) = self.order.pop_front() else { return };
             if self.calls.get(&oldest).is_some_and(|c| c.waiting.is_empty()) {
                 self.calls.remove(&oldest);
@@ -193,20 +193,20 @@
     }
 
     /// Sets the state of a worker: draining since a time, gone (`Some(Micros::MIN)`), or serving (None).
-    pub fn worker(&mut self, worker: WorkerId, leaving: Option<Micros>) {
+    pub fn set_worker_state(&mut self, worker: WorkerId, leaving: Option<Micros>) {
         match leaving {
             Some(since) => drop(self.leaving.insert(worker, since)),
             None => drop(self.leaving.remove(&worker)),
         }
     }
 
-    /// Returns when [`IntentGate::take_late`] must be called next.
+    /// Returns when [`IntentGate::take_expired`] must be called next.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
     /// Removes and returns the attempts whose wait has expired. An intent recorded later applies to the call's next attempt.
-    pub fn take_late(&mut self, now: Micros) -> Vec<(AttemptId, A, UnsentReason)> {
+    pub fn take_expired(&mut self, now: Micros) -> Vec<(AttemptId, A, UnsentReason)> {
         let due = self.deadlines.iter().take_while(|deadline| deadline.at <= now);
         let ids: Vec<AttemptId> = due.map(|deadline| deadline.attempt).collect();
         let late = ids.into_iter().filter_map(|id| {
--- a/crates/recovery/src/phases.rs
+++ b/crates/recovery/src/phases.rs
@@ -39,7 +39,7 @@
 
 impl RecoveryPhase {
     /// Returns the name of the phase in logs and reason codes.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             RecoveryPhase::OpeningStorage => "waking",
             RecoveryPhase::ResolvingInDoubt => "asking",
@@ -61,11 +61,11 @@
     /// Time that a call must have left after its wait to be allowed to wait.
     pub admission_wait: Micros,
     /// Fraction of calls served in time at which the fleet counts as warm.
-    pub served: f64,
+    pub warm_threshold: f64,
     /// Minimum share of the calls outside reservations that is admitted, so that there is evidence to observe.
-    pub least: f64,
+    pub min_share: f64,
     /// Minimum number of ended calls that counts as evidence.
-    pub calls: u32,
+    pub min_calls: u32,
 }
 
 impl Default for Limits {
@@ -75,9 +75,9 @@
             resolving_in_doubt: 3_000_000,
             ramping: 20_000_000,
             admission_wait: 300_000,
-            served: 0.9,
-            least: 0.05,
-            calls: 20,
+            warm_threshold: 0.9,
+            min_share: 0.05,
+            min_calls: 20,
         }
     }
 }
@@ -111,8 +111,8 @@
         }
         let copies = f64::from(self.warm_workers) / f64::from(self.workers);
         let served = match self.ended {
-            n if n < limits.calls => 0.0,
-            n => (f64::from(self.in_time) / f64::from(n) / limits.served).min(1.0),
+            n if n < limits.min_calls => 0.0,
+            n => (f64::from(self.in_time) / f64::from(n) / limits.warm_threshold).min(1.0),
         };
         // An allowance that is half unused counts as much as one that is entirely unused.
         copies.min(served).min((2.0 * self.unused_capacity).min(1.0)).clamp(0.0, 1.0)
@@ -123,14 +123,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The call is admitted.
-    Enter,
+    Admit,
     /// The call waits for a change of phase.
     Wait {
         /// When to request admission again if the phase has not changed.
         until: Micros,
     },
     /// The call is rejected.
-    Refuse {
+    Reject {
         /// Reason code for the answer.
         reason: &'static str,
         /// Advised retry delay, in microseconds.
@@ -161,7 +161,7 @@
             limits,
             phase: RecoveryPhase::OpeningStorage,
             since: now,
-            admitted_share: limits.least,
+            admitted_share: limits.min_share,
             reported_at: now,
             random,
         }
@@ -187,7 +187,7 @@
     }
 
     /// Returns when [`RecoveryPhases::observe`] must be called next if nothing changes.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_update(&self) -> Option<Micros> {
         match self.phase {
             RecoveryPhase::OpeningStorage => Some(self.since + self.limits.opening_storage),
             RecoveryPhase::ResolvingInDoubt => Some(self.since + self.limits.resolving_in_doubt),
@@ -229,7 +229,7 @@
         let limits = self.limits;
         let time_share = (now - self.since - limits.ramping) as f64 / limits.ramping.max(1) as f64;
         // Evidence may never appear, without calls or if no worker gets warm. Then the share grows slowly with time.
-        let allowed = evidence.warmth(&limits).max(time_share).max(limits.least);
+        let allowed = evidence.warmth(&limits).max(time_share).max(limits.min_share);
         let elapsed_steps = (now - self.reported_at).max(0) as f64 / STEP as f64;
         self.admitted_share = allowed.min(self.admitted_share * 2f64.powf(elapsed_steps.min(8.0))).min(1.0);
         self.reported_at = now;
@@ -241,9 +241,9 @@
     /// Decides about a new call. `reserved`: its tenant has a permit by its reservation. `budget` is the caller's remaining time.
     pub fn admit(&mut self, reserved: bool, budget: Micros, now: Micros) -> Admission {
         let (phase_end, reason) = match self.phase {
-            RecoveryPhase::Serving => return Admission::Enter,
+            RecoveryPhase::Serving => return Admission::Admit,
             RecoveryPhase::Ramping if reserved || self.random.next_fraction() < self.admitted_share => {
-                return Admission::Enter
+                return Admission::Admit
             }
             RecoveryPhase::Ramping => (now + STEP, "fleet-warming"),
             RecoveryPhase::OpeningStorage => {
@@ -264,6 +264,6 @@
             }
             _ => jittered,
         };
-        Admission::Refuse { reason, retry_after: retry_after.max(1) }
+        Admission::Reject { reason, retry_after: retry_after.max(1) }
     }
 }
--- a/crates/recovery/tests/inquiry.rs
+++ b/crates/recovery/tests/inquiry.rs
@@ -25,14 +25,14 @@
 #[test]
 fn a_cache_that_evicted_a_running_message_starts_no_inquiry_and_promises_nothing() {
     let mut m: DeliveryCache<()> = DeliveryCache::new(2, 1000, false);
-    m.inquires(true);
+    m.enable_inquiries(true);
     let other = |n: u32| Key::new("replies", &n.to_string(), "").unwrap();
     assert_eq!(m.on_delivery(Some(&other(0)), true, Effect::NonIdempotent, 1, 0), Verdict::Inquire);
     for n in 1..4 {
         m.on_delivery(Some(&other(n)), false, Effect::NonIdempotent, 9, 1);
     }
     assert_eq!(m.on_delivery(Some(&other(0)), true, Effect::NonIdempotent, 2, 2), Verdict::Fail);
-    assert_eq!(m.combine(&other(0), AttemptKnowledge::None, 2), AttemptKnowledge::NotKnown);
+    assert_eq!(m.answer_inquiry(&other(0), AttemptKnowledge::None, 2), AttemptKnowledge::NotKnown);
     assert_eq!(m.on_delivery(Some(&other(0)), true, Effect::Idempotent, 2, 2), Verdict::Run);
 }
 
--- a/crates/recovery/tests/recovery.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -22,14 +22,14 @@
         let k = key(1);
         assert_eq!(m.on_delivery(Some(&k), false, effect, 7, 0), Verdict::Run);
         assert_eq!(m.on_delivery(Some(&k), true, effect, 8, 1), Verdict::Join(7));
-        m.on_answer(&k, 7, "yes", ReplyState::Never);
+        m.on_answer(&k, 7, "yes", ReplyState::NotSent);
         assert_eq!(m.on_delivery(Some(&k), true, effect, 9, 2), Verdict::Resend("yes"));
         // The answer sent again may have arrived.
         assert_eq!(m.on_delivery(Some(&k), true, effect, 9, 3), Verdict::Settle { doubtful: true });
-        m.on_reply_state(&k, ReplyState::Never);
+        m.on_reply_state(&k, ReplyState::NotSent);
         assert_eq!(m.on_delivery(Some(&k), true, effect, 9, 4), Verdict::Resend("yes"));
         m.on_reply_state(&k, ReplyState::Confirmed);
-        m.on_reply_state(&k, ReplyState::Never);
+        m.on_reply_state(&k, ReplyState::NotSent);
         assert_eq!(m.on_delivery(Some(&k), true, effect, 9, 5), Verdict::Settle { doubtful: false });
     }
 }
@@ -112,7 +112,7 @@
                     runs += u32::from(verdict == Verdict::Run);
                 }
                 2 => m.on_answer(&k, 0, "a", ReplyState::Doubtful),
-                3 => m.on_reply_state(&k, ReplyState::Never),
+                3 => m.on_reply_state(&k, ReplyState::NotSent),
                 _ => m.on_reply_state(&k, ReplyState::Confirmed),
             }
         }
--- a/crates/recovery/tests/restarts.rs
+++ b/crates/recovery/tests/restarts.rs
@@ -37,12 +37,12 @@
 impl Process {
     fn new(disk: Vec<u64>) -> Process {
         let mut cache = DeliveryCache::new(100, 1_000_000, false);
-        cache.inquires(true);
+        cache.enable_inquiries(true);
         let limits = InquiryLimits { max_open: 10, max_wait: 1000, share: 1.0 };
         Process {
             cache,
             inquiries: Inquiries::new(limits),
-            gate: IntentGate::new(Limits { longest: 1000, most: 10, grace: 0 }),
+            gate: IntentGate::new(Limits { max_wait: 1000, max_waiting: 10, grace: 0 }),
             writing: Vec::new(),
             disk,
             socket: Vec::new(),
@@ -93,7 +93,7 @@
 
     fn attempt(&mut self, at: usize, number: u64) {
         let process = &mut self.processes[at];
-        let step = process.gate.attempt((number, (number as u32, 0)), 1, i64::MAX, (), self.now);
+        let step = process.gate.submit((number, (number as u32, 0)), 1, i64::MAX, (), self.now);
         if self.omitted == Omitted::Intent {
             self.runs += 1;
         }
@@ -172,7 +172,7 @@
                 let intents = self.intents(at);
                 let answers = match self.omitted {
                     Omitted::Promise => intents,
-                    _ => self.processes[at].cache.combine(&key(), intents, self.now),
+                    _ => self.processes[at].cache.answer_inquiry(&key(), intents, self.now),
                 };
                 self.processes[other].answers.push((number, at, answers));
             }
--- a/crates/recovery/tests/stages.rs
+++ b/crates/recovery/tests/stages.rs
@@ -32,7 +32,7 @@
 
 /// Returns how many of a thousand calls outside reservations are admitted.
 fn admitted_of_1000(phases: &mut RecoveryPhases, now: i64) -> usize {
-    (0..1000).filter(|_| phases.admit(false, 5 * S, now) == Admission::Enter).count()
+    (0..1000).filter(|_| phases.admit(false, 5 * S, now) == Admission::Admit).count()
 }
 
 #[test]
@@ -40,8 +40,8 @@
     for stage in [RecoveryPhase::OpeningStorage, RecoveryPhase::ResolvingInDoubt] {
         let mut phases = at(stage);
         assert!(matches!(phases.admit(true, 10 * S, 0), Admission::Wait { until } if until <= 5 * S));
-        let Admission::Refuse { reason, retry_after } = phases.admit(true, S, 0) else { panic!() };
-        assert_eq!(reason, stage.word());
+        let Admission::Reject { reason, retry_after } = phases.admit(true, S, 0) else { panic!() };
+        assert_eq!(reason, stage.name());
         assert!((3 * S..=10 * S).contains(&retry_after), "{retry_after}");
     }
 }
@@ -51,7 +51,7 @@
     let times = |seed| -> Vec<i64> {
         let mut phases = RecoveryPhases::new(Limits::default(), seed, 0);
         let calls = (0..1000).map(|_| match phases.admit(false, 0, 0) {
-            Admission::Refuse { retry_after, .. } => retry_after,
+            Admission::Reject { retry_after, .. } => retry_after,
             other => panic!("{other:?}"),
         });
         calls.collect()
@@ -69,7 +69,7 @@
     let mut phases = at(RecoveryPhase::Ramping);
     for second in 1..19 {
         assert!(!phases.observe(&COLD, second * S));
-        assert_eq!(phases.admit(true, 0, second * S), Admission::Enter);
+        assert_eq!(phases.admit(true, 0, second * S), Admission::Admit);
         assert!((20..100).contains(&admitted_of_1000(&mut phases, second * S)));
     }
 }
@@ -120,7 +120,7 @@
     let mut phases = RecoveryPhases::new(Limits::default(), 1, 0);
     let no_evidence = RecoveryEvidence { open_inquiries: 4, ..RecoveryEvidence::default() };
     let mut entered = Vec::new();
-    while let Some(due) = phases.due() {
+    while let Some(due) = phases.next_update() {
         if phases.observe(&no_evidence, due) {
             entered.push((phases.phase(), due));
         }
@@ -163,10 +163,10 @@
         for (evidence, pause) in steps.into_iter().cycle().take(400) {
             // Update on new evidence and at the requested times, as the driver does.
             let then = now + pause;
-            while let Some(due) = phases.due().filter(|due| *due <= then) {
+            while let Some(due) = phases.next_update().filter(|due| *due <= then) {
                 now = now.max(due);
                 phases.observe(&evidence, now);
-                prop_assert!(phases.due().is_none_or(|next| next > now));
+                prop_assert!(phases.next_update().is_none_or(|next| next > now));
             }
             now = then;
             phases.observe(&evidence, now);
