--- a/crates/admission/src/advice.rs
+++ b/crates/admission/src/advice.rs
@@ -6,7 +6,7 @@
 use stagehoist::Micros;
 
 /// Weight of a new interval in the exponential moving average of the rate.
-const GAIN: f64 = 0.3;
+const RATE_WEIGHT: f64 = 0.3;
 /// Minimum interval over which the rate is measured, in microseconds.
 const CHECK_INTERVAL: Micros = 250_000;
 
@@ -37,7 +37,7 @@
             return;
         }
         let rate = self.departures as f64 / elapsed as f64;
-        self.rate = Some(self.rate.map_or(rate, |average| average + GAIN * (rate - average)));
+        self.rate = Some(self.rate.map_or(rate, |average| average + RATE_WEIGHT * (rate - average)));
         self.departures = 0;
         self.interval_start = now;
     }
--- a/crates/admission/src/age.rs
+++ b/crates/admission/src/age.rs
@@ -20,7 +20,7 @@
     /// When the queue was last empty; None: this process has never seen it empty.
     empty: Option<Micros>,
     /// Messages received here since `empty`, or since the first observation.
-    taken: u64,
+    received: u64,
     /// Consumers that share the queue.
     consumers: u64,
     /// The first and the last depth that the broker reported since `empty`.
@@ -32,7 +32,7 @@
 
 impl Default for QueueAge {
     fn default() -> QueueAge {
-        QueueAge { empty: None, taken: 0, consumers: 1, first: None, last: None, is_doubtful: false }
+        QueueAge { empty: None, received: 0, consumers: 1, first: None, last: None, is_doubtful: false }
     }
 }
 
@@ -46,7 +46,7 @@
     /// were received, because a broker also pauses between two parts of a long backlog.
     pub fn on_idle(&mut self, now: Micros) {
         let known = (self.empty.is_some() || self.last.is_some()) && !self.is_doubtful;
-        let has_backlog = self.last.is_some_and(|l| ((self.taken * self.consumers) as f64) < l.messages);
+        let has_backlog = self.last.is_some_and(|l| ((self.received * self.consumers) as f64) < l.messages);
         if known && !has_backlog {
             self.on_empty(now);
         }
@@ -60,7 +60,7 @@
             return self.on_empty(now);
         }
         // With several consumers in round-robin, each has received an equal share.
-        let arrived = (self.taken * self.consumers + depth) as f64;
+        let arrived = (self.received * self.consumers + depth) as f64;
         let arrivals = Arrivals { at: now, messages: arrived };
         self.first = self.first.or(Some(arrivals));
         self.last = Some(arrivals);
@@ -92,7 +92,7 @@
     /// Records a received message and returns how long it waited, in microseconds. `stamp` is the time at which it was
     /// published, if the message carries it, converted to this process's clock.
     pub fn on_message(&mut self, stamp: Option<Micros>, redelivered: bool, now: Micros) -> Micros {
-        self.taken += 1;
+        self.received += 1;
         if redelivered {
             // It was delivered to another consumer before, so its position in the queue is not known.
             return stamp.map_or(0, |s| (now - s).max(0));
@@ -104,7 +104,7 @@
 
     /// Returns bounds on the age of the message received last.
     fn bounds(&self, now: Micros) -> AgeBounds {
-        let position = (self.taken * self.consumers) as f64;
+        let position = (self.received * self.consumers) as f64;
         let greatest = self.empty.map_or(Micros::MAX / 4, |empty| now - empty);
         let Some(last) = self.last else {
             // No depth is known yet: the message arrived at some time since the queue was empty.
--- a/crates/admission/src/intake.rs
+++ b/crates/admission/src/intake.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 
 /// A tenant class may hold this many times the free capacity: a single class four fifths of the total, two four ninths each.
-const MULTIPLE: u64 = 4;
+const THRESHOLD_FACTOR: u64 = 4;
 
 /// Limits on the held calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -86,12 +86,12 @@
     pub fn admit(&mut self, owner: TenantClass, bytes: u64) -> Result<Held, Refusal> {
         let (calls, held) = self.tenant_classes.get(&owner).copied().unwrap_or_default();
         let free = self.bounds.calls.saturating_sub(self.calls);
-        if free == 0 || calls >= MULTIPLE.saturating_mul(free) {
+        if free == 0 || calls >= THRESHOLD_FACTOR.saturating_mul(free) {
             return Err(Refusal::Calls);
         }
         let free = self.bounds.bytes.saturating_sub(self.bytes);
         // A single call may use all bytes; otherwise a body just under the limit could never be served.
-        if bytes > free || (held > 0 && held + bytes > MULTIPLE.saturating_mul(free)) {
+        if bytes > free || (held > 0 && held + bytes > THRESHOLD_FACTOR.saturating_mul(free)) {
             return Err(Refusal::Bytes);
         }
         self.calls += 1;
--- a/crates/admission/src/permits/class.rs
+++ b/crates/admission/src/permits/class.rs
@@ -186,7 +186,7 @@
     }
 
     /// Whether a call would wait past `latest`, predicted from the rate at which calls of its class ended.
-    pub fn is_hopeless(&self, class: usize, latest: Micros, now: Micros) -> bool {
+    pub fn would_wait_too_long(&self, class: usize, latest: Micros, now: Micros) -> bool {
         let state = &self.classes[class];
         let is_stable = state.waiting_since.is_some_and(|since| now - since >= STABLE_AFTER);
         let expected_wait =
--- a/crates/admission/src/permits/mod.rs
+++ b/crates/admission/src/permits/mod.rs
@@ -77,7 +77,8 @@
     max_waiting: usize,
     max_retry_after: Micros,
     seed: u64,
-    /// Until this time, runs started by an earlier incarnation of this front end may still use its guaranteed minimum at workers.
+    /// Until this time, runs started by an earlier incarnation of this front end may still use its guaranteed minimum at
+    /// workers.
     quiet_until: Micros,
     pools: Vec<Pool>,
     until: Micros,
@@ -167,7 +168,10 @@
             state.start(class);
             return PermitDecision::Granted(Permit { pool, class });
         }
-        if latest <= now || state.waiting() >= self.max_waiting || state.is_hopeless(class, latest, now) {
+        if latest <= now
+            || state.waiting() >= self.max_waiting
+            || state.would_wait_too_long(class, latest, now)
+        {
             return PermitDecision::Rejected { retry_after: state.retry_after(class) };
         }
         self.next_position += 1;
--- a/crates/core/tests/recording/main.rs
+++ b/crates/core/tests/recording/main.rs
@@ -151,26 +151,26 @@
 fn run_scenario(scenario: &Scenario, seed: u64) -> (u64, Counts) {
     let Scenario { settings, quiet, front_ends, .. } = scenario;
     let mut world = World::new(settings, seed, *front_ends, *quiet);
-    let mut front_ends_run: Vec<FrontEnd> =
+    let mut instances: Vec<FrontEnd> =
         (0..*front_ends).map(|k| FrontEnd::new(settings.clone(), seed + 100 * k as u64, world.now)).collect();
     let (mut digest, mut counts) = (Digest(0xcbf2_9ce4_8422_2325), Counts::default());
     for _ in 0..STEPS {
         world.step();
-        for (k, front_end) in front_ends_run.iter_mut().enumerate() {
+        for (k, front_end) in instances.iter_mut().enumerate() {
             let events = world.take_due(k);
-            let mut out = Vec::new();
-            front_end.handle(world.now, &events, &mut out);
+            let mut actions = Vec::new();
+            front_end.handle(world.now, &events, &mut actions);
             counts.batches += 1;
             counts.events += events.len();
-            let texts: Vec<String> = out.iter().map(text).collect();
+            let texts: Vec<String> = actions.iter().map(text).collect();
             digest.add(&format!("{k} {} [{}]\n", world.now, texts.join(", ")));
-            for action in &out {
+            for action in &actions {
                 *counts.kinds.entry(kind(action)).or_default() += 1;
                 world.act(k, action);
             }
         }
     }
-    for front_end in &front_ends_run {
+    for front_end in &instances {
         let TableSizes { workers, functions } = front_end.table_sizes();
         digest.add(&format!("({workers}, {functions})\n"));
     }
--- a/crates/core/tests/recording/outcomes.rs
+++ b/crates/core/tests/recording/outcomes.rs
@@ -23,19 +23,19 @@
         for (name, _) in observations.iter().filter(|x| x.1) {
             *self.observed.entry(name).or_default() += 1;
         }
-        let (gap, drawn_percent, long) =
+        let (overhead, random_percent, slow_draw) =
             (300 + self.random.below(MS), self.random.below(100), self.random.below(20));
-        let share = 60 + self.random.below(80) + if long == 0 { 300 } else { 0 };
-        let store = 100 + self.loads_in_progress() * 10;
-        let w = self.workers.get_mut(&worker).expect("a worker of the list");
+        let run_percent = 60 + self.random.below(80) + if slow_draw == 0 { 300 } else { 0 };
+        let load_percent = 100 + self.loads_in_progress() * 10;
+        let w = self.workers.get_mut(&worker).expect("the worker is in the list");
         let utilization = w.running.len() as f64 / w.row.capacity;
         let slowdown = if w.condition.0 == Condition::Slow { 4.0 } else { 1.0 } * utilization.max(1.0);
-        let elapsed_time = (run(function) * share / 100) as f64 * slowdown;
+        let run_time = (run(function) * run_percent / 100) as f64 * slowdown;
         let copy_ready_at = w.copies.get(&function).map(|c| c.0);
-        let gone = w.row.lifecycle == Lifecycle::Gone || w.condition.0 == Condition::Dead;
-        let failing = w.condition.0 == Condition::Failing && drawn_percent < 70;
-        let outcome = match drawn_percent {
-            _ if gone => Outcome::ConnectFailed,
+        let unreachable = w.row.lifecycle == Lifecycle::Gone || w.condition.0 == Condition::Dead;
+        let failing = w.condition.0 == Condition::Failing && random_percent < 70;
+        let outcome = match random_percent {
+            _ if unreachable => Outcome::ConnectFailed,
             _ if w.condition.0 == Condition::Silent => Outcome::Timeout,
             _ if utilization > 3.0 => Outcome::Full,
             _ if failing => Outcome::Error,
@@ -47,7 +47,7 @@
         };
         match outcome {
             Outcome::Timeout => {
-                return self.end(at, outcome, 0, (self.now, deadline.max(self.now) - self.now + gap))
+                return self.end(at, outcome, 0, (self.now, deadline.max(self.now) - self.now + overhead))
             }
             Outcome::Ok => {}
             _ => {
@@ -55,7 +55,7 @@
                     at,
                     outcome,
                     0,
-                    (self.now, gap + if outcome == Outcome::Reset { 20 * MS } else { 0 }),
+                    (self.now, overhead + if outcome == Outcome::Reset { 20 * MS } else { 0 }),
                 )
             }
         }
@@ -64,20 +64,25 @@
         let (ready, copy) = match copy_ready_at {
             Some(since) if since <= self.now => (self.now, 1),
             Some(since) => (since, 3),
-            None => (self.now + load(function) * store / 100, 2),
+            None => (self.now + load(function) * load_percent / 100, 2),
         };
         w.copies.insert(function, (ready, ready));
-        if copy == 2 && drawn_percent < 5 {
+        if copy == 2 && random_percent < 5 {
             w.copies.remove(&function);
             return self.end(at, Outcome::Error, 4, (self.now, ready - self.now));
         }
-        let total_time = ready - self.now + elapsed_time as Micros + gap;
+        let total_time = ready - self.now + run_time as Micros + overhead;
         // The process around the module waits no longer than the call's deadline.
         if self.now + total_time > deadline + 50 * MS {
-            return self.end(at, Outcome::Timeout, 0, (self.now, deadline.max(self.now) - self.now + gap));
+            return self.end(
+                at,
+                Outcome::Timeout,
+                0,
+                (self.now, deadline.max(self.now) - self.now + overhead),
+            );
         }
         if streaming {
-            self.send(front, ready + gap, Event::Started { request: id, attempt: number });
+            self.send(front, ready + overhead, Event::Started { request: id, attempt: number });
         }
         self.end(at, Outcome::Ok, copy, (self.now, total_time));
     }
@@ -112,12 +117,12 @@
 
     pub(super) fn order_load(&mut self, front: usize, worker: WorkerId, function: FunctionId) {
         let late = self.random.below(self.settings.load_delay.max(1));
-        let (drawn_percent, share) = (self.random.below(30), 80 + self.random.below(60));
+        let (random_percent, share) = (self.random.below(30), 80 + self.random.below(60));
         let elapsed_time = late + load(function) * (share + 10 * self.loads_in_progress()) / 100;
-        let w = self.workers.get_mut(&worker).expect("a worker of the list");
-        let gone = w.row.lifecycle == Lifecycle::Gone || w.condition.0 == Condition::Dead;
-        let (outcome, elapsed_time, copies) = match drawn_percent {
-            _ if gone => (Outcome::ConnectFailed, MS, 0),
+        let w = self.workers.get_mut(&worker).expect("the worker is in the list");
+        let unreachable = w.row.lifecycle == Lifecycle::Gone || w.condition.0 == Condition::Dead;
+        let (outcome, elapsed_time, copies) = match random_percent {
+            _ if unreachable => (Outcome::ConnectFailed, MS, 0),
             _ if w.condition.0 == Condition::Silent => (Outcome::Timeout, self.settings.load_timeout, 0),
             0 => (Outcome::Full, late + MS, 0),
             1 => (Outcome::Error, elapsed_time, 0),
--- a/crates/core/tests/recording/world.rs
+++ b/crates/core/tests/recording/world.rs
@@ -32,7 +32,7 @@
     function: FunctionId,
     streaming: bool,
     deadline: Micros,
-    concluded_call: bool,
+    is_concluded: bool,
     /// By attempt number: the worker, and whether the attempt is still in flight.
     attempts: Vec<(WorkerId, bool)>,
 }
@@ -83,16 +83,16 @@
     }
 
     /// Sends the current list to each front end, with a delay.
-    fn list(&mut self, update_kind: EndpointUpdate, lag: Micros) {
-        let whole = update_kind != EndpointUpdate::Delta;
+    fn list(&mut self, update_kind: EndpointUpdate, base_delay: Micros) {
+        let is_full = update_kind != EndpointUpdate::Delta;
         // A gone worker is listed at most once more.
-        let listed = |w: &&Worker| w.changed || whole && w.row.lifecycle != Lifecycle::Gone;
+        let listed = |w: &&Worker| w.changed || is_full && w.row.lifecycle != Lifecycle::Gone;
         let rows = self.workers.values().filter(listed).map(|w| w.row.clone());
         let rows: Rc<[Endpoint]> =
             if update_kind == EndpointUpdate::Failed { Rc::from([]) } else { rows.collect() };
         self.workers.values_mut().for_each(|w| w.changed = false);
         for front in 0..self.front_end_count {
-            let at = self.now + lag + self.random.below(lag / 2);
+            let at = self.now + base_delay + self.random.below(base_delay / 2);
             self.send(front, at, Event::Endpoints { update: update_kind, endpoints: rows.clone() });
         }
     }
@@ -114,8 +114,8 @@
                 1 => EndpointUpdate::Full,
                 _ => EndpointUpdate::Delta,
             };
-            let lag = self.random.below(300 * MS);
-            self.list(update_kind, lag);
+            let base_delay = self.random.below(300 * MS);
+            self.list(update_kind, base_delay);
         }
         let (now, retention) = (self.now, self.settings.idle_retention);
         self.workers.values_mut().for_each(|w| w.expire(now, retention));
@@ -130,12 +130,12 @@
         let function = if r.is_one_in(20) { 1000 + FunctionId::from(id) } else { shared };
         let class = (function % self.settings.classes.len() as u64) as u16;
         let budget = [2500, 2500, 1500, 900, 300, 0][r.below(6).min(r.below(6)) as usize] * MS;
-        let accepted_at_drawn = if r.is_one_in(4) { self.now - r.below(5 * MS) } else { 0 };
+        let accepted_time = if r.is_one_in(4) { self.now - r.below(5 * MS) } else { 0 };
         let work = self.settings.weight_by_work.then(|| worker::run(function) + r.below(60 * MS));
         let (tenant, front) = (r.below(4) as u32, r.below(self.front_end_count as i64) as usize);
-        let (repeat, known) = (r.is_one_in(30), !r.is_one_in(10));
+        let (repeat, is_verified) = (r.is_one_in(30), !r.is_one_in(10));
         let cancelled_at = r.is_one_in(40).then(|| self.now + r.below(1200 * MS));
-        let (memory_mb, lanes) = (worker::memory(function), 1.0 + (function % 3) as f64);
+        let (memory_mb, parallel_calls) = (worker::memory(function), 1.0 + (function % 3) as f64);
         let load = if function % 4 == 0 { 0 } else { worker::load(function) };
         let request = Request {
             id,
@@ -145,15 +145,15 @@
             budget,
             work,
             memory_mb,
-            concurrency: lanes,
+            concurrency: parallel_calls,
             load_time: load,
             is_repeat: repeat,
-            accepted_at: accepted_at_drawn,
-            client_verified: known,
+            accepted_at: accepted_time,
+            client_verified: is_verified,
         };
         let streaming = self.settings.classes[class as usize].streaming;
         let (deadline, attempts) = (self.now + budget, Vec::new());
-        self.calls.insert(id, Call { front, function, streaming, deadline, concluded_call: false, attempts });
+        self.calls.insert(id, Call { front, function, streaming, deadline, is_concluded: false, attempts });
         self.send(front, self.now, Event::Request(request));
         if let Some(at) = cancelled_at {
             self.send(front, at, Event::ClientGone { request: id });
@@ -186,17 +186,17 @@
 
     /// Removes and returns the events that have arrived at a front end by now.
     pub fn take_due(&mut self, front: usize) -> Vec<Event> {
-        let take_due = self.in_flight.range(..=(self.now, u64::MAX)).filter(|(_, (to, _))| *to == front);
-        let keys: Vec<_> = take_due.map(|(key, _)| *key).collect();
-        let take_due: Vec<_> = keys.iter().filter_map(|key| self.in_flight.remove(key)).collect();
-        take_due.into_iter().filter_map(|(_, event)| self.arrive(event)).collect()
+        let due_events = self.in_flight.range(..=(self.now, u64::MAX)).filter(|(_, (to, _))| *to == front);
+        let keys: Vec<_> = due_events.map(|(key, _)| *key).collect();
+        let due_events: Vec<_> = keys.iter().filter_map(|key| self.in_flight.remove(key)).collect();
+        due_events.into_iter().filter_map(|(_, event)| self.arrive(event)).collect()
     }
 
     /// Completes an arriving event as the process around the module does; None if its call or attempt has already ended.
     fn arrive(&mut self, mut event: Event) -> Option<Event> {
         match &mut event {
             Event::ClientGone { request } => {
-                self.calls.get_mut(request).filter(|c| !c.concluded_call)?.concluded_call = true
+                self.calls.get_mut(request).filter(|c| !c.is_concluded)?.is_concluded = true
             }
             Event::AttemptEnded(e) => {
                 let w = self.workers.get_mut(&e.worker)?;
@@ -210,8 +210,8 @@
                 let call = self.calls.get_mut(&e.request)?;
                 let slot = call.attempts.get_mut(e.attempt as usize).filter(|a| a.1)?;
                 slot.1 = false;
-                e.concluded = call.concluded_call || e.outcome == Outcome::Ok;
-                call.concluded_call = e.concluded;
+                e.concluded = call.is_concluded || e.outcome == Outcome::Ok;
+                call.is_concluded = e.concluded;
             }
             Event::HealthChecked { worker, report, outcome: Outcome::Ok, .. } => {
                 *report = self.workers.get(worker).and_then(|w| w.report(&self.settings));
@@ -225,7 +225,7 @@
         match *action {
             Action::Send { request, worker, .. } => self.attempt(front, request, worker),
             Action::Reject { request, .. } | Action::Fail { request } => {
-                self.calls.get_mut(&request).expect("the request arrived before").concluded_call = true;
+                self.calls.get_mut(&request).expect("the request arrived before").is_concluded = true;
             }
             Action::Cancel { request, attempt } => {
                 let worker = self.calls[&request].attempts[attempt as usize].0;
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -26,7 +26,7 @@
 pub const GONE_RETENTION: Micros = 30_000_000;
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownWorker {
     name: String,
     address: String,
     endpoint: Endpoint,
@@ -63,7 +63,7 @@
     /// Entries of the last full list omitted because of `max_workers`, and whether the omission was reported.
     omitted: usize,
     omission_reported: bool,
-    workers: BTreeMap<WorkerId, Known>,
+    workers: BTreeMap<WorkerId, KnownWorker>,
     ids: BTreeMap<String, WorkerId>,
     /// Workers that were reported gone, in order of time.
     departed: VecDeque<Departure>,
@@ -132,7 +132,7 @@
                 endpoints.push(endpoint);
             }
         }
-        self.forget_expired(now);
+        self.remove_expired(now);
         Update { kind, endpoints }
     }
 
@@ -159,7 +159,8 @@
         }
         let listed = endpoint.lifecycle;
         let departed_at = (listed == Lifecycle::Gone).then(|| self.departure(id, now));
-        let known = Known { name, address, endpoint: endpoint.clone(), listed, announced: None, departed_at };
+        let known =
+            KnownWorker { name, address, endpoint: endpoint.clone(), listed, announced: None, departed_at };
         self.workers.insert(id, known);
         Some(endpoint)
     }
@@ -173,7 +174,7 @@
         at
     }
 
-    fn forget_expired(&mut self, now: Micros) {
+    fn remove_expired(&mut self, now: Micros) {
         while let Some(departure) = self.departed.front().copied() {
             if now - departure.at < GONE_RETENTION {
                 return;
--- a/crates/endpoints/src/list.rs
+++ b/crates/endpoints/src/list.rs
@@ -1,6 +1,6 @@
 //! Full lists of workers by name.
 
-use super::{DrainAnnouncement, EndpointSet, Known, ListedWorker, Update};
+use super::{DrainAnnouncement, EndpointSet, KnownWorker, ListedWorker, Update};
 use fnv::FnvHasher;
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle, Micros, WorkerId};
 use std::collections::BTreeSet;
@@ -47,7 +47,7 @@
     }
 
     /// Builds the state of a listed worker, with its own announcement if that is still valid.
-    fn listed_worker(&self, id: WorkerId, entry: ListedWorker, now: Micros) -> Known {
+    fn listed_worker(&self, id: WorkerId, entry: ListedWorker, now: Micros) -> KnownWorker {
         let position = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let listed = if entry.draining { Lifecycle::Draining } else { Lifecycle::Ready };
         let announced = self.valid_announcement(id, listed, entry.started, now);
@@ -60,7 +60,14 @@
             cell: entry.cell,
             capacity: if entry.capacity > 0.0 { entry.capacity } else { 1.0 },
         };
-        Known { name: entry.name, address: entry.address, endpoint, listed, announced, departed_at: None }
+        KnownWorker {
+            name: entry.name,
+            address: entry.address,
+            endpoint,
+            listed,
+            announced,
+            departed_at: None,
+        }
     }
 
     /// Returns the worker's announcement if it is still valid: the list showed the worker ready before and now, the
--- a/crates/recovery/src/delivery_cache.rs
+++ b/crates/recovery/src/delivery_cache.rs
@@ -31,14 +31,15 @@
         doubtful: bool,
     },
     /// The message was delivered before and is unknown here: ask its possible former holders. Until they answer, the
-    /// message waits as if it were in progress under its number. Returned only after [`DeliveryCache::enable_inquiries`] enabled it.
+    /// message waits as if it were in progress under its number. Returned only while inquiries are enabled by
+    /// [`DeliveryCache::enable_inquiries`].
     Inquire,
     /// The message was delivered before and is unknown: answer `failed`, run nothing.
     Fail,
 }
 
 #[derive(Clone, Debug)]
-enum Known<A> {
+enum MessageState<A> {
     Running(u64),
     Answered(A, ReplyState),
     /// The message is being answered `failed` under this number; nothing else is known about it.
@@ -49,7 +50,7 @@
 
 #[derive(Clone, Debug)]
 struct Entry<A> {
-    known: Known<A>,
+    known: MessageState<A>,
     created_at: Micros,
 }
 
@@ -57,17 +58,17 @@
     /// Returns the verdict on a redelivery of a message in progress or answered; None in the other states.
     fn on_redelivery(&mut self, resend_doubtful: bool) -> Option<Verdict<A>> {
         match &mut self.known {
-            Known::Running(ticket) => Some(Verdict::Join(*ticket)),
-            Known::Answered(_, ReplyState::Confirmed) => Some(Verdict::Settle { doubtful: false }),
-            Known::Answered(_, ReplyState::Doubtful) if !resend_doubtful => {
+            MessageState::Running(ticket) => Some(Verdict::Join(*ticket)),
+            MessageState::Answered(_, ReplyState::Confirmed) => Some(Verdict::Settle { doubtful: false }),
+            MessageState::Answered(_, ReplyState::Doubtful) if !resend_doubtful => {
                 Some(Verdict::Settle { doubtful: true })
             }
-            Known::Answered(answer, reply_state) => {
+            MessageState::Answered(answer, reply_state) => {
                 // The answer is sent again, so its arrival is unknown until the broker reports it.
                 *reply_state = ReplyState::Doubtful;
                 Some(Verdict::Resend(answer.clone()))
             }
-            Known::Failing(_) | Known::Ceded => None,
+            MessageState::Failing(_) | MessageState::Ceded => None,
         }
     }
 }
@@ -87,10 +88,10 @@
     resend_doubtful: bool,
     entries: HashMap<Key, Entry<A>>,
     /// In order of creation; a replaced entry leaves a stale element here, which its time identifies.
-    order: VecDeque<Created>,
+    creation_order: VecDeque<Created>,
     inquiries_enabled: bool,
     /// A message in progress was evicted, so until this time an unknown message may be in progress here.
-    unproven_until: Micros,
+    unknown_until: Micros,
 }
 
 impl<A: Clone> DeliveryCache<A> {
@@ -103,9 +104,9 @@
             retention: max_age,
             resend_doubtful,
             entries: HashMap::new(),
-            order: VecDeque::new(),
+            creation_order: VecDeque::new(),
             inquiries_enabled: false,
-            unproven_until: 0,
+            unknown_until: 0,
         }
     }
 
@@ -140,13 +141,13 @@
     ) -> Verdict<A> {
         self.expire(now);
         let entry = key.and_then(|key| self.entries.get_mut(key));
-        let ceded = matches!(entry, Some(Entry { known: Known::Ceded, .. }));
+        let ceded = matches!(entry, Some(Entry { known: MessageState::Ceded, .. }));
         if let Some(verdict) =
             entry.filter(|_| redelivered).and_then(|e| e.on_redelivery(self.resend_doubtful))
         {
             return verdict;
         }
-        let can_inquire = self.inquiries_enabled && key.is_some() && now >= self.unproven_until;
+        let can_inquire = self.inquiries_enabled && key.is_some() && now >= self.unknown_until;
         let verdict = match effect {
             Effect::Idempotent => Verdict::Run,
             _ if redelivered && can_inquire => Verdict::Inquire,
@@ -156,7 +157,7 @@
             _ => Verdict::Run,
         };
         if let (Some(key), Verdict::Run | Verdict::Inquire) = (key, &verdict) {
-            self.insert(key, Known::Running(ticket), now);
+            self.insert(key, MessageState::Running(ticket), now);
         }
         verdict
     }
@@ -165,7 +166,7 @@
     /// unknown like that of any other, and it is not sent twice. A ceded message stays ceded.
     pub fn on_failing(&mut self, key: &Key, ticket: u64, now: Micros) {
         if !self.entries.contains_key(key) {
-            self.insert(key, Known::Failing(ticket), now);
+            self.insert(key, MessageState::Failing(ticket), now);
         }
     }
 
@@ -176,39 +177,39 @@
     pub fn answer_inquiry(&mut self, key: &Key, intents: AttemptKnowledge, now: Micros) -> AttemptKnowledge {
         self.expire(now);
         match self.entries.get(key).map(|e| &e.known) {
-            Some(Known::Running(_) | Known::Answered(..)) => AttemptKnowledge::MayHaveRun,
+            Some(MessageState::Running(_) | MessageState::Answered(..)) => AttemptKnowledge::MayHaveRun,
             _ if intents != AttemptKnowledge::None => intents,
-            Some(Known::Failing(_)) => AttemptKnowledge::NotKnown,
-            _ if now < self.unproven_until => AttemptKnowledge::NotKnown,
+            Some(MessageState::Failing(_)) => AttemptKnowledge::NotKnown,
+            _ if now < self.unknown_until => AttemptKnowledge::NotKnown,
             _ => {
-                self.insert(key, Known::Ceded, now);
+                self.insert(key, MessageState::Ceded, now);
                 AttemptKnowledge::None
             }
         }
     }
 
-    fn insert(&mut self, key: &Key, known: Known<A>, now: Micros) {
+    fn insert(&mut self, key: &Key, known: MessageState<A>, now: Micros) {
         while self.entries.len() >= self.max_entries.max(1) {
-            let Some(oldest) = self.order.pop_front() else { break };
-            self.forget(&oldest, now);
+            let Some(oldest) = self.creation_order.pop_front() else { break };
+            self.evict(&oldest, now);
         }
-        self.order.push_back(Created { at: now, key: key.clone() });
+        self.creation_order.push_back(Created { at: now, key: key.clone() });
         self.entries.insert(key.clone(), Entry { known, created_at: now });
     }
 
     fn expire(&mut self, now: Micros) {
-        while self.order.front().is_some_and(|created| now - created.at > self.retention) {
-            let Some(oldest) = self.order.pop_front() else { break };
-            self.forget(&oldest, now);
+        while self.creation_order.front().is_some_and(|created| now - created.at > self.retention) {
+            let Some(oldest) = self.creation_order.pop_front() else { break };
+            self.evict(&oldest, now);
         }
     }
 
-    fn forget(&mut self, created: &Created, now: Micros) {
+    fn evict(&mut self, created: &Created, now: Micros) {
         if self.entries.get(&created.key).is_some_and(|entry| entry.created_at == created.at) {
             let removed = self.entries.remove(&created.key);
-            if removed.is_some_and(|e| matches!(e.known, Known::Running(_))) {
+            if removed.is_some_and(|e| matches!(e.known, MessageState::Running(_))) {
                 // The message may still be before its first attempt, without an intent.
-                self.unproven_until = now + self.retention;
+                self.unknown_until = now + self.retention;
             }
         }
     }
@@ -216,15 +217,15 @@
     /// Records the answer of a message's call; later states of the reply are reported by [`DeliveryCache::on_reply_state`].
     pub fn on_answer(&mut self, key: &Key, ticket: u64, answer: A, reply_state: ReplyState) {
         if let Some(entry) = self.entries.get_mut(key) {
-            if matches!(entry.known, Known::Running(t) | Known::Failing(t) if t == ticket) {
-                entry.known = Known::Answered(answer, reply_state);
+            if matches!(entry.known, MessageState::Running(t) | MessageState::Failing(t) if t == ticket) {
+                entry.known = MessageState::Answered(answer, reply_state);
             }
         }
     }
 
     /// Updates the state of a message's reply. A confirmed reply stays confirmed.
     pub fn on_reply_state(&mut self, key: &Key, new_state: ReplyState) {
-        if let Some(Entry { known: Known::Answered(_, reply_state), .. }) = self.entries.get_mut(key) {
+        if let Some(Entry { known: MessageState::Answered(_, reply_state), .. }) = self.entries.get_mut(key) {
             if *reply_state != ReplyState::Confirmed {
                 *reply_state = new_state;
             }
--- a/crates/recovery/src/inquiry.rs
+++ b/crates/recovery/src/inquiry.rs
@@ -1,9 +1,9 @@
 //! Messages that wait while their former holders are asked whether an attempt may have been sent for them.
 //!
 //! A message runs only if every member asked answers [`AttemptKnowledge::None`] in time. This answer is also a promise: the
-//! member that gives it no longer runs the message (see [`crate::DeliveryCache::answer_inquiry`]), even if a delivery of it is
-//! still unread in the member's socket. If a member is unreachable or does not know, the message fails, as it would without
-//! an inquiry.
+//! member that gives it no longer runs the message (see [`crate::DeliveryCache::answer_inquiry`]), even if a delivery of
+//! it is still unread in the member's socket. If a member is unreachable or does not know, the message fails, as it would
+//! without an inquiry.
 
 use crate::Identity;
 use stagehoist::Micros;
--- a/crates/recovery/src/intent_gate.rs
+++ b/crates/recovery/src/intent_gate.rs
@@ -60,7 +60,7 @@
     waiting: Vec<AttemptId>,
 }
 
-struct Waiting<A> {
+struct WaitingAttempt<A> {
     attempt: A,
     number: u64,
     worker: WorkerId,
@@ -82,7 +82,7 @@
     calls: HashMap<u64, Call>,
     /// Calls in order of arrival.
     order: VecDeque<u64>,
-    waiting: HashMap<AttemptId, Waiting<A>>,
+    waiting: HashMap<AttemptId, WaitingAttempt<A>>,
     deadlines: BTreeSet<Deadline>,
     /// Draining workers with the time since which they drain, and gone workers with `Micros::MIN`.
     leaving: HashMap<WorkerId, Micros>,
@@ -124,18 +124,18 @@
         }
         let is_new = call_state.is_none();
         if is_new {
-            self.forget();
+            self.evict();
             self.order.push_back(number);
         }
         let wait_until = due.min(now + self.limits.max_wait);
         self.deadlines.insert(Deadline { at: wait_until, attempt: id });
-        self.waiting.insert(id, Waiting { attempt: payload, number, worker, due, wait_until });
+        self.waiting.insert(id, WaitingAttempt { attempt: payload, number, worker, due, wait_until });
         self.calls.entry(number).or_default().waiting.push(id);
         GateDecision::Wait { record: is_new }
     }
 
     /// Evicts calls to make room for one more. The intent of an evicted call is requested again before its next attempt.
-    fn forget(&mut self) {
+    fn evict(&mut self) {
         while self.order.len() >= 2 * self.limits.max_waiting {
             let Some(oldest) = self.order.pop_front() else { return };
             if self.calls.get(&oldest).is_some_and(|c| c.waiting.is_empty()) {
@@ -162,7 +162,7 @@
         }
         let decisions = ids.into_iter().filter_map(|id| {
             let waiting_attempt = self.remove(id)?;
-            let decision = match (on_disk, self.revocation(&waiting_attempt, now)) {
+            let decision = match (on_disk, self.unsent_reason(&waiting_attempt, now)) {
                 (false, _) => GateDecision::Unsent(waiting_attempt.attempt, UnsentReason::NoIntent),
                 (true, Some(reason)) => GateDecision::Unsent(waiting_attempt.attempt, reason),
                 (true, None) => GateDecision::Send(waiting_attempt.attempt),
@@ -173,7 +173,7 @@
     }
 
     /// Returns why an attempt may no longer be sent, or None if it may be sent.
-    fn revocation(&self, waiting_attempt: &Waiting<A>, now: Micros) -> Option<UnsentReason> {
+    fn unsent_reason(&self, waiting_attempt: &WaitingAttempt<A>, now: Micros) -> Option<UnsentReason> {
         if now >= waiting_attempt.due {
             return Some(UnsentReason::TooLate);
         }
@@ -181,7 +181,8 @@
         (now.saturating_sub(*since) > self.limits.grace).then_some(UnsentReason::WorkerDraining)
     }
 
-    /// Aborts an attempt. Returns true if it was waiting here and will not be sent, false if it was already sent to its worker.
+    /// Aborts an attempt. Returns true if it was waiting here and will not be sent, false if it was already sent to its
+    /// worker.
     pub fn abort(&mut self, id: AttemptId) -> bool {
         self.remove(id).is_some()
     }
@@ -218,7 +219,7 @@
         late.collect()
     }
 
-    fn remove(&mut self, id: AttemptId) -> Option<Waiting<A>> {
+    fn remove(&mut self, id: AttemptId) -> Option<WaitingAttempt<A>> {
         let waiting_attempt = self.waiting.remove(&id)?;
         self.deadlines.remove(&Deadline { at: waiting_attempt.wait_until, attempt: id });
         if let Some(call) = self.calls.get_mut(&waiting_attempt.number) {
--- a/crates/recovery/src/phases.rs
+++ b/crates/recovery/src/phases.rs
@@ -1,4 +1,4 @@
-//! The phases from process start to normal service. Every phase has a time limit, after which the next phase starts.
+//! The phases from process start to normal service. Every phase but the last has a time limit, after which the next starts.
 //!
 //! | state after a start | trusted | reason |
 //! | --- | --- | --- |
@@ -13,7 +13,7 @@
 //! | --- | --- | --- | --- |
 //! | opening storage | waking | own store opened or quarantined | continues without intents: redelivered messages fail, calls that need an intent are held back by the limit on waits for intents |
 //! | resolving in-doubt | asking | a session with the cluster state, and the answers of former members | continues without them: strict functions and borrowed permits stay closed by their own rules; messages under inquiry fail |
-//! | ramping | reserved | evidence that the fleet is warm | admits a share of the calls that grows in steps, as the evidence allows, and never falls below a minimum |
+//! | ramping | reserved | evidence that the fleet is warm | the admitted share of the calls also grows with time; before, it grows in steps from a minimum as the evidence allows |
 //! | serving | open | - | - |
 //!
 //! While storage is opening and in-doubt messages are resolved, calls wait if their remaining time allows it; otherwise they
@@ -196,7 +196,8 @@
         }
     }
 
-    /// Processes the current evidence. Returns true if the phase changed; admission of the waiting calls must then be retried.
+    /// Processes the current evidence. Returns true if the phase changed; admission of the waiting calls must then be
+    /// retried.
     pub fn observe(&mut self, evidence: &RecoveryEvidence, now: Micros) -> bool {
         let previous = self.phase;
         let has_elapsed = |limit: Micros| now - self.since >= limit;
@@ -210,7 +211,7 @@
             {
                 self.enter(RecoveryPhase::Ramping, now);
             }
-            RecoveryPhase::Ramping => self.grow(evidence, now),
+            RecoveryPhase::Ramping => self.update_share(evidence, now),
             _ => {}
         }
         // Leave the new phase at once if it has nothing to wait for.
@@ -224,8 +225,9 @@
         (self.phase, self.since, self.reported_at) = (new_phase, now, now);
     }
 
-    /// Updates the admitted share: it at most doubles per [`STEP`], up to what the evidence allows, and falls at once with it.
-    fn grow(&mut self, evidence: &RecoveryEvidence, now: Micros) {
+    /// Updates the admitted share. It at most doubles per [`STEP`], up to what the evidence allows, and falls at once if the
+    /// evidence allows less.
+    fn update_share(&mut self, evidence: &RecoveryEvidence, now: Micros) {
         let limits = self.limits;
         let time_share = (now - self.since - limits.ramping) as f64 / limits.ramping.max(1) as f64;
         // Evidence may never appear, without calls or if no worker gets warm. Then the share grows slowly with time.
@@ -238,7 +240,8 @@
         }
     }
 
-    /// Decides about a new call. `reserved`: its tenant has a permit by its reservation. `budget` is the caller's remaining time.
+    /// Decides about a new call. `reserved`: its tenant has a permit by its reservation. `budget` is the caller's remaining
+    /// time.
     pub fn admit(&mut self, reserved: bool, budget: Micros, now: Micros) -> Admission {
         let (phase_end, reason) = match self.phase {
             RecoveryPhase::Serving => return Admission::Admit,
--- a/crates/recovery/tests/restarts.rs
+++ b/crates/recovery/tests/restarts.rs
@@ -29,7 +29,7 @@
     disk: Vec<u64>,
     /// Unread deliveries in its socket; the broker may have lost the connection before the process notices.
     socket: Vec<bool>,
-    /// Inquiries and answers in flight from the other process, with the number of the call that waits there.
+    /// Unread inquiries and answers of the processes, with the number of the waiting call.
     inquiries_received: Vec<u64>,
     answers: Vec<(u64, usize, AttemptKnowledge)>,
 }
@@ -93,11 +93,11 @@
 
     fn attempt(&mut self, at: usize, number: u64) {
         let process = &mut self.processes[at];
-        let step = process.gate.submit((number, (number as u32, 0)), 1, i64::MAX, (), self.now);
+        let decision = process.gate.submit((number, (number as u32, 0)), 1, i64::MAX, (), self.now);
         if self.omitted == Omitted::Intent {
             self.runs += 1;
         }
-        match step {
+        match decision {
             GateDecision::Send(()) => self.runs += 1,
             GateDecision::Wait { record: true } => process.writing.push(number),
             _ => {}
@@ -121,18 +121,18 @@
             // The broker delivers.
             0 | 1 if self.holder.is_none() => {
                 self.holder = Some(at);
-                let again = std::mem::replace(&mut self.delivered, true);
+                let is_redelivered = std::mem::replace(&mut self.delivered, true);
                 // The delivery uses a new connection; unread deliveries on the previous one are lost.
-                self.processes[at].socket = vec![again];
+                self.processes[at].socket = vec![is_redelivered];
             }
             // The process reads its socket, including deliveries from a connection that the broker lost.
             2 | 3 => {
-                let Some(again) = self.processes[at].socket.pop() else { return };
+                let Some(is_redelivered) = self.processes[at].socket.pop() else { return };
                 let number = self.next_number;
                 self.next_number += 1;
                 let verdict = self.processes[at].cache.on_delivery(
                     Some(&key()),
-                    again,
+                    is_redelivered,
                     Effect::NonIdempotent,
                     number,
                     self.now,
@@ -142,14 +142,14 @@
                     Verdict::Inquire => {
                         let members =
                             if self.omitted == Omitted::OtherProcess { vec![at] } else { vec![at, other] };
-                        let inquiries_received = self.processes[at].inquiries.start(
+                        let started = self.processes[at].inquiries.start(
                             number,
                             key().identity(),
                             members,
                             1000,
                             self.now,
                         );
-                        assert_eq!(inquiries_received, Ok(()));
+                        assert_eq!(started, Ok(()));
                         let own = self.intents(at);
                         self.processes[at].answers.push((number, at, own));
                         self.processes[other].inquiries_received.push(number);
@@ -170,16 +170,16 @@
             6 => {
                 let Some(number) = self.processes[at].inquiries_received.pop() else { return };
                 let intents = self.intents(at);
-                let answers = match self.omitted {
+                let answer = match self.omitted {
                     Omitted::Promise => intents,
                     _ => self.processes[at].cache.answer_inquiry(&key(), intents, self.now),
                 };
-                self.processes[other].answers.push((number, at, answers));
+                self.processes[other].answers.push((number, at, answer));
             }
             // An answer arrives.
             7 | 8 => {
-                let Some((number, from, answers)) = self.processes[at].answers.pop() else { return };
-                if let Some(outcome) = self.processes[at].inquiries.on_answer(number, &from, answers) {
+                let Some((number, from, answer)) = self.processes[at].answers.pop() else { return };
+                if let Some(outcome) = self.processes[at].inquiries.on_answer(number, &from, answer) {
                     self.outcome(at, number, outcome);
                 }
             }
