--- a/crates/admission/src/age.rs
+++ b/crates/admission/src/age.rs
@@ -26,7 +26,8 @@
     /// The first and the last depth that the broker reported since `empty`.
     first: Option<Arrivals>,
     last: Option<Arrivals>,
-    /// This process was suspended for a while: a pause in deliveries means nothing until the broker has reported the depth.
+    /// This process was suspended for a while: a pause in deliveries means nothing until the broker has reported the
+    /// depth.
     is_doubtful: bool,
 }
 
--- a/crates/admission/src/permits/mod.rs
+++ b/crates/admission/src/permits/mod.rs
@@ -79,10 +79,10 @@
     seed: u64,
     /// Until this time, runs started by an earlier incarnation of this front end may still use its guaranteed minimum at
     /// workers.
-    quiet_until: Micros,
+    guaranteed_from: Micros,
     pools: Vec<Pool>,
-    until: Micros,
-    applied: u64,
+    grant_until: Micros,
+    applied_grant: u64,
     waiting: HashMap<u64, WaitingCall>,
     deadlines: BTreeSet<(Micros, u64)>,
     next_position: u64,
@@ -98,10 +98,10 @@
             max_waiting: wait_limit,
             max_retry_after: delay_limit,
             seed,
-            quiet_until: unused_until,
+            guaranteed_from: unused_until,
             pools: Vec::new(),
-            until: Micros::MIN,
-            applied: 0,
+            grant_until: Micros::MIN,
+            applied_grant: 0,
             waiting: HashMap::new(),
             deadlines: BTreeSet::new(),
             next_position: 0,
@@ -133,7 +133,7 @@
         until: Micros,
         permits: impl IntoIterator<Item = (&'a str, &'a str, u32)>,
     ) {
-        (self.applied, self.until) = (number, until);
+        (self.applied_grant, self.grant_until) = (number, until);
         for pool in &mut self.pools {
             pool.clear();
         }
@@ -159,7 +159,7 @@
         now: Micros,
     ) -> PermitDecision {
         self.expire(now);
-        let use_guaranteed = now >= self.quiet_until;
+        let use_guaranteed = now >= self.guaranteed_from;
         let Some(state) = self.pools.get_mut(pool) else {
             return PermitDecision::Rejected { retry_after: self.max_retry_after };
         };
@@ -214,7 +214,7 @@
             let retry_after = self.pools[waiting_call.pool].retry_after(waiting_call.class);
             outcomes.push(WaitOutcome::Rejected { call, retry_after });
         }
-        let use_guaranteed = now >= self.quiet_until;
+        let use_guaranteed = now >= self.guaranteed_from;
         for (index, pool) in self.pools.iter_mut().enumerate() {
             while let Some((class, call)) = pool.next(use_guaranteed) {
                 if let Some(waiting_call) = self.waiting.remove(&call) {
@@ -228,14 +228,14 @@
     /// Returns when [`PermitPools::take_ready`] must be called next if nothing changes.
     pub fn next(&self, now: Micros) -> Option<Micros> {
         let deadline = self.deadlines.first().map(|(latest, _)| *latest);
-        let quiet_end = Some(self.quiet_until).filter(|t| *t > now && !self.waiting.is_empty());
-        deadline.into_iter().chain(quiet_end).min()
+        let guaranteed_start = Some(self.guaranteed_from).filter(|t| *t > now && !self.waiting.is_empty());
+        deadline.into_iter().chain(guaranteed_start).min()
     }
 
     /// Returns the demand to report. While runs of an earlier incarnation may still be in progress, the number of the
     /// grant in force is reported as 0, so that the leader does not yet rely on this front end having applied it.
     pub fn demand(&self, now: Micros) -> impl Iterator<Item = PoolDemand<'_>> {
-        let applied = if now < self.quiet_until { 0 } else { self.applied };
+        let applied = if now < self.guaranteed_from { 0 } else { self.applied_grant };
         self.pools.iter().flat_map(move |pool| pool.demand(applied))
     }
 
@@ -245,8 +245,8 @@
     }
 
     fn expire(&mut self, now: Micros) {
-        if now >= self.until && self.until > Micros::MIN {
-            self.until = Micros::MIN;
+        if now >= self.grant_until && self.grant_until > Micros::MIN {
+            self.grant_until = Micros::MIN;
             for pool in &mut self.pools {
                 pool.clear();
             }
