--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -1,4 +1,4 @@
-//! One live front end from its start to its end: configuration, sockets, signals, and the gateway's driver loop.
+//! Runs one live front end from start to exit: configuration, sockets, signals, and the gateway's driver loop.
 
 use crate::bounds::Bounds;
 use crate::clients::{Clients, Shared};
@@ -23,16 +23,17 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{AbortHandle, JoinSet, LocalSet};
 
-/// After SIGTERM new connections and requests come for so long.
-const STILL_COMING: Micros = 750_000;
-/// Deadlines longer than this are not waited for at a restart.
+/// For this long after SIGTERM, new connections and requests are still accepted.
+const ACCEPT_AFTER_SIGTERM: Micros = 750_000;
+/// Maximum deadline that a drain waits for; a restart does not wait for longer ones.
 const MAX_DEADLINE: Micros = 3_000_000;
-/// From SIGTERM to the last answer, beyond the longest deadline; SIGKILL comes 0.7 s beyond it. What lies between is kept for
-/// closing the sockets in order, and for the process to end.
-const DRAIN_BEYOND: Micros = 570_000;
-/// Calls that come during the drain are abandoned so long before its end, so that they end as any call does.
-const DRAIN_SPARE: Micros = 20_000;
-/// How often a line on the state goes to the log, in times of tending.
+/// Time from SIGTERM to the last answer, in addition to the longest deadline. SIGKILL follows 0.7 s after that
+/// deadline; the remaining time is for closing the sockets in order and for the process to exit.
+const DRAIN_MARGIN: Micros = 570_000;
+/// Calls that arrive during the drain are abandoned this long before the drain ends, so that they end through the
+/// usual path.
+const CALL_DRAIN_MARGIN: Micros = 20_000;
+/// Interval between log lines with the front end's state, in ticks.
 const LOG_STATE_TICKS: u32 = 20;
 
 /// Why a front end could not run.
@@ -40,18 +41,18 @@
 pub enum RunError {
     #[error(transparent)]
     Config(#[from] ConfigError),
-    #[error("GW_LISTEN: '{0}' is no address and port")]
+    #[error("GW_LISTEN: '{0}' is not an IP address with a port")]
     Listen(String),
     #[error("{what}: {error}")]
     Io { what: String, error: std::io::Error },
 }
 
-/// Names what failed.
+/// Returns a converter from I/O errors to [`RunError::Io`]; `what` names the operation that failed.
 fn io(what: String) -> impl FnOnce(std::io::Error) -> RunError {
     move |error| RunError::Io { what, error }
 }
 
-/// Runs until SIGTERM or SIGINT and all that was taken is answered.
+/// Runs until SIGTERM or SIGINT arrives and all accepted calls are answered.
 pub fn run() -> Result<(), RunError> {
     let settings = PlatformSettings::read()?;
     let listen = match std::env::var("GW_LISTEN") {
@@ -65,41 +66,42 @@
 }
 
 async fn serve(settings: PlatformSettings, listen: SocketAddr) -> Result<(), RunError> {
-    let on = |kind: SignalKind| signal(kind).map_err(io("signals".into()));
+    let handle = |kind: SignalKind| signal(kind).map_err(io("signals".into()));
     let (mut term, mut int, hup) =
-        (on(SignalKind::terminate())?, on(SignalKind::interrupt())?, on(SignalKind::hangup())?);
+        (handle(SignalKind::terminate())?, handle(SignalKind::interrupt())?, handle(SignalKind::hangup())?);
     let listener = TcpListener::bind(listen).await.map_err(io(format!("listen on {listen}")))?;
     let listen = listener.local_addr().map_err(io(format!("listen on {listen}")))?;
     let clock = Clock::new();
     let (inputs, incoming) = mpsc::channel(driver::INPUT_QUEUE_CAPACITY);
     let shared = Rc::new(Shared::new(clock, inputs.clone()));
-    let bounds = Bounds::new(&settings.limits.at_most(descriptors::most()));
+    let bounds = Bounds::new(&settings.limits.at_most(descriptors::open_file_limit()));
     let clients = Rc::new(Clients::new(shared.clone(), Catalog::from(&settings), bounds));
     let limits = Limits {
         streams: settings.streams,
         idle_close: settings.idle_close,
         connect_timeout: settings.settings.connect_timeout.max(50_000),
-        order_timeout: settings.settings.load_delay,
-        report: settings.report_fields.clone(),
+        load_timeout: settings.settings.load_delay,
+        report_fields: settings.report_fields.clone(),
         classes: settings.classes.iter().map(|c| c.name.clone()).collect(),
     };
     let executors = Rc::new(Executors::new(shared.clone(), clients.clone(), limits, bounds));
     shared.descriptors.add(&clients);
     shared.descriptors.add(&executors);
-    // The events of the start come first in the line, so that the module has them before any call.
+    // The initial endpoint events are queued before any call, so that the module processes them first.
     let (events, last) = &settings.known;
     let _ = inputs.send(Input::EndpointUpdate { kind: EndpointUpdate::Full, endpoints: Vec::new() }).await;
-    // As one: the line takes only so many before the driver runs, and the first turn has to have them all.
+    // Merged into one event: the queue holds a limited number of inputs before the driver runs, and the first batch
+    // must contain all initial events.
     let mut known = Replay::all(events);
     let starts = StartTimes::initial(&mut known.endpoints, clock.now());
     executors.apply(known.kind, &known.endpoints);
     let _ = inputs.send(Input::EndpointUpdate { kind: known.kind, endpoints: known.endpoints }).await;
     drop(inputs);
     let mut tasks = JoinSet::new();
-    let (bus_address, bus_seen) = watch::channel(settings.bus);
+    let (bus_address, bus_updates) = watch::channel(settings.bus);
     let subscription = EventSubscription::new(*last, clock.now());
-    let following = watch_events(shared.clone(), executors.clone(), subscription, starts, bus_seen);
-    tasks.spawn_local(TimedTask::new(TaskKind::Endpoints, shared.clone(), following));
+    let watching = watch_events(shared.clone(), executors.clone(), subscription, starts, bus_updates);
+    tasks.spawn_local(TimedTask::new(TaskKind::Endpoints, shared.clone(), watching));
     let listener = Rc::new(listener);
     let accepting = clients.clone().accept(listener.clone());
     let accepting = tasks.spawn_local(TimedTask::new(TaskKind::Clients, shared.clone(), accepting));
@@ -113,9 +115,9 @@
             }
         }
     });
-    tasks.spawn_local(reload::at_signals(settings.without_list(), hup, bus_address));
+    tasks.spawn_local(reload::reload_at_signals(settings.without_list(), hup, bus_address));
     let core = Core::new(settings.core_settings(), settings.seed, clock.now());
-    let drain_most = settings.longest_deadline().min(MAX_DEADLINE) + DRAIN_BEYOND;
+    let drain_limit = settings.longest_deadline().min(MAX_DEADLINE) + DRAIN_MARGIN;
     tracing::info!(name = settings.name, %listen, subscription = %settings.bus, workers = events.len(), "front end started");
     let transport = Platform {
         shared: shared.clone(),
@@ -123,8 +125,8 @@
         executors,
         listener,
         accepting,
-        drain_most,
-        closes: None,
+        drain_limit,
+        closes_at: None,
         ticks: 0,
         logged: Default::default(),
     };
@@ -134,7 +136,7 @@
         transport,
         inputs: incoming,
         clock,
-        max_drain: drain_most,
+        max_drain: drain_limit,
         drain: draining,
         state,
         session: None,
@@ -145,18 +147,18 @@
     Ok(())
 }
 
-/// The platform's protocols as the driver's ways in and out.
+/// Connects the driver to clients, executors and the event bus over the platform's protocols.
 struct Platform {
     shared: Rc<Shared>,
     clients: Rc<Clients>,
     executors: Rc<Executors>,
     listener: Rc<TcpListener>,
     accepting: AbortHandle,
-    drain_most: Micros,
-    /// While draining: when no more is taken.
-    closes: Option<Micros>,
+    drain_limit: Micros,
+    /// While draining: when the front end stops accepting requests.
+    closes_at: Option<Micros>,
     ticks: u32,
-    /// Counters as last logged.
+    /// The numbers of accepted calls and of nanoseconds spent in the module at the last log line.
     logged: (u64, u64),
 }
 
@@ -164,27 +166,27 @@
     fn execute(&mut self, command: Command) {
         match command {
             Command::Answer { ticket, answer, .. } => self.clients.answer(ticket, &answer),
-            Command::Attempt(attempt) => self.executors.attempt(attempt),
+            Command::Attempt(attempt) => self.executors.start_attempt(attempt),
             Command::Abort { request, attempt } => self.executors.abort(request, attempt),
-            Command::HealthCheck { worker, .. } => self.executors.probe(worker),
+            Command::HealthCheck { worker, .. } => self.executors.check_health(worker),
             Command::Load { worker, function, name, copies, start_by, .. } => {
                 self.executors.load(LoadCommand { worker, function, name: &name, copies, start_by });
             }
             Command::Unload { worker, function, .. } => self.executors.unload(worker, &function),
             Command::CloseIdle { worker } => self.executors.close_idle(worker),
-            // The bus is always followed.
+            // The subscription to the event bus is always active.
             Command::SubscribeEndpoints(_) | Command::FetchEndpoints | Command::ServeShards(_) => {}
-            // No attempt waits for an intent here.
+            // Attempts do not wait for an intent on this front end.
             Command::WorkerDraining { .. } => {}
         }
     }
 
     fn flush(&mut self) {
-        // Answers end what clients wait for, so they go first.
+        // Answers are flushed first because clients are waiting for them.
         self.clients.flush_all();
         self.executors.flush_all();
-        if self.closes.is_none() && !self.clients.is_serving() {
-            // The first turn took the events of the start.
+        if self.closes_at.is_none() && !self.clients.is_serving() {
+            // The initial endpoint events were processed in the first batch.
             self.clients.serve(true);
         }
     }
@@ -220,17 +222,18 @@
     fn drain(&mut self) -> Micros {
         let (now, late) = self.shared.earliest_time();
         self.clients.serve(false);
-        self.clients.ends_by(now - late + self.drain_most - DRAIN_SPARE);
-        self.closes = Some(now + STILL_COMING);
+        self.clients.set_exit_deadline(now - late + self.drain_limit - CALL_DRAIN_MARGIN);
+        self.closes_at = Some(now + ACCEPT_AFTER_SIGTERM);
         late
     }
 
     fn is_drained(&mut self) -> bool {
-        if self.closes.is_none_or(|at| self.shared.clock.now() < at) {
+        if self.closes_at.is_none_or(|at| self.shared.clock.now() < at) {
             return false;
         }
-        // Connections are accepted and read to the end: what comes now is refused, not lost.
-        self.clients.stop_taking();
+        // Connections are still accepted and read until the process exits: requests that arrive now are rejected, not
+        // lost.
+        self.clients.stop_accepting();
         self.clients.unfinished() == (0, 0)
     }
 
@@ -253,9 +256,9 @@
 
     async fn changed(&mut self) {
         let now = self.shared.clock.now();
-        let closes = self.closes.filter(|at| *at > now).unwrap_or(now + MAX_DEADLINE);
+        let closes_at = self.closes_at.filter(|at| *at > now).unwrap_or(now + MAX_DEADLINE);
         tokio::select! {
-            () = tokio::time::sleep_until(self.shared.clock.instant(closes)) => {}
+            () = tokio::time::sleep_until(self.shared.clock.instant(closes_at)) => {}
             () = self.clients.written() => {}
         }
     }
--- a/crates/platform/src/session.rs
+++ b/crates/platform/src/session.rs
@@ -1,11 +1,12 @@
-//! One client's connection without I/O: requests read and checked, answers written under their tags, at most one each.
+//! One client's connection, without I/O: parses and checks requests, and writes at most one answer per request under
+//! its tag.
 
 mod answers;
 
 use crate::bounds::ConnectionActivity;
 use crate::deferred::DeferredRequests;
 use crate::request::parse_request;
-pub use crate::request::{Catalog, ClientRequest, Unusable, ANSWER_TRANSIT};
+pub use crate::request::{Catalog, ClientRequest, RequestError, ANSWER_TRANSIT};
 use crate::resp::{encode, Decoder, Words};
 use answers::{FAILED, REFUSED};
 use bytes::BytesMut;
@@ -13,41 +14,42 @@
 use stagehoist_gateway::state::Ticket;
 use std::collections::BTreeMap;
 
-/// Requests open on one connection at once.
+/// Maximum number of requests open on one connection.
 pub const MAX_OPEN_REQUESTS: usize = 32;
-/// Bytes that wait for a client before nothing new is taken from it; what it cancels is heard all the same.
+/// Unsent output at which the session stops handling new requests of this client. Cancellations are still handled.
 pub const MAX_OUTPUT: usize = 128 << 10;
 
-/// What a client said.
+/// An event that a client's bytes lead to.
 #[derive(Debug, PartialEq)]
 pub enum ClientEvent {
     Call(Ticket, Box<ClientRequest>),
-    /// It no longer waits for this one.
+    /// The client no longer waits for this request.
     Cancelled(Ticket),
 }
 
-/// One connection.
+/// The state of one client's connection.
 #[derive(Debug)]
 pub struct Session {
     decoder: Decoder,
     open: BTreeMap<u64, Ticket>,
     deferred: DeferredRequests,
     output: BytesMut,
-    /// Nothing more is read; what is written goes out, then the connection closes.
+    /// No more input is handled; the connection closes once the pending output is sent.
     closing: bool,
     has_requested: bool,
-    /// An executor served a request of this client. Bad ones send what reads well too, by hundreds; none serves them.
+    /// An executor has served a request of this client. Misbehaving clients also send well-formed requests, by the
+    /// hundreds, but no executor serves them.
     is_verified: bool,
     opened_at: Micros,
-    active: Micros,
+    active_at: Micros,
     partial_since: Option<Micros>,
-    /// When the client last took bytes, while some wait.
+    /// When the client last read bytes while output was pending.
     answer_read_at: Micros,
-    pub unusable: Option<Unusable>,
+    pub request_error: Option<RequestError>,
 }
 
 impl Session {
-    /// The session of a connection that was just accepted.
+    /// Creates the session of a connection that was just accepted.
     pub fn new(now: Micros) -> Session {
         Session {
             decoder: Decoder::default(),
@@ -58,14 +60,14 @@
             has_requested: false,
             is_verified: false,
             opened_at: now,
-            active: now,
+            active_at: now,
             partial_since: None,
             answer_read_at: now,
-            unusable: None,
+            request_error: None,
         }
     }
 
-    /// Takes what the socket gave. `serving` is what HEALTH is answered.
+    /// Handles bytes read from the socket. `serving` is the status that HEALTH requests are answered with.
     pub fn receive(
         &mut self,
         bytes: &[u8],
@@ -77,14 +79,14 @@
         if self.closing {
             return;
         }
-        self.active = now;
+        self.active_at = now;
         self.decoder.feed(bytes);
         while self.wants_read() {
             if let Some(words) = self.can_resume().then(|| self.deferred.pop()).flatten() {
                 self.take(words, (catalog, serving), next_ticket, events);
                 continue;
             }
-            match self.decoder.take() {
+            match self.decoder.next_array() {
                 Ok(Some(words)) => {
                     self.partial_since = None;
                     if self.output.len() < MAX_OUTPUT {
@@ -98,12 +100,12 @@
                     self.partial_since = partial.then(|| self.partial_since.unwrap_or(now));
                     return;
                 }
-                Err(_) => return self.unreadable(events),
+                Err(_) => return self.close_unreadable(events),
             }
         }
     }
 
-    /// Keeps what comes while the client takes no answers, and hears what it cancels.
+    /// Queues a request of a client that does not read its answers. A cancellation takes effect at once.
     fn defer(&mut self, words: Words, events: &mut Vec<ClientEvent>) {
         let number = words.get(1).and_then(|tag| tag_number(tag));
         if let (Some(b"ABORT"), Some(number)) = (words.first().map(Vec::as_slice), number) {
@@ -114,12 +116,12 @@
         self.deferred.push(number, words);
     }
 
-    fn unreadable(&mut self, events: &mut Vec<ClientEvent>) {
+    fn close_unreadable(&mut self, events: &mut Vec<ClientEvent>) {
         self.error(b"0");
         self.close(events);
     }
 
-    /// Ends the connection once what waits is written; open requests are the client's loss.
+    /// Closes the connection once the pending output is sent. Open requests are cancelled.
     pub fn close(&mut self, events: &mut Vec<ClientEvent>) {
         self.closing = true;
         self.decoder = Decoder::default();
@@ -144,8 +146,9 @@
         let number = tag_number(tag);
         let known = matches!(word(0), b"REQ" | b"ABORT" | b"HEALTH");
         let Some(number) = number.filter(|_| known) else {
-            // Without a verb and a number nothing can be said of this request alone.
-            return self.unreadable(events);
+            // Without a known verb and a number, an error answer can't be matched to one request, so the connection
+            // closes.
+            return self.close_unreadable(events);
         };
         match word(0) {
             b"HEALTH" => {
@@ -159,70 +162,71 @@
                 }
             }
             _ if self.open.contains_key(&number) => {
-                // Two requests under one number: an answer could be meant for either.
+                // Two open requests have the same number: an answer would be ambiguous.
                 self.error(tag);
                 self.close(events);
             }
             _ if self.open.len() >= MAX_OPEN_REQUESTS => encode(&mut self.output, &[tag, REFUSED]),
             _ => match parse_request(&words, catalog) {
-                Ok(parse_request) => {
+                Ok(request) => {
                     self.has_requested = true;
                     *next_ticket += 1;
                     self.open.insert(number, *next_ticket);
-                    events.push(ClientEvent::Call(*next_ticket, Box::new(parse_request)));
+                    events.push(ClientEvent::Call(*next_ticket, Box::new(request)));
                 }
                 Err(why) => {
-                    self.unusable = Some(why);
+                    self.request_error = Some(why);
                     self.error(tag);
                 }
             },
         }
     }
 
-    /// Whether more is read. From a client that takes no answers and sends on and on nothing is, until it takes some: what it
-    /// asks may be as good as any other's, so its connection stays.
+    /// Whether more bytes may be read. A client that keeps sending without reading its answers is not read from until
+    /// it reads some. Its connection stays open, as its requests may be as valid as those of other clients.
     pub fn wants_read(&self) -> bool {
         !self.closing && (self.output.len() < MAX_OUTPUT || !self.deferred.is_full())
     }
 
-    /// Whether bytes were read that are not looked at, as the client takes no answers: what it cancels may be among them.
-    pub fn has_unheard(&self) -> bool {
+    /// Whether bytes were read that are not parsed because the client does not read its answers. A cancellation may
+    /// be among them.
+    pub fn has_unparsed_input(&self) -> bool {
         !self.closing && !self.wants_read() && self.decoder.is_partial()
     }
 
-    /// Whether what was kept back can be looked at, as the client took its answers.
+    /// Whether deferred requests can be handled, because the client has read its answers.
     pub fn can_resume(&self) -> bool {
         !self.closing && !self.deferred.is_empty() && self.output.len() < MAX_OUTPUT
     }
 
-    /// Whether the session reads no more requests.
+    /// Whether the session handles no more requests.
     pub fn is_closing(&self) -> bool {
         self.closing
     }
 
-    /// Whether an executor served a request of this client.
-    pub fn is_known(&self) -> bool {
+    /// Whether an executor has served a request of this client.
+    pub fn is_verified(&self) -> bool {
         self.is_verified
     }
 
-    /// For the choice of a connection that is evicted.
+    /// Returns what [`crate::bounds::victim`] needs to choose the connection to evict.
     pub fn activity(&self) -> ConnectionActivity {
         ConnectionActivity {
             has_requested: self.has_requested,
             open_requests: self.open.len(),
-            active_at: self.active,
+            active_at: self.active_at,
         }
     }
 
-    /// Whether the client takes no bytes though some wait for it.
+    /// Whether the client has not read pending output for too long.
     pub fn is_stuck(&self, now: Micros) -> bool {
         !self.output.is_empty() && now - self.answer_read_at >= crate::bounds::ANSWER_READ_TIMEOUT
     }
 
-    /// Whether the connection is over by the client's own silence.
-    pub fn is_over(&self, now: Micros) -> bool {
+    /// Whether the connection is to be closed because the client is inactive.
+    pub fn is_expired(&self, now: Micros) -> bool {
         self.is_stuck(now)
-            || crate::bounds::is_over(&self.activity(), self.opened_at, self.partial_since, now)
+            || crate::bounds::is_expired(&self.activity(), self.opened_at, self.partial_since, now)
     }
 }
 
--- a/crates/platform/src/session/answers.rs
+++ b/crates/platform/src/session/answers.rs
@@ -1,4 +1,4 @@
-//! Answers written under their tags, and what of them waits for the socket.
+//! Writes answers under their tags, and keeps the output that is not sent yet.
 
 use super::Session;
 use crate::resp::{decimal, encode};
@@ -15,11 +15,11 @@
         self.open.iter().find(|(_, t)| **t == ticket).map(|(tag, _)| *tag)
     }
 
-    /// Writes the one answer of a request; nothing where the client no longer waits for it.
+    /// Writes the only answer of a request; does nothing if the client no longer waits for it.
     pub fn answer(&mut self, ticket: Ticket, answer: &Answer, now: Micros) {
         let Some(number) = self.tag_of(ticket) else { return };
         self.open.remove(&number);
-        self.active = now;
+        self.active_at = now;
         self.is_verified |= matches!(answer, Answer::Served { .. });
         if self.output.is_empty() {
             self.answer_read_at = now;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// An error for a request that can't be taken though it reads well.
+    /// Answers a well-formed request that can't be accepted with an error.
     pub fn reject(&mut self, ticket: Ticket) {
         if let Some(number) = self.tag_of(ticket) {
             self.open.remove(&number);
@@ -46,19 +46,19 @@
         }
     }
 
-    /// What waits for the socket.
+    /// Returns the output that is not sent yet.
     pub fn output(&self) -> &[u8] {
         &self.output
     }
 
-    /// So many bytes were taken.
-    pub fn wrote(&mut self, n: usize, now: Micros) {
+    /// Removes `n` bytes that the socket accepted.
+    pub fn on_written(&mut self, n: usize, now: Micros) {
         let _ = self.output.split_to(n);
         if n > 0 {
             self.answer_read_at = now;
         }
         if self.output.is_empty() {
-            // Idle connections hold nothing.
+            // Releases the buffer so that idle connections hold no memory.
             self.output = BytesMut::new();
         }
     }
--- a/crates/platform/src/shared.rs
+++ b/crates/platform/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the process knows of itself, shared by all its tasks.
+//! State that all tasks of the process share.
 
 use crate::descriptors::Descriptors;
 use crate::loop_lag::{LagReport, LoopLag};
@@ -11,51 +11,53 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Bytes read at once, into one buffer for all connections.
+/// Size of the read buffer that all connections share.
 const READ_BUFFER: usize = 64 << 10;
 
-/// What the process knows of itself, shared by all its tasks.
+/// State that all tasks of the process share.
 pub struct Shared {
-    /// The clock of all front-end decisions.
+    /// The clock on which all decisions of the front end are based.
     pub clock: Clock,
-    /// For how long this process itself did not run.
+    /// Detects times in which this process did not run.
     pub stalls: RefCell<StallDetector>,
-    /// How far the loop is behind.
+    /// Tracks how far the event loop is behind.
     pub lag: RefCell<LoopLag>,
-    /// To the driver.
+    /// Input queue of the driver.
     pub inputs: mpsc::Sender<Input>,
-    /// One buffer for the reads of all connections.
-    pub scratch: RefCell<Vec<u8>>,
-    /// What is done while no descriptor is free.
+    /// Read buffer of all connections.
+    pub read_buffer: RefCell<Vec<u8>>,
+    /// Frees descriptors and orders the waiters while the process has none left.
     pub descriptors: Descriptors,
 }
 
 impl Shared {
-    /// What a process begins with.
+    /// Creates the state of a process that starts now.
     pub fn new(clock: Clock, inputs: mpsc::Sender<Input>) -> Shared {
         Shared {
             clock,
             stalls: RefCell::new(StallDetector::new(clock.now())),
             lag: RefCell::new(LoopLag::new(clock.now())),
             inputs,
-            scratch: RefCell::new(vec![0; READ_BUFFER]),
+            read_buffer: RefCell::new(vec![0; READ_BUFFER]),
             descriptors: Descriptors::default(),
         }
     }
 
-    /// The time, and how long what is read now may have waited because this process did not run.
+    /// Returns the current time, and the estimated time for which data read now waited in its socket because this
+    /// process did not run.
     pub fn read_time(&self) -> (Micros, Micros) {
         let now = self.clock.now();
         (now, self.stalls.borrow().delay(now))
     }
 
-    /// The time, and how long what is read now, or a signal, may have waited at most because this process did not run.
+    /// Returns the current time, and the maximum time for which data read now, or a signal, waited because this
+    /// process did not run.
     pub fn earliest_time(&self) -> (Micros, Micros) {
         let now = self.clock.now();
         (now, self.stalls.borrow().longest_delay(now))
     }
 
-    /// Checks for stalls until dropped.
+    /// Checks for stalls and lag until dropped.
     pub async fn check_stalls(self: Rc<Self>) {
         let mut interval = tokio::time::interval(Duration::from_micros(CHECK_INTERVAL as u64));
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
--- a/crates/platform/src/sockets.rs
+++ b/crates/platform/src/sockets.rs
@@ -1,4 +1,5 @@
-//! What a socket knows now, asked past the runtime: that has heard only of what came before it last waited.
+//! System calls on sockets that bypass the runtime, which knows only of data that arrived before it last polled the
+//! sockets.
 
 use rustix::io::Errno;
 use socket2::SockRef;
@@ -11,10 +12,11 @@
 use tokio::io::Interest;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that failed before they were accepted, or that the system had no room for, in a row at most.
+/// Maximum number of consecutive failures to accept: connections aborted by the peer, or a lack of resources in the
+/// system.
 const MAX_ACCEPT_FAILURES: usize = 64;
 
-/// Repeats a system call for as long as signals interrupt it.
+/// Repeats a system call that is interrupted by signals.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -24,10 +26,11 @@
     }
 }
 
-/// Whether a system call failed for reasons of this machine: what may pass in a moment, and says nothing about the other side.
+/// Whether a system call failed for a reason local to this machine, which may be transient and says nothing about the
+/// peer.
 pub fn is_local_failure(error: &io::Error) -> bool {
     let Some(errno) = Errno::from_io_error(error) else { return false };
-    const OF_THIS_MACHINE: [Errno; 9] = [
+    const LOCAL_ERRORS: [Errno; 9] = [
         Errno::MFILE,
         Errno::NFILE,
         Errno::NOBUFS,
@@ -38,19 +41,19 @@
         Errno::AGAIN,
         Errno::INTR,
     ];
-    OF_THIS_MACHINE.contains(&errno)
+    LOCAL_ERRORS.contains(&errno)
 }
 
 fn peek(stream: &TcpStream) -> io::Result<usize> {
     uninterrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit(); 1]))
 }
 
-/// Whether bytes lie unread in it.
+/// Whether the socket has unread input.
 pub fn has_unread(stream: &TcpStream) -> bool {
     matches!(peek(stream), Ok(n) if n > 0)
 }
 
-/// Whether the other side closed it, with nothing more to be read.
+/// Whether the peer closed the connection and no input is left.
 pub fn is_closed(stream: &TcpStream) -> bool {
     match peek(stream) {
         Ok(n) => n == 0,
@@ -58,31 +61,31 @@
     }
 }
 
-/// Whether the other side writes no more, as far as the runtime has heard: known also while what it wrote lies unread.
-pub fn has_left(stream: &TcpStream) -> bool {
+/// Whether the peer has shut down writing, as far as the runtime knows. It is detected even while input is unread.
+pub fn is_read_closed(stream: &TcpStream) -> bool {
     let ready = pin!(stream.ready(Interest::READABLE));
     let mut context = Context::from_waker(Waker::noop());
     matches!(ready.poll(&mut context), Poll::Ready(Ok(ready)) if ready.is_read_closed())
 }
 
-/// Reads what lies there.
+/// Reads pending input.
 pub fn read(stream: &TcpStream, bytes: &mut [u8]) -> io::Result<usize> {
     uninterrupted(|| (&*SockRef::from(stream)).read(bytes))
 }
 
-/// Writes what it takes.
+/// Writes as many bytes as the socket accepts.
 pub fn write(stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
     uninterrupted(|| (&*SockRef::from(stream)).write(bytes))
 }
 
-/// Says that nothing more is written.
-pub fn end_writing(stream: &TcpStream) {
-    // Where the other side is gone there is no one to tell.
+/// Shuts down the writing side.
+pub fn shutdown_write(stream: &TcpStream) {
+    // An error means that the peer is gone.
     let _ = SockRef::from(stream).shutdown(Shutdown::Write);
 }
 
-/// The next connection that waits to be accepted; None where none does. One that was aborted before, or a moment without
-/// room in the system, does not hide those behind it.
+/// Returns the next pending connection, if any. A connection that the peer aborted, or a transient lack of resources
+/// in the system, does not hide those behind it.
 pub fn accept(listener: &TcpListener) -> Option<TcpStream> {
     for _ in 0..MAX_ACCEPT_FAILURES {
         match SockRef::from(listener).accept() {
--- a/crates/platform/src/stalls.rs
+++ b/crates/platform/src/stalls.rs
@@ -1,6 +1,6 @@
-//! Detection of stalls: for how long this process itself did not run, because it was stopped, throttled, or busy with one
-//! thing. What it reads after that may have waited in the socket for so long, which is neither the workers' slowness nor
-//! time that callers still have.
+//! Detects stalls: times in which this process did not run, because it was stopped, throttled, or busy with one
+//! computation. Data read after a stall may have waited in the socket for that long. That time must not be attributed
+//! to the workers, and it is lost for the clients.
 
 use stagehoist::Micros;
 
@@ -9,10 +9,10 @@
 
 /// How often the process is expected to check.
 pub const CHECK_INTERVAL: Micros = 10_000;
-/// A check that comes so much later than expected means that the process did not run.
+/// A check that is later than expected by more than this means that the process did not run.
 const CHECK_SLACK: Micros = 15_000;
 
-/// A delay is taken for so much shorter at most than it may be: less than the slack of the time that executors are told.
+/// Maximum error by which a delay is underestimated: less than the margin of the time that executors are given.
 const MAX_DELAY_ERROR: Micros = 100_000;
 
 /// All stalls so far.
@@ -26,23 +26,23 @@
     pub count: u64,
 }
 
-/// When the process last checked.
+/// Detects stalls from the times of regular checks.
 #[derive(Clone, Copy, Debug)]
 pub struct StallDetector {
     last_check: Micros,
-    /// When it had checked before that.
+    /// The time of the check before the last one.
     previous_check: Micros,
     /// All stalls so far.
     pub totals: StallTotals,
 }
 
 impl StallDetector {
-    /// A detector whose first check is due one interval after `now`.
+    /// Creates a detector whose first check is expected one interval after `now`.
     pub fn new(now: Micros) -> StallDetector {
         StallDetector { last_check: now, previous_check: now, totals: StallTotals::default() }
     }
 
-    /// The process checks, as it should every [`CHECK_INTERVAL`]. Gives by how much it is late.
+    /// Records a check, which is expected every [`CHECK_INTERVAL`]. Returns how late it is.
     pub fn check(&mut self, now: Micros) -> Micros {
         let passed = now - self.last_check;
         self.previous_check = self.last_check;
@@ -55,15 +55,16 @@
         (passed - CHECK_INTERVAL).max(0)
     }
 
-    /// How long bytes read now may have waited in their socket because this process did not run, or computed; 0 as a rule.
-    /// As they came at some time between two checks, it is somewhat less than they may have waited at most.
+    /// Returns how long data read now may have waited in its socket because this process did not run or was
+    /// computing; usually 0. The data arrived at an unknown time between two checks, so this is somewhat less than
+    /// the maximum.
     pub fn delay(&self, now: Micros) -> Micros {
         let between_checks = self.last_check - self.previous_check;
         (self.longest_delay(now) - (between_checks / 2).min(MAX_DELAY_ERROR)).max(0)
     }
 
-    /// How long they may have waited at most. Sockets are looked at between checks: what the look before the last did not find
-    /// came after it.
+    /// Returns the maximum time for which data read now waited. Sockets are polled between checks, so data that the
+    /// poll before the last did not find arrived after that poll.
     pub fn longest_delay(&self, now: Micros) -> Micros {
         let passed = now - self.last_check;
         if is_stall(passed) || is_stall(self.last_check - self.previous_check) {
--- a/crates/platform/src/stalls/tests.rs
+++ b/crates/platform/src/stalls/tests.rs
@@ -1,9 +1,9 @@
-//! Stalls before and after the check that finds them.
+//! Delays during a stall, and after the check that detects it.
 
 use super::*;
 
 #[test]
-fn a_stall_counts_before_and_right_after_the_check_that_finds_it() {
+fn a_stall_counts_before_and_just_after_the_check_that_detects_it() {
     let mut stalls = StallDetector::new(0);
     for tick in 1..=100 {
         assert_eq!(stalls.check(tick * CHECK_INTERVAL), 0);
@@ -12,7 +12,8 @@
     let back = 100 * CHECK_INTERVAL + 300_000;
     assert_eq!(stalls.delay(back), 300_000 + CHECK_INTERVAL / 2);
     assert_eq!(stalls.check(back), 290_000);
-    // What is read now came at some time since the check before: for so much shorter than that at most.
+    // Data read now arrived at an unknown time since the previous check, so the estimate is shorter by the maximum
+    // error.
     assert_eq!(stalls.delay(back), 300_000 - MAX_DELAY_ERROR);
     assert_eq!(stalls.delay(back + 5_000), 305_000 - MAX_DELAY_ERROR);
     assert_eq!(stalls.longest_delay(back + 5_000), 305_000);
--- a/crates/platform/src/start_times.rs
+++ b/crates/platform/src/start_times.rs
@@ -1,27 +1,27 @@
-//! When executors started, on this process's own clock. An event dates a start by a wall clock, of this machine or of another,
-//! and wall clocks step, by seconds or by an hour. A start that is reported while this process runs therefore counts from when its
-//! event was read: that is late by the way of the news, and never early. Starts of the initial list are taken as they are
-//! dated, but not in the future.
+//! Determines when executors started, on the clock of this process. An event dates a start by a wall clock, of this
+//! machine or of another, and wall clocks are stepped by seconds or even by an hour. A start that is reported while
+//! this process runs therefore counts from when its event was read, which is late by the transit time of the event
+//! and never early. Starts of the initial list count as dated, but not in the future.
 
 use stagehoist::{Micros, WorkerId};
 use stagehoist_endpoints::NumberedEndpoint;
 use std::collections::HashMap;
 
-/// A start as it was dated, and when it counts.
+/// A start as dated by its event, and the time from which it counts.
 #[derive(Clone, Copy, Debug)]
 struct Start {
     dated: Micros,
     counts_at: Micros,
 }
 
-/// Starts by executor, each from its first report on.
+/// The start of each executor, kept since its first report.
 #[derive(Debug, Default)]
 pub struct StartTimes {
     starts: HashMap<WorkerId, Start>,
 }
 
 impl StartTimes {
-    /// The executors of the initial list, read `now`.
+    /// Sets the start times of the initial list, which was read at `now`.
     pub fn initial(endpoints: &mut [NumberedEndpoint], now: Micros) -> StartTimes {
         let mut starts = StartTimes::default();
         for endpoint in endpoints {
@@ -31,7 +31,8 @@
         starts
     }
 
-    /// Dates the executors of an event that was read `now`. `is_full`: who is not among them is forgotten.
+    /// Sets the start times of an event's executors; the event was read at `now`. If `is_full`, executors that it
+    /// does not contain are removed.
     pub fn apply(&mut self, endpoints: &mut [NumberedEndpoint], is_full: bool, now: Micros) {
         let known = if is_full { std::mem::take(&mut self.starts) } else { HashMap::new() };
         for endpoint in endpoints {
@@ -44,7 +45,7 @@
     }
 
     fn assign(&mut self, endpoint: &mut NumberedEndpoint, start: Start) {
-        // 0 says: long ago.
+        // 0 means long ago.
         if start.dated > 0 {
             endpoint.endpoint.started = start.counts_at;
         }
--- a/crates/platform/src/start_times/tests.rs
+++ b/crates/platform/src/start_times/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_reported_start_counts_from_its_event_whatever_a_wall_clock_that_stepped_says() {
+fn a_reported_start_counts_from_its_event_even_if_a_wall_clock_stepped() {
     let now = 100 * HOUR;
     let mut starts = StartTimes::initial(&mut [listed(1, 0), listed(2, 0)], now);
     for dated in [now - HOUR, now - 7 * S, now + 7 * S, now + HOUR] {
@@ -23,32 +23,32 @@
 }
 
 #[test]
-fn the_same_start_reported_again_counts_as_it_did_also_in_a_whole_list() {
+fn a_repeated_start_keeps_its_time_also_in_a_full_list() {
     let now = 100 * HOUR;
     let mut starts = StartTimes::default();
     starts.apply(&mut [listed(1, now)], false, now + S);
-    let mut again = [listed(1, now), listed(2, now)];
-    starts.apply(&mut again, true, now + 9 * S);
-    assert_eq!(again.each_ref().map(|one| one.endpoint.started), [now + S, now + 9 * S]);
+    let mut repeated = [listed(1, now), listed(2, now)];
+    starts.apply(&mut repeated, true, now + 9 * S);
+    assert_eq!(repeated.each_ref().map(|listed| listed.endpoint.started), [now + S, now + 9 * S]);
     // Another start of the same executor.
-    let mut anew = [listed(1, now + 20 * S)];
-    starts.apply(&mut anew, false, now + 21 * S);
-    assert_eq!(anew[0].endpoint.started, now + 21 * S);
+    let mut restarted = [listed(1, now + 20 * S)];
+    starts.apply(&mut restarted, false, now + 21 * S);
+    assert_eq!(restarted[0].endpoint.started, now + 21 * S);
 }
 
 #[test]
-fn starts_of_the_initial_list_are_as_dated_but_not_in_the_future_and_long_ago_stays_long_ago() {
+fn initial_starts_count_as_dated_but_not_in_the_future() {
     let now = 100 * HOUR;
     let mut list = [listed(1, now - 2 * S), listed(2, now + HOUR), listed(3, 0)];
     let mut starts = StartTimes::initial(&mut list, now);
-    assert_eq!(list.each_ref().map(|one| one.endpoint.started), [now - 2 * S, now, 0]);
-    let mut again = [listed(2, now + HOUR), listed(3, 0)];
-    starts.apply(&mut again, false, now + S);
-    assert_eq!(again.each_ref().map(|one| one.endpoint.started), [now, 0]);
+    assert_eq!(list.each_ref().map(|listed| listed.endpoint.started), [now - 2 * S, now, 0]);
+    let mut repeated = [listed(2, now + HOUR), listed(3, 0)];
+    starts.apply(&mut repeated, false, now + S);
+    assert_eq!(repeated.each_ref().map(|listed| listed.endpoint.started), [now, 0]);
 }
 
 #[test]
-fn executors_that_are_gone_leave_nothing_behind() {
+fn the_starts_of_gone_executors_are_removed() {
     let mut starts = StartTimes::default();
     for worker in 0..1000 {
         starts.apply(&mut [listed(worker, S)], false, 2 * S);
--- a/crates/platform/src/subscription.rs
+++ b/crates/platform/src/subscription.rs
@@ -1,5 +1,5 @@
-//! The event bus' connection without I/O: frames from pieces, numbers that decide what is inputs, silence that calls for a new
-//! connection, and pauses between connections.
+//! The connection to the event bus, without I/O: parses frames from arbitrary pieces, decides by their numbers which
+//! events are new, detects silence, which requires a new connection, and computes the pauses between connections.
 
 use crate::endpoint_events::{self, EndpointEvent};
 use crate::replay::Replay;
@@ -7,109 +7,112 @@
 use stagehoist::{EndpointUpdate, Micros};
 use std::collections::BTreeSet;
 
-/// Longest frame: some forty thousand executors.
+/// Maximum length of a frame, enough for some forty thousand executors.
 const MAX_FRAME: usize = 1 << 20;
-/// Number and kind, which every frame has.
-const HEAD: usize = 9;
-/// A frame is sent each second; after so much longer silence the connection is abandoned.
-pub const SILENCE: Micros = 1_600_000;
-/// Pauses between connections: at once, then doubling up to the longest.
-const PAUSE: (Micros, Micros) = (50_000, 400_000);
-/// Events that could not be read and are asked for a second time; beyond them none is.
-const MAX_UNREADABLE: usize = 256;
+/// Length of the number and kind that every frame begins with.
+const FRAME_HEADER: usize = 9;
+/// The bus sends a frame each second; a connection without any for this time is closed.
+pub const SILENCE_TIMEOUT: Micros = 1_600_000;
+/// Pauses between connections: none at first, then the first of these, doubling up to the second.
+const RECONNECT_PAUSE: (Micros, Micros) = (50_000, 400_000);
+/// Maximum number of malformed events that are requested a second time; further ones are not.
+const MAX_MALFORMED: usize = 256;
 
-/// What makes the event subscription' bytes unreadable; the connection is of no further use.
+/// Why the input of the event bus can't be parsed or continued; the connection is of no further use.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubscriptionError {
-    #[error("a frame of {0} bytes")]
+    #[error("invalid frame length: {0} bytes")]
     Length(usize),
     #[error("event {number}: {error}")]
     Event { number: u64, error: endpoint_events::EndpointEventError },
-    #[error("event {got} where {expected} was due")]
+    #[error("gap in the events: expected {expected}, got {got}")]
     Gap { expected: u64, got: u64 },
-    #[error("the bus is at event {got}, after {last}")]
+    #[error("the bus regressed to event {got} after {last}")]
     Regressed { last: u64, got: u64 },
 }
 
-/// Whether an empty frame carries the number of the event subscription' last event, which the protocol's page does not say.
+/// Whether an empty frame carries the number of the last event of the bus, which the protocol specification leaves
+/// open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HeartbeatNumbering {
     Unknown,
-    /// One had the number of the event before it.
+    /// An empty frame had the number of the event before it.
     LastEvent,
-    /// One with a smaller number came of a bus that still had all events.
+    /// An empty frame had a smaller number although the bus still had all events.
     Other,
 }
 
-/// The reading side, over connections.
+/// The state of the subscription across connections.
 #[derive(Debug)]
 pub struct EventSubscription {
     last: u64,
     buffer: BytesMut,
     received_at: Micros,
     failures: u32,
-    /// When the connection came up, until it has brought inputs.
-    opened: Option<Micros>,
-    /// Connections in a row that came up, brought no inputs and soon ended.
+    /// When the connection was established; None once it has delivered an event.
+    connected_at: Option<Micros>,
+    /// Number of consecutive connections that were established, delivered no event and ended soon.
     short_sessions: u32,
-    /// Events after `last` that could not be read at first.
-    unreadable: BTreeSet<u64>,
+    /// Events after `last` that were malformed when first received.
+    malformed: BTreeSet<u64>,
     heartbeats: HeartbeatNumbering,
-    /// While all events are told anew.
+    /// The replay in progress, while all events are received again.
     replay: Option<Replay>,
-    /// The events taken are all that counts as told up to then.
+    /// Until when the received events are known to be all that were published.
     valid_until: Micros,
 }
 
 impl EventSubscription {
-    /// Events up to `last` are known.
+    /// Creates a subscription to the events after `last`.
     pub fn new(last: u64, now: Micros) -> EventSubscription {
         EventSubscription {
             last,
             buffer: BytesMut::new(),
             received_at: now,
             failures: 0,
-            opened: None,
+            connected_at: None,
             short_sessions: 0,
-            unreadable: BTreeSet::new(),
+            malformed: BTreeSet::new(),
             heartbeats: HeartbeatNumbering::Unknown,
             replay: None,
             valid_until: now,
         }
     }
 
-    /// Up to when the events that were taken are all that counts as told: for as long as a connection stands that was not silent
-    /// for too long. An event counts as told once it is in the bus, and the pages' relief while the bus is out of reach (2 s
-    /// after a break, 4 s after a silence) can't be used: it ends with the outage, which may be over for a moment unseen.
+    /// Returns until when the received events are known to be complete: as long as a connection is open that was not
+    /// silent for too long. An event counts as published once it is in the bus. The platform's relief while the bus
+    /// is unreachable (2 s after a break, 4 s after a silence) can't be used, because it ends with the outage, which
+    /// may end briefly and unnoticed.
     pub fn valid_until(&self) -> Micros {
         self.valid_until
     }
 
-    /// The connection ended, `late` ago at most. The bus may be there for others, so that from now on nothing vouches for the
-    /// events that were taken.
+    /// Records that the connection ended, at most `late` ago. The bus may be reachable for others, so the received
+    /// events no longer count as complete.
     pub fn ended(&mut self, now: Micros, late: Micros) {
         self.valid_until = self.valid_until.min(now - late);
     }
 
-    /// An empty frame shows that the bus had nothing more to tell. An event does not: others may be on their way behind it,
-    /// as after an outage.
-    fn nothing_new(&mut self, read_at: Micros) {
+    /// Extends the validity after an empty frame, which shows that the bus has nothing more to send. An event does
+    /// not show it, because others may follow, as after an outage.
+    fn extend_validity(&mut self, read_at: Micros) {
         if self.replay.is_none() {
-            self.valid_until = self.valid_until.max(read_at + SILENCE);
+            self.valid_until = self.valid_until.max(read_at + SILENCE_TIMEOUT);
         }
     }
 
-    /// The number of the last event taken.
+    /// Returns the number of the last applied event.
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// A connection stands; gives what to write on it. A frame that was cut off is forgotten.
+    /// Records a new connection and returns the request to write on it. A partial frame of the previous connection is
+    /// discarded.
     pub fn connected(&mut self, now: Micros) -> [u8; 8] {
         self.buffer = BytesMut::new();
         self.received_at = now;
-        self.opened = Some(now);
-        // Once the bus is asked again, all that it holds counts as told.
+        self.connected_at = Some(now);
+        // Once the bus receives the request, all events that it holds count as published.
         self.valid_until = self.valid_until.min(now);
         match &mut self.replay {
             Some(replay) => {
@@ -120,38 +123,39 @@
         }
     }
 
-    /// When the connection counts as silent.
-    pub fn silent_at(&self) -> Micros {
-        self.received_at + SILENCE
+    /// Returns when the connection counts as silent.
+    pub fn silence_deadline(&self) -> Micros {
+        self.received_at + SILENCE_TIMEOUT
     }
 
-    /// How long to wait before the next connection. Frames alone do not make it short: a bus whose connections end at
-    /// once after one would be asked without a pause.
-    pub fn pause(&mut self) -> Micros {
+    /// Returns the pause before the next connection. Received frames alone do not shorten it, because a bus that
+    /// closes each connection after one frame would be contacted without a pause.
+    pub fn next_pause(&mut self) -> Micros {
         self.failures += 1;
-        if let Some(opened) = self.opened.take() {
+        if let Some(connected_at) = self.connected_at.take() {
             self.short_sessions =
-                if self.received_at - opened < PAUSE.1 { self.short_sessions + 1 } else { 0 };
+                if self.received_at - connected_at < RECONNECT_PAUSE.1 { self.short_sessions + 1 } else { 0 };
         }
         match self.failures.max(self.short_sessions) {
             0 | 1 => 0,
-            n => (PAUSE.0 << (n - 2).min(10)).min(PAUSE.1),
+            n => (RECONNECT_PAUSE.0 << (n - 2).min(10)).min(RECONNECT_PAUSE.1),
         }
     }
 
-    /// Takes what the socket gave, by `read_at` at the latest; inputs are pushed in their order. After an error the connection is to be abandoned.
+    /// Handles bytes read from the socket; `read_at` is the latest time at which they can have arrived. Events are
+    /// pushed in order. After an error the connection must be closed.
     pub fn feed(
         &mut self,
         bytes: &[u8],
         (now, read_at): (Micros, Micros),
-        inputs: &mut Vec<EndpointEvent>,
+        events: &mut Vec<EndpointEvent>,
     ) -> Result<(), SubscriptionError> {
         self.buffer.extend_from_slice(bytes);
         loop {
             let Some(length) = self.buffer.first_chunk::<4>().map(|l| u32::from_be_bytes(*l) as usize) else {
                 return Ok(());
             };
-            if !(HEAD..=MAX_FRAME).contains(&length) {
+            if !(FRAME_HEADER..=MAX_FRAME).contains(&length) {
                 return Err(SubscriptionError::Length(length));
             }
             if self.buffer.len() < 4 + length {
@@ -162,53 +166,54 @@
             let (number, kind) = (frame.get_u64(), frame.get_u8());
             (self.received_at, self.failures) = (now, 0);
             if self.replay.is_some() {
-                self.replayed(number, kind, &frame, inputs)?;
+                self.on_replayed(number, kind, &frame, events)?;
                 if kind == 0 {
-                    self.nothing_new(read_at);
+                    self.extend_validity(read_at);
                 }
                 continue;
             }
             if kind == 0 {
                 self.on_heartbeat(number)?;
                 if number <= self.last || self.heartbeats != HeartbeatNumbering::LastEvent {
-                    self.nothing_new(read_at);
+                    self.extend_validity(read_at);
                 }
                 continue;
             }
             if number <= self.last {
                 continue;
             }
-            let event = self.read(number, kind, &frame)?;
+            let event = self.decode(number, kind, &frame)?;
             let expected = self.last + 1;
             if number > expected && event.kind == EndpointUpdate::Delta {
-                // What is missing may be a drain, and only all events together say how the list stands.
+                // The missing event may be a drain, and only a replay of all events gives the correct list.
                 self.replay = Some(Replay::until(number));
                 return Err(SubscriptionError::Gap { expected, got: number });
             }
-            self.on_event(event, inputs);
+            self.on_event(event, events);
         }
     }
 
-    fn on_event(&mut self, event: EndpointEvent, inputs: &mut Vec<EndpointEvent>) {
+    fn on_event(&mut self, event: EndpointEvent, events: &mut Vec<EndpointEvent>) {
         self.last = event.number;
-        self.unreadable = self.unreadable.split_off(&(self.last + 1));
-        (self.opened, self.short_sessions) = (None, 0);
-        inputs.push(event);
+        self.malformed = self.malformed.split_off(&(self.last + 1));
+        (self.connected_at, self.short_sessions) = (None, 0);
+        events.push(event);
     }
 
-    /// An event that can't be read is asked for once more, as it may have been spoilt on its way; what can be read of it
-    /// counts then, so that those after it are not held up for ever.
-    fn read(&mut self, number: u64, kind: u8, payload: &[u8]) -> Result<EndpointEvent, SubscriptionError> {
+    /// Decodes an event. A malformed one is requested a second time, because it may have been damaged in transit;
+    /// after that its valid records are used, so that later events are not held up.
+    fn decode(&mut self, number: u64, kind: u8, payload: &[u8]) -> Result<EndpointEvent, SubscriptionError> {
         endpoint_events::decode(number, kind, payload).or_else(|error| {
-            if self.unreadable.len() < MAX_UNREADABLE && self.unreadable.insert(number) {
+            if self.malformed.len() < MAX_MALFORMED && self.malformed.insert(number) {
                 return Err(SubscriptionError::Event { number, error });
             }
-            tracing::error!(number, %error, "an event of the bus can't be read; what can be of it counts");
-            Ok(endpoint_events::readable(number, kind, payload))
+            tracing::error!(number, %error, "event of the bus is malformed; applying its valid records");
+            Ok(endpoint_events::decode_lossy(number, kind, payload))
         })
     }
 
-    /// An empty frame came. A number that falls back means that the event subscription lost its events and counts anew.
+    /// Handles an empty frame. A number that goes backwards means that the bus lost its events and restarted its
+    /// numbering.
     fn on_heartbeat(&mut self, number: u64) -> Result<(), SubscriptionError> {
         if number == 0 || self.heartbeats == HeartbeatNumbering::Other {
             return Ok(());
@@ -223,31 +228,31 @@
         Ok(())
     }
 
-    /// A frame while all events are told anew.
-    fn replayed(
+    /// Handles a frame during a replay.
+    fn on_replayed(
         &mut self,
         number: u64,
         kind: u8,
         payload: &[u8],
-        inputs: &mut Vec<EndpointEvent>,
+        events: &mut Vec<EndpointEvent>,
     ) -> Result<(), SubscriptionError> {
-        let event = if kind == 0 { None } else { Some(self.read(number, kind, payload)?) };
+        let event = if kind == 0 { None } else { Some(self.decode(number, kind, payload)?) };
         let Some(mut replay) = self.replay.take() else { return Ok(()) };
-        let ended = match event {
+        let is_ended = match event {
             Some(event) => {
-                replay.take(event);
+                replay.add(event);
                 false
             }
-            None => number > 0 && number == replay.at(),
+            None => number > 0 && number == replay.last(),
         };
-        if replay.is_done() && replay.until_known(self.last) {
-            // All that was known is still there: empty frames are numbered otherwise.
+        if replay.is_done() && replay.is_until(self.last) {
+            // All known events are still there, so empty frames are numbered in another way.
             self.heartbeats = HeartbeatNumbering::Other;
         }
-        if replay.is_done() || ended {
+        if replay.is_done() || is_ended {
             let event = replay.event();
-            tracing::info!(number = event.number, form = ?event.kind, "the endpoint list was sent again");
-            self.on_event(event, inputs);
+            tracing::info!(number = event.number, form = ?event.kind, "endpoint events replayed from the first");
+            self.on_event(event, events);
         } else {
             self.replay = Some(replay);
         }
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -1,8 +1,8 @@
-//! The event bus' socket: one connection at a time, from the last event taken, anew after a break, silence, or word of
-//! another address.
+//! The socket of the event bus: one connection at a time, which resumes after the last received event. It reconnects
+//! after a break, a silence or a change of the bus address.
 
 use crate::clients::Shared;
-use crate::descriptors::{is_want, Refusal};
+use crate::descriptors::{is_descriptor_limit, DescriptorUse};
 use crate::endpoint_events::EndpointEvent;
 use crate::executors::Executors;
 use crate::sockets::uninterrupted;
@@ -18,9 +18,10 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Follows until dropped. A change of `address`, even to the same, means a new connection at once.
+/// Watches the event bus until dropped. A change of `address`, even to the same value, causes a new connection at
+/// once.
 pub async fn watch_events(
     shared: Rc<Shared>,
     executors: Rc<Executors>,
@@ -28,29 +29,30 @@
     mut starts: StartTimes,
     mut address: watch::Receiver<SocketAddr>,
 ) {
-    // Read and not yet handed to the driver. It outlives the connection: the next one is asked for later events only.
-    let mut waiting = VecDeque::new();
-    // Until when the list was last reported to be valid.
+    // Inputs that were read and not yet passed to the driver. They outlive the connection, because the next one
+    // requests later events only.
+    let mut queued = VecDeque::new();
+    // The validity of the list that was last reported.
     let mut reported = Micros::MIN;
     loop {
-        // Made in the instant in which the one before it was let go of, with nothing awaited between: whatever else may want
-        // its descriptor, the event subscription has it.
-        let to = *address.borrow_and_update();
-        let socket = unconnected(to);
+        // The new socket is created right after the previous one was closed, with no await between, so that nothing
+        // else can take its descriptor.
+        let bus_address = *address.borrow_and_update();
+        let socket = new_socket(bus_address);
         if let Err(error) = &socket {
-            if is_want(error) {
-                shared.descriptors.refused(Refusal::Bus);
+            if is_descriptor_limit(error) {
+                shared.descriptors.refused(DescriptorUse::Bus);
             }
             shared.descriptors.release_one();
         }
-        report_validity(&subscription, &mut reported, &mut waiting);
-        if !hand_over(&shared.inputs, &mut waiting).await {
+        report_validity(&subscription, &mut reported, &mut queued);
+        if !forward(&shared.inputs, &mut queued).await {
             return;
         }
-        let pause = Duration::from_micros(subscription.pause() as u64);
+        let pause = Duration::from_micros(subscription.next_pause() as u64);
         let connecting = async {
             tokio::time::sleep(pause).await;
-            tokio::time::timeout(CONNECT, socket?.connect(to)).await?
+            tokio::time::timeout(CONNECT_TIMEOUT, socket?.connect(bus_address)).await?
         };
         let stream = tokio::select! {
             done = connecting => done.ok(),
@@ -60,128 +62,128 @@
             },
         };
         let Some(stream) = stream else { continue };
-        let asks = subscription.connected(shared.clock.now());
-        report_validity(&subscription, &mut reported, &mut waiting);
-        // The bus is asked whether or not the driver has room just now.
-        hand_over_now(&shared.inputs, &mut waiting);
-        let listening = Listener {
+        let request = subscription.connected(shared.clock.now());
+        report_validity(&subscription, &mut reported, &mut queued);
+        // The request is written to the bus whether or not the driver's queue has room.
+        forward_available(&shared.inputs, &mut queued);
+        let connection = BusConnection {
             shared: &shared,
             executors: &executors,
             subscription: &mut subscription,
-            waiting: &mut waiting,
+            queued: &mut queued,
             reported: &mut reported,
             starts: &mut starts,
         };
         let why = tokio::select! {
-            ended = listening.run(&stream, &asks) => match ended {
+            ended = connection.run(&stream, &request) => match ended {
                 Some(why) => why,
                 None => return,
             },
             changed = address.changed() => match changed {
-                Ok(()) => "told anew where it is".to_string(),
+                Ok(()) => "bus address reloaded".to_string(),
                 Err(_) => return,
             },
         };
         let (now, late) = shared.earliest_time();
         subscription.ended(now, late);
-        tracing::info!(subscription = %to, last = subscription.last(), why, "connecting to the event bus again");
+        tracing::info!(subscription = %bus_address, last = subscription.last(), why, "event bus connection ended; reconnecting");
     }
 }
 
-fn unconnected(to: SocketAddr) -> io::Result<TcpSocket> {
-    if to.is_ipv4() {
+fn new_socket(bus_address: SocketAddr) -> io::Result<TcpSocket> {
+    if bus_address.is_ipv4() {
         TcpSocket::new_v4()
     } else {
         TcpSocket::new_v6()
     }
 }
 
-/// Gives the driver what waits for it; false once there is no driver. Dropped at any time it loses nothing, as nothing is
-/// awaited between taking an item and handing it over.
-async fn hand_over(inputs: &mpsc::Sender<Input>, waiting: &mut VecDeque<Input>) -> bool {
-    while !waiting.is_empty() {
+/// Passes the queued inputs to the driver; returns false once the driver has ended. It is cancel-safe: nothing is
+/// awaited between removing an input from the queue and sending it.
+async fn forward(inputs: &mpsc::Sender<Input>, queued: &mut VecDeque<Input>) -> bool {
+    while !queued.is_empty() {
         let Ok(permit) = inputs.reserve().await else { return false };
-        if let Some(item) = waiting.pop_front() {
+        if let Some(item) = queued.pop_front() {
             permit.send(item);
         }
     }
     true
 }
 
-/// Gives the driver what it has room for now.
-fn hand_over_now(inputs: &mpsc::Sender<Input>, waiting: &mut VecDeque<Input>) {
-    while !waiting.is_empty() {
+/// Passes queued inputs to the driver as far as its queue has room.
+fn forward_available(inputs: &mpsc::Sender<Input>, queued: &mut VecDeque<Input>) {
+    while !queued.is_empty() {
         let Ok(permit) = inputs.try_reserve() else { return };
-        if let Some(item) = waiting.pop_front() {
+        if let Some(item) = queued.pop_front() {
             permit.send(item);
         }
     }
 }
 
-/// Tells the driver until when the list is valid, where that changed: after the events that were read before it.
-fn report_validity(subscription: &EventSubscription, reported: &mut Micros, waiting: &mut VecDeque<Input>) {
+/// Queues the validity of the list for the driver if it changed, after the events that were read before it.
+fn report_validity(subscription: &EventSubscription, reported: &mut Micros, queued: &mut VecDeque<Input>) {
     let until = subscription.valid_until();
     if until != *reported {
         *reported = until;
-        // One that was not handed over yet is out of date.
-        if matches!(waiting.back(), Some(Input::EndpointListValid { .. })) {
-            waiting.pop_back();
+        // A queued validity is outdated.
+        if matches!(queued.back(), Some(Input::EndpointListValid { .. })) {
+            queued.pop_back();
         }
-        waiting.push_back(Input::EndpointListValid { until });
+        queued.push_back(Input::EndpointListValid { until });
     }
 }
 
 /// One connection to the event bus.
-struct Listener<'a> {
+struct BusConnection<'a> {
     shared: &'a Shared,
     executors: &'a Rc<Executors>,
     subscription: &'a mut EventSubscription,
-    /// Read and not yet handed to the driver.
-    waiting: &'a mut VecDeque<Input>,
+    /// Inputs that were read and not yet passed to the driver.
+    queued: &'a mut VecDeque<Input>,
     reported: &'a mut Micros,
     starts: &'a mut StartTimes,
 }
 
-impl Listener<'_> {
-    /// Asks for what is missing and takes what comes until the connection is over: why. None once there is no driver.
-    async fn run(mut self, stream: &TcpStream, asks: &[u8]) -> Option<String> {
-        if let Err(error) = write_all(stream, asks).await {
+impl BusConnection<'_> {
+    /// Requests the missing events and handles the input until the connection ends. Returns the reason, or None once
+    /// the driver has ended.
+    async fn run(mut self, stream: &TcpStream, request: &[u8]) -> Option<String> {
+        if let Err(error) = write_all(stream, request).await {
             return Some(error.to_string());
         }
         let mut events = Vec::new();
         loop {
-            let silent = self.shared.clock.instant(self.subscription.silent_at());
-            let ready = tokio::time::timeout_at(silent, stream.readable()).await;
+            let deadline = self.shared.clock.instant(self.subscription.silence_deadline());
+            let ready = tokio::time::timeout_at(deadline, stream.readable()).await;
             let why = self.read(stream, ready.is_err(), &mut events);
-            // Without a pause between the event's number and this: what counts as known is withdrawn from and on its way.
+            // No await between the event's number and this: requests are withdrawn from the moment the event is read.
             for mut event in events.drain(..) {
                 let is_full = event.kind != EndpointUpdate::Delta;
                 self.starts.apply(&mut event.endpoints, is_full, self.shared.clock.now());
                 let withdrawn = self.executors.apply(event.kind, &event.endpoints);
-                self.waiting
-                    .push_back(Input::EndpointUpdate { kind: event.kind, endpoints: event.endpoints });
-                self.waiting.extend(withdrawn);
+                self.queued.push_back(Input::EndpointUpdate { kind: event.kind, endpoints: event.endpoints });
+                self.queued.extend(withdrawn);
             }
-            report_validity(self.subscription, self.reported, self.waiting);
+            report_validity(self.subscription, self.reported, self.queued);
             if why.is_some() {
                 return why;
             }
-            if !hand_over(&self.shared.inputs, self.waiting).await {
+            if !forward(&self.shared.inputs, self.queued).await {
                 return None;
             }
         }
     }
 
-    /// Reads what lies in the socket; why the connection is over, if it is.
+    /// Reads the pending input of the socket; returns why the connection ended, if it did.
     fn read(
         &mut self,
         stream: &TcpStream,
         is_silent: bool,
         events: &mut Vec<EndpointEvent>,
     ) -> Option<String> {
-        let mut scratch = self.shared.scratch.borrow_mut();
-        // Also after the time ran out: this process itself may have been late.
-        let read = match uninterrupted(|| stream.try_read(&mut scratch)) {
+        let mut read_buffer = self.shared.read_buffer.borrow_mut();
+        // Also read after the timeout, because this process itself may have been late.
+        let length = match uninterrupted(|| stream.try_read(&mut read_buffer)) {
             Ok(0) => return Some("closed".into()),
             Ok(n) => n,
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
@@ -190,8 +192,8 @@
             Err(e) => return Some(e.to_string()),
         };
         let (now, late) = self.shared.earliest_time();
-        let fed = self.subscription.feed(&scratch[..read], (now, now - late), events);
-        fed.err().map(|error| error.to_string())
+        let result = self.subscription.feed(&read_buffer[..length], (now, now - late), events);
+        result.err().map(|error| error.to_string())
     }
 }
 
--- a/crates/platform/tests/codecs/clients.rs
+++ b/crates/platform/tests/codecs/clients.rs
@@ -11,9 +11,9 @@
     c.call("7", GOOD);
     let ClientEvent::Call(ticket, asked) = &c.said[0] else { panic!() };
     assert_eq!((asked.reference, &*asked.id), (0x9b1f_03aa_5c7e_2d41, "9b1f03aa5c7e2d41"));
-    assert_eq!((&*asked.function, asked.figures.id), ("7f3a9c21e0b4d655", 0x7f3a_9c21_e0b4_d655));
+    assert_eq!((&*asked.function, asked.properties.id), ("7f3a9c21e0b4d655", 0x7f3a_9c21_e0b4_d655));
     assert_eq!(
-        (asked.figures.memory_mb, asked.figures.concurrency, asked.figures.work),
+        (asked.properties.memory_mb, asked.properties.concurrency, asked.properties.work),
         (512.0, 2.0, Some(8200))
     );
     assert!(asked.budget <= 1500 * MS && asked.budget >= 1480 * MS);
@@ -23,8 +23,8 @@
     c.session.answer(ticket, &Answer::Failed { reason: "twice" }, MS);
     let mut decoder = Decoder::default();
     decoder.feed(c.session.output());
-    assert_eq!(decoder.take().unwrap().unwrap(), [&b"7"[..], b"200", b"", &body]);
-    assert_eq!(decoder.take(), Ok(None), "one answer");
+    assert_eq!(decoder.next_array().unwrap().unwrap(), [&b"7"[..], b"200", b"", &body]);
+    assert_eq!(decoder.next_array(), Ok(None), "one answer");
 }
 
 #[test]
@@ -136,8 +136,8 @@
     for (n, answer) in answers.iter().enumerate() {
         let n = n + 1;
         c.call(&n.to_string(), &GOOD.replace("9b1f", &format!("9b1{n}")));
-        assert!(!c.session.is_known());
+        assert!(!c.session.is_verified());
         c.session.answer(n as u64, answer, MS);
     }
-    assert!(c.session.is_known());
+    assert!(c.session.is_verified());
 }
--- a/crates/platform/tests/codecs/lines.rs
+++ b/crates/platform/tests/codecs/lines.rs
@@ -80,7 +80,7 @@
 #[test]
 fn what_is_given_up_is_stopped_or_never_written() {
     let (mut line, mut news) = line();
-    line.stop(1, "0000000000000001", 10 * MS, 250 * MS);
+    line.abandon(1, "0000000000000001", 10 * MS, 250 * MS);
     assert_eq!(
         (write_all(&mut line, 10 * MS), line.is_silent()),
         ("STOP 0000000000000001\r\n".into(), false)
@@ -89,19 +89,19 @@
     feed(&mut line, b"0000000000000001 OK - 0\r\n\r\n", &mut news).unwrap();
     assert!(news.is_empty());
     line.send_request((5, "0000000000000005"), &RUN, b"x", Exchange::Attempt { request: 5, attempt: 0 }, 0);
-    line.stop(5, "0000000000000005", 20 * MS, 250 * MS);
+    line.abandon(5, "0000000000000005", 20 * MS, 250 * MS);
     assert_eq!(write_all(&mut line, 20 * MS), "");
     // An executor that takes nothing new: what waits is withdrawn, what was begun goes on.
     line.send_request((6, "0000000000000006"), &RUN, b"x", Exchange::Attempt { request: 6, attempt: 0 }, 0);
     let mut bytes = Vec::new();
-    line.fill(&mut bytes, 21 * MS);
+    line.fill_write(&mut bytes, 21 * MS);
     line.on_written(1, 21 * MS);
     line.send_request((7, "0000000000000007"), &RUN, b"x", Exchange::Attempt { request: 7, attempt: 0 }, 0);
     line.withdraw(22 * MS, &mut news);
     assert_eq!(ends(&news), [(7, Outcome::ConnectFailed, vec![])]);
     assert!(!write_all(&mut line, 23 * MS).contains("RUN 0000000000000007"));
     // Given up long after it was written, with no word since: silent, until a word comes.
-    line.stop(6, "0000000000000006", 500 * MS, 250 * MS);
+    line.abandon(6, "0000000000000006", 500 * MS, 250 * MS);
     assert!(line.is_silent());
     feed(&mut line, b"0000000000000003 OK - 0\r\n\r\n", &mut news).unwrap();
     assert!(!line.is_silent());
@@ -114,7 +114,7 @@
     let what = Exchange::Attempt { request: 9, attempt: 0 };
     line.send_request((9, "0000000000000009"), &run, b"body", what, 0);
     let mut bytes = Vec::new();
-    line.fill(&mut bytes, 250 * MS);
+    line.fill_write(&mut bytes, 250 * MS);
     assert_eq!(bytes, b"RUN 0000000000000009 class=look,key=07,wait=950 4\r\nbody\r\n");
     // Once a part of it was written the rest stays as it was begun.
     line.on_written(bytes.len() - 3, 250 * MS);
--- a/crates/platform/tests/codecs/split.rs
+++ b/crates/platform/tests/codecs/split.rs
@@ -39,12 +39,12 @@
         let (mut decoder, mut got) = (Decoder::default(), Vec::new());
         for part in split(&stream, &cuts) {
             decoder.feed(part);
-            while let Some(words) = decoder.take().unwrap() {
+            while let Some(words) = decoder.next_array().unwrap() {
                 got.push(words);
             }
         }
         prop_assert_eq!(got, want);
-        prop_assert!(!decoder.is_partial() && decoder.held() == 0);
+        prop_assert!(!decoder.is_partial() && decoder.buffer_capacity() == 0);
     }
 
     #[test]
@@ -59,13 +59,13 @@
             for piece in part.chunks(4096) {
                 decoder.feed(piece);
                 loop {
-                    match decoder.take() {
+                    match decoder.next_array() {
                         Ok(Some(_)) => {}
                         Ok(None) => break,
                         Err(_) => break 'parts,
                     }
                 }
-                prop_assert!(decoder.held() <= 128 << 10);
+                prop_assert!(decoder.buffer_capacity() <= 128 << 10);
             }
         }
     }
--- a/crates/platform/tests/codecs/tools.rs
+++ b/crates/platform/tests/codecs/tools.rs
@@ -41,9 +41,9 @@
         let mut decoder = Decoder::default();
         decoder.feed(self.session.output());
         let n = self.session.output().len();
-        self.session.wrote(n, MS);
+        self.session.on_written(n, MS);
         let mut all = Vec::new();
-        while let Some(words) = decoder.take().unwrap() {
+        while let Some(words) = decoder.next_array().unwrap() {
             let text = |n: usize| String::from_utf8(words[n].clone()).unwrap();
             all.push((text(0), text(1)));
         }
@@ -68,7 +68,7 @@
 
 pub fn write_all(line: &mut ConnectionState, now: Micros) -> String {
     let mut bytes = Vec::new();
-    line.fill(&mut bytes, now);
+    line.fill_write(&mut bytes, now);
     line.on_written(bytes.len(), now);
     String::from_utf8_lossy(&bytes).into_owned()
 }
--- a/crates/platform/tests/crossings/attempt.rs
+++ b/crates/platform/tests/crossings/attempt.rs
@@ -128,7 +128,7 @@
     fn write(&mut self, worker: u32) {
         let Some(line) = self.lines.get_mut(&worker) else { return };
         let mut bytes = Vec::new();
-        line.fill(&mut bytes, self.now);
+        line.fill_write(&mut bytes, self.now);
         line.on_written(bytes.len(), self.now);
         self.runs += String::from_utf8_lossy(&bytes).matches("RUN ").count();
     }
@@ -207,7 +207,7 @@
             Command::Abort { request, attempt } => {
                 let Some(worker) = self.flying.remove(&(request, attempt)) else { return };
                 let line = self.lines.get_mut(&worker).unwrap();
-                if line.stop(ID, &format!("{ID:016x}"), self.now, 250 * MS) {
+                if line.abandon(ID, &format!("{ID:016x}"), self.now, 250 * MS) {
                     line.end(Closure::ProtocolViolated, self.now, news);
                 }
             }
--- a/crates/platform/tests/crossings/lines.rs
+++ b/crates/platform/tests/crossings/lines.rs
@@ -26,7 +26,7 @@
 /// Writes so many bytes, or all that waits.
 fn write(line: &mut ConnectionState, most: usize, now: Micros) -> String {
     let mut bytes = Vec::new();
-    line.fill(&mut bytes, now);
+    line.fill_write(&mut bytes, now);
     bytes.truncate(most);
     line.on_written(bytes.len(), now);
     String::from_utf8(bytes).unwrap()
@@ -98,7 +98,7 @@
     run(&mut line, 1);
     run(&mut line, 2);
     write(&mut line, usize::MAX, 0);
-    line.stop(1, "0000000000000001", MS, 250 * MS);
+    line.abandon(1, "0000000000000001", MS, 250 * MS);
     write(&mut line, usize::MAX, MS);
     assert!(line.has(1) && !run(&mut line, 1), "the answer on its way would be the new one's");
     read(&mut line, "0000000000000001 MISS - 0\r\n\r\n", 2 * MS, &mut news);
@@ -115,7 +115,7 @@
     assert_eq!(outcomes(&news), [(1, Outcome::Full)]);
     assert!(!run(&mut line, 1), "its first bytes would be taken for the new one's");
     run(&mut line, 2);
-    line.stop(2, "0000000000000002", MS, 250 * MS);
+    line.abandon(2, "0000000000000002", MS, 250 * MS);
     line.withdraw(MS, &mut news);
     assert_eq!(
         first + &write(&mut line, usize::MAX, MS),
@@ -130,7 +130,7 @@
     run(&mut line, 1);
     run(&mut line, 2);
     write(&mut line, 9, 0);
-    assert!(line.stop(1, "0000000000000001", MS, 250 * MS));
+    assert!(line.abandon(1, "0000000000000001", MS, 250 * MS));
     let mut news = Vec::new();
     line.end(stagehoist_platform::connection::Closure::ProtocolViolated, MS, &mut news);
     assert_eq!(outcomes(&news), [(2, Outcome::ConnectFailed)]);
@@ -140,9 +140,9 @@
     (1..=4).for_each(|id| assert!(run(&mut line, id)));
     let whole = "RUN 0000000000000001 class=look,key=07,wait=1 4\r\nbody\r\n".len();
     write(&mut line, 2 * whole, 0);
-    line.send_health_check(false, Exchange::Probe { worker: 3, sent: 0 }, 0);
+    line.send_health_check(false, Exchange::HealthCheck { worker: 3, sent: 0 }, 0);
     write(&mut line, 9, 0);
-    assert!(!line.stop(3, "0000000000000003", MS, 250 * MS));
+    assert!(!line.abandon(3, "0000000000000003", MS, 250 * MS));
     assert!(line.is_truncated() && !line.wants_write());
     line.withdraw(MS, &mut news);
     assert!(matches!(
@@ -152,7 +152,7 @@
     ));
     // Nothing of it ran, and the executor did nothing to be ejected for.
     assert_eq!(outcomes(&news), [(4, Outcome::Full)]);
-    assert!(!line.stop(2, "0000000000000002", 2 * MS, 250 * MS) && !line.wants_write());
+    assert!(!line.abandon(2, "0000000000000002", 2 * MS, 250 * MS) && !line.wants_write());
     assert!(!line.is_spent());
     read(&mut line, "0000000000000001 OK - 2\r\nhi\r\n", 3 * MS, &mut news);
     assert_eq!(outcomes(&news)[1..], [(1, Outcome::Ok)]);
@@ -162,7 +162,7 @@
 #[test]
 fn a_probe_that_is_given_up_with_a_part_written_is_written_whole() {
     let (mut line, mut news) = (ConnectionState::new(0), Vec::new());
-    line.send_health_check(false, Exchange::Probe { worker: 3, sent: 0 }, 0);
+    line.send_health_check(false, Exchange::HealthCheck { worker: 3, sent: 0 }, 0);
     run(&mut line, 1);
     let part = write(&mut line, 3, 0);
     assert_eq!(line.expire(250 * MS, 250 * MS, 1000 * MS, &mut news), Ok(()));
--- a/crates/platform/tests/crossings/stage.rs
+++ b/crates/platform/tests/crossings/stage.rs
@@ -48,15 +48,15 @@
     }
 
     /// With orders that count as lost after so long.
-    pub fn with(links: usize, line: usize, order_timeout: Micros) -> Stage {
+    pub fn with(links: usize, line: usize, load_timeout: Micros) -> Stage {
         let (sender, news) = mpsc::channel(line);
         let shared = Rc::new(Shared::new(Clock::new(), sender));
         let limits = Limits {
             streams: 32,
             idle_close: 60_000_000,
             connect_timeout: 8_000_000,
-            order_timeout,
-            report: Vec::new(),
+            load_timeout,
+            report_fields: Vec::new(),
             classes: vec!["look".into()],
         };
         let bounds = Bounds { clients: 4, executors: links, held_bytes: 1 << 20 };
@@ -111,7 +111,7 @@
 
     /// The same with the attempt's number among those of its request.
     pub fn begin_attempt(&self, worker: u32, (request, attempt): (u32, u16), body: Bytes) {
-        self.executors.attempt(Attempt {
+        self.executors.start_attempt(Attempt {
             request,
             attempt,
             worker,
--- a/crates/platform/tests/crossings/unheard.rs
+++ b/crates/platform/tests/crossings/unheard.rs
@@ -66,7 +66,7 @@
         let mut stage = Stage::new(1, 1024);
         stage.at(address);
         // The bytes of one look are as many reads of this buffer.
-        *stage.shared.scratch.borrow_mut() = vec![0; 1024];
+        *stage.shared.read_buffer.borrow_mut() = vec![0; 1024];
         let mut client = Client::connect(&stage);
         client.ask(2);
         let ticket = stage.asked(2).await;
--- a/crates/platform/tests/descriptors/ends.rs
+++ b/crates/platform/tests/descriptors/ends.rs
@@ -9,7 +9,7 @@
 /// How an attempt, a health check and an order to load at this executor end.
 async fn ends(stage: &mut Stage, worker: u32) -> [Outcome; 3] {
     stage.send(worker, 9);
-    stage.executors.probe(worker);
+    stage.executors.check_health(worker);
     stage.executors.flush_all();
     stage.executors.load(LoadCommand {
         worker,
--- a/crates/platform/tests/descriptors/stage.rs
+++ b/crates/platform/tests/descriptors/stage.rs
@@ -81,8 +81,8 @@
             streams: 1,
             idle_close: 60_000_000,
             connect_timeout: 8_000_000,
-            order_timeout: 8_000_000,
-            report: Vec::new(),
+            load_timeout: 8_000_000,
+            report_fields: Vec::new(),
             classes: vec!["look".into()],
         };
         let bounds = Bounds { clients: 100, executors: links, held_bytes: 1 << 20 };
@@ -115,7 +115,7 @@
 
     /// One small attempt in a turn of its own.
     pub fn send(&self, worker: u32, request: u32) {
-        self.executors.attempt(Attempt {
+        self.executors.start_attempt(Attempt {
             request,
             attempt: 0,
             worker,
