--- a/crates/platform/tests/codecs/clients.rs
+++ b/crates/platform/tests/codecs/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' requests: what is taken, refused, or ends the connection.
+//! Client requests: which are accepted, rejected, or end the connection.
 
 use crate::tools::{Client, GOOD, MS};
 use stagehoist_gateway::state::Answer;
@@ -6,17 +6,17 @@
 use stagehoist_platform::session::{ClientEvent, MAX_OPEN_REQUESTS};
 
 #[test]
-fn a_request_is_taken_with_all_that_it_tells_and_answered_under_its_tag() {
+fn a_request_is_parsed_completely_and_answered_under_its_tag() {
     let mut c = Client::new();
     c.call("7", GOOD);
-    let ClientEvent::Call(ticket, asked) = &c.said[0] else { panic!() };
-    assert_eq!((asked.reference, &*asked.id), (0x9b1f_03aa_5c7e_2d41, "9b1f03aa5c7e2d41"));
-    assert_eq!((&*asked.function, asked.properties.id), ("7f3a9c21e0b4d655", 0x7f3a_9c21_e0b4_d655));
+    let ClientEvent::Call(ticket, request) = &c.events[0] else { panic!() };
+    assert_eq!((request.reference, &*request.id), (0x9b1f_03aa_5c7e_2d41, "9b1f03aa5c7e2d41"));
+    assert_eq!((&*request.function, request.properties.id), ("7f3a9c21e0b4d655", 0x7f3a_9c21_e0b4_d655));
     assert_eq!(
-        (asked.properties.memory_mb, asked.properties.concurrency, asked.properties.work),
+        (request.properties.memory_mb, request.properties.concurrency, request.properties.work),
         (512.0, 2.0, Some(8200))
     );
-    assert!(asked.budget <= 1500 * MS && asked.budget >= 1480 * MS);
+    assert!(request.budget <= 1500 * MS && request.budget >= 1480 * MS);
     let ticket = *ticket;
     let body = bytes::Bytes::from_static(b"\r\n\0x");
     c.session.answer(ticket, &Answer::Served { body: body.clone(), content_type: None }, MS);
@@ -24,7 +24,7 @@
     let mut decoder = Decoder::default();
     decoder.feed(c.session.output());
     assert_eq!(decoder.next_array().unwrap().unwrap(), [&b"7"[..], b"200", b"", &body]);
-    assert_eq!(decoder.next_array(), Ok(None), "one answer");
+    assert_eq!(decoder.next_array(), Ok(None), "more than one answer");
 }
 
 #[test]
@@ -36,21 +36,21 @@
     c.send(&[b"ABORT", b"9"]);
     c.send(&[b"ABORT", b"9"]);
     c.send(&[b"ABORT", b"77"]);
-    assert!(matches!(c.said[..], [ClientEvent::Call(1, _), ClientEvent::Cancelled(1)]));
+    assert!(matches!(c.events[..], [ClientEvent::Call(1, _), ClientEvent::Cancelled(1)]));
     c.session.answer(1, &Answer::Failed { reason: "late" }, MS);
-    assert!(c.answers().is_empty(), "nothing is written for what was aborted");
+    assert!(c.answers().is_empty(), "an aborted request was answered");
     c.call("10", GOOD);
     c.session.answer(2, &Answer::Refused { reason: "", retry_after: 250 * MS }, MS);
     assert!(String::from_utf8_lossy(c.session.output()).contains("cooldown=250"));
 }
 
-/// Each kind of request that can't be taken is answered with an error; the connection and its other requests go on.
+/// Each kind of invalid request is answered with an error; the connection and its other requests continue.
 #[test]
-fn unusable_requests_are_answered_one_by_one() {
+fn invalid_requests_are_answered_one_by_one() {
     let change = |from: &str, to: &str| GOOD.replace(from, to);
     let mut c = Client::new();
     c.call("1", GOOD);
-    let bad = [
+    let invalid = [
         change("ref=9b1f03aa5c7e2d41,", ""),
         change("ref=9b1f03aa5c7e2d41", "ref=9b1f"),
         change("allow=1500", "allow=-5"),
@@ -73,7 +73,7 @@
         format!("{GOOD},allow=3"),
         "\u{1}".into(),
     ];
-    for (n, fields) in bad.iter().enumerate() {
+    for (n, fields) in invalid.iter().enumerate() {
         let tag = (n + 2).to_string();
         c.call(&tag, fields);
         assert_eq!(c.answers(), [(tag, "500".to_string())], "{fields}");
@@ -81,14 +81,15 @@
     c.send(&[b"REQ", b"98", b"nothing", GOOD.as_bytes(), b""]);
     c.send(&[b"REQ", b"99", b"look"]);
     assert_eq!(c.answers().len(), 2);
-    assert!(!c.session.is_closing() && c.said.len() == 1, "the first request is still open");
+    assert!(!c.session.is_closing() && c.events.len() == 1, "the first request is not open any more");
     c.session.answer(1, &Answer::Failed { reason: "" }, MS);
     assert_eq!(c.answers(), [("1".into(), "500".into())]);
 }
 
-/// What can't be told apart ends the connection, with an error first; its open requests are the client's loss.
+/// Input that can't be parsed, or a repeated tag, ends the connection after an error answer; its open requests are
+/// cancelled.
 #[test]
-fn unreadable_bytes_and_doubled_tags_end_the_connection() {
+fn malformed_input_and_repeated_tags_end_the_connection() {
     for bytes in [
         &b"GET / HTTP/1.1\r\n\r\n"[..],
         b"*1000000\r\n",
@@ -103,7 +104,7 @@
         c.raw(bytes);
         assert!(c.session.is_closing(), "{bytes:?}");
         assert_eq!(c.answers(), [("0".into(), "500".into())]);
-        assert!(matches!(c.said[..], [ClientEvent::Call(1, _), ClientEvent::Cancelled(1)]));
+        assert!(matches!(c.events[..], [ClientEvent::Call(1, _), ClientEvent::Cancelled(1)]));
         c.raw(b"*2\r\n$6\r\nHEALTH\r\n$1\r\n5\r\n");
         assert!(c.answers().is_empty());
     }
@@ -114,19 +115,19 @@
 }
 
 #[test]
-fn more_requests_than_may_be_open_are_refused_and_the_rest_go_on() {
+fn requests_beyond_the_maximum_are_rejected_and_the_others_continue() {
     let mut c = Client::new();
     for n in 1..=300u64 {
         c.call(&n.to_string(), &GOOD.replace("9b1f03aa5c7e2d41", &format!("{n:016x}")));
     }
-    assert_eq!(c.said.len(), MAX_OPEN_REQUESTS);
+    assert_eq!(c.events.len(), MAX_OPEN_REQUESTS);
     let answers = c.answers();
     assert_eq!(answers.len(), 300 - MAX_OPEN_REQUESTS);
     assert!(answers.iter().all(|a| a.1 == "503"));
 }
 
 #[test]
-fn a_client_is_known_once_it_was_served() {
+fn a_client_is_verified_once_it_was_served() {
     let mut c = Client::new();
     let answers = [
         Answer::Refused { reason: "", retry_after: 0 },
--- a/crates/platform/tests/codecs/lines.rs
+++ b/crates/platform/tests/codecs/lines.rs
@@ -1,26 +1,26 @@
-//! Executors' answers, spoilt ones, and what is abandoned on a line.
+//! Answers of executors, malformed ones, and abandoned requests on a connection.
 
-use crate::tools::{ends, feed, line, write_all, MS, RUN};
+use crate::tools::{ends, feed, open_conn, write_all, MS, RUN};
 use stagehoist::Outcome;
 use stagehoist_gateway::state::Input;
 use stagehoist_platform::connection::{Closure, Exchange, ProtocolViolation, RunRequest};
 
 #[test]
-fn answers_come_in_any_order_and_what_belongs_to_nothing_is_passed_over() {
-    let (mut line, mut news) = line();
+fn answers_arrive_in_any_order_and_unmatched_ones_are_ignored() {
+    let (mut conn, mut inputs) = open_conn();
     let text = "00000000000000ff OK - 3\r\nabc\r\n0000000000000002 OK queue_fn=3,stats=inflight:7;util:0.6 2\r\nhi\r\n\
         0000000000000002 OK - 2\r\nhi\r\n0000000000000001 MISS - 0\r\n\r\n77 UP\r\n0000000000000003 BUSY queue_fn=9\r\n";
-    feed(&mut line, text.as_bytes(), &mut news).unwrap();
-    let ended = ends(&news);
+    feed(&mut conn, text.as_bytes(), &mut inputs).unwrap();
+    let ended = ends(&inputs);
     assert_eq!(ended[0], (2, Outcome::Ok, b"hi".to_vec()));
     assert_eq!(ended[1..], [(1, Outcome::Miss, vec![]), (3, Outcome::Full, vec![])]);
-    let Input::AttemptEnded { result, .. } = &news[0] else { panic!() };
+    let Input::AttemptEnded { result, .. } = &inputs[0] else { panic!() };
     assert_eq!((result.copy.concurrency, result.report), (3, Some([7.0, 0.0, 0.0, 0.0])));
-    assert!(line.is_idle());
+    assert!(conn.is_idle());
 }
 
 #[test]
-fn spoilt_answers_poison_the_line_and_all_on_it_may_have_run() {
+fn malformed_answers_end_the_connection_and_all_its_requests_may_have_run() {
     let id = "0000000000000001";
     for (text, why) in [
         ("\u{7}\u{1}noise".to_string(), ProtocolViolation::Line),
@@ -33,90 +33,91 @@
         (format!("{id} OK - 4\r\nxyz\r\n{id}"), ProtocolViolation::Length),
         ("x".repeat(5000), ProtocolViolation::Endless),
     ] {
-        let (mut line, mut news) = line();
-        assert_eq!(feed(&mut line, text.as_bytes(), &mut news), Err(why), "{text:.40}");
-        line.send_request(
+        let (mut conn, mut inputs) = open_conn();
+        assert_eq!(feed(&mut conn, text.as_bytes(), &mut inputs), Err(why), "{text:.40}");
+        conn.send_request(
             (9, "0000000000000009"),
             &RUN,
             b"",
             Exchange::Attempt { request: 9, attempt: 1 },
             0,
         );
-        line.end(Closure::ProtocolViolated, MS, &mut news);
-        let outcomes: Vec<_> = ends(&news).iter().map(|e| (e.0, e.1)).collect();
+        conn.end(Closure::ProtocolViolated, MS, &mut inputs);
+        let outcomes: Vec<_> = ends(&inputs).iter().map(|e| (e.0, e.1)).collect();
         use Outcome::*;
-        // The one that was not begun to be written is known not to have run.
+        // Request 9 was not started, so it is known not to have run.
         assert_eq!(outcomes, [(1, Error), (2, Error), (3, Error), (9, ConnectFailed)], "{text:.40}");
     }
-    // An answer that stops short is found by time.
-    let (mut line, mut news) = line();
-    feed(&mut line, b"0000000000000001 OK - 10\r\nabc", &mut news).unwrap();
-    assert!(news.is_empty());
-    assert_eq!(line.expire(100 * MS, 250 * MS, 1000 * MS, &mut news), Ok(()));
-    assert_eq!(line.expire(300 * MS, 250 * MS, 1000 * MS, &mut news), Err(ProtocolViolation::Short));
+    // An incomplete answer is detected by a timeout.
+    let (mut conn, mut inputs) = open_conn();
+    feed(&mut conn, b"0000000000000001 OK - 10\r\nabc", &mut inputs).unwrap();
+    assert!(inputs.is_empty());
+    assert_eq!(conn.expire(100 * MS, 250 * MS, 1000 * MS, &mut inputs), Ok(()));
+    assert_eq!(conn.expire(300 * MS, 250 * MS, 1000 * MS, &mut inputs), Err(ProtocolViolation::Short));
 }
 
 #[test]
-fn an_order_that_counts_as_lost_takes_a_silent_connection_with_it() {
-    let (mut line, mut news) = line();
+fn a_load_order_that_times_out_ends_a_silent_connection() {
+    let (mut conn, mut inputs) = open_conn();
     let (worker, function) = (3, 9);
-    line.send_load(
+    conn.send_load(
         "7f3a9c21e0b4d655",
         1,
         Exchange::Load { worker, function, sent: 10 * MS, start_by: i64::MAX },
         10 * MS,
     );
-    assert!(write_all(&mut line, 10 * MS).starts_with("HOLD "));
-    assert_eq!(line.expire(1009 * MS, 250 * MS, 1000 * MS, &mut news), Ok(()));
-    assert_eq!(line.expire(1010 * MS, 250 * MS, 1000 * MS, &mut news), Err(ProtocolViolation::Silent));
-    // Where something came since, the connection is alive and goes on; the order counts as lost alone.
-    line.receive(b"0000000000000001 MISS - 0\r\n\r\n", (20 * MS, 20 * MS), &[], &mut news).unwrap();
-    assert_eq!(line.expire(1010 * MS, 250 * MS, 1000 * MS, &mut news), Ok(()));
+    assert!(write_all(&mut conn, 10 * MS).starts_with("HOLD "));
+    assert_eq!(conn.expire(1009 * MS, 250 * MS, 1000 * MS, &mut inputs), Ok(()));
+    assert_eq!(conn.expire(1010 * MS, 250 * MS, 1000 * MS, &mut inputs), Err(ProtocolViolation::Silent));
+    // If data was read since, the connection is alive and stays open; only the order counts as lost.
+    conn.receive(b"0000000000000001 MISS - 0\r\n\r\n", (20 * MS, 20 * MS), &[], &mut inputs).unwrap();
+    assert_eq!(conn.expire(1010 * MS, 250 * MS, 1000 * MS, &mut inputs), Ok(()));
     let lost =
         |n: &Input| matches!(n, Input::Loaded { worker: 3, function: 9, outcome: Outcome::Timeout, .. });
-    assert!(news.iter().any(lost), "{news:?}");
+    assert!(inputs.iter().any(lost), "{inputs:?}");
 }
 
 #[test]
-fn what_is_given_up_is_stopped_or_never_written() {
-    let (mut line, mut news) = line();
-    line.abandon(1, "0000000000000001", 10 * MS, 250 * MS);
+fn abandoned_requests_are_stopped_or_never_written() {
+    let (mut conn, mut inputs) = open_conn();
+    conn.abandon(1, "0000000000000001", 10 * MS, 250 * MS);
     assert_eq!(
-        (write_all(&mut line, 10 * MS), line.is_silent()),
+        (write_all(&mut conn, 10 * MS), conn.is_silent()),
         ("STOP 0000000000000001\r\n".into(), false)
     );
-    // Its late answer is passed over.
-    feed(&mut line, b"0000000000000001 OK - 0\r\n\r\n", &mut news).unwrap();
-    assert!(news.is_empty());
-    line.send_request((5, "0000000000000005"), &RUN, b"x", Exchange::Attempt { request: 5, attempt: 0 }, 0);
-    line.abandon(5, "0000000000000005", 20 * MS, 250 * MS);
-    assert_eq!(write_all(&mut line, 20 * MS), "");
-    // An executor that takes nothing new: what waits is withdrawn, what was begun goes on.
-    line.send_request((6, "0000000000000006"), &RUN, b"x", Exchange::Attempt { request: 6, attempt: 0 }, 0);
+    // The late answer is ignored.
+    feed(&mut conn, b"0000000000000001 OK - 0\r\n\r\n", &mut inputs).unwrap();
+    assert!(inputs.is_empty());
+    conn.send_request((5, "0000000000000005"), &RUN, b"x", Exchange::Attempt { request: 5, attempt: 0 }, 0);
+    conn.abandon(5, "0000000000000005", 20 * MS, 250 * MS);
+    assert_eq!(write_all(&mut conn, 20 * MS), "");
+    // The executor accepts nothing new: queued requests are withdrawn, and started ones continue.
+    conn.send_request((6, "0000000000000006"), &RUN, b"x", Exchange::Attempt { request: 6, attempt: 0 }, 0);
     let mut bytes = Vec::new();
-    line.fill_write(&mut bytes, 21 * MS);
-    line.on_written(1, 21 * MS);
-    line.send_request((7, "0000000000000007"), &RUN, b"x", Exchange::Attempt { request: 7, attempt: 0 }, 0);
-    line.withdraw(22 * MS, &mut news);
-    assert_eq!(ends(&news), [(7, Outcome::ConnectFailed, vec![])]);
-    assert!(!write_all(&mut line, 23 * MS).contains("RUN 0000000000000007"));
-    // Given up long after it was written, with no word since: silent, until a word comes.
-    line.abandon(6, "0000000000000006", 500 * MS, 250 * MS);
-    assert!(line.is_silent());
-    feed(&mut line, b"0000000000000003 OK - 0\r\n\r\n", &mut news).unwrap();
-    assert!(!line.is_silent());
+    conn.fill_write(&mut bytes, 21 * MS);
+    conn.on_written(1, 21 * MS);
+    conn.send_request((7, "0000000000000007"), &RUN, b"x", Exchange::Attempt { request: 7, attempt: 0 }, 0);
+    conn.withdraw(22 * MS, &mut inputs);
+    assert_eq!(ends(&inputs), [(7, Outcome::ConnectFailed, vec![])]);
+    assert!(!write_all(&mut conn, 23 * MS).contains("RUN 0000000000000007"));
+    // A request abandoned long after it was written, without any input since: the connection counts as silent until
+    // data is read.
+    conn.abandon(6, "0000000000000006", 500 * MS, 250 * MS);
+    assert!(conn.is_silent());
+    feed(&mut conn, b"0000000000000003 OK - 0\r\n\r\n", &mut inputs).unwrap();
+    assert!(!conn.is_silent());
 }
 
 #[test]
-fn a_request_says_how_long_its_client_waits_from_when_it_is_written() {
-    let (mut line, _) = line();
+fn a_request_states_the_client_wait_as_of_when_it_is_written() {
+    let (mut conn, _) = open_conn();
     let run = RunRequest { class: "look", function: "07", deadline: 1200 * MS };
-    let what = Exchange::Attempt { request: 9, attempt: 0 };
-    line.send_request((9, "0000000000000009"), &run, b"body", what, 0);
+    let exchange = Exchange::Attempt { request: 9, attempt: 0 };
+    conn.send_request((9, "0000000000000009"), &run, b"body", exchange, 0);
     let mut bytes = Vec::new();
-    line.fill_write(&mut bytes, 250 * MS);
+    conn.fill_write(&mut bytes, 250 * MS);
     assert_eq!(bytes, b"RUN 0000000000000009 class=look,key=07,wait=950 4\r\nbody\r\n");
-    // Once a part of it was written the rest stays as it was begun.
-    line.on_written(bytes.len() - 3, 250 * MS);
-    assert_eq!(write_all(&mut line, 500 * MS), "y\r\n");
+    // Once a part of it was written, the rest stays unchanged.
+    conn.on_written(bytes.len() - 3, 250 * MS);
+    assert_eq!(write_all(&mut conn, 500 * MS), "y\r\n");
 }
--- a/crates/platform/tests/codecs/main.rs
+++ b/crates/platform/tests/codecs/main.rs
@@ -1,4 +1,4 @@
-//! Streams in any split, arbitrary bytes, and what each kind of bad input is answered with.
+//! Codec tests: streams in any split, arbitrary bytes, and the reaction to each kind of malformed input.
 
 mod clients;
 mod lines;
--- a/crates/platform/tests/codecs/split.rs
+++ b/crates/platform/tests/codecs/split.rs
@@ -1,6 +1,6 @@
 //! Streams in any split, arbitrary bytes.
 
-use crate::tools::{ends, feed, line, GOOD, MS};
+use crate::tools::{ends, feed, open_conn, GOOD, MS};
 use bytes::BytesMut;
 use proptest::prelude::*;
 use stagehoist::Outcome;
@@ -72,14 +72,14 @@
 
     #[test]
     fn the_same_answers_in_any_split(cuts in prop::collection::vec(any::<usize>(), 0..40), body in prop::collection::vec(any::<u8>(), 0..30_000)) {
-        let (mut line, mut news) = line();
+        let (mut conn, mut inputs) = open_conn();
         let mut text = format!("0000000000000002 OK queue_fn=1 {}\r\n", body.len()).into_bytes();
         text.extend_from_slice(&body);
         text.extend_from_slice(b"\r\n0000000000000001 ERR\r\n0000000000000003 VOID - 0\r\n\r\n");
         for part in split(&text, &cuts) {
-            feed(&mut line, part, &mut news).unwrap();
+            feed(&mut conn, part, &mut inputs).unwrap();
         }
-        prop_assert_eq!(ends(&news), vec![(2, Outcome::Ok, body), (1, Outcome::Error, vec![]), (3, Outcome::Superseded, vec![])]);
+        prop_assert_eq!(ends(&inputs), vec![(2, Outcome::Ok, body), (1, Outcome::Error, vec![]), (3, Outcome::Superseded, vec![])]);
     }
 
     #[test]
@@ -88,7 +88,7 @@
         spoil in prop::collection::vec((any::<usize>(), any::<u8>()), 0..4),
         cuts in prop::collection::vec(any::<usize>(), 0..20),
     ) {
-        let (mut line, mut news) = line();
+        let (mut conn, mut inputs) = open_conn();
         let mut text = b"0000000000000002 OK - 5\r\nhello\r\n0000000000000001 MISS - 0\r\n\r\n".to_vec();
         text.extend_from_slice(&bytes);
         for (at, b) in spoil {
@@ -96,20 +96,20 @@
             text[at] = b;
         }
         for part in split(&text, &cuts) {
-            if feed(&mut line, part, &mut news).is_err() {
+            if feed(&mut conn, part, &mut inputs).is_err() {
                 break;
             }
         }
-        line.end(Closure::ProtocolViolated, MS, &mut news);
-        let mut requests: Vec<u32> = ends(&news).iter().map(|e| e.0).collect();
+        conn.end(Closure::ProtocolViolated, MS, &mut inputs);
+        let mut requests: Vec<u32> = ends(&inputs).iter().map(|e| e.0).collect();
         requests.sort_unstable();
         prop_assert_eq!(requests, vec![1, 2, 3]);
     }
 
     #[test]
     fn arbitrary_bytes_never_move_the_buss_number_back(bytes in prop::collection::vec(any::<u8>(), 0..2_000)) {
-        let (mut bus, mut news) = (EventSubscription::new(10, 0), Vec::new());
-        let _ = bus.feed(&bytes, (0, 0), &mut news);
-        prop_assert!(bus.last() >= 10 && news.iter().all(|e| e.number > 10));
+        let (mut bus, mut inputs) = (EventSubscription::new(10, 0), Vec::new());
+        let _ = bus.feed(&bytes, (0, 0), &mut inputs);
+        prop_assert!(bus.last() >= 10 && inputs.iter().all(|e| e.number > 10));
     }
 }
--- a/crates/platform/tests/codecs/tools.rs
+++ b/crates/platform/tests/codecs/tools.rs
@@ -1,4 +1,4 @@
-//! A client's session and an executor's line, fed by hand.
+//! Helpers that feed a client's session and an executor's connection with bytes.
 
 use bytes::BytesMut;
 use stagehoist::{Micros, Outcome};
@@ -18,12 +18,12 @@
     pub session: Session,
     pub catalog: Catalog,
     pub ticket: u64,
-    pub said: Vec<ClientEvent>,
+    pub events: Vec<ClientEvent>,
 }
 
 impl Client {
     pub fn new() -> Client {
-        Client { session: Session::new(0), catalog: catalog(), ticket: 0, said: Vec::new() }
+        Client { session: Session::new(0), catalog: catalog(), ticket: 0, events: Vec::new() }
     }
     pub fn send(&mut self, words: &[&[u8]]) {
         let mut bytes = BytesMut::new();
@@ -31,12 +31,12 @@
         self.raw(&bytes);
     }
     pub fn raw(&mut self, bytes: &[u8]) {
-        self.session.receive(bytes, MS, (&self.catalog, true), &mut self.ticket, &mut self.said);
+        self.session.receive(bytes, MS, (&self.catalog, true), &mut self.ticket, &mut self.events);
     }
     pub fn call(&mut self, tag: &str, fields: &str) {
         self.send(&[b"REQ", tag.as_bytes(), b"look", fields.as_bytes(), b"body"]);
     }
-    /// The first two words of each answer.
+    /// Returns the first two words of each answer.
     pub fn answers(&mut self) -> Vec<(String, String)> {
         let mut decoder = Decoder::default();
         decoder.feed(self.session.output());
@@ -53,38 +53,38 @@
 
 pub const GOOD: &str = "ref=9b1f03aa5c7e2d41,allow=1500,project=acme,lookup=7f3a9c21e0b4d655,effort=8.2,extras=memory_mb:512;lanes:2";
 
-/// A request whose client waits for no more than a moment.
+/// A request whose client waits for the minimum time.
 pub const RUN: RunRequest<'static> = RunRequest { class: "look", function: "07", deadline: 0 };
 
-pub fn line() -> (ConnectionState, Vec<Input>) {
-    let mut line = ConnectionState::new(0);
+pub fn open_conn() -> (ConnectionState, Vec<Input>) {
+    let mut conn = ConnectionState::new(0);
     for n in 1..=3u64 {
-        let what = Exchange::Attempt { request: n as u32, attempt: 0 };
-        assert!(line.send_request((n, &format!("{n:016x}")), &RUN, b"b", what, 0));
+        let exchange = Exchange::Attempt { request: n as u32, attempt: 0 };
+        assert!(conn.send_request((n, &format!("{n:016x}")), &RUN, b"b", exchange, 0));
     }
-    write_all(&mut line, 0);
-    (line, Vec::new())
+    write_all(&mut conn, 0);
+    (conn, Vec::new())
 }
 
-pub fn write_all(line: &mut ConnectionState, now: Micros) -> String {
+pub fn write_all(conn: &mut ConnectionState, now: Micros) -> String {
     let mut bytes = Vec::new();
-    line.fill_write(&mut bytes, now);
-    line.on_written(bytes.len(), now);
+    conn.fill_write(&mut bytes, now);
+    conn.on_written(bytes.len(), now);
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-pub fn ends(news: &[Input]) -> Vec<(u32, Outcome, Vec<u8>)> {
+pub fn ends(inputs: &[Input]) -> Vec<(u32, Outcome, Vec<u8>)> {
     let end = |n: &Input| match n {
         Input::AttemptEnded { request, result, .. } => Some((*request, result.outcome, result.body.to_vec())),
         _ => None,
     };
-    news.iter().filter_map(end).collect()
+    inputs.iter().filter_map(end).collect()
 }
 
 pub fn feed(
-    line: &mut ConnectionState,
+    conn: &mut ConnectionState,
     bytes: &[u8],
-    news: &mut Vec<Input>,
+    inputs: &mut Vec<Input>,
 ) -> Result<(), ProtocolViolation> {
-    line.receive(bytes, (MS, MS), &["rif".into()], news)
+    conn.receive(bytes, (MS, MS), &["rif".into()], inputs)
 }
--- a/crates/platform/tests/crossings/attempt.rs
+++ b/crates/platform/tests/crossings/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt between the executors' lines, the state and the module, with all that can become of it.
+//! Drives one attempt through executor connections, the state and the module, with every event that can affect it.
 
 use stagehoist::{Action, Endpoint, EndpointUpdate, Event, Lifecycle, Micros};
 use stagehoist_endpoints::NumberedEndpoint as Row;
@@ -14,25 +14,25 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The socket takes what waits.
+    /// The socket accepts all queued bytes.
     Write,
     Answer,
     Again,
     Gone,
-    /// The call's time is over.
+    /// The call's deadline passes.
     Cut,
     Reset,
-    /// The executor takes nothing new.
+    /// The executor starts to drain.
     Drain,
 }
 
 use Step::*;
 
-/// How often each attempt ended.
+/// Number of ends of each attempt.
 type Ends = BTreeMap<(u32, u16), usize>;
 
 thread_local! {
-    /// Sends and ends as the module has them.
+    /// Number of sends, and the ends, as seen by the module.
     static SEEN: RefCell<(usize, Ends)> = RefCell::default();
 }
 
@@ -58,12 +58,12 @@
     core: Core,
     now: Micros,
     lines: BTreeMap<u32, ConnectionState>,
-    /// The executor of the first attempt, whose line waits to be written.
+    /// The executor of the first attempt, whose request is queued for writing.
     first: Option<u32>,
-    flying: HashMap<(u32, u16), u32>,
+    in_flight: HashMap<(u32, u16), u32>,
     answers: usize,
     pub runs: usize,
-    /// Attempts that the state sent out after the call was over.
+    /// Number of attempts that the state sent after the call had ended.
     after: usize,
     over: bool,
 }
@@ -80,15 +80,15 @@
 impl Stage {
     pub fn new(class: u16) -> Stage {
         SEEN.take();
-        let told = PlatformSettings::parse(include_str!("../config.json")).unwrap();
+        let settings = PlatformSettings::parse(include_str!("../config.json")).unwrap();
         let decider =
             |settings, seed, now| Box::new(Watched(module(settings, seed, now))) as Box<dyn DecisionPolicy>;
         let mut stage = Stage {
-            core: Core::with(decider, told.core_settings(), 3, START),
+            core: Core::with(decider, settings.core_settings(), 3, START),
             now: START,
             lines: BTreeMap::new(),
             first: None,
-            flying: HashMap::new(),
+            in_flight: HashMap::new(),
             answers: 0,
             runs: 0,
             after: 0,
@@ -98,7 +98,7 @@
             kind: EndpointUpdate::Full,
             endpoints: rows(Lifecycle::Ready, &[1, 2, 3]),
         }]);
-        let figures = FunctionProperties {
+        let properties = FunctionProperties {
             id: 7,
             class,
             work: Some(8 * MS),
@@ -109,7 +109,7 @@
         stage.turn(vec![Input::Call(Arrival {
             ticket: 1,
             function: "7f3a9c21e0b4d655".into(),
-            properties: Some(figures),
+            properties: Some(properties),
             tenant: 0,
             budget: 1500 * MS,
             read_at: 0,
@@ -121,83 +121,87 @@
             generation: None,
             identity: None,
         })]);
-        assert!(stage.first.is_some(), "sent at once");
+        assert!(stage.first.is_some(), "the attempt was not sent at once");
         stage
     }
 
     fn write(&mut self, worker: u32) {
-        let Some(line) = self.lines.get_mut(&worker) else { return };
+        let Some(conn) = self.lines.get_mut(&worker) else { return };
         let mut bytes = Vec::new();
-        line.fill_write(&mut bytes, self.now);
-        line.on_written(bytes.len(), self.now);
+        conn.fill_write(&mut bytes, self.now);
+        conn.on_written(bytes.len(), self.now);
         self.runs += String::from_utf8_lossy(&bytes).matches("RUN ").count();
     }
 
-    fn settled(&mut self, news: &[Input]) {
-        for item in news {
+    fn remove_ended(&mut self, inputs: &[Input]) {
+        for item in inputs {
             if let Input::AttemptEnded { request, attempt, .. } = item {
-                self.flying.remove(&(*request, *attempt));
+                self.in_flight.remove(&(*request, *attempt));
             }
         }
     }
 
-    /// What a step brings for the next turn.
-    pub fn step(&mut self, step: Step, news: &mut Vec<Input>) {
-        let (first, now, mut came) = (self.first.unwrap(), self.now, Vec::new());
-        let line = self.lines.get_mut(&first).unwrap();
+    /// Performs a step; the resulting inputs are added for the next batch.
+    pub fn step(&mut self, step: Step, inputs: &mut Vec<Input>) {
+        let (first, now, mut results) = (self.first.unwrap(), self.now, Vec::new());
+        let conn = self.lines.get_mut(&first).unwrap();
         match step {
             Write => self.write(first),
             Answer | Again => {
                 let text = format!("{ID:016x} OK - 2\r\nhi\r\n");
-                line.receive(text.as_bytes(), (now, now), &[], &mut came).unwrap();
+                conn.receive(text.as_bytes(), (now, now), &[], &mut results).unwrap();
             }
-            Gone => news.push(Input::ClientGone(1)),
+            Gone => inputs.push(Input::ClientGone(1)),
             Cut => self.now = START + 2000 * MS,
             Reset => {
-                line.end(Closure::Broken, now, &mut came);
-                *line = ConnectionState::new(now);
+                conn.end(Closure::Broken, now, &mut results);
+                *conn = ConnectionState::new(now);
             }
             Drain => {
-                line.withdraw(now, &mut came);
-                let told = rows(Lifecycle::Draining, &[first]);
-                came.push(Input::EndpointUpdate { kind: EndpointUpdate::Delta, endpoints: told });
+                conn.withdraw(now, &mut results);
+                let listed = rows(Lifecycle::Draining, &[first]);
+                results.push(Input::EndpointUpdate { kind: EndpointUpdate::Delta, endpoints: listed });
             }
         }
-        self.settled(&came);
-        news.append(&mut came);
+        self.remove_ended(&results);
+        inputs.append(&mut results);
     }
 
-    pub fn turn(&mut self, mut news: Vec<Input>) {
+    pub fn turn(&mut self, mut inputs: Vec<Input>) {
         self.now += 1;
         let mut out = Vec::new();
         for n in 0.. {
-            assert!(n < 50, "turns without end");
-            let gone = news.iter().any(|n| matches!(n, Input::ClientGone(_)));
-            self.core.process(self.now, &mut news, &mut out);
+            assert!(n < 50, "the batches do not end");
+            let gone = inputs.iter().any(|n| matches!(n, Input::ClientGone(_)));
+            self.core.process(self.now, &mut inputs, &mut out);
             for command in out.drain(..) {
-                self.carry_out(command, &mut news);
+                self.execute(command, &mut inputs);
             }
             self.over |= gone;
-            if news.is_empty() && self.core.due().is_none_or(|d| d > self.now) {
+            if inputs.is_empty() && self.core.due().is_none_or(|d| d > self.now) {
                 return;
             }
         }
     }
 
-    fn carry_out(&mut self, command: Command, news: &mut Vec<Input>) {
+    fn execute(&mut self, command: Command, inputs: &mut Vec<Input>) {
         match command {
             Command::Answer { .. } => (self.answers, self.over) = (self.answers + 1, true),
             Command::Attempt(a) => {
                 self.after += usize::from(self.over);
-                let what = Exchange::Attempt { request: a.request, attempt: a.attempt };
+                let exchange = Exchange::Attempt { request: a.request, attempt: a.attempt };
                 let run = RunRequest { class: "look", function: &a.function, deadline: a.deadline };
-                let line = self.lines.entry(a.worker).or_insert_with(|| ConnectionState::new(START));
-                if !line.send_request((ID, &a.correlation), &run, &a.body, what, self.now) {
+                let conn = self.lines.entry(a.worker).or_insert_with(|| ConnectionState::new(START));
+                if !conn.send_request((ID, &a.correlation), &run, &a.body, exchange, self.now) {
                     let result =
                         stagehoist_gateway::state::AttemptResult::without_answer(stagehoist::Outcome::Full);
-                    return news.push(Input::AttemptEnded { request: a.request, attempt: a.attempt, result });
+                    return inputs.push(Input::AttemptEnded {
+                        request: a.request,
+                        attempt: a.attempt,
+                        result,
+                    });
                 }
-                self.flying.insert((a.request, a.attempt), a.worker);
+                self.in_flight.insert((a.request, a.attempt), a.worker);
                 if self.first.is_none() {
                     self.first = Some(a.worker);
                 } else {
@@ -205,24 +209,24 @@
                 }
             }
             Command::Abort { request, attempt } => {
-                let Some(worker) = self.flying.remove(&(request, attempt)) else { return };
-                let line = self.lines.get_mut(&worker).unwrap();
-                if line.abandon(ID, &format!("{ID:016x}"), self.now, 250 * MS) {
-                    line.end(Closure::ProtocolViolated, self.now, news);
+                let Some(worker) = self.in_flight.remove(&(request, attempt)) else { return };
+                let conn = self.lines.get_mut(&worker).unwrap();
+                if conn.abandon(ID, &format!("{ID:016x}"), self.now, 250 * MS) {
+                    conn.end(Closure::ProtocolViolated, self.now, inputs);
                 }
             }
             _ => {}
         }
     }
 
-    /// All connections end, then all time.
+    /// Ends all connections, then lets all deadlines pass.
     pub fn end(&mut self) {
         for after in [0, 5000 * MS] {
-            let (mut news, now) = (Vec::new(), self.now);
-            self.lines.values_mut().for_each(|l| l.end(Closure::Broken, now, &mut news));
-            self.settled(&news);
+            let (mut inputs, now) = (Vec::new(), self.now);
+            self.lines.values_mut().for_each(|l| l.end(Closure::Broken, now, &mut inputs));
+            self.remove_ended(&inputs);
             self.now += after;
-            self.turn(news);
+            self.turn(inputs);
         }
     }
 
@@ -231,14 +235,14 @@
         assert!(seen.1.values().all(|n| *n == 1), "one end for each send: {order:?} {seen:?}");
         assert_eq!(seen.1.len(), seen.0, "an end for each send: {order:?}");
         assert_eq!(
-            (self.core.attempts_in_flight(), self.core.unanswered(), self.flying.len()),
+            (self.core.attempts_in_flight(), self.core.unanswered(), self.in_flight.len()),
             (0, 0, 0),
             "{order:?}"
         );
         let gone = order.contains(&Gone);
         assert!(self.answers == 1 || (gone && self.answers == 0), "one answer: {order:?}");
         assert_eq!(self.after, 0, "an attempt after the call was over: {order:?}");
-        // `book` may run once at most, and no executor said here that it did not.
+        // `book` may run at most once, and no executor reported here that it did not run.
         assert!(class == 0 || self.runs <= 1, "{} runs: {order:?}", self.runs);
     }
 }
--- a/crates/platform/tests/crossings/client.rs
+++ b/crates/platform/tests/crossings/client.rs
@@ -1,7 +1,7 @@
-//! A client whose word is in the front end's socket when the test goes on, and not before the front end runs
-//! again read.
+//! A client whose data is in the front end's socket when a call here returns, and unread until the front end runs
+//! again.
 
-use crate::queues::{at_once, queues};
+use crate::queues::{block_until, queues};
 use crate::stage::Stage;
 use bytes::BytesMut;
 use socket2::SockRef;
@@ -11,9 +11,9 @@
 
 const CLOSE_WAIT: u32 = 8;
 
-/// How a client says that it no longer waits.
+/// How a client cancels its request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Leaves {
+pub enum Departure {
     Abort,
     Close,
     Reset,
@@ -28,15 +28,15 @@
         Client { stream: TcpStream::connect(stage.listen).unwrap() }
     }
 
-    /// With so small a window that few answers fill the way to it.
-    pub fn narrow(stage: &Stage) -> Client {
+    /// Connects with a window so small that a few answers fill the path to the client.
+    pub fn with_small_window(stage: &Stage) -> Client {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
         socket.connect(&stage.listen.into()).unwrap();
         Client { stream: socket.into() }
     }
 
-    /// A request under its number.
+    /// Encodes a request with this number.
     pub fn request(n: u32, body: &[u8]) -> Vec<u8> {
         let fields = format!("ref={n:016x},allow=1900,project=acme,lookup=7f3a9c21e0b4d655,effort=8");
         let mut bytes = BytesMut::new();
@@ -50,43 +50,45 @@
         bytes.to_vec()
     }
 
-    /// Writes; all of it lies in the front end's socket then.
-    pub fn say(&mut self, bytes: &[u8]) {
+    /// Writes bytes and waits until all of them are in the front end's socket.
+    pub fn write(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
         let (local, remote) = (self.stream.local_addr().unwrap(), self.stream.peer_addr().unwrap());
-        at_once("it arrives", || queues(local, remote).is_some_and(|q| q.1 == 0));
+        block_until("the data does not arrive", || queues(local, remote).is_some_and(|q| q.1 == 0));
     }
 
-    /// Bytes that the front end has not read.
+    /// Returns the number of bytes that the front end has not read.
     pub fn unread(&self) -> usize {
         let (local, remote) = (self.stream.local_addr().unwrap(), self.stream.peer_addr().unwrap());
         queues(remote, local).unwrap().2
     }
 
     pub fn ask(&mut self, n: u32) {
-        self.say(&Client::request(n, b"x"));
+        self.write(&Client::request(n, b"x"));
     }
 
-    /// Leaves; that is known to the front end's socket then.
-    pub fn leave(&mut self, n: u32, how: Leaves) {
+    /// Cancels or disconnects, and waits until the front end's socket has received it.
+    pub fn leave(&mut self, n: u32, how: Departure) {
         let (local, remote) = (self.stream.local_addr().unwrap(), self.stream.peer_addr().unwrap());
         match how {
-            Leaves::Abort => self.say(&Client::abort(n)),
-            Leaves::Close => {
+            Departure::Abort => self.write(&Client::abort(n)),
+            Departure::Close => {
                 self.stream.shutdown(Shutdown::Write).unwrap();
-                at_once("its close arrives", || queues(remote, local).is_some_and(|q| q.0 == CLOSE_WAIT));
+                block_until("the close does not arrive", || {
+                    queues(remote, local).is_some_and(|q| q.0 == CLOSE_WAIT)
+                });
             }
-            Leaves::Reset => {
+            Departure::Reset => {
                 SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO)).unwrap();
                 let other = TcpStream::connect(remote).unwrap();
                 drop(std::mem::replace(&mut self.stream, other));
-                at_once("its reset arrives", || queues(remote, local).is_none());
+                block_until("the reset does not arrive", || queues(remote, local).is_none());
             }
         }
     }
 
-    /// Takes what lies in its socket.
-    pub fn take(&mut self) -> usize {
+    /// Reads the available data; returns its length.
+    pub fn read_available(&mut self) -> usize {
         use std::io::Read;
         self.stream.set_nonblocking(true).unwrap();
         let (mut bytes, mut all) = (vec![0; 1 << 20], 0);
--- a/crates/platform/tests/crossings/clients.rs
+++ b/crates/platform/tests/crossings/clients.rs
@@ -1,5 +1,5 @@
-//! Clients' connections, with the test as client and as a driver that takes no inputs: a newcomer for whom one makes way, and
-//! the end of a process whose line is full.
+//! Client connections, with the test as client and as a driver that does not read its inputs: eviction for a new
+//! connection, and process exit with a full driver queue.
 
 use crate::stage::{on_one_thread, WAIT};
 use stagehoist_gateway::clock::Clock;
@@ -21,22 +21,22 @@
     clients: Rc<Clients>,
     listener: Rc<TcpListener>,
     address: SocketAddr,
-    news: mpsc::Receiver<Input>,
+    inputs: mpsc::Receiver<Input>,
 }
 
 impl Front {
-    /// With so many clients at once, and room for so much inputs.
-    async fn new(clients: usize, line: usize) -> Front {
-        let told = PlatformSettings::parse(include_str!("../config.json")).unwrap();
-        let (sender, news) = mpsc::channel(line);
+    /// Creates a front end with a maximum number of clients and a capacity of the driver's queue.
+    async fn new(clients: usize, capacity: usize) -> Front {
+        let settings = PlatformSettings::parse(include_str!("../config.json")).unwrap();
+        let (sender, inputs) = mpsc::channel(capacity);
         let shared = Rc::new(Shared::new(Clock::new(), sender));
         let bounds = Bounds { clients, executors: 4, held_bytes: 1 << 20 };
-        let clients = Rc::new(Clients::new(shared, Catalog::from(&told), bounds));
+        let clients = Rc::new(Clients::new(shared, Catalog::from(&settings), bounds));
         clients.serve(true);
         let listener = Rc::new(TcpListener::bind("127.0.0.1:0").await.unwrap());
         let address = listener.local_addr().unwrap();
         tokio::task::spawn_local(clients.clone().accept(listener.clone()));
-        Front { clients, listener, address, news }
+        Front { clients, listener, address, inputs }
     }
 
     async fn until(&self, mut holds: impl FnMut() -> bool) {
@@ -47,38 +47,38 @@
         }
     }
 
-    /// Clients that were accepted in this order and have asked once.
-    async fn idle(&self, many: usize) -> Vec<Side> {
-        let mut sides = Vec::new();
+    /// Connects clients in order; each has sent one request.
+    async fn idle(&self, many: usize) -> Vec<Peer> {
+        let mut peers = Vec::new();
         for _ in 0..many {
-            let mut side = Side::connect(self.address);
-            side.write(HEALTH);
-            self.until(|| side.answers("serving") == 1).await;
-            sides.push(side);
+            let mut peer = Peer::connect(self.address);
+            peer.write(HEALTH);
+            self.until(|| peer.answers("serving") == 1).await;
+            peers.push(peer);
         }
-        sides
+        peers
     }
 }
 
-/// A client's side of a connection, and what came on it.
-struct Side {
+/// A client's end of a connection, and the data received on it.
+struct Peer {
     stream: TcpStream,
     read: String,
     closed: bool,
 }
 
-impl Side {
-    fn connect(to: SocketAddr) -> Side {
+impl Peer {
+    fn connect(to: SocketAddr) -> Peer {
         let stream = TcpStream::connect(to).unwrap();
         stream.set_nonblocking(true).unwrap();
-        Side { stream, read: String::new(), closed: false }
+        Peer { stream, read: String::new(), closed: false }
     }
 
     fn write(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).unwrap();
     }
 
-    fn take(&mut self) {
+    fn read_available(&mut self) {
         let mut bytes = [0; 4096];
         while !self.closed {
             match self.stream.read(&mut bytes) {
@@ -90,9 +90,9 @@
         }
     }
 
-    /// How many answers with this word came.
+    /// Returns the number of answers with this word.
     fn answers(&mut self, word: &str) -> usize {
-        self.take();
+        self.read_available();
         self.read.matches(&format!("\r\n{word}\r\n")).count()
     }
 }
@@ -105,73 +105,73 @@
     format!("*{}\r\n{}", words.len(), words.concat())
 }
 
-/// The newcomer is in the listener's line first, then a request comes on the connection that has been idle for longest, in
-/// one instant: another makes way.
+/// Guards against the eviction of a connection with an unread request: a new connection is pending when a request
+/// arrives on the connection that was idle for the longest time. Another idle connection must be evicted.
 #[test]
-fn a_connection_with_a_request_in_its_socket_makes_way_for_no_newcomer() {
+fn a_connection_with_an_unread_request_is_not_evicted_for_a_new_one() {
     on_one_thread(async {
         let front = Front::new(3, 64).await;
         let mut idle = front.idle(3).await;
-        let mut new = Side::connect(front.address);
+        let mut new = Peer::connect(front.address);
         new.write(HEALTH);
         idle[0].write(HEALTH);
         front.until(|| new.answers("serving") == 1 && idle[0].answers("serving") == 2).await;
         front.until(|| idle[1].answers("serving") == 1 && idle[1].closed).await;
-        idle.iter_mut().for_each(Side::take);
+        idle.iter_mut().for_each(Peer::read_available);
         assert_eq!([idle[0].closed, idle[1].closed, idle[2].closed], [false, true, false]);
         let counters = front.clients.counters.get();
         assert_eq!((counters.accepted, counters.released, counters.not_admitted), (4, 1, 0));
     });
 }
 
-/// The same with a request on each: all of them are answered, and the newcomer is not admitted.
+/// The same with a request on each connection: all are answered, and the new connection is not admitted.
 #[test]
-fn where_a_request_lies_in_every_socket_the_newcomer_is_not_admitted() {
+fn a_new_connection_is_not_admitted_while_every_socket_has_an_unread_request() {
     on_one_thread(async {
         let front = Front::new(3, 64).await;
         let mut idle = front.idle(3).await;
-        let mut new = Side::connect(front.address);
-        idle.iter_mut().for_each(|side| side.write(HEALTH));
-        for side in &mut idle {
-            front.until(|| side.answers("serving") == 2).await;
+        let mut new = Peer::connect(front.address);
+        idle.iter_mut().for_each(|peer| peer.write(HEALTH));
+        for peer in &mut idle {
+            front.until(|| peer.answers("serving") == 2).await;
         }
         front.until(|| front.clients.counters.get().not_admitted == 1).await;
         front
             .until(|| {
-                new.take();
+                new.read_available();
                 new.closed
             })
             .await;
-        idle.iter_mut().for_each(Side::take);
-        assert!(idle.iter().all(|side| !side.closed) && new.read.is_empty());
+        idle.iter_mut().for_each(Peer::read_available);
+        assert!(idle.iter().all(|peer| !peer.closed) && new.read.is_empty());
         assert_eq!(front.clients.counters.get().released, 0);
     });
 }
 
-/// The driver's line has room for two and the driver takes none: the others wait for it, one by one on each connection, when
-/// the process ends. Each is refused, once: none reached the module.
+/// The driver's queue has room for two inputs and the driver reads none, so the other calls wait on their connections
+/// when the process exits. Each must be rejected exactly once, because none reached the module.
 #[test]
-fn calls_that_wait_for_a_full_line_are_refused_at_the_end() {
+fn calls_that_wait_for_a_full_driver_queue_are_rejected_at_exit() {
     on_one_thread(async {
         let mut front = Front::new(8, 2).await;
-        let mut sides: Vec<Side> = (0..4).map(|_| Side::connect(front.address)).collect();
-        for (n, side) in sides.iter_mut().enumerate() {
-            // Two in one read, and one that lies in the socket as its connection waits for the line.
-            side.write(&(call(10 * n + 1) + &call(10 * n + 2)));
+        let mut peers: Vec<Peer> = (0..4).map(|_| Peer::connect(front.address)).collect();
+        for (n, peer) in peers.iter_mut().enumerate() {
+            // Two arrive in one read, and one stays in the socket while its connection waits for the queue.
+            peer.write(&(call(10 * n + 1) + &call(10 * n + 2)));
         }
         front.until(|| front.clients.unfinished().0 == 8).await;
-        sides.iter_mut().enumerate().for_each(|(n, side)| side.write(&call(10 * n + 3)));
+        peers.iter_mut().enumerate().for_each(|(n, peer)| peer.write(&call(10 * n + 3)));
         tokio::task::yield_now().await;
-        assert_eq!((front.news.len(), front.news.capacity()), (2, 0), "the line is full");
+        assert_eq!((front.inputs.len(), front.inputs.capacity()), (2, 0), "the queue is not full");
         front.clients.finish(&front.listener).await;
-        for side in &mut sides {
-            assert_eq!((side.answers("503"), side.answers("200"), side.answers("500")), (3, 0, 0));
+        for peer in &mut peers {
+            assert_eq!((peer.answers("503"), peer.answers("200"), peer.answers("500")), (3, 0, 0));
         }
         assert_eq!(front.clients.unfinished(), (0, 0));
         let mut reached = 0;
-        while front.news.try_recv().is_ok() {
+        while front.inputs.try_recv().is_ok() {
             reached += 1;
         }
-        assert!(reached >= 2, "what filled the line");
+        assert!(reached >= 2, "the queue was not filled");
     });
 }
--- a/crates/platform/tests/crossings/held_back.rs
+++ b/crates/platform/tests/crossings/held_back.rs
@@ -1,7 +1,8 @@
-//! What a client says behind much else, or while it takes no answers, is heard before an attempt begins.
+//! Cancellations behind much other input, or from a client that does not read its answers, take effect before an
+//! attempt starts.
 
-use crate::client::{Client, Leaves};
-use crate::stage::{listen, on_one_thread, Side, Stage, WAIT};
+use crate::client::{Client, Departure};
+use crate::stage::{listen, on_one_thread, Peer, Stage, WAIT};
 use bytes::Bytes;
 use stagehoist_gateway::state::{Answer, Input, Ticket};
 
@@ -9,8 +10,9 @@
     Bytes::from_static(b"x")
 }
 
-/// Has a client ask for 2, and so many answers wait for it that nothing new is taken from it.
-pub async fn takes_nothing(stage: &mut Stage, client: &mut Client) -> Ticket {
+/// Lets a client send request 2, and queues so many answers for it that nothing new is accepted from it. Returns the
+/// ticket of request 2.
+pub async fn stop_reading_answers(stage: &mut Stage, client: &mut Client) -> Ticket {
     let mut kept = Vec::new();
     for n in 2..=6 {
         client.ask(n);
@@ -20,7 +22,7 @@
     let mut n = 100;
     while stage.clients.unfinished().1 == 0 {
         n += 1;
-        assert!(n < 400, "the way to the client is never full");
+        assert!(n < 400, "the path to the client does not fill up");
         client.ask(n);
         let ticket = stage.asked(n).await;
         stage.clients.answer(ticket, &large);
@@ -31,9 +33,9 @@
     kept[0]
 }
 
-/// More than is read at once lies ahead of the word.
+/// More data than is read at once precedes the cancellation.
 #[test]
-fn what_a_client_said_behind_unread_requests_counts_and_all_is_told_in_its_order() {
+fn a_cancellation_behind_unread_requests_counts_and_all_inputs_arrive_in_order() {
     on_one_thread(async {
         let (listener, address) = listen(8);
         let mut stage = Stage::new(1, 64);
@@ -44,17 +46,17 @@
         let mut bytes: Vec<u8> = (10..22).flat_map(|n| Client::request(n, &[b'y'; 12 << 10])).collect();
         bytes.extend(Client::abort(2));
         assert!(bytes.len() > 2 * (64 << 10));
-        client.say(&bytes);
-        stage.begin(2, small());
+        client.write(&bytes);
+        stage.start(2, small());
         stage.send(3);
-        let mut side = Side::accept(&stage, &listener).await;
-        stage.until(|| side.has("RUN 0000000000000003")).await;
-        assert!(!side.has("RUN 0000000000000002"));
+        let mut peer = Peer::accept(&stage, &listener).await;
+        stage.until(|| peer.has("RUN 0000000000000003")).await;
+        assert!(!peer.has("RUN 0000000000000002"));
         for n in 10..22 {
-            let item = stage.news.recv().await;
+            let item = stage.inputs.recv().await;
             assert!(matches!(item, Some(Input::Call(a)) if *a.correlation == *format!("{n:016x}")), "{n}");
         }
-        assert!(matches!(stage.news.recv().await, Some(Input::ClientGone(t)) if t == ticket));
+        assert!(matches!(stage.inputs.recv().await, Some(Input::ClientGone(t)) if t == ticket));
     });
 }
 
@@ -69,99 +71,102 @@
         let pieces: Vec<&[u8]> = bytes.chunks(bytes.len() / 9 + 1).collect();
         let (last, first) = pieces.split_last().unwrap();
         for piece in first {
-            client.say(piece);
+            client.write(piece);
             tokio::task::yield_now().await;
         }
         let first = stage.asked(10).await;
         stage.tickets.borrow_mut().extend((10..42).zip(first..));
-        client.say(last);
-        client.leave(0, Leaves::Close);
-        (10..38).for_each(|n| stage.begin(n, small()));
+        client.write(last);
+        client.leave(0, Departure::Close);
+        (10..38).for_each(|n| stage.start(n, small()));
         stage.send(3);
-        let mut side = Side::accept(&stage, &listener).await;
-        stage.until(|| side.has("RUN 0000000000000003")).await;
-        assert_eq!(side.read.matches("RUN ").count(), 1, "{}", side.read);
+        let mut peer = Peer::accept(&stage, &listener).await;
+        stage.until(|| peer.has("RUN 0000000000000003")).await;
+        assert_eq!(peer.read.matches("RUN ").count(), 1, "{}", peer.read);
         let mut gone = 0;
         while gone < 32 {
-            let item = tokio::time::timeout(WAIT, stage.news.recv()).await.expect("in time");
+            let item = tokio::time::timeout(WAIT, stage.inputs.recv()).await.expect("in time");
             gone += usize::from(matches!(item, Some(Input::ClientGone(_))));
         }
     });
 }
 
-/// A client takes no answers, and nothing new is taken from it; what it cancels is heard, what it asks waits
-/// for it.
+/// The client does not read its answers, so no new request is accepted from it. Its cancellations take effect, and
+/// its requests are deferred.
 #[test]
-fn what_a_client_cancels_counts_though_its_answers_wait() {
+fn a_cancellation_counts_while_answers_are_unsent() {
     on_one_thread(async {
         let (listener, address) = listen(8);
         let mut stage = Stage::new(1, 64);
         stage.at(address);
-        let mut client = Client::narrow(&stage);
-        let ticket = takes_nothing(&mut stage, &mut client).await;
+        let mut client = Client::with_small_window(&stage);
+        let ticket = stop_reading_answers(&mut stage, &mut client).await;
         client.ask(50);
         client.ask(51);
-        client.say(&Client::abort(51));
-        client.leave(2, Leaves::Abort);
-        stage.begin(2, small());
+        client.write(&Client::abort(51));
+        client.leave(2, Departure::Abort);
+        stage.start(2, small());
         stage.send(3);
-        let mut side = Side::accept(&stage, &listener).await;
-        stage.until(|| side.has("RUN 0000000000000003")).await;
-        assert!(!side.has("RUN 0000000000000002"));
-        let next = tokio::time::timeout(WAIT, stage.news.recv()).await.expect("in time");
-        assert!(matches!(next, Some(Input::ClientGone(t)) if t == ticket), "nothing new is taken before");
-        let waiting = std::iter::from_fn(|| stage.news.try_recv().ok());
+        let mut peer = Peer::accept(&stage, &listener).await;
+        stage.until(|| peer.has("RUN 0000000000000003")).await;
+        assert!(!peer.has("RUN 0000000000000002"));
+        let next = tokio::time::timeout(WAIT, stage.inputs.recv()).await.expect("in time");
+        assert!(
+            matches!(next, Some(Input::ClientGone(t)) if t == ticket),
+            "a new request was accepted before"
+        );
+        let waiting = std::iter::from_fn(|| stage.inputs.try_recv().ok());
         let others = waiting.filter(|input| !matches!(input, Input::WorkerConnection { .. }));
         assert_eq!(others.count(), 0);
         stage
             .until(|| {
-                client.take();
-                !stage.news.is_empty()
+                client.read_available();
+                !stage.inputs.is_empty()
             })
             .await;
-        let next = stage.news.recv().await;
+        let next = stage.inputs.recv().await;
         assert!(matches!(next, Some(Input::Call(a)) if &*a.correlation == "0000000000000032"));
-        assert!(stage.news.try_recv().is_err(), "what was cancelled before it was taken never is");
+        assert!(stage.inputs.try_recv().is_err(), "a request cancelled before its acceptance was accepted");
     });
 }
 
-/// Bytes of a client that takes no answers until no more of it is read: what is parked and one read beyond it.
-const PARKED: usize = (128 << 10) + (64 << 10);
+/// Maximum number of bytes read from a client that does not read its answers: the deferred ones and one read more.
+const MAX_DEFERRED: usize = (128 << 10) + (64 << 10);
 
-/// Has a client that takes no answers send on until no more of it is read; gives its open call.
-pub async fn sends_on(stage: &mut Stage, client: &mut Client) -> Ticket {
-    let ticket = takes_nothing(stage, client).await;
+/// Lets a client that does not read its answers send until no more of it is read; returns its open call.
+pub async fn send_until_unread(stage: &mut Stage, client: &mut Client) -> Ticket {
+    let ticket = stop_reading_answers(stage, client).await;
     let mut sent = 0;
     for n in 1000..1020 {
         let request = Client::request(n, &[b'y'; 16 << 10]);
         sent += request.len();
-        client.say(&request);
+        client.write(&request);
     }
     stage.until(|| sent - client.unread() >= 128 << 10).await;
     for _ in 0..100 {
         tokio::task::yield_now().await;
     }
-    assert!(sent - client.unread() <= PARKED, "{} of {sent} are unread", client.unread());
+    assert!(sent - client.unread() <= MAX_DEFERRED, "{} of {sent} are unread", client.unread());
     ticket
 }
 
-/// Who takes no answers and sends on is read no further, and loses nothing once it takes them.
+/// The client is not read any further, and loses nothing once it reads its answers.
 #[test]
-fn a_client_that_takes_nothing_and_sends_on_is_read_no_further() {
+fn a_client_that_keeps_sending_and_reads_no_answers_is_not_read_any_further() {
     on_one_thread(async {
         let mut stage = Stage::new(1, 1024);
-        let mut client = Client::narrow(&stage);
-        sends_on(&mut stage, &mut client).await;
-        assert!(stage.news.try_recv().is_err(), "nothing new is taken, nothing is given up");
+        let mut client = Client::with_small_window(&stage);
+        send_until_unread(&mut stage, &mut client).await;
+        assert!(stage.inputs.try_recv().is_err(), "a request was accepted or abandoned");
         let mut taken = Vec::new();
         while taken.len() < 20 {
             stage
                 .until(|| {
-                    client.take();
-                    !stage.news.is_empty()
+                    client.read_available();
+                    !stage.inputs.is_empty()
                 })
                 .await;
-            taken.extend(std::iter::from_fn(|| stage.news.try_recv().ok()));
+            taken.extend(std::iter::from_fn(|| stage.inputs.try_recv().ok()));
         }
         for (n, item) in (1000..1020).zip(&taken) {
             assert!(
@@ -174,20 +179,20 @@
 }
 
 #[test]
-fn the_leaving_of_a_client_that_is_read_no_further_is_heard() {
+fn a_close_by_a_client_that_is_not_read_any_further_is_detected() {
     on_one_thread(async {
         let (listener, address) = listen(8);
         let mut stage = Stage::new(1, 1024);
         stage.at(address);
-        let mut client = Client::narrow(&stage);
-        let ticket = sends_on(&mut stage, &mut client).await;
-        client.leave(0, Leaves::Close);
-        let next = tokio::time::timeout(WAIT, stage.news.recv()).await.expect("in time");
+        let mut client = Client::with_small_window(&stage);
+        let ticket = send_until_unread(&mut stage, &mut client).await;
+        client.leave(0, Departure::Close);
+        let next = tokio::time::timeout(WAIT, stage.inputs.recv()).await.expect("in time");
         assert!(matches!(next, Some(Input::ClientGone(t)) if t == ticket));
-        stage.begin(2, small());
+        stage.start(2, small());
         stage.send(3);
-        let mut side = Side::accept(&stage, &listener).await;
-        stage.until(|| side.has("RUN 0000000000000003")).await;
-        assert!(!side.has("RUN 0000000000000002"));
+        let mut peer = Peer::accept(&stage, &listener).await;
+        stage.until(|| peer.has("RUN 0000000000000003")).await;
+        assert!(!peer.has("RUN 0000000000000002"));
     });
 }
--- a/crates/platform/tests/crossings/keyed.rs
+++ b/crates/platform/tests/crossings/keyed.rs
@@ -1,7 +1,8 @@
-//! Repeats that executors drop by their key, for as long as they remember it: at the edge of that time, and elsewhere.
+//! Repeats of requests with idempotency keys, which executors deduplicate for a limited time: at the edge of that
+//! time, and beyond.
 
-use crate::queues::{drain, full};
-use crate::stage::{listen, on_one_thread, Side, Stage};
+use crate::queues::{drain, fill_socket};
+use crate::stage::{listen, on_one_thread, Peer, Stage};
 use bytes::Bytes;
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle, Micros, Outcome};
 use stagehoist_endpoints::NumberedEndpoint as Row;
@@ -11,17 +12,17 @@
 
 const MS: Micros = 1000;
 const START: Micros = 1_700_000_000_000_000;
-/// Executors remember a key for so long.
+/// Time for which executors remember a key.
 const WINDOW: Micros = 1000 * MS;
 const ID: &str = "9b1f03aa5c7e2d41";
 
 fn core() -> Core {
-    let told = include_str!("../config.json").replacen(
+    let config = include_str!("../config.json").replacen(
         r#""effect":"idempotent""#,
         r#""effect":"deduplicated","dedup_scope":"all","key_ttl":1000.0"#,
         1,
     );
-    let mut core = Core::new(PlatformSettings::parse(&told).unwrap().core_settings(), 3, START);
+    let mut core = Core::new(PlatformSettings::parse(&config).unwrap().core_settings(), 3, START);
     let row = |worker| Endpoint {
         worker,
         kind: 0,
@@ -31,26 +32,26 @@
         cell: 0,
         capacity: 4.0,
     };
-    let told =
+    let listed =
         (1..=3).map(|w| Row { name: format!("s-{w:08x}"), address: format!("h{w}:1"), endpoint: row(w) });
     turn(
         &mut core,
         START,
-        vec![Input::EndpointUpdate { kind: EndpointUpdate::Full, endpoints: told.collect() }],
+        vec![Input::EndpointUpdate { kind: EndpointUpdate::Full, endpoints: listed.collect() }],
     );
     core
 }
 
-/// What is sent in a turn.
-fn turn(core: &mut Core, now: Micros, mut news: Vec<Input>) -> Vec<Attempt> {
+/// Processes one batch and returns the attempts that it sends.
+fn turn(core: &mut Core, now: Micros, mut inputs: Vec<Input>) -> Vec<Attempt> {
     let mut out = Vec::new();
-    core.process(now, &mut news, &mut out);
+    core.process(now, &mut inputs, &mut out);
     out.into_iter().filter_map(|c| if let Command::Attempt(a) = c { Some(a) } else { None }).collect()
 }
 
-/// A call of the class with keys, and its first attempt.
+/// Sends a call of the class with idempotency keys, and returns its first attempt.
 fn first(core: &mut Core) -> Attempt {
-    let figures = FunctionProperties {
+    let properties = FunctionProperties {
         id: 7,
         class: 0,
         work: Some(8 * MS),
@@ -61,7 +62,7 @@
     let call = Input::Call(Arrival {
         ticket: 1,
         function: "7f3a9c21e0b4d655".into(),
-        properties: Some(figures),
+        properties: Some(properties),
         tenant: 0,
         budget: 1900 * MS,
         read_at: 0,
@@ -76,23 +77,24 @@
     turn(core, START + MS, vec![call]).remove(0)
 }
 
-/// How an attempt ended, as read at a time.
+/// Returns the input that an attempt ended with this outcome, read at this time.
 fn ended(attempt: &Attempt, outcome: Outcome, read: Micros) -> Input {
     let result = AttemptResult { read_at: read, ..AttemptResult::without_answer(outcome) };
     Input::AttemptEnded { request: attempt.request, attempt: attempt.attempt, result }
 }
 
-/// A further executor, so that there is somewhere to go.
-fn comes(worker: u32) -> Input {
+/// Adds an executor, so that a repeat has somewhere to go.
+fn add_worker(worker: u32) -> Input {
     let row = Endpoint { worker, lifecycle: Lifecycle::Ready, capacity: 4.0, ..Default::default() };
-    let told = Row { name: format!("s-{worker:08x}"), address: format!("h{worker}:1"), endpoint: row };
-    Input::EndpointUpdate { kind: EndpointUpdate::Delta, endpoints: vec![told] }
+    let listed = Row { name: format!("s-{worker:08x}"), address: format!("h{worker}:1"), endpoint: row };
+    Input::EndpointUpdate { kind: EndpointUpdate::Delta, endpoints: vec![listed] }
 }
 
-/// Half of the window is for whatever holds up an attempt that is chosen: just inside of that, at it, and just outside. The
-/// answer was read inside; the turn counts, wherever in its batch the answer lies.
+/// Half of the window is reserved for delays of a selected attempt. Tests just inside that half, at its end, and just
+/// outside. The answer was read inside; the time of the batch counts, whatever the position of the answer in the
+/// batch.
 #[test]
-fn a_repeat_is_chosen_in_the_first_half_of_the_window_only() {
+fn a_repeat_is_selected_in_the_first_half_of_the_window_only() {
     let edge = [(WINDOW / 2 - 1, true), (WINDOW / 2, false), (WINDOW / 2 + 1, false)];
     for (outcome, answer_first) in
         [(Outcome::Error, true), (Outcome::Error, false), (Outcome::Reset, true), (Outcome::Reset, false)]
@@ -100,33 +102,34 @@
         for (after, repeats) in edge {
             let mut core = core();
             let one = first(&mut core);
-            let mut news = vec![ended(&one, outcome, START + 2 * MS), comes(9)];
+            let mut inputs = vec![ended(&one, outcome, START + 2 * MS), add_worker(9)];
             if !answer_first {
-                news.reverse();
+                inputs.reverse();
             }
-            let sent = turn(&mut core, START + MS + after, news);
+            let sent = turn(&mut core, START + MS + after, inputs);
             assert_eq!(!sent.is_empty(), repeats, "{outcome:?}, answer first: {answer_first}, {after}");
         }
     }
 }
 
-/// A first attempt has no bound, nor has one after an end that proves that nothing ran; a repeat has the window from the
-/// first that may have run, less a quarter for its way.
+/// A first attempt has no latest start time, nor does an attempt after an outcome that proves that nothing ran. A
+/// repeat must start within three quarters of the window, counted from the first attempt that may have run; the last
+/// quarter is for transit.
 #[test]
-fn a_repeat_tells_by_when_it_must_begin() {
+fn a_repeat_carries_its_latest_start_time() {
     for (outcome, bound) in [(Outcome::Miss, Micros::MAX), (Outcome::Error, START + MS + WINDOW * 3 / 4)] {
         let mut core = core();
         let one = first(&mut core);
         let now = START + 20 * MS;
-        let two = turn(&mut core, now, vec![ended(&one, outcome, now), comes(9)]).remove(0);
+        let two = turn(&mut core, now, vec![ended(&one, outcome, now), add_worker(9)]).remove(0);
         assert_eq!((one.start_by, two.attempt, two.start_by), (Micros::MAX, 1, bound), "{outcome:?}");
     }
 }
 
-/// Another front end knows nothing of it. What it begins is a first attempt of its own, under the same id: the executors that
-/// remember it drop it, and no front end adds a third under another id.
+/// Another front end does not know of the first one's attempt. It starts a first attempt of its own under the same
+/// id. Executors that remember the id deduplicate it, and no front end adds a third attempt under another id.
 #[test]
-fn another_front_end_begins_under_the_same_key() {
+fn another_front_end_starts_under_the_same_key() {
     let (mut one, mut other) = (core(), core());
     let attempts = [first(&mut one), first(&mut other)];
     for attempt in &attempts {
@@ -134,30 +137,31 @@
     }
 }
 
-/// Chosen inside of the window, and the socket takes it when that is over, or nearly: it is not begun from the told time on.
+/// The repeat is selected inside the window, but the socket accepts bytes only at or after the end of the window:
+/// from the given time on it must not start.
 #[test]
-fn a_repeat_that_waits_behind_a_full_socket_is_not_begun_after_its_window() {
+fn a_repeat_queued_behind_a_full_socket_is_not_started_after_its_window() {
     for (in_time, word) in [(false, Outcome::Full), (true, Outcome::Ok)] {
         on_one_thread(async {
             let (listener, address) = listen(8);
             let mut stage = Stage::new(1, 64);
             stage.at(address);
-            let (mut side, last, asked) = full(&stage, &listener).await;
+            let (mut peer, last, asked) = fill_socket(&stage, &listener).await;
             let by = stage.shared.clock.now() + if in_time { 60_000 * MS } else { 20 * MS };
-            stage.begin_by.set(by);
+            stage.start_by.set(by);
             stage.send(2);
-            stage.begin_by.set(Micros::MAX);
+            stage.start_by.set(Micros::MAX);
             while !in_time && stage.shared.clock.now() < by {
                 std::thread::sleep(Duration::from_millis(1));
             }
-            drain(&mut side);
-            stage.until(|| side.has(&format!("RUN {last:016x}")) && side.read.len() >= asked).await;
+            drain(&mut peer);
+            stage.until(|| peer.has(&format!("RUN {last:016x}")) && peer.read.len() >= asked).await;
             stage.send(3);
-            stage.until(|| side.has("RUN 0000000000000003")).await;
-            assert_eq!(side.has("RUN 0000000000000002"), in_time);
+            stage.until(|| peer.has("RUN 0000000000000003")).await;
+            assert_eq!(peer.has("RUN 0000000000000002"), in_time);
             if in_time {
                 use std::io::Write;
-                write!(side.stream, "0000000000000002 OK - 2\r\nhi\r\n").unwrap();
+                write!(peer.stream, "0000000000000002 OK - 2\r\nhi\r\n").unwrap();
             }
             assert_eq!(stage.end().await, (2, word));
             assert_eq!(stage.executors.counters.get().egress.too_late, u64::from(!in_time));
@@ -165,21 +169,21 @@
     }
 }
 
-/// The handshake is up when the window is over.
+/// The handshake completes when the window is over.
 #[test]
-fn a_repeat_is_not_begun_after_a_handshake_that_outlasted_its_window() {
+fn a_repeat_is_not_started_after_a_handshake_that_outlasted_its_window() {
     on_one_thread(async {
         let (listener, address) = listen(8);
         let mut stage = Stage::new(1, 64);
         stage.at(address);
-        // No time is left when its task first runs.
-        stage.begin_by.set(stage.shared.clock.now());
+        // No time is left when the connection's task first runs.
+        stage.start_by.set(stage.shared.clock.now());
         stage.send(2);
-        stage.begin_by.set(Micros::MAX);
+        stage.start_by.set(Micros::MAX);
         stage.send(3);
-        let mut side = Side::accept(&stage, &listener).await;
-        stage.until(|| side.has("RUN 0000000000000003")).await;
-        assert!(!side.has("RUN 0000000000000002"));
+        let mut peer = Peer::accept(&stage, &listener).await;
+        stage.until(|| peer.has("RUN 0000000000000003")).await;
+        assert!(!peer.has("RUN 0000000000000002"));
         assert_eq!(stage.end().await, (2, Outcome::Full));
     });
 }
--- a/crates/platform/tests/crossings/main.rs
+++ b/crates/platform/tests/crossings/main.rs
@@ -1,4 +1,4 @@
-//! Two events meet at an executor's connection: each crossing forced.
+//! Race tests: two events coincide at an executor's connection, in each forced order.
 
 mod answers;
 mod attempt;
--- a/crates/platform/tests/crossings/permutations.rs
+++ b/crates/platform/tests/crossings/permutations.rs
@@ -1,5 +1,5 @@
-//! What can become of one attempt, in every order, in one turn and in turns of their own: through the executors' lines, the
-//! state and the module itself.
+//! All events that can affect one attempt, in every order, in one batch and in separate batches: through the executor
+//! connections, the state and the module.
 
 use crate::attempt::{Stage, Step, Step::*};
 
@@ -22,14 +22,14 @@
             let mut stage = Stage::new(class);
             let mut runs = None;
             for step in order {
-                let mut news = Vec::new();
-                stage.step(*step, &mut news);
-                stage.turn(news);
+                let mut inputs = Vec::new();
+                stage.step(*step, &mut inputs);
+                stage.turn(inputs);
                 if *step == Gone {
                     runs = Some(stage.runs);
                 }
             }
-            assert_eq!(runs, Some(stage.runs), "written after its client left: {order:?}");
+            assert_eq!(runs, Some(stage.runs), "written after its client disconnected: {order:?}");
             stage.end();
             stage.check(class, order);
         });
@@ -48,9 +48,9 @@
         ] {
             orders(steps, &mut Vec::new(), &mut |order| {
                 let mut stage = Stage::new(class);
-                let mut news = Vec::new();
-                order.iter().for_each(|step| stage.step(*step, &mut news));
-                stage.turn(news);
+                let mut inputs = Vec::new();
+                order.iter().for_each(|step| stage.step(*step, &mut inputs));
+                stage.turn(inputs);
                 stage.end();
                 stage.check(class, order);
             });
--- a/crates/platform/tests/crossings/stage.rs
+++ b/crates/platform/tests/crossings/stage.rs
@@ -1,5 +1,5 @@
-//! A front end's sockets with the test as driver, as executors and as clients: its own block, so that what
-//! the test does between two waits is one instant for the front end.
+//! Test harness: a front end's sockets, with the test acting as driver, executors and clients. Test and front end
+//! share one thread, so everything the test does between two awaits happens before the front end runs again.
 
 use bytes::Bytes;
 use socket2::{Domain, SockAddr, SockRef, Socket, Type};
@@ -24,17 +24,17 @@
 pub struct Stage {
     pub executors: Rc<Executors>,
     pub clients: Rc<Clients>,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
     pub shared: Rc<Shared>,
-    pub news: mpsc::Receiver<Input>,
-    /// Tickets of requests that clients asked for, by number.
+    pub inputs: mpsc::Receiver<Input>,
+    /// Tickets of the requests that clients sent, by request number.
     pub tickets: RefCell<HashMap<u32, Ticket>>,
-    /// When attempts must have begun.
-    pub begin_by: Cell<Micros>,
+    /// The time before which attempts must start.
+    pub start_by: Cell<Micros>,
 }
 
-/// Runs a test on the front end's one thread.
+/// Runs a test on the front end's single thread.
 pub fn on_one_thread<F: std::future::Future>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let local = tokio::task::LocalSet::new();
@@ -42,14 +42,14 @@
 }
 
 impl Stage {
-    /// With so many connections at most, and room for so much inputs.
-    pub fn new(links: usize, line: usize) -> Stage {
-        Stage::with(links, line, 8_000_000)
+    /// Creates a harness with a maximum number of connections and a capacity of the driver's queue.
+    pub fn new(max_connections: usize, capacity: usize) -> Stage {
+        Stage::with(max_connections, capacity, 8_000_000)
     }
 
-    /// With orders that count as lost after so long.
-    pub fn with(links: usize, line: usize, load_timeout: Micros) -> Stage {
-        let (sender, news) = mpsc::channel(line);
+    /// The same with a timeout of load orders.
+    pub fn with(max_connections: usize, capacity: usize, load_timeout: Micros) -> Stage {
+        let (sender, inputs) = mpsc::channel(capacity);
         let shared = Rc::new(Shared::new(Clock::new(), sender));
         let limits = Limits {
             streams: 32,
@@ -59,11 +59,11 @@
             report_fields: Vec::new(),
             classes: vec!["look".into()],
         };
-        let bounds = Bounds { clients: 4, executors: links, held_bytes: 1 << 20 };
-        let told = stagehoist_platform::PlatformSettings::parse(include_str!("../config.json")).unwrap();
-        let clients = Rc::new(Clients::new(shared.clone(), Catalog::from(&told), bounds));
+        let bounds = Bounds { clients: 4, executors: max_connections, held_bytes: 1 << 20 };
+        let settings = stagehoist_platform::PlatformSettings::parse(include_str!("../config.json")).unwrap();
+        let clients = Rc::new(Clients::new(shared.clone(), Catalog::from(&settings), bounds));
         let (listener, listen) = listen(8);
-        // What a client says lies there whole before any of it is read.
+        // The buffer holds all data of a client before any of it is read.
         SockRef::from(&listener).set_recv_buffer_size(1 << 20).unwrap();
         let listener = tokio::net::TcpListener::from_std(listener).unwrap();
         tokio::task::spawn_local(clients.clone().accept(Rc::new(listener)));
@@ -73,18 +73,18 @@
             clients,
             listen,
             shared,
-            news,
+            inputs,
             tickets: RefCell::default(),
-            begin_by: Cell::new(Micros::MAX),
+            start_by: Cell::new(Micros::MAX),
         }
     }
 
-    /// Executor 1 is ready at an address.
+    /// Reports executor 1 as ready at an address.
     pub fn at(&self, address: SocketAddr) -> Vec<Input> {
         self.worker_at(1, address)
     }
 
-    /// An executor is ready at an address.
+    /// Reports an executor as ready at an address.
     pub fn worker_at(&self, worker: u32, address: SocketAddr) -> Vec<Input> {
         let row = Endpoint {
             worker,
@@ -95,22 +95,22 @@
             cell: 0,
             capacity: 4.0,
         };
-        let told =
+        let listed =
             NumberedEndpoint { name: format!("s-{worker:08x}"), address: address.to_string(), endpoint: row };
-        self.executors.apply(EndpointUpdate::Delta, &[told])
+        self.executors.apply(EndpointUpdate::Delta, &[listed])
     }
 
-    pub fn begin(&self, request: u32, body: Bytes) {
-        self.begin_at(1, request, body);
+    pub fn start(&self, request: u32, body: Bytes) {
+        self.start_at(1, request, body);
     }
 
-    /// Begins an attempt; nothing is written before the turn's end.
-    pub fn begin_at(&self, worker: u32, request: u32, body: Bytes) {
-        self.begin_attempt(worker, (request, 0), body);
+    /// Starts an attempt; nothing is written before the end of the batch.
+    pub fn start_at(&self, worker: u32, request: u32, body: Bytes) {
+        self.start_attempt_at(worker, (request, 0), body);
     }
 
-    /// The same with the attempt's number among those of its request.
-    pub fn begin_attempt(&self, worker: u32, (request, attempt): (u32, u16), body: Bytes) {
+    /// The same with the number of the attempt.
+    pub fn start_attempt_at(&self, worker: u32, (request, attempt): (u32, u16), body: Bytes) {
         self.executors.start_attempt(Attempt {
             request,
             attempt,
@@ -118,12 +118,12 @@
             address: "".into(),
             class: 0,
             function: "7f3a9c21e0b4d655".into(),
-            start_by: self.begin_by.get(),
+            start_by: self.start_by.get(),
             deadline: self.shared.clock.now() + 60_000_000 as Micros,
             body,
             content_type: None,
             correlation: format!("{request:016x}").into(),
-            // Those that no client asked for have tickets that none is given.
+            // Requests that no client sent get tickets that are otherwise unused.
             ticket: self
                 .tickets
                 .borrow()
@@ -134,16 +134,16 @@
         });
     }
 
-    /// One small attempt in a turn of its own.
+    /// Sends one small attempt in a batch of its own.
     pub fn send(&self, request: u32) {
-        self.begin(request, Bytes::from_static(b"x"));
+        self.start(request, Bytes::from_static(b"x"));
         self.executors.flush_all();
     }
 
-    /// The ticket of a request, once it is read; what came before it is passed over.
+    /// Returns the ticket of a request once it is read; drops all inputs before it.
     pub async fn asked(&mut self, n: u32) -> Ticket {
         loop {
-            let item = tokio::time::timeout(WAIT, self.news.recv()).await.expect("in time").unwrap();
+            let item = tokio::time::timeout(WAIT, self.inputs.recv()).await.expect("in time").unwrap();
             match item {
                 Input::Call(arrival) if *arrival.correlation == *format!("{n:016x}") => {
                     self.tickets.borrow_mut().insert(n, arrival.ticket);
@@ -154,17 +154,17 @@
         }
     }
 
-    /// How the next attempt ended.
+    /// Returns how the next attempt ended.
     pub async fn end(&mut self) -> (u32, Outcome) {
         loop {
-            let item = tokio::time::timeout(WAIT, self.news.recv()).await.expect("in time").unwrap();
+            let item = tokio::time::timeout(WAIT, self.inputs.recv()).await.expect("in time").unwrap();
             if let Input::AttemptEnded { request, result, .. } = item {
                 return (request, result.outcome);
             }
         }
     }
 
-    /// Waits until something holds, with the front end running.
+    /// Waits until a condition holds, while the front end runs.
     pub async fn until(&self, mut holds: impl FnMut() -> bool) {
         let by = tokio::time::Instant::now() + WAIT;
         while !holds() {
@@ -174,7 +174,7 @@
     }
 }
 
-/// An executor's listener that never waits.
+/// Creates a non-blocking listener of an executor.
 pub fn listen(backlog: i32) -> (TcpListener, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&SockAddr::from(SocketAddr::from(([127, 0, 0, 1], 0)))).unwrap();
@@ -185,14 +185,14 @@
     (listener, address)
 }
 
-/// What an executor has of a connection so far.
-pub struct Side {
+/// An executor's end of a connection, and the data received on it.
+pub struct Peer {
     pub stream: TcpStream,
     pub read: String,
 }
 
-impl Side {
-    pub async fn accept(stage: &Stage, listener: &TcpListener) -> Side {
+impl Peer {
+    pub async fn accept(stage: &Stage, listener: &TcpListener) -> Peer {
         let mut found = None;
         stage
             .until(|| {
@@ -202,11 +202,11 @@
             .await;
         let stream = found.unwrap().0;
         stream.set_nonblocking(true).unwrap();
-        Side { stream, read: String::new() }
+        Peer { stream, read: String::new() }
     }
 
-    /// Takes what lies in the socket; false once it ended.
-    pub fn take(&mut self) -> bool {
+    /// Reads the available data; returns false once the connection ended.
+    pub fn read_available(&mut self) -> bool {
         let mut bytes = vec![0; 1 << 20];
         loop {
             match self.stream.read(&mut bytes) {
@@ -218,7 +218,7 @@
     }
 
     pub fn has(&mut self, text: &str) -> bool {
-        self.take();
+        self.read_available();
         self.read.contains(text)
     }
 }
--- a/crates/platform/tests/crossings/unheard.rs
+++ b/crates/platform/tests/crossings/unheard.rs
@@ -1,9 +1,10 @@
-//! What a client cancels lies where the front end does not read it before an attempt for it would begin: none does.
+//! A client's cancellation is in input that the front end does not read before an attempt would start: no attempt may
+//! start.
 
-use crate::client::{Client, Leaves};
-use crate::held_back::{sends_on, takes_nothing};
+use crate::client::{Client, Departure};
+use crate::held_back::{send_until_unread, stop_reading_answers};
 use crate::queues::drain;
-use crate::stage::{listen, on_one_thread, Side, Stage, WAIT};
+use crate::stage::{listen, on_one_thread, Peer, Stage, WAIT};
 use bytes::Bytes;
 use stagehoist::Outcome;
 use stagehoist_gateway::state::Input;
@@ -13,77 +14,78 @@
     Bytes::from_static(b"x")
 }
 
-/// Its ABORT lies in its socket, and no more of that is read: nothing begins, as if its time were over.
+/// The ABORT is in the socket, but the front end reads no more of that client: nothing starts, as if the deadline had
+/// passed.
 #[test]
-fn nothing_begins_for_a_client_whose_word_lies_behind_what_is_read_no_further() {
+fn nothing_starts_for_a_client_whose_cancellation_is_behind_input_that_is_not_read() {
     on_one_thread(async {
         let (listener, address) = listen(8);
         let mut stage = Stage::new(1, 1024);
         stage.at(address);
-        let mut client = Client::narrow(&stage);
-        let ticket = sends_on(&mut stage, &mut client).await;
-        client.leave(2, Leaves::Abort);
-        stage.begin(2, small());
+        let mut client = Client::with_small_window(&stage);
+        let ticket = send_until_unread(&mut stage, &mut client).await;
+        client.leave(2, Departure::Abort);
+        stage.start(2, small());
         stage.send(3);
-        let mut side = Side::accept(&stage, &listener).await;
-        stage.until(|| side.has("RUN 0000000000000003")).await;
-        assert!(!side.has("RUN 0000000000000002"));
+        let mut peer = Peer::accept(&stage, &listener).await;
+        stage.until(|| peer.has("RUN 0000000000000003")).await;
+        assert!(!peer.has("RUN 0000000000000002"));
         assert_eq!(stage.end().await, (2, Outcome::Full));
         assert_eq!(stage.executors.counters.get().egress.client_unread, 1);
-        // Once it takes its answers it is heard.
+        // Once the client reads its answers, the cancellation takes effect.
         let mut gone = false;
         while !gone {
-            client.take();
-            while let Ok(item) = stage.news.try_recv() {
+            client.read_available();
+            while let Ok(item) = stage.inputs.try_recv() {
                 gone |= matches!(item, Input::ClientGone(t) if t == ticket);
             }
-            stage.until(|| gone || client.take() > 0 || !stage.news.is_empty()).await;
+            stage.until(|| gone || client.read_available() > 0 || !stage.inputs.is_empty()).await;
         }
     });
 }
 
-/// Who takes no answers and whose socket is read to its end is heard, so that its calls go on.
+/// If a client does not read its answers but its socket has no unread input, its calls still start.
 #[test]
-fn what_a_client_waits_for_that_takes_nothing_begins_where_all_it_said_is_read() {
+fn calls_of_a_client_that_reads_no_answers_start_if_all_its_input_is_read() {
     on_one_thread(async {
         let (listener, address) = listen(8);
         let mut stage = Stage::new(1, 64);
         stage.at(address);
-        let mut client = Client::narrow(&stage);
-        takes_nothing(&mut stage, &mut client).await;
+        let mut client = Client::with_small_window(&stage);
+        stop_reading_answers(&mut stage, &mut client).await;
         stage.send(2);
-        let mut side = Side::accept(&stage, &listener).await;
-        stage.until(|| side.has("RUN 0000000000000002")).await;
+        let mut peer = Peer::accept(&stage, &listener).await;
+        stage.until(|| peer.has("RUN 0000000000000002")).await;
         assert_eq!(stage.executors.counters.get().egress.client_unread, 0);
     });
 }
 
-/// More lies ahead of its ABORT than one look reads.
+/// More data precedes the ABORT than one check reads.
 #[test]
-fn nothing_begins_for_a_client_whose_word_lies_behind_more_than_one_look_reads() {
+fn nothing_starts_for_a_client_whose_cancellation_is_behind_more_than_one_check_reads() {
     on_one_thread(async {
         let (listener, address) = listen(8);
         let mut stage = Stage::new(1, 1024);
         stage.at(address);
-        // The bytes of one look are as many reads of this buffer.
+        // One check reads a limited number of these buffers.
         *stage.shared.read_buffer.borrow_mut() = vec![0; 1024];
         let mut client = Client::connect(&stage);
         client.ask(2);
         let ticket = stage.asked(2).await;
         stage.send(5);
-        let mut side = Side::accept(&stage, &listener).await;
-        stage.until(|| side.has("RUN 0000000000000005")).await;
+        let mut peer = Peer::accept(&stage, &listener).await;
+        stage.until(|| peer.has("RUN 0000000000000005")).await;
         let mut bytes: Vec<u8> = (10..20).flat_map(|n| Client::request(n, &[b'y'; 12 << 10])).collect();
         bytes.extend(Client::abort(2));
-        client.say(&bytes);
-        stage.begin(2, small());
+        client.write(&bytes);
+        stage.start(2, small());
         stage.send(3);
-        assert!(client.unread() > 0, "one look reads it all");
-        stage.until(|| side.has("RUN 0000000000000003")).await;
-        assert!(!side.has("RUN 0000000000000002"));
+        assert!(client.unread() > 0, "one check reads all of it");
+        stage.until(|| peer.has("RUN 0000000000000003")).await;
+        assert!(!peer.has("RUN 0000000000000002"));
         assert_eq!(stage.end().await, (2, Outcome::Full));
         loop {
-            let item = tokio::time::timeout(WAIT, stage.news.recv()).await.expect("in time");
+            let item = tokio::time::timeout(WAIT, stage.inputs.recv()).await.expect("in time");
             if matches!(item, Some(Input::ClientGone(t)) if t == ticket) {
                 return;
             }
@@ -91,32 +93,32 @@
     });
 }
 
-/// A part of it is written when its client can't be heard any more: the rest never is.
+/// A request is partly written when its client's input can't be read any more: the rest must not be written.
 #[test]
-fn what_was_written_in_part_is_not_completed_for_a_client_that_is_not_heard() {
+fn a_partly_written_request_is_not_completed_while_its_client_has_unread_input() {
     on_one_thread(async {
         let (listener, address) = listen(8);
         let mut stage = Stage::new(1, 1024);
         stage.at(address);
-        let mut client = Client::narrow(&stage);
-        let ticket = takes_nothing(&mut stage, &mut client).await;
+        let mut client = Client::with_small_window(&stage);
+        let ticket = stop_reading_answers(&mut stage, &mut client).await;
         stage.send(1);
-        let mut side = Side::accept(&stage, &listener).await;
-        stage.until(|| side.has("RUN 0000000000000001")).await;
-        stage.begin(2, Bytes::from(vec![b'x'; 32 << 20]));
+        let mut peer = Peer::accept(&stage, &listener).await;
+        stage.until(|| peer.has("RUN 0000000000000001")).await;
+        stage.start(2, Bytes::from(vec![b'x'; 32 << 20]));
         stage.send(3);
-        drain(&mut side);
-        assert!(side.has("RUN 0000000000000002") && side.read.len() < 32 << 20);
+        drain(&mut peer);
+        assert!(peer.has("RUN 0000000000000002") && peer.read.len() < 32 << 20);
         let mut bytes: Vec<u8> = (1000..1020).flat_map(|n| Client::request(n, &[b'y'; 16 << 10])).collect();
         bytes.extend(Client::abort(2));
-        client.say(&bytes);
+        client.write(&bytes);
         let mut ends = [stage.end().await, stage.end().await];
         ends.sort_by_key(|end| end.0);
         assert_eq!(ends, [(2, Outcome::Error), (3, Outcome::Full)]);
-        write!(side.stream, "0000000000000001 OK - 2\r\nhi\r\n").unwrap();
+        write!(peer.stream, "0000000000000001 OK - 2\r\nhi\r\n").unwrap();
         assert_eq!(stage.end().await, (1, Outcome::Ok));
-        stage.until(|| !side.take()).await;
-        assert!(side.read.len() < 32 << 20, "the rest of it was written");
+        stage.until(|| !peer.read_available()).await;
+        assert!(peer.read.len() < 32 << 20, "the rest of it was written");
         assert!(stage.clients.unfinished().0 > 0, "{ticket} is still open");
     });
 }
--- a/crates/platform/tests/descriptors/ends.rs
+++ b/crates/platform/tests/descriptors/ends.rs
@@ -1,4 +1,4 @@
-//! What ends for want of a descriptor of our own, and what that says of the executor: nothing.
+//! Outcomes caused by a lack of descriptors in this process; they must not count against the executor.
 
 use crate::stage::{accept, anywhere, at_the_limit, listen, read_until, Stage};
 use stagehoist::{Action, Endpoint, EndpointUpdate, Event, FrontEnd, Lifecycle, Micros, Outcome};
@@ -6,7 +6,7 @@
 use stagehoist_platform::executors::LoadCommand;
 use stagehoist_platform::PlatformSettings;
 
-/// How an attempt, a health check and an order to load at this executor end.
+/// Returns how an attempt, a health check and a load order at this executor end.
 async fn ends(stage: &mut Stage, worker: u32) -> [Outcome; 3] {
     stage.send(worker, 9);
     stage.executors.check_health(worker);
@@ -31,11 +31,12 @@
     ends
 }
 
-/// An order that never left is reported as such: it costs the executor nothing, and no copy there is doubted.
-const OWN_WANT: [Outcome; 3] = [Outcome::Full, Outcome::Full, Outcome::Superseded];
+/// A load order that was never sent is reported as such: it does not count against the executor, and the copies there
+/// stay known.
+const LOCAL_OUTCOMES: [Outcome; 3] = [Outcome::Full, Outcome::Full, Outcome::Superseded];
 
 #[test]
-fn where_all_connections_that_may_be_are_at_work_nothing_speaks_against_an_executor() {
+fn a_lack_of_free_connections_does_not_count_against_an_executor() {
     at_the_limit(|mut full| async move {
         let mut stage = Stage::new(1).await;
         let (listener, address) = listen(anywhere());
@@ -43,21 +44,21 @@
         stage.send(1, 1);
         stage.until(|| stage.executors.counters.get().connected == 1).await;
         full.fill();
-        let side = accept(&stage, &mut full, &listener).await;
-        read_until(&stage, &side, "RUN 0000000000000001").await;
-        assert_eq!(ends(&mut stage, 2).await, OWN_WANT);
+        let peer = accept(&stage, &mut full, &listener).await;
+        read_until(&stage, &peer, "RUN 0000000000000001").await;
+        assert_eq!(ends(&mut stage, 2).await, LOCAL_OUTCOMES);
     });
 }
 
 #[test]
-fn where_the_system_has_no_descriptor_left_nothing_speaks_against_an_executor() {
+fn a_lack_of_descriptors_does_not_count_against_an_executor() {
     at_the_limit(|mut full| async move {
         let mut stage = Stage::new(8).await;
         let (_listener, address) = listen(anywhere());
         stage.at(&[1], address);
         full.fill();
-        assert_eq!(ends(&mut stage, 1).await, OWN_WANT);
-        // One that is not listed is gone, and one that refuses is down: both are told.
+        assert_eq!(ends(&mut stage, 1).await, LOCAL_OUTCOMES);
+        // An executor that is not listed is gone, and one that refuses connections is down: both are reported.
         assert_eq!(ends(&mut stage, 2).await, [Outcome::ConnectFailed; 3]);
         drop(full);
         drop(_listener);
@@ -65,9 +66,9 @@
     });
 }
 
-/// The module's part: which end of a health check ejects.
+/// The module's part: which outcomes of a health check eject the executor.
 #[test]
-fn a_probe_that_ended_for_want_of_our_own_ejects_no_one() {
+fn a_health_check_that_failed_locally_ejects_no_executor() {
     let ejected = |outcome: Outcome| {
         let settings = PlatformSettings::parse(include_str!("../config.json")).unwrap().settings;
         let mut module = FrontEnd::new(settings, 3, 0);
@@ -89,5 +90,5 @@
         out.iter().any(|a| matches!(a, Action::Log { text } if text.starts_with("eject worker 1")))
     };
     assert!(!ejected(Outcome::Full));
-    assert!(ejected(Outcome::ConnectFailed), "a connection that was refused does");
+    assert!(ejected(Outcome::ConnectFailed), "a refused connection did not eject the executor");
 }
--- a/crates/platform/tests/descriptors/main.rs
+++ b/crates/platform/tests/descriptors/main.rs
@@ -1,4 +1,5 @@
-//! The limit of descriptors reached: by what is accepted, by what is opened to executors, by both, and the event bus' part.
+//! The descriptor limit is reached: by accepted clients, by connections to executors, by both, and in the presence of
+//! the event bus.
 
 mod ends;
 mod limit;
--- a/crates/platform/tests/descriptors/stage.rs
+++ b/crates/platform/tests/descriptors/stage.rs
@@ -1,6 +1,6 @@
-//! A front end's sockets with the test as driver, client, executor and bus, in a process whose descriptors run out. What the
-//! test does between two waits is one instant for the front end: a descriptor that it lets go of and takes again there is
-//! never free for it.
+//! Test harness: a front end's sockets in a process that runs out of descriptors, with the test acting as driver,
+//! client, executor and bus. Test and front end share one thread, so a descriptor that the test releases and takes
+//! again between two awaits is never available to the front end.
 
 use bytes::Bytes;
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
@@ -21,40 +21,40 @@
 use tokio::sync::mpsc;
 
 pub const WAIT: Duration = Duration::from_secs(10);
-/// Descriptors that the process may have in these tests.
-const MOST: u64 = 128;
+/// Maximum number of descriptors of the process in these tests.
+const MAX_DESCRIPTORS: u64 = 128;
 const HEALTH: &[u8] = b"*3\r\n$6\r\nHEALTH\r\n$1\r\n8\r\n$0\r\n\r\n";
 const CALL: &[u8] = b"*5\r\n$3\r\nREQ\r\n$1\r\n9\r\n$4\r\nlook\r\n$77\r\n\
     ref=9b1f03aa5c7e2d41,allow=1500,project=acme,lookup=7f3a9c21e0b4d655,effort=8\r\n$1\r\nx\r\n";
 
-/// The limit is the whole process': one test at a time.
-static ONE: Mutex<()> = Mutex::new(());
+/// The limit applies to the whole process, so the tests run one at a time.
+static SERIALIZE: Mutex<()> = Mutex::new(());
 
-/// Runs a test on the front end's one thread, with a limit that it may reach.
+/// Runs a test on the front end's single thread, with a limit that it can reach.
 pub fn at_the_limit<F: std::future::Future>(test: impl FnOnce(Full) -> F) {
-    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _one = SERIALIZE.lock().unwrap_or_else(PoisonError::into_inner);
     let before = getrlimit(Resource::Nofile);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let local = tokio::task::LocalSet::new();
-    setrlimit(Resource::Nofile, Rlimit { current: Some(MOST), ..before }).unwrap();
+    setrlimit(Resource::Nofile, Rlimit { current: Some(MAX_DESCRIPTORS), ..before }).unwrap();
     let test = test(Full(Vec::new()));
     let done = local.block_on(&runtime, async { tokio::time::timeout(3 * WAIT, test).await });
     setrlimit(Resource::Nofile, before).unwrap();
     assert!(done.is_ok(), "in time");
 }
 
-/// Descriptors that the test holds so that no one else can.
+/// Descriptors that the test holds so that the front end can't open them.
 pub struct Full(Vec<File>);
 
 impl Full {
-    /// Takes all that are left.
+    /// Takes all descriptors that are left.
     pub fn fill(&mut self) {
         while let Ok(file) = File::open("/dev/null") {
             self.0.push(file);
         }
     }
 
-    /// Does something that needs descriptors, in one instant; what is left of them is taken again.
+    /// Runs an action that needs descriptors, before the front end runs again; then takes those that are left.
     pub fn with<T>(&mut self, act: impl FnOnce() -> T) -> T {
         self.0.truncate(self.0.len() - 4);
         let done = act();
@@ -67,15 +67,15 @@
     pub shared: Rc<Shared>,
     pub clients: Rc<Clients>,
     pub executors: Rc<Executors>,
-    pub news: mpsc::Receiver<Input>,
+    pub inputs: mpsc::Receiver<Input>,
     pub listen: SocketAddr,
 }
 
 impl Stage {
-    /// A front end that accepts, with room for so many connections to executors.
-    pub async fn new(links: usize) -> Stage {
-        let told = PlatformSettings::parse(include_str!("../config.json")).unwrap();
-        let (sender, news) = mpsc::channel(64);
+    /// Creates a front end that accepts clients, with a maximum number of connections to executors.
+    pub async fn new(max_connections: usize) -> Stage {
+        let settings = PlatformSettings::parse(include_str!("../config.json")).unwrap();
+        let (sender, inputs) = mpsc::channel(64);
         let shared = Rc::new(Shared::new(Clock::new(), sender));
         let limits = Limits {
             streams: 1,
@@ -85,8 +85,8 @@
             report_fields: Vec::new(),
             classes: vec!["look".into()],
         };
-        let bounds = Bounds { clients: 100, executors: links, held_bytes: 1 << 20 };
-        let clients = Rc::new(Clients::new(shared.clone(), Catalog::from(&told), bounds));
+        let bounds = Bounds { clients: 100, executors: max_connections, held_bytes: 1 << 20 };
+        let clients = Rc::new(Clients::new(shared.clone(), Catalog::from(&settings), bounds));
         let executors = Rc::new(Executors::new(shared.clone(), clients.clone(), limits, bounds));
         shared.descriptors.add(&clients);
         shared.descriptors.add(&executors);
@@ -94,10 +94,10 @@
         let listener = Rc::new(tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap());
         let listen = listener.local_addr().unwrap();
         tokio::task::spawn_local(clients.clone().accept(listener));
-        Stage { shared, clients, executors, news, listen }
+        Stage { shared, clients, executors, inputs, listen }
     }
 
-    /// These executors are ready at an address.
+    /// Reports these executors as ready at an address.
     pub fn at(&self, workers: &[u32], address: SocketAddr) {
         let row = |worker| Endpoint {
             worker,
@@ -108,12 +108,12 @@
             cell: 0,
             capacity: 4.0,
         };
-        let told =
+        let listed =
             |w: &u32| Row { name: format!("s-{w:08x}"), address: address.to_string(), endpoint: row(*w) };
-        self.executors.apply(EndpointUpdate::Delta, &workers.iter().map(told).collect::<Vec<_>>());
+        self.executors.apply(EndpointUpdate::Delta, &workers.iter().map(listed).collect::<Vec<_>>());
     }
 
-    /// One small attempt in a turn of its own.
+    /// Sends one small attempt in a batch of its own.
     pub fn send(&self, worker: u32, request: u32) {
         self.executors.start_attempt(Attempt {
             request,
@@ -133,17 +133,17 @@
         self.executors.flush_all();
     }
 
-    /// The next input, but for connections that come and go.
+    /// Returns the next input, except for reports of opened and closed connections.
     pub async fn next(&mut self) -> Input {
         loop {
-            let input = tokio::time::timeout(WAIT, self.news.recv()).await.expect("in time").unwrap();
+            let input = tokio::time::timeout(WAIT, self.inputs.recv()).await.expect("in time").unwrap();
             if !matches!(input, Input::WorkerConnection { .. }) {
                 return input;
             }
         }
     }
 
-    /// Waits until something holds, with the front end running.
+    /// Waits until a condition holds, while the front end runs.
     pub async fn until(&self, mut holds: impl FnMut() -> bool) {
         let by = tokio::time::Instant::now() + WAIT;
         while !holds() {
@@ -152,12 +152,12 @@
         }
     }
 
-    /// How often the system refused to accept a connection.
+    /// Returns how often the system refused to accept a connection.
     pub fn refused(&self) -> u64 {
         self.clients.counters.get().not_accepted
     }
 
-    /// Clients that were accepted and have asked once.
+    /// Connects clients; each has sent one request.
     pub async fn idle_clients(&self, many: usize) -> Vec<Client> {
         let mut clients: Vec<Client> = (0..many).map(|_| Client::new()).collect();
         for client in &mut clients {
@@ -168,7 +168,7 @@
     }
 }
 
-/// A client, whose descriptor is taken before the limit is reached.
+/// A client whose descriptor is opened before the limit is reached.
 pub struct Client {
     socket: Socket,
     connected: bool,
@@ -179,7 +179,7 @@
         Client { socket: Socket::new(Domain::IPV4, Type::STREAM, None).unwrap(), connected: false }
     }
 
-    /// The system accepts it where the front end has not yet.
+    /// Connects; the system completes the handshake although the front end has not accepted it yet.
     pub fn connect(&mut self, listen: SocketAddr) {
         if !std::mem::replace(&mut self.connected, true) {
             self.socket.connect(&listen.into()).unwrap();
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Writes HEALTH, connected before or now.
+    /// Writes HEALTH, and connects first if needed.
     pub fn ask(&mut self, listen: SocketAddr) {
         self.connect(listen);
         (&self.socket).write_all(HEALTH).unwrap();
@@ -198,7 +198,7 @@
         (&self.socket).write_all(CALL).unwrap();
     }
 
-    /// Whether an answer lies there, which is taken.
+    /// Whether a `serving` answer has arrived; reads the available data.
     pub fn is_serving(&mut self) -> bool {
         let mut bytes = [0; 256];
         let n = (&self.socket).read(&mut bytes).unwrap_or(0);
@@ -206,7 +206,7 @@
     }
 }
 
-/// A listener that never waits.
+/// Creates a non-blocking listener.
 pub fn listen(at: SocketAddr) -> (TcpListener, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_reuse_address(true).unwrap();
@@ -218,7 +218,8 @@
     (listener, address)
 }
 
-/// One that the system gives to no one and connects from for no one: where the event subscription may be away for a while.
+/// Returns an address that the system neither assigns nor connects from, for a bus that may be unreachable for a
+/// while.
 pub fn own_address() -> SocketAddr {
     let [_, b, c, d] = std::process::id().to_be_bytes();
     SocketAddr::from(([127, 64 + b % 64, c, d.clamp(1, 254)], 5400))
@@ -228,7 +229,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// The next connection, which needs a descriptor that is never free for the front end.
+/// Accepts the next connection; the descriptor that it needs is never available to the front end.
 pub async fn accept(stage: &Stage, full: &mut Full, listener: &TcpListener) -> TcpStream {
     let mut found = None;
     stage
@@ -242,7 +243,7 @@
     stream
 }
 
-/// Reads until some text came.
+/// Reads until a text has arrived.
 pub async fn read_until(stage: &Stage, mut stream: &TcpStream, text: &str) {
     let mut read = String::new();
     let mut bytes = [0; 4096];
--- a/crates/scale-tests/src/list/bytes.rs
+++ b/crates/scale-tests/src/list/bytes.rs
@@ -2,7 +2,7 @@
 
 use crate::front_end::hash;
 use serde_json::json;
-use stagehoist_platform::endpoint_events::RECORD;
+use stagehoist_platform::endpoint_events::RECORD_LENGTH;
 
 /// Length, number and kind of a frame.
 pub const FRAME_HEAD: usize = 13;
@@ -24,7 +24,7 @@
     }
     let length = (frame.len() - 4) as u32;
     frame[..4].copy_from_slice(&length.to_be_bytes());
-    debug_assert_eq!((frame.len() - FRAME_HEAD) % RECORD, 0);
+    debug_assert_eq!((frame.len() - FRAME_HEAD) % RECORD_LENGTH, 0);
     frame
 }
 
