--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -1,4 +1,4 @@
-//! `stagehoist platform`: a live front end on the platform's protocol, and its log, which never holds it up.
+//! `stagehoist platform`: a live front end on the platform's protocol, and its log, which never blocks it.
 
 use rustix::fs::{fcntl_getfl, fcntl_setfl, fstat, FileType, OFlags};
 use std::io::{self, Write};
@@ -10,8 +10,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Lines that go to the log at most in one second; what is beyond is left out.
-const LINES: u64 = 40;
+/// Maximum number of log lines per second; further ones are dropped.
+const MAX_LINES_PER_SECOND: u64 = 40;
 
 pub fn run() -> ExitCode {
     match stagehoist_platform::run() {
@@ -23,47 +23,47 @@
     }
 }
 
-/// A writer to standard error that leaves out lines rather than wait: beyond so many a second, and while a pipe that no one
-/// reads is full.
+/// A writer to standard error that drops lines rather than block: beyond a maximum per second, and while the reader
+/// of a full pipe does not read.
 pub struct SparseLog {
-    born: Instant,
-    /// The second, and the lines written in it.
+    started_at: Instant,
+    /// The current second (upper 32 bits), and the lines written in it (lower 32 bits).
     written: AtomicU64,
-    most: u64,
+    max_per_second: u64,
 }
 
 impl SparseLog {
-    /// With `most` lines a second; without where everything is asked for.
+    /// Limits the lines per second, unless `everything` is requested.
     pub fn new(everything: bool) -> SparseLog {
         let stderr = io::stderr();
         let is_pipe = fstat(&stderr).is_ok_and(|s| FileType::from_raw_mode(s.st_mode) == FileType::Fifo);
         if is_pipe && !everything {
             if let Ok(flags) = fcntl_getfl(&stderr) {
-                // Without it the log waits as any other program's does.
+                // If it fails, the log blocks as any other program's does.
                 let _ = fcntl_setfl(&stderr, flags | OFlags::NONBLOCK);
             }
         }
-        let most = if everything { u64::MAX } else { LINES };
-        SparseLog { born: Instant::now(), written: AtomicU64::new(0), most }
+        let max_per_second = if everything { u64::MAX } else { MAX_LINES_PER_SECOND };
+        SparseLog { started_at: Instant::now(), written: AtomicU64::new(0), max_per_second }
     }
 
-    fn is_over(&self) -> bool {
-        let second = self.born.elapsed().as_secs();
-        // Second and lines in one number: the lines of an earlier second don't count.
+    fn exceeds_limit(&self) -> bool {
+        let second = self.started_at.elapsed().as_secs();
+        // Second and lines in one number, so that the lines of an earlier second don't count.
         let before = self.written.load(Ordering::Relaxed);
         let lines = if before >> 32 == second { (before & 0xffff_ffff) + 1 } else { 1 };
         self.written.store(second << 32 | lines.min(0xffff_ffff), Ordering::Relaxed);
-        lines > self.most
+        lines > self.max_per_second
     }
 }
 
-/// One line on its way.
+/// The writer of one line; false if the line is dropped.
 pub struct Line(bool);
 
 impl Write for Line {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if self.0 {
-            // What can't be written at once is left out.
+            // A line that can't be written at once is dropped.
             let _ = io::stderr().write(bytes);
         }
         Ok(bytes.len())
@@ -76,6 +76,6 @@
 impl<'a> MakeWriter<'a> for SparseLog {
     type Writer = Line;
     fn make_writer(&'a self) -> Line {
-        Line(!self.is_over())
+        Line(!self.exceeds_limit())
     }
 }
--- a/crates/cli/tests/platform/bad_clients.rs
+++ b/crates/cli/tests/platform/bad_clients.rs
@@ -1,15 +1,16 @@
-//! Clients that keep no rule.
+//! Clients that violate the protocol.
 
 use crate::stage::{ms, served, Stage, KEYS, LOOK};
 use stagehoist_emulator::platform::client::array;
 use stagehoist_emulator::platform::{Client, Fault};
 use std::time::Instant;
 
-/// Each kind of bad client is answered or closed within 3 s (6 s with a large body), never served, and the usual one goes on.
+/// Each kind of misbehaving client is answered or disconnected within 3 s (6 s with a large body) and never served,
+/// while an ordinary client is served.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn bad_clients_are_turned_away_in_time_and_the_usual_go_on() {
+async fn misbehaving_clients_are_rejected_in_time_and_ordinary_ones_are_served() {
     let mut stage = Stage::start(2, 256).await;
-    let mut usual = stage.client().await;
+    let mut ordinary = stage.client().await;
     let good = |id: &str| format!("ref={id},allow={LOOK},project=acme,lookup={}", KEYS[0]);
     let request = |fields: &str| array(&[b"REQ", b"7", b"look", fields.as_bytes(), b"x"]);
     let mut big = b"*5\r\n$3\r\nREQ\r\n$1\r\n7\r\n$4\r\nlook\r\n$1\r\n-\r\n$60000000\r\n".to_vec();
@@ -43,31 +44,32 @@
     for (name, bytes) in bad {
         let to = stage.listen;
         tasks.spawn(async move {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let mut client = Client::connect(to).await.unwrap();
-            // A close while it writes is an answer too.
+            // A close during the write counts as an answer too.
             let _ = client.raw(&bytes).await;
             let answers = client.wait(1, ms(6000)).await;
             let limit = if bytes.len() > 10_000_000 { 6000 } else { 3000 };
-            let told = answers.first().map(|a| a.word.clone());
-            assert!(told.is_some() || client.closed().is_some(), "{name}: neither answer nor close");
-            assert!(begun.elapsed() < ms(limit), "{name}: {:?}", begun.elapsed());
+            let answer = answers.first().map(|a| a.word.clone());
+            assert!(answer.is_some() || client.closed().is_some(), "{name}: neither answer nor close");
+            assert!(started_at.elapsed() < ms(limit), "{name}: {:?}", started_at.elapsed());
             assert!(answers.iter().all(|a| a.word != "200"), "{name} was served");
         });
     }
-    stage.calls(&mut usual, 1..=60, ms(20)).await;
+    stage.calls(&mut ordinary, 1..=60, ms(20)).await;
     while let Some(done) = tasks.join_next().await {
         done.unwrap();
     }
-    let answers = usual.wait(60, ms(4000)).await;
+    let answers = ordinary.wait(60, ms(4000)).await;
     assert_eq!(answers.len(), 60);
     assert!(served(&answers) >= 57, "{}", served(&answers));
     stage.verdict(&answers);
 }
 
-/// More connections than descriptors allow: the silent make way, the usual client is served, and nothing spins or ends.
+/// There are more connections than descriptors: inactive ones are evicted, the ordinary client is served, and the
+/// process neither spins nor ends.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn hundreds_of_silent_connections_keep_no_one_out() {
+async fn hundreds_of_inactive_connections_do_not_block_other_clients() {
     let mut stage = Stage::start(2, 64).await;
     let mut silent = Vec::new();
     for n in 0..300 {
@@ -81,6 +83,6 @@
     }
     tokio::time::sleep(ms(2800)).await;
     let closed = silent.iter().filter(|c| c.closed().is_some()).count();
-    assert_eq!(closed, 300, "silent connections are closed in time");
+    assert_eq!(closed, 300, "not all inactive connections are closed in time");
     assert_eq!(stage.child.try_wait().unwrap(), None);
 }
--- a/crates/cli/tests/platform/calls.rs
+++ b/crates/cli/tests/platform/calls.rs
@@ -1,4 +1,4 @@
-//! Calls served, and answers that are spoilt.
+//! Served calls, and malformed answers.
 
 use crate::stage::{ms, served, settle, Stage, KEYS, LOOK};
 use stagehoist_emulator::platform::bus::record;
@@ -7,13 +7,13 @@
 use std::time::Instant;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn calls_are_served_whole_and_in_any_order_and_misses_are_loaded() {
+async fn calls_are_served_completely_and_in_any_order_and_misses_are_loaded() {
     let mut stage = Stage::start(3, 256).await;
     let mut client = stage.client().await;
     stage.calls(&mut client, 1..=30, ms(10)).await;
     let answers = client.wait(30, ms(4000)).await;
     assert_eq!(served(&answers), 30);
-    // A function that no one holds is loaded by order.
+    // A function that no executor holds is loaded by order.
     let fields = format!("ref=00000000000000aa,allow={LOOK},project=acme,lookup=00000000000000bb,effort=20,extras=memory_mb:64;lanes:4;load_ms:100");
     client.request(99, "look", &fields, b"x").await.unwrap();
     assert_eq!(client.wait(31, ms(4000)).await[30].word, "200");
@@ -23,7 +23,8 @@
             .any(|s| matches!(&s.what, ExecutorRequest::Hold { key, .. } if key == "00000000000000bb"))
     };
     assert!(stage.executors.iter().any(held));
-    // Never answered by its executor and abandoned by its client: stopped, and nothing more is written for it.
+    // A request that its executor never answers and its client aborts: it is stopped, and nothing more is written for
+    // it.
     stage.executors.iter().for_each(|e| e.spoil([Fault::Never]));
     client.request(100, "look", &fields.replace("aa,", "ab,"), b"x").await.unwrap();
     tokio::time::sleep(ms(100)).await;
@@ -37,9 +38,9 @@
     stage.verdict(&answers);
 }
 
-/// Every way to spoil an answer, for safe and unsafe calls, with others on the same connections.
+/// Every kind of faulty answer, for safe and unsafe calls, with other requests on the same connections.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn spoilt_answers_break_no_rule_and_others_go_on() {
+async fn faulty_answers_break_no_rule_and_other_calls_continue() {
     use Fault::*;
     let mut stage = Stage::start(3, 256).await;
     let mut clients = Vec::new();
@@ -73,13 +74,13 @@
     }
     let answers = settle(&mut clients, 48).await;
     assert_eq!(answers.len(), 192);
-    // Three answers of each kind were spoilt; doubled ones and those behind an unknown id count as good.
+    // Three answers of each kind were faulty; repeated ones and those after an unknown id count as good.
     assert!(served(&answers) >= 150, "{} served", served(&answers));
     stage.verdict(&answers);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_executor_that_ends_and_one_that_takes_its_place_leave_no_call_unanswered() {
+async fn every_call_is_answered_when_an_executor_ends_and_is_replaced() {
     let mut stage = Stage::start(3, 256).await;
     let mut client = stage.client().await;
     let mut n = 0;
@@ -95,7 +96,7 @@
             let old = &stage.executors[0];
             let events = [record(old.id, old.address, 2, 0), record(77, new.address, 0, 0)];
             stage.bus.change(&events);
-            stage.told.drained.insert(old.id, Instant::now());
+            stage.rules.drained.insert(old.id, Instant::now());
             stage.executors.push(new);
         }
         tokio::time::sleep(ms(10)).await;
--- a/crates/cli/tests/platform/closes.rs
+++ b/crates/cli/tests/platform/closes.rs
@@ -1,4 +1,4 @@
-//! Connections of clients that are closed, or left, in the instant of a request.
+//! Client connections that are closed, by either side, at the moment of a request.
 
 use crate::stage::{config_classes, ms, Stage, KEYS};
 use rustix::process::Signal;
@@ -9,17 +9,17 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Connections that said nothing are closed after 2 s; the process is stopped, and goes on when that has passed and a whole
-/// request lies in each.
+/// Connections without a request are closed after 2 s. The process is stopped, and continues when that time has
+/// passed and a complete request is in each socket.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_request_that_meets_the_close_of_its_silent_connection_is_answered() {
+async fn a_request_that_arrives_as_its_inactive_connection_is_closed_is_answered() {
     let mut stage = Stage::start(2, 256).await;
     let mut clients = Vec::new();
     let since = Instant::now();
     for _ in 0..40 {
         clients.push(stage.client().await);
     }
-    // Accepted in their order: once this one is answered all of them are.
+    // Connections are accepted in order: once this one is answered, all are accepted.
     let mut last = stage.client().await;
     last.raw(&array(&[b"HEALTH", b"1", b""])).await.unwrap();
     assert_eq!(last.wait(1, ms(2000)).await.len(), 1);
@@ -32,24 +32,25 @@
     let mut answers = Vec::new();
     for (n, client) in clients.iter_mut().enumerate() {
         let got = client.wait(1, ms(3000)).await;
-        assert_eq!(got.len(), 1, "request {} was read before its connection was closed", n + 1);
+        assert_eq!(got.len(), 1, "request {} was not read before its connection was closed", n + 1);
         answers.extend(got);
     }
-    // Late by the time that the process did not run, which is not its own.
+    // The requests may be late by the time for which the process was stopped.
     assert!(answers.iter().all(|a| a.word == "200" || a.word == "503" || a.word == "500"));
 }
 
-/// A client that takes no answers and has left: its open calls are abandoned though nothing is read from it.
+/// A client does not read its answers and has disconnected: its open calls are abandoned although nothing is read
+/// from it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn leaving_is_seen_while_answers_wait_and_nothing_is_read() {
-    let stage = Stage::start_with(1, 256, |told| config_classes(told, "hard_limit", 9000)).await;
+async fn a_disconnect_is_detected_while_answers_are_unsent_and_nothing_is_read() {
+    let stage = Stage::start_with(1, 256, |document| config_classes(document, "hard_limit", 9000)).await;
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    // Small segments and a small window, so that few answers fill the way to it.
+    // Small segments and a small window, so that a few answers fill the path to it.
     socket.set_recv_buffer_size(4096).unwrap();
     socket.set_tcp_mss(536).unwrap();
     socket.connect(&stage.listen.into()).unwrap();
     let mut client = TcpStream::from(socket);
-    let saw = |n: u64, stop: bool| {
+    let has_seen = |n: u64, stop: bool| {
         stage.executors[0].seen().iter().any(|s| match &s.what {
             ExecutorRequest::Run { id, .. } => !stop && *id == format!("{n:016x}"),
             ExecutorRequest::Stop { id } => stop && *id == format!("{n:016x}"),
@@ -57,11 +58,11 @@
         })
     };
     let seen_within = async |n: u64, stop: bool, limit: Duration| {
-        let by = Instant::now() + limit;
-        while !saw(n, stop) && Instant::now() < by {
+        let deadline = Instant::now() + limit;
+        while !has_seen(n, stop) && Instant::now() < deadline {
             tokio::time::sleep(ms(5)).await;
         }
-        saw(n, stop)
+        has_seen(n, stop)
     };
     let body = vec![b'x'; 16 << 10];
     let mut ask = |n: u64| {
@@ -76,13 +77,13 @@
     let mut n = 1;
     loop {
         n += 1;
-        assert!(n < 400, "the answers never filled the way");
+        assert!(n < 400, "the path to the client does not fill up");
         ask(n);
         if !seen_within(n, false, ms(600)).await {
             break;
         }
     }
     client.shutdown(Shutdown::Write).unwrap();
-    assert!(seen_within(1, true, ms(1500)).await, "its first call is given up");
-    assert!(!saw(n, false), "what was not read when it left is not sent on");
+    assert!(seen_within(1, true, ms(1500)).await, "its first call is not abandoned");
+    assert!(!has_seen(n, false), "a request that was unread when the client left is forwarded");
 }
--- a/crates/cli/tests/platform/lists.rs
+++ b/crates/cli/tests/platform/lists.rs
@@ -1,4 +1,4 @@
-//! The event bus: drains kept whatever becomes of it.
+//! The event bus: reported drains persist whatever happens to the bus.
 
 use crate::stage::{config, ms, served, Stage};
 use rustix::process::Signal;
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn drains_are_kept_over_breaks_silence_repeats_and_a_new_address_of_the_bus() {
+async fn drains_persist_over_breaks_silence_repeats_and_a_new_address_of_the_bus() {
     let mut stage = Stage::start(5, 256).await;
     let mut client = stage.client().await;
     let mut n = 0;
@@ -16,7 +16,8 @@
             0 => stage.bus.mood(SubscriptionFault::Twice),
             1 => stage.bus.mood(SubscriptionFault::Cut),
             2 => {
-                // Silent with its connection open: found by time, told on the next connection.
+                // The bus is silent with its connection open: the front end detects it by a timeout, and gets the
+                // event on the next connection.
                 stage.bus.mood(SubscriptionFault::Silent);
                 tokio::time::sleep(ms(1200)).await;
             }
@@ -36,12 +37,12 @@
         if step == 2 {
             stage.bus.mood(SubscriptionFault::Well);
         }
-        // What the event subscription would have told counts later where it breaks, is silent or moves.
+        // An event counts later if the bus breaks, is silent or moves when it is published.
         let allowed = [0, 2000, 4000, 4000][step];
         let id = stage.executors[step].id;
-        *stage.told.drained.get_mut(&id).unwrap() += ms(allowed);
-        let by = Instant::now() + ms(allowed + 350);
-        while Instant::now() < by {
+        *stage.rules.drained.get_mut(&id).unwrap() += ms(allowed);
+        let deadline = Instant::now() + ms(allowed + 350);
+        while Instant::now() < deadline {
             n += 1;
             stage.call(&mut client, n).await;
             tokio::time::sleep(ms(20)).await;
--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -1,5 +1,5 @@
-//! The live front end on its whole path: the command as the platform starts it, between emulator clients, executors and an event
-//! bus, judged by what crossed their sockets.
+//! End-to-end tests of the live front end: the command as the platform starts it, with emulated clients, executors
+//! and an event bus, judged by the data on their sockets.
 
 mod bad_clients;
 mod calls;
--- a/crates/cli/tests/platform/reload.rs
+++ b/crates/cli/tests/platform/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: files that are not whole when it comes, and signals to end beside it.
+//! SIGHUP while the file is incomplete, and together with signals that end the process.
 
 use crate::stage::{config, ms, served, Stage};
 use rustix::process::Signal;
@@ -6,29 +6,30 @@
 use stagehoist_emulator::platform::EventBus;
 use std::time::Instant;
 
-/// Half a file at the signal, the whole one later without another: it is read all the same. Then SIGTERM between two SIGHUPs
-/// whose file is missing: calls are answered and the end is a good one.
+/// The file is partial at the signal and complete later, without another signal: it must be read all the same. Then
+/// SIGTERM arrives between two SIGHUPs while the file is missing: calls must be answered and the exit must be
+/// regular.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_file_that_is_not_whole_at_the_signal_is_read_once_it_is() {
+async fn a_file_that_is_incomplete_at_the_signal_is_read_once_it_is_complete() {
     let mut stage = Stage::start(4, 256).await;
     let mut client = stage.client().await;
     let bus = EventBus::start(1).await.unwrap();
     stage.bus.copy_to(&bus);
-    let whole = config(&stage.executors, bus.address, 256).to_string();
-    std::fs::write(&stage.config, &whole[..whole.len() / 2]).unwrap();
+    let document = config(&stage.executors, bus.address, 256).to_string();
+    std::fs::write(&stage.config, &document[..document.len() / 2]).unwrap();
     stage.signal(Signal::HUP);
-    // The signal has come before these are answered.
+    // The signal has been handled before these are answered.
     for n in 1..=20 {
         client.raw(&array(&[b"HEALTH", (9000 + n).to_string().as_bytes(), b""])).await.unwrap();
         client.wait(n, ms(4000)).await;
     }
     assert_eq!(bus.connections(), 0);
     let new = stage.config.with_extension("new");
-    std::fs::write(&new, &whole).unwrap();
+    std::fs::write(&new, &document).unwrap();
     std::fs::rename(&new, &stage.config).unwrap();
-    let by = Instant::now() + ms(5000);
+    let deadline = Instant::now() + ms(5000);
     while bus.connections() == 0 {
-        assert!(Instant::now() < by, "the file was not looked at again");
+        assert!(Instant::now() < deadline, "the file was not read again");
         tokio::time::sleep(ms(10)).await;
     }
     stage.bus = bus;
--- a/crates/cli/tests/platform/shutdown.rs
+++ b/crates/cli/tests/platform/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a process, and one that did not run.
+//! Process exit, and a process that was stopped for a while.
 
 use crate::stage::{ms, served, Stage};
 use rustix::process::Signal;
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn at_sigterm_all_that_came_in_time_is_answered_and_the_exit_code_is_0() {
+async fn at_sigterm_all_requests_received_in_time_are_answered_and_the_exit_code_is_0() {
     let mut stage = Stage::start(3, 256).await;
     let mut clients = vec![stage.client().await];
     stage.executors.iter().for_each(|e| e.spoil([Fault::Never]));
@@ -34,9 +34,10 @@
     stage.verdict(&answers);
 }
 
-/// Stopped for longer than calls take: answers that came meanwhile are passed on, and nothing runs out of time for it.
+/// The process is stopped for longer than calls take: answers that arrived meanwhile are forwarded, and no call times
+/// out because of the stop.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_process_that_did_not_run_for_a_while_holds_it_against_no_one() {
+async fn a_stop_of_the_process_counts_against_neither_calls_nor_executors() {
     let mut stage = Stage::start(3, 256).await;
     let mut client = stage.client().await;
     for n in 1..=40 {
--- a/crates/cli/tests/platform/stage.rs
+++ b/crates/cli/tests/platform/stage.rs
@@ -1,4 +1,4 @@
-//! The command between its emulated systems, and what a test asks of it.
+//! Test harness: the command between emulated clients, executors and an event bus.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::json;
@@ -22,7 +22,7 @@
     Duration::from_millis(n)
 }
 
-/// Addresses of its own for each run: the system gives out none of them, nor connects from them.
+/// Returns an address that is unique to this run: the system neither assigns it nor connects from it.
 pub fn own_address(port: u16) -> SocketAddr {
     let [_, b, c, d] = std::process::id().to_be_bytes();
     SocketAddr::from(([127, 64 + b % 64, c, d.clamp(1, 254)], port))
@@ -35,22 +35,22 @@
     pub bus: EventBus,
     pub child: Child,
     pub listen: SocketAddr,
-    pub asked: Vec<SentRequest>,
-    pub told: RuleSettings,
-    /// Lines of the command's log since it started.
+    pub sent: Vec<SentRequest>,
+    pub rules: RuleSettings,
+    /// Log lines of the command since it started.
     pub log: Arc<Mutex<Vec<String>>>,
 }
 
-/// Starts the command: its process, where it listens, and its log from then on.
+/// Starts the command; returns its process, its address, and its log from then on.
 pub fn command(config: &Path) -> (Child, SocketAddr, Arc<Mutex<Vec<String>>>) {
     let StartedFrontEnd { child, listen, log } =
         start_front_end(Path::new(env!("CARGO_BIN_EXE_stagehoist")), config, &[]).unwrap();
     (child, listen, log)
 }
 
-/// Every class told so.
-pub fn config_classes(told: &mut serde_json::Value, field: &str, value: u64) {
-    for class in told["settings"]["classes"].as_array_mut().unwrap() {
+/// Sets a field of every class.
+pub fn config_classes(rules: &mut serde_json::Value, field: &str, value: u64) {
+    for class in rules["settings"]["classes"].as_array_mut().unwrap() {
         class[field] = json!(value as f64);
     }
 }
@@ -60,7 +60,7 @@
         Stage::start_with(executors, sockets, |_| ()).await
     }
 
-    /// With another configuration than the usual.
+    /// Starts with a modified configuration.
     pub async fn start_with(executors: u32, sockets: u64, edit: impl Fn(&mut serde_json::Value)) -> Stage {
         let mut all = Vec::new();
         for id in 1..=executors {
@@ -71,14 +71,15 @@
         let bus = EventBus::start(1).await.unwrap();
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("config.json");
-        let mut told = config(&all, bus.address, sockets);
-        edit(&mut told);
-        std::fs::write(&path, told.to_string()).unwrap();
+        let mut rules = config(&all, bus.address, sockets);
+        edit(&mut rules);
+        std::fs::write(&path, rules.to_string()).unwrap();
         let (child, listen, log) = command(&path);
-        let told = RuleSettings { grace: ms(250), ration: (6.0, 0.1, ms(10_000)), ..RuleSettings::default() };
-        let asked = Vec::new();
+        let rules =
+            RuleSettings { grace: ms(250), ration: (6.0, 0.1, ms(10_000)), ..RuleSettings::default() };
+        let sent = Vec::new();
         let stage =
-            Stage { _folder: folder, config: path, executors: all, bus, child, listen, asked, told, log };
+            Stage { _folder: folder, config: path, executors: all, bus, child, listen, sent, rules, log };
         let mut client = stage.client().await;
         client.raw(&array(&[b"HEALTH", b"8", b""])).await.unwrap();
         assert_eq!(client.wait(1, ms(5000)).await[0].word, "serving");
@@ -89,7 +90,7 @@
         Client::connect(self.listen).await.unwrap()
     }
 
-    /// Writes call number `n`, unsafe for odd ones.
+    /// Sends call number `n`; odd ones are unsafe.
     pub async fn call(&mut self, client: &mut Client, n: u64) {
         let (class, is_unsafe) = if n % 2 == 1 { ("book", true) } else { ("look", false) };
         let id = format!("{n:016x}");
@@ -100,10 +101,10 @@
         let at = Instant::now();
         client.request(n, class, &fields, &body).await.unwrap();
         let (tag, allow, left) = (n.to_string(), ms(LOOK), None);
-        self.asked.push(SentRequest { at, id, tag, allow, is_unsafe, body, left });
+        self.sent.push(SentRequest { at, id, tag, allow, is_unsafe, body, left });
     }
 
-    /// Writes calls of these numbers, one after each pause.
+    /// Sends calls with these numbers, with a pause after each.
     pub async fn calls(
         &mut self,
         client: &mut Client,
@@ -120,21 +121,21 @@
         kill_process(Pid::from_raw(self.child.id() as i32).unwrap(), signal).unwrap();
     }
 
-    /// How many lines of its log have all of these words.
+    /// Returns the number of log lines that contain all of these words.
     pub fn logged(&self, words: &[&str]) -> usize {
         self.log.lock().unwrap().iter().filter(|line| words.iter().all(|w| line.contains(w))).count()
     }
 
     pub fn verdict(&self, answers: &[Answered]) {
         let seen: Vec<_> = self.executors.iter().map(|e| (e.id, e.seen())).collect();
-        let broken = judge(&self.asked, answers, &seen, &self.told);
+        let broken = judge(&self.sent, answers, &seen, &self.rules);
         assert!(broken.is_empty(), "{broken:#?}");
     }
 
     pub fn drain(&mut self, n: usize) {
         let e = &self.executors[n];
         self.bus.change(&[record(e.id, e.address, 1, 0)]);
-        self.told.drained.insert(e.id, Instant::now());
+        self.rules.drained.insert(e.id, Instant::now());
     }
 
     pub fn runs(&self, n: usize) -> usize {
@@ -142,8 +143,8 @@
     }
 
     pub async fn ends(&mut self, limit: Duration) -> Option<i32> {
-        let by = Instant::now() + limit;
-        while Instant::now() < by {
+        let deadline = Instant::now() + limit;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
             }
--- a/crates/cli/tests/platform/start.rs
+++ b/crates/cli/tests/platform/start.rs
@@ -1,4 +1,4 @@
-//! The start: configurations that are wrong, or large.
+//! Starts with invalid or large configurations.
 
 use crate::stage::{ms, served, Stage, LOOK};
 use rustix::process::Signal;
@@ -8,7 +8,7 @@
 use std::process::Command;
 
 #[test]
-fn a_wrong_configuration_ends_the_start_and_names_the_field() {
+fn an_invalid_configuration_prevents_the_start_and_names_the_field() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("config.json");
     let mut command = Command::new(env!("CARGO_BIN_EXE_stagehoist"));
@@ -24,8 +24,8 @@
     }
 }
 
-/// More executors than descriptors: connections come by need and the longest idle makes way. One process all along, which
-/// starts nothing and listens nowhere but at its address.
+/// There are more executors than descriptors: connections are opened on demand and the longest idle one is evicted.
+/// The front end is a single process, starts no other, and listens at its address only.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn four_hundred_executors_are_used_within_256_descriptors() {
     let mut stage = Stage::start(400, 256).await;
@@ -34,9 +34,9 @@
     let descriptors = || std::fs::read_dir(format!("{here}/fd")).map_or(0, Iterator::count);
     assert!(descriptors() < 40, "connections to executors before any call: {}", descriptors());
     let mut client = stage.client().await;
-    let mut most = 0;
+    let mut max_descriptors = 0;
     for n in 1..=400u64 {
-        // Each of a function that no one holds, so that it is tried at one executor after the other.
+        // Each call is for a function that no executor holds, so that it is tried at one executor after another.
         let fields = format!(
             "ref={n:016x},allow={LOOK},project=acme,lookup={:016x},effort=20,extras=memory_mb:1;lanes:4",
             1000 + n
@@ -46,19 +46,19 @@
             stage.signal(Signal::HUP);
         }
         tokio::time::sleep(ms(8)).await;
-        most = most.max(descriptors());
+        max_descriptors = max_descriptors.max(descriptors());
     }
     let answers = client.wait(400, ms(4000)).await;
     let touched = |e: &&Executor| e.seen().iter().any(|s| matches!(s.what, ExecutorRequest::Run { .. }));
     let touched = stage.executors.iter().filter(touched).count();
     assert_eq!(answers.len(), 400);
-    assert!(touched > 150, "{touched} executors saw a call");
-    assert!((100..=256).contains(&most), "{most} descriptors");
-    // The usual calls are served as ever.
+    assert!(touched > 150, "only {touched} executors received a call");
+    assert!((100..=256).contains(&max_descriptors), "{max_descriptors} descriptors");
+    // Ordinary calls are still served.
     stage.calls(&mut client, 1001..=1020, ms(10)).await;
     assert_eq!(served(&client.wait(420, ms(4000)).await[400..]), 20);
     let children = std::fs::read_to_string(format!("{here}/task/{pid}/children"));
-    assert!(children.is_ok_and(|c| c.trim().is_empty()), "it started another process");
+    assert!(children.is_ok_and(|c| c.trim().is_empty()), "the front end started another process");
     let sockets: Vec<String> = std::fs::read_dir(format!("{here}/fd"))
         .unwrap()
         .flatten()
@@ -72,7 +72,7 @@
         })
         .collect();
     let unix = std::fs::read_to_string(format!("{here}/net/unix")).unwrap();
-    // The flag of a Unix socket that listens.
+    // Matches the flag of a listening Unix socket.
     let listens =
         |l: &&str| l.contains(" 00010000 ") && sockets.iter().any(|s| l.split_whitespace().any(|w| w == s));
     assert_eq!(unix.lines().filter(listens).count(), 0);
@@ -80,13 +80,14 @@
     assert_eq!(stage.ends(ms(3500)).await, Some(0));
 }
 
-/// As many as are ever told: 1,500 executors, one of 1,200 front ends, and the memory of a process with few of either.
+/// The largest supported numbers: 1,500 executors and 1,200 front ends. The process must need no more memory than
+/// with few of either.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn fifteen_hundred_executors_and_twelve_hundred_front_ends_may_be_told() {
+async fn fifteen_hundred_executors_and_twelve_hundred_front_ends_are_supported() {
     let many = |told: &mut serde_json::Value| {
         told["settings"]["balancers"] = json!(1200);
         let hosts = told["known"]["batch"][0]["topology"]["hosts"].as_array_mut().unwrap();
-        // Their addresses are those of the three that stand.
+        // Their addresses are those of the three running executors.
         let three = hosts.clone();
         hosts.extend((4..=1500).map(|id| {
             let mut host = three[id % 3].clone();
@@ -102,7 +103,7 @@
     let own = status.lines().find_map(|l| l.strip_prefix("RssAnon:")).unwrap();
     let kb: u64 = own.trim().trim_end_matches(" kB").parse().unwrap();
     assert!(kb < 12_000, "{kb} kB");
-    // A change of all of them at once, in one frame.
+    // All of them change at once, in one frame.
     let gone: Vec<_> = (4..=1500).map(|id| record(id, stage.executors[0].address, 2, 0)).collect();
     stage.bus.change(&gone);
     tokio::time::sleep(ms(300)).await;
@@ -112,16 +113,16 @@
     assert_eq!(stage.ends(ms(3500)).await, Some(0));
 }
 
-/// More events of the start than the driver's line holds: all of them count before the first call, and the start comes to an
-/// end.
+/// There are more initial events than the driver's queue holds: all of them must be applied before the first call,
+/// and the start must complete.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn twenty_thousand_events_of_the_start_are_known_before_the_first_call() {
+async fn twenty_thousand_initial_events_are_applied_before_the_first_call() {
     let many = |told: &mut serde_json::Value| {
         let host = told["known"]["batch"][0]["topology"]["hosts"][0].clone();
         let batch = told["known"]["batch"].as_array_mut().unwrap();
         for number in 2..=20_001 {
             let mut host = host.clone();
-            // The first executor comes and goes, and drains in the end.
+            // The first executor alternates between ready and draining, and drains in the end.
             host["health"] = json!(["draining", "ready"][number % 2].to_string());
             if number == 20_001 {
                 host["health"] = json!("draining");
--- a/crates/cli/tests/platform/together.rs
+++ b/crates/cli/tests/platform/together.rs
@@ -1,5 +1,5 @@
-//! Clients that leave several front ends before the same executors: judged over all of them, as one comes too rarely to be
-//! seen at one.
+//! Clients that disconnect from several front ends with the same executors. Late attempts are judged over all front
+//! ends together, because a single one sees them too rarely.
 
 use crate::stage::{command, ms, Stage, KEYS, LOOK};
 use rustix::process::{kill_process, Pid, Signal};
@@ -13,25 +13,25 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// For so long one process is not run, as the clients of all leave.
+/// Time for which one process is stopped while the clients of all leave.
 const NOT_RUN: Duration = Duration::from_millis(80);
 const ROUNDS: u64 = 12;
-/// Calls of one client.
-const EACH: u64 = 4;
+/// Number of calls of one client.
+const CALLS_PER_CLIENT: u64 = 4;
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Leaves {
+enum Departure {
     Abort,
     Close,
     Reset,
 }
-const HOW: [Leaves; 3] = [Leaves::Abort, Leaves::Close, Leaves::Reset];
+const DEPARTURES: [Departure; 3] = [Departure::Abort, Departure::Close, Departure::Reset];
 
-/// A process beside that of the harness; ended with it.
-struct Beside(Child);
+/// Another front-end process; killed when dropped.
+struct OtherFrontEnd(Child);
 
-impl Drop for Beside {
+impl Drop for OtherFrontEnd {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -49,45 +49,45 @@
     (bytes, SentRequest { at, id, tag, allow, is_unsafe, body, left })
 }
 
-/// A client of a front end that asks and leaves; what it asked, with when it began to leave.
-async fn leaves(to: SocketAddr, first: u64, how: Leaves, stays: Duration) -> Vec<SentRequest> {
+/// Runs a client that sends calls and then cancels or disconnects; returns its calls with the time at which it left.
+async fn run_leaving_client(to: SocketAddr, first: u64, how: Departure, stays: Duration) -> Vec<SentRequest> {
     let mut stream = TcpStream::connect(to).await.unwrap();
-    let mut asked = Vec::new();
-    for n in first..first + EACH {
-        let (bytes, one) = request(n);
+    let mut sent = Vec::new();
+    for n in first..first + CALLS_PER_CLIENT {
+        let (bytes, call) = request(n);
         stream.write_all(&bytes).await.unwrap();
-        asked.push(one);
+        sent.push(call);
     }
     tokio::time::sleep(stays).await;
     let left = Instant::now();
     match how {
-        Leaves::Abort => {
-            for n in first..first + EACH {
+        Departure::Abort => {
+            for n in first..first + CALLS_PER_CLIENT {
                 stream.write_all(&array(&[b"ABORT", n.to_string().as_bytes()])).await.unwrap();
             }
-            // It stays connected, so that its word is the ABORT alone.
+            // It stays connected, so that the ABORT is its only cancellation.
             tokio::spawn(async move {
                 tokio::time::sleep(ms(2 * LOOK)).await;
                 drop(stream);
             });
         }
-        Leaves::Close => drop(stream.shutdown().await),
-        Leaves::Reset => stream.set_zero_linger().unwrap(),
+        Departure::Close => drop(stream.shutdown().await),
+        Departure::Reset => stream.set_zero_linger().unwrap(),
     }
-    asked.iter_mut().for_each(|a| a.left = Some(left));
-    asked
+    sent.iter_mut().for_each(|a| a.left = Some(left));
+    sent
 }
 
-/// The capture with one attempt for a call of each of these lists so long after its client left.
-fn doctored(
+/// Returns the capture with one attempt added for a call of each list, started at this time after its client left.
+fn with_late_attempts(
     seen: &[(u32, Vec<ObservedRequest>)],
-    asked: &[&[SentRequest]],
+    sent: &[&[SentRequest]],
     after: Duration,
 ) -> Vec<(u32, Vec<ObservedRequest>)> {
     let mut seen = seen.to_vec();
-    for one in asked.iter().map(|list| &list[0]) {
-        let (id, class, key) = (one.id.clone(), "look".to_string(), KEYS[0].to_string());
-        let at = one.left.unwrap() + after;
+    for call in sent.iter().map(|list| &list[0]) {
+        let (id, class, key) = (call.id.clone(), "look".to_string(), KEYS[0].to_string());
+        let at = call.left.unwrap() + after;
         seen[0].1.push(ObservedRequest {
             front_end: 0,
             at,
@@ -98,13 +98,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn clients_that_leave_three_front_ends_have_nothing_begun_after_that_over_all_of_them() {
+async fn no_attempts_start_for_clients_that_left_over_three_front_ends_together() {
     let stage = Stage::start(6, 256).await;
     let others = [command(&stage.config), command(&stage.config)];
     let at = [stage.listen, others[0].1, others[1].1];
-    let others = others.map(|(child, _, _)| Beside(child));
+    let others = others.map(|(child, _, _)| OtherFrontEnd(child));
     let pids = [stage.child.id(), others[0].0.id(), others[1].0.id()];
-    // Every front end serves, and knows where the functions are.
+    // Every front end serves and learns where the functions are loaded.
     for (n, to) in at.iter().enumerate() {
         let mut client = Client::connect(*to).await.unwrap();
         for call in 0..8 {
@@ -112,10 +112,10 @@
         }
         assert_eq!(client.wait(8, ms(5000)).await.len(), 8);
     }
-    let mut asked: [Vec<SentRequest>; 3] = Default::default();
+    let mut sent: [Vec<SentRequest>; 3] = Default::default();
     let mut left_meanwhile = 0;
     for round in 0..ROUNDS {
-        // Errors ask for retries, silence for hedged requests.
+        // Errors lead to retries, missing answers to hedged requests.
         for executor in &stage.executors {
             executor.spoil([
                 Fault::Error,
@@ -128,13 +128,13 @@
         }
         let mut clients = tokio::task::JoinSet::new();
         for (process, to) in at.into_iter().enumerate() {
-            for (k, how) in HOW.into_iter().enumerate() {
-                let first = 1 + (round * 9 + process as u64 * 3 + k as u64) * EACH;
+            for (k, how) in DEPARTURES.into_iter().enumerate() {
+                let first = 1 + (round * 9 + process as u64 * 3 + k as u64) * CALLS_PER_CLIENT;
                 let stays = ms(15 + 7 * ((round + k as u64) % 6));
-                clients.spawn(async move { (process, leaves(to, first, how, stays).await) });
+                clients.spawn(async move { (process, run_leaving_client(to, first, how, stays).await) });
             }
         }
-        // One of them is stopped in each round, and what its clients say lies in its sockets meanwhile.
+        // One front end is stopped in each round, and the data of its clients stays in its sockets meanwhile.
         let pid = Pid::from_raw(pids[round as usize % 3] as i32).unwrap();
         tokio::time::sleep(ms(round % 4 * 5)).await;
         let stopped = Instant::now();
@@ -148,36 +148,40 @@
             if process as u64 == round % 3 {
                 left_meanwhile += list.iter().filter(meanwhile).count();
             }
-            asked[process].extend(list);
+            sent[process].extend(list);
         }
     }
-    // All time that any of the calls had.
+    // Wait until every call's deadline has passed.
     tokio::time::sleep(ms(LOOK + 200)).await;
     let seen: Vec<_> = stage.executors.iter().map(|e| (e.id, e.seen())).collect();
-    let all = asked.concat();
-    assert_eq!(all.len() as u64, ROUNDS * 9 * EACH);
+    let all = sent.concat();
+    assert_eq!(all.len() as u64, ROUNDS * 9 * CALLS_PER_CLIENT);
     let together = after_leaving(&all, &seen);
-    println!("over all: {together}; {} began after it at all", together.after);
-    for (n, list) in asked.iter().enumerate() {
+    println!("all front ends: {together}; {} attempts started after their client left", together.after);
+    for (n, list) in sent.iter().enumerate() {
         println!("front end {n}: {}", after_leaving(list, &seen));
     }
-    // Further attempts and hedged requests are among them.
+    // Retries and hedged requests are among them.
     let runs = |a: &SentRequest| {
         let each = seen.iter().flat_map(|(_, seen)| seen);
         each.filter(|s| matches!(&s.what, ExecutorRequest::Run { id, .. } if *id == a.id)).count()
     };
-    let again = all.iter().filter(|a| runs(a) > 1).count();
-    println!("{again} tried again, {left_meanwhile} left a process that did not run");
-    assert!(again >= 10 && left_meanwhile as u64 >= ROUNDS * EACH, "{again}, {left_meanwhile}");
+    let retried = all.iter().filter(|a| runs(a) > 1).count();
+    println!("{retried} calls were retried, {left_meanwhile} were left at a stopped process");
+    assert!(
+        retried >= 10 && left_meanwhile as u64 >= ROUNDS * CALLS_PER_CLIENT,
+        "{retried}, {left_meanwhile}"
+    );
     assert!(!together.is_break(), "{together}");
-    // The same capture with one late attempt more at each front end, which alone would see that one, is a break over all.
-    let lists = asked.each_ref().map(|list| &list[..]);
-    let late = doctored(&seen, &lists, ms(101));
+    // With one more late attempt at each front end, the same capture is a violation over all of them, although each
+    // alone would see only one.
+    let lists = sent.each_ref().map(|list| &list[..]);
+    let late = with_late_attempts(&seen, &lists, ms(101));
     for list in lists {
         assert_eq!(after_leaving(list, &late).late, after_leaving(list, &seen).late + 1);
     }
     assert!(after_leaving(&all, &late).is_break());
     assert_eq!(after_leaving(&all, &late).late, together.late + 3);
-    let on_its_way = doctored(&seen, &lists, ms(99));
-    assert_eq!(after_leaving(&all, &on_its_way).late, together.late);
+    let in_transit = with_late_attempts(&seen, &lists, ms(99));
+    assert_eq!(after_leaving(&all, &in_transit).late, together.late);
 }
--- a/crates/cli/tests/platform/versions.rs
+++ b/crates/cli/tests/platform/versions.rs
@@ -1,4 +1,4 @@
-//! New versions of a function on a quiet day: executors lose the copies that a front end believes in.
+//! A function gets a new version at low load: executors lose copies that a front end assumes to exist.
 
 use crate::stage::{ms, Stage, KEYS};
 use stagehoist_emulator::platform::{Answered, Client, Executor, ExecutorRequest};
@@ -8,11 +8,11 @@
 
 const OLD: &str = KEYS[0];
 const NEW: &str = "00000000000000aa";
-/// Attempts for a call at most, as the harness's settings tell.
-const MOST_TRIES: usize = 3;
+/// Maximum number of attempts per call, as in the settings of the test harness.
+const MAX_ATTEMPTS: usize = 3;
 
-/// The executor has the new version in place of the old from now on.
-async fn gets_new_version(executor: &Executor) {
+/// Replaces the old version by the new one on an executor.
+async fn replace_version(executor: &Executor) {
     let frees =
         |e: &Executor| e.seen().iter().filter(|s| matches!(s.what, ExecutorRequest::Free { .. })).count();
     let before = frees(executor);
@@ -30,7 +30,7 @@
     client.request(n, "look", &list, b"x").await.unwrap();
 }
 
-/// Calls one after another, so that each ends before the next is chosen.
+/// Sends calls one after another, so that each ends before the next one is assigned.
 async fn one_by_one(client: &mut Client, numbers: std::ops::Range<u64>, key: &str) -> Vec<Answered> {
     let before = client.answers().len();
     for n in numbers {
@@ -41,7 +41,8 @@
     client.answers().split_off(before)
 }
 
-/// Attempts of each call, and how often each executor said of each key that it lacks it beyond the orders to load it there.
+/// Returns the attempts of each call, and how often each executor reported each key as missing, minus the orders to
+/// load it there.
 fn attempts_and_misses(stage: &Stage) -> (BTreeMap<String, usize>, BTreeMap<(u32, String), i64>) {
     let (mut attempts, mut misses) = (BTreeMap::new(), BTreeMap::new());
     for executor in &stage.executors {
@@ -66,33 +67,36 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_belief_in_copies_of_an_old_version_ends_with_the_first_miss() {
+async fn assumed_copies_of_an_old_version_are_dropped_at_the_first_miss() {
     let stage = Stage::start(6, 256).await;
     let mut client = stage.client().await;
     let served = |answers: &[Answered]| answers.iter().filter(|a| a.word == "200").count();
-    // At once, so that it believes in the copies of several.
+    // Sent concurrently, so that the front end assumes copies at several executors.
     for n in 1..=24 {
         call(&mut client, n, OLD).await;
     }
     assert_eq!(served(&client.wait(24, ms(5000)).await), 24);
-    let (believed, others): (Vec<usize>, Vec<usize>) = (0..6).partition(|n| stage.runs(*n) > 0);
-    assert!(believed.len() >= 2 && !others.is_empty(), "{believed:?}");
+    let (with_copies, others): (Vec<usize>, Vec<usize>) = (0..6).partition(|n| stage.runs(*n) > 0);
+    assert!(with_copies.len() >= 2 && !others.is_empty(), "{with_copies:?}");
     let mut next = 100;
-    for (changed, last) in [(believed, false), (others, true)] {
+    for (changed, last) in [(with_copies, false), (others, true)] {
         for n in &changed {
-            gets_new_version(&stage.executors[*n]).await;
+            replace_version(&stage.executors[*n]).await;
         }
         let old = one_by_one(&mut client, next..next + 40, OLD).await;
         let new = one_by_one(&mut client, next + 40..next + 80, NEW).await;
         next += 100;
-        assert_eq!((old.len(), new.len()), (40, 40), "each is answered");
-        assert!(served(&new) >= 39, "{changed:?}: {} of the new one served", served(&new));
+        assert_eq!((old.len(), new.len()), (40, 40), "not every call is answered");
+        assert!(served(&new) >= 39, "{changed:?}: {} calls of the new version served", served(&new));
         if !last {
-            assert!(served(&old) >= 39, "{changed:?}: {} of the old one served", served(&old));
+            assert!(served(&old) >= 39, "{changed:?}: {} calls of the old version served", served(&old));
         }
         let (attempts, misses) = attempts_and_misses(&stage);
-        let most = attempts.values().max().unwrap();
-        assert!(*most <= MOST_TRIES, "{changed:?}: {most} attempts for a call");
-        assert!(misses.values().all(|n| *n <= 1), "{changed:?}: asked again where it was missed: {misses:?}");
+        let max = attempts.values().max().unwrap();
+        assert!(*max <= MAX_ATTEMPTS, "{changed:?}: {max} attempts for a call");
+        assert!(
+            misses.values().all(|n| *n <= 1),
+            "{changed:?}: sent again to an executor that reported a miss: {misses:?}"
+        );
     }
 }
--- a/crates/platform/tests/crossings/lines.rs
+++ b/crates/platform/tests/crossings/lines.rs
@@ -106,7 +106,7 @@
     );
     read(&mut conn, "0000000000000001 MISS - 0\r\n\r\n", 2 * MS, &mut inputs);
     assert!(outcomes(&inputs).is_empty());
-    assert!(run(&mut conn, 1), "the answer has arrived");
+    assert!(run(&mut conn, 1), "the id is not free after its answer arrived");
 }
 
 #[test]
