--- a/crates/gateway/src/amqp/commands.rs
+++ b/crates/gateway/src/amqp/commands.rs
@@ -1,4 +1,4 @@
-//! What driver and link tell each other.
+//! Messages between the driver and its AMQP link.
 
 use super::{Front, FrontCounters};
 use crate::shards::OwnedShards;
@@ -7,21 +7,21 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// What the driver says to its link.
+/// A command from the driver to its link.
 #[derive(Debug)]
 pub enum LinkCommand {
     Answer(Ticket, Answer),
-    /// The first endpoint list came.
+    /// The first endpoint list was received.
     EndpointsReady,
-    /// Own shards changed.
+    /// The shards that this front end owns changed.
     ServeShards(Rc<[OwnedShards]>),
-    /// Take no more messages.
+    /// Stop consuming; deliveries already received are still answered.
     Drain,
 }
 
 impl LinkCommand {
-    /// Tells the front; gives whether it is to drain.
-    pub(super) fn take(self, front: &mut Front, now: Micros) -> bool {
+    /// Applies the command to the front; returns whether the front has to drain.
+    pub(super) fn apply(self, front: &mut Front, now: Micros) -> bool {
         match self {
             LinkCommand::Answer(ticket, answer) => front.answer(ticket, answer, now),
             LinkCommand::EndpointsReady => front.on_endpoints_ready(now),
@@ -32,11 +32,11 @@
     }
 }
 
-/// What a link shows of itself.
+/// The state that a link publishes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LinkState {
     pub ready: bool,
-    /// All stands, but nothing is consumed before the first endpoint list.
+    /// The channel is open, but consuming waits for the first endpoint list.
     pub awaits_endpoints: bool,
     pub drained: bool,
     pub at_work: usize,
--- a/crates/gateway/src/amqp/front/consuming.rs
+++ b/crates/gateway/src/amqp/front/consuming.rs
@@ -1,10 +1,10 @@
-//! The channel: opened, consuming, asked about its queues, and left.
+//! The channel: opening it, consuming, requesting queue depths, and handling its end.
 
 use super::queues::QueueState;
 use super::*;
 
 impl Front {
-    /// The socket holds nothing more: where the broker may send, its queues are empty.
+    /// The socket is drained: if the broker may send more, its queues are empty.
     pub fn on_socket_drained(&mut self, now: Micros) {
         if self.phase != Phase::Ready
             || self.window.as_ref().is_some_and(|w| !w.is_open(self.acks.outstanding()))
@@ -12,21 +12,21 @@
             return;
         }
         for (age, queue) in self.ages.iter_mut().zip(&self.queues) {
-            if queue.from.prefetch.is_none_or(|most| self.acks.outstanding() < usize::from(most)) {
+            if queue.from.prefetch.is_none_or(|prefetch| self.acks.outstanding() < usize::from(prefetch)) {
                 age.dry(now);
             }
         }
     }
 
-    /// Asks for the depth of queues that were not seen empty for a while, and for a window that stands open.
+    /// Requests the depth of queues that have not been seen empty for a while, and adjusts the prefetch window.
     pub(super) fn check_queues(&mut self, now: Micros) {
         if self.phase != Phase::Ready || self.draining {
             return;
         }
-        if now - self.depth_requested_at >= CHECK_INTERVAL {
+        if now - self.depth_requested_at >= DEPTH_REQUEST_INTERVAL {
             self.depth_requested_at = now;
             for index in self.consumed().collect::<Vec<_>>() {
-                if self.ages[index].is_unsure(now, CHECK_INTERVAL) {
+                if self.ages[index].is_unsure(now, DEPTH_REQUEST_INTERVAL) {
                     self.declare(index, true, false);
                 }
             }
@@ -41,7 +41,7 @@
         self.basic(basic::AMQPMethod::Qos(basic::Qos { prefetch_count, global }));
     }
 
-    /// Time passes: heartbeats, channels opened again, confirms that don't come.
+    /// Handles due timers: heartbeats, reopening the channel, consuming again, and missing confirms.
     pub fn tick(&mut self, now: Micros) {
         if let Some(client) = self.client.as_mut() {
             client.tick(now);
@@ -49,7 +49,7 @@
         if matches!(self.phase, Phase::Waiting(at) if at <= now) {
             self.open_channel();
         }
-        if self.endpoints_due().is_some_and(|by| by <= now) {
+        if self.endpoints_due().is_some_and(|deadline| deadline <= now) {
             self.consume_without_endpoints(now);
         }
         let due: Vec<usize> = self.retry_at.iter().filter(|(_, at)| **at <= now).map(|(i, _)| *i).collect();
@@ -60,22 +60,25 @@
         self.check_queues(now);
         self.expire_inquiries(now);
         if self.confirm_due().is_some_and(|at| now >= at) {
-            // What is known of each reply stays until the connection is lost: those held back never left.
-            tracing::warn!("the broker confirms no replies; connection abandoned");
+            // The state of each reply stays until the connection is lost: replies that flow control held back were
+            // never sent.
+            tracing::warn!("broker did not confirm replies in time; abandoning the connection");
             if let Some(client) = self.client.as_mut() {
                 client.close(200, "no confirms in time");
             }
         }
-        self.events(now);
+        self.process_events(now);
     }
 
-    /// Bytes came. `blind` is how long this process may have been unable to read them, in microseconds.
+    /// Handles received bytes. `stopped_for` is how long this process may have been unable to read them, in
+    /// microseconds.
     ///
-    /// What it was sent meanwhile may come in many parts. The answer to a question about a queue comes after all of them.
-    pub fn receive(&mut self, bytes: &[u8], now: Micros, blind: Micros) {
-        if blind > 0 && self.phase == Phase::Ready {
+    /// Messages sent during that time may arrive in several reads. The broker's answer to a depth request arrives
+    /// after all of them.
+    pub fn receive(&mut self, bytes: &[u8], now: Micros, stopped_for: Micros) {
+        if stopped_for > 0 && self.phase == Phase::Ready {
             if !self.ages.iter().any(Age::is_doubted) {
-                self.blind_from = now - blind;
+                self.stopped_from = now - stopped_for;
             }
             self.depth_requested_at = now;
             for index in self.consumed().collect::<Vec<_>>() {
@@ -86,30 +89,32 @@
         if let Some(client) = self.client.as_mut() {
             client.receive(bytes, now);
         }
-        self.events(now);
+        self.process_events(now);
         self.check_queues(now);
     }
 
-    pub(super) fn events(&mut self, now: Micros) {
+    pub(super) fn process_events(&mut self, now: Micros) {
         while let Some(event) = self.client.as_mut().and_then(Client::event) {
             match event {
                 ClientEvent::Open => self.open_channel(),
-                ClientEvent::Method(_, method) => self.take_method(method, now),
-                ClientEvent::Delivered(_, message) => self.take_delivery(*message, now),
+                ClientEvent::Method(_, method) => self.on_method(method, now),
+                ClientEvent::Delivered(_, message) => self.on_delivery(*message, now),
                 ClientEvent::Returned(_, message) => {
                     self.counters.unroutable += 1;
                     let correlation =
                         message.properties.correlation_id().as_ref().map(|c| c.as_str().to_string());
-                    tracing::warn!(correlation, "reply queue is gone; the answer can't be delivered");
+                    tracing::warn!(correlation, "reply queue does not exist; answer not delivered");
                 }
-                ClientEvent::Confirmed { seq, ok, .. } => self.take_confirm(seq, ok, now),
+                ClientEvent::Confirmed { seq, ok, .. } => self.on_confirm(seq, ok, now),
                 ClientEvent::ChannelClosed { code, text, .. } => {
                     tracing::warn!(code, text, "channel closed by the broker");
                     self.counters.channels_lost += 1;
-                    self.leave_channel();
+                    self.abandon_channel();
                     self.phase = Phase::Waiting(now + self.backoff.next_pause());
                 }
-                ClientEvent::Blocked(blocked) => tracing::warn!(blocked, "broker takes no replies for now"),
+                ClientEvent::Blocked(blocked) => {
+                    tracing::warn!(blocked, "broker blocked or unblocked publishing")
+                }
                 ClientEvent::Closed { code, text } => tracing::info!(code, text, "connection closed"),
                 ClientEvent::Failed(fault) => tracing::warn!(%fault, "connection failed"),
             }
@@ -135,7 +140,7 @@
         self.send(AMQPClass::Basic(method));
     }
 
-    pub(super) fn take_method(&mut self, method: AMQPClass, now: Micros) {
+    pub(super) fn on_method(&mut self, method: AMQPClass, now: Micros) {
         match method {
             AMQPClass::Channel(channel::AMQPMethod::OpenOk(_)) => {
                 if self.config.transactions {
@@ -154,10 +159,10 @@
             }
             AMQPClass::Queue(queue::AMQPMethod::DeclareOk(ok)) => {
                 let index = self.queues.iter().position(|q| q.from.queue == ok.queue.as_str());
-                // Before its consumer stands, this one is not among those told.
-                let own = u64::from(index.is_none_or(|i| !self.consuming.contains(&i)));
+                // The broker does not count a consumer of this front that has not been confirmed yet.
+                let starting = u64::from(index.is_none_or(|i| !self.consuming.contains(&i)));
                 if let Some(age) = index.and_then(|i| self.ages.get_mut(i)) {
-                    age.depth(u64::from(ok.message_count), u64::from(ok.consumer_count) + own, now);
+                    age.depth(u64::from(ok.message_count), u64::from(ok.consumer_count) + starting, now);
                 }
             }
             AMQPClass::Tx(tx::AMQPMethod::CommitOk(_)) => {
@@ -175,14 +180,14 @@
                 }
             }
             AMQPClass::Basic(basic::AMQPMethod::Cancel(cancel)) => {
-                // The queue went away under us; it may be declared again.
+                // The queue was deleted; it may be declared again.
                 tracing::warn!(consumer = cancel.consumer_tag.as_str(), "consumer cancelled by the broker");
                 let index = self.queue_of(cancel.consumer_tag.as_str());
                 if let Some(index) = index {
                     self.on_cancelled(index);
                     self.consuming.remove(&index);
                 }
-                let consumed = |i: &usize| self.queues[*i].hold == QueueState::Consumed;
+                let consumed = |i: &usize| self.queues[*i].state == QueueState::Consumed;
                 if let Some(index) = index.filter(|i| !self.draining && consumed(i)) {
                     let pause = self.backoff.next_pause();
                     self.retry_at.insert(index, now + pause);
@@ -192,16 +197,20 @@
         }
     }
 
-    pub(super) fn tag(&self, index: usize) -> String {
-        format!("{TAG}{index}")
+    pub(super) fn consumer_tag(&self, index: usize) -> String {
+        format!("{CONSUMER_TAG_PREFIX}{index}")
     }
 
-    /// The place of the queue whose consumer has this tag.
-    pub(super) fn queue_of(&self, tag: &str) -> Option<usize> {
-        tag.strip_prefix(TAG)?.parse().ok().filter(|index| *index < self.queues.len())
+    /// Returns the index of the queue whose consumer has this tag.
+    pub(super) fn queue_of(&self, consumer_tag: &str) -> Option<usize> {
+        consumer_tag
+            .strip_prefix(CONSUMER_TAG_PREFIX)?
+            .parse()
+            .ok()
+            .filter(|index| *index < self.queues.len())
     }
 
-    /// Declares a queue, or only asks for its depth.
+    /// Declares a queue, or only requests its depth if `passive` is set.
     pub(super) fn declare(&mut self, index: usize, passive: bool, durable: bool) {
         let declare =
             queue::Declare { passive, durable, ..stagehoist_amqp::declare(&self.queues[index].from.queue) };
@@ -213,7 +222,7 @@
         self.depth_requested_at = now;
         self.declare(index, from.declare.is_none(), from.declare.unwrap_or(false));
         self.qos(from.prefetch.unwrap_or(0), false);
-        let consume = stagehoist_amqp::consume(&from.queue, &self.tag(index));
+        let consume = stagehoist_amqp::consume(&from.queue, &self.consumer_tag(index));
         self.basic(basic::AMQPMethod::Consume(consume));
     }
 }
--- a/crates/gateway/src/amqp/front/counters.rs
+++ b/crates/gateway/src/amqp/front/counters.rs
@@ -1,18 +1,18 @@
-//! What a front counts.
+//! Counters of a front.
 
-/// What a front has done, for metrics and tests.
+/// Event counts of a front, for metrics and tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FrontCounters {
     pub delivered: u64,
     pub redelivered: u64,
     pub rejected: u64,
     pub answered_unusable: u64,
-    /// Refused at intake: the bounds on held calls or bytes are reached.
+    /// Messages refused at intake, as the maximum of held calls or bytes was reached.
     pub rejected_at_intake: u64,
-    /// Changes of the window that the broker was asked for.
+    /// Changes of the prefetch window requested from the broker.
     pub windows: u64,
     pub replies: u64,
-    /// Acknowledgements sent; one may stand for many messages.
+    /// Acknowledgements sent; one may cover several messages.
     pub acks: u64,
     pub confirmed: u64,
     pub unroutable: u64,
@@ -20,13 +20,15 @@
     pub joined: u64,
     pub withheld: u64,
     pub failed_unknown: u64,
-    /// Delivered again, not known here, and asked about; and those of them that ran by the word of all intents.
+    /// Redelivered messages that were unknown here and for which members were asked; `run_by_intents` counts those
+    /// that ran because no member had sent them.
     pub inquired: u64,
     pub run_by_intents: u64,
-    /// Taken for a function that is leaving own shards, and refused for one of others.
+    /// Calls accepted for a function that is leaving the owned shards; `other_shard` counts calls refused because
+    /// their function belongs to another front end's shards.
     pub leaving_shard: u64,
     pub other_shard: u64,
-    /// Not taken, as their shard had gone when they came: given back to their queues.
+    /// Messages returned to their queues, because this front end no longer had their shard when they arrived.
     pub given_back: u64,
     pub connections_lost: u64,
     pub channels_lost: u64,
--- a/crates/gateway/src/amqp/front/deliveries.rs
+++ b/crates/gateway/src/amqp/front/deliveries.rs
@@ -1,4 +1,4 @@
-//! Deliveries: what is read of one, whether it was delivered before, and whether it becomes a call.
+//! Handles deliveries: parses them, detects redelivered messages, and decides which become calls.
 
 use super::queues::QueueState;
 use super::*;
@@ -6,28 +6,28 @@
 use bytes::Bytes;
 use stagehoist_sharding::FunctionPlacement;
 
-/// The reason of a call that came over the queue of a shard that is not its function's.
+/// Reason of the refusal of a call that arrived on the queue of a shard to which its function does not belong.
 const OTHER_SHARD: &str = "other-shard";
 
 impl Front {
     pub(super) fn reject(&mut self, tag: u64) {
         self.counters.rejected += 1;
         self.acks.remove(tag);
-        self.open.1 |= self.config.transactions;
+        self.transaction.1 |= self.config.transactions;
         self.basic(basic::AMQPMethod::Reject(basic::Reject { delivery_tag: tag, requeue: false }));
     }
 
     pub(super) fn ack(&mut self, tag: u64) {
-        self.open.1 |= self.config.transactions;
+        self.transaction.1 |= self.config.transactions;
         self.acks.acknowledge(tag);
     }
 
-    pub(super) fn take_delivery(&mut self, message: Message, now: Micros) {
+    pub(super) fn on_delivery(&mut self, message: Message, now: Micros) {
         let Message { method, properties, body, size } = message;
         let AMQPClass::Basic(basic::AMQPMethod::Deliver(deliver)) = method else { return };
         self.count_delivery(&deliver);
         let queue = self.queue_of(deliver.consumer_tag.as_str()).unwrap_or(0);
-        if self.queues.get(queue).is_some_and(|q| q.hold == QueueState::Released) {
+        if self.queues.get(queue).is_some_and(|q| q.state == QueueState::Released) {
             return self.return_delivery(deliver.delivery_tag);
         }
         let waited = self.waited(queue, &properties, deliver.redelivered, now);
@@ -37,7 +37,7 @@
         if reply_to.is_empty() {
             let key = deliver.routing_key.as_str();
             let reason = "no-reply-to";
-            tracing::warn!(correlation, message_id, key, reason, "rejected to the dead letters");
+            tracing::warn!(correlation, message_id, key, reason, "message rejected and dead-lettered");
             return self.reject(deliver.delivery_tag);
         }
         let key = Key::new(&reply_to, &correlation, &message_id);
@@ -72,7 +72,7 @@
             configured,
             effect,
         };
-        // One that can't be accepted is remembered too: its rejection is not given twice.
+        // A delivery that can't be accepted is recorded too, so that a redelivery does not get a second refusal.
         let verdict = self.memory.on_delivery(key.as_ref(), deliver.redelivered, effect, ticket, now);
         self.on_verdict(verdict, received, delivery, now);
     }
@@ -85,7 +85,7 @@
         }
     }
 
-    /// How long a message waited at the broker, as far as is known.
+    /// Returns how long a message waited at the broker, as far as it is known.
     fn waited(
         &mut self,
         queue: usize,
@@ -96,12 +96,12 @@
         let stamp = stamp(properties);
         let waited = self.ages.get_mut(queue).map_or(0, |age| age.taken(stamp, redelivered, now));
         if stamp.is_none() && self.ages.get(queue).is_some_and(Age::is_doubted) {
-            return waited.max(now - self.blind_from);
+            return waited.max(now - self.stopped_from);
         }
         waited
     }
 
-    /// Whether the call may be repeated, by its function's class.
+    /// Returns whether the call is idempotent, by its function's class.
     fn effect(
         &self,
         request: &Result<CallRequest, Unusable>,
@@ -110,7 +110,8 @@
         routing_key: &str,
     ) -> Effect {
         let configured = match request {
-            // It may have run in time where it was before: that it is too late now does not tell that it did not.
+            // An earlier recipient may have run it in time: that it is too late now does not prove that it has not
+            // run.
             Err(Unusable::TooLate) => Reader::function(properties, routing_key)
                 .ok()
                 .and_then(|name| FunctionProperties::configured(&self.config, &name)),
@@ -138,15 +139,19 @@
             }
             Verdict::Resend(answer) => {
                 self.counters.from_memory += 1;
-                let is_elsewhere = answer.reason() == OTHER_SHARD;
-                let home = is_elsewhere.then(|| self.home_of(&received)).flatten();
+                let is_other_shard = answer.reason() == OTHER_SHARD;
+                let home = is_other_shard.then(|| self.home_of(&received)).flatten();
                 self.deliveries.insert(ticket, Delivery { answer: Some(answer), home, ..delivery });
                 self.publish(ticket, now);
             }
             Verdict::Settle { doubtful } => {
                 self.counters.withheld += u64::from(doubtful);
                 let correlation = &*delivery.correlation;
-                tracing::info!(correlation, doubtful, "delivered again after its reply left");
+                tracing::info!(
+                    correlation,
+                    doubtful,
+                    "redelivered message acknowledged: its reply was already published"
+                );
                 self.ack(delivery.tag);
             }
             Verdict::Fail => {
@@ -162,8 +167,8 @@
         }
     }
 
-    /// Makes a call of a delivery, or answers why not. `may_have_run`: others are to be asked whether it ran; what its
-    /// caller has to know is then that it may have.
+    /// Turns a delivery into a call, or answers it with the reason for which it is refused. If `may_have_run` is set,
+    /// the members are asked first whether the call ran, and a failure tells the caller that it may have run.
     fn accept(&mut self, received: Received<'_>, delivery: Delivery, may_have_run: bool, now: Micros) {
         let ticket = received.ticket;
         let (correlation, key) = (delivery.correlation.clone(), delivery.key.clone());
@@ -193,10 +198,11 @@
             properties: configured.map(|(function, _)| function),
             tenant: request.tenant,
             budget: configured.map_or(request.budget, |(_, give_up)| request.budget.min(give_up)),
-            // The driver may come to it later, after a stop above all; its time runs from here.
+            // The driver may process the call later, particularly after this process was stopped; the budget counts
+            // from this time.
             read_at: now,
             is_repeat: received.redelivered,
-            // Whoever may publish to the queue is a caller.
+            // The broker authenticates publishers: everyone who may publish to the queue may call.
             client_verified: true,
             body: received.body,
             content_type,
@@ -211,7 +217,8 @@
         }
     }
 
-    /// Why a delivery can't become a call; `None` where it can. Counted and logged where its caller is to know.
+    /// Returns the refusal of a delivery that can't become a call, else `None`. It is counted and logged unless the
+    /// call may have run, as the caller then gets another answer.
     fn rejection(
         &mut self,
         received: &Received<'_>,
@@ -224,7 +231,7 @@
                 let reason = unusable.reason();
                 if !may_have_run {
                     self.counters.answered_unusable += 1;
-                    tracing::info!(correlation, reason, wrong = %unusable, "not taken");
+                    tracing::info!(correlation, reason, wrong = %unusable, "message refused: not a valid call");
                 }
                 return Some(Answer::Refused { reason, retry_after: 0 });
             }
@@ -233,29 +240,34 @@
             let retry_after = self.config.retry_after_most;
             return Some(Answer::Refused { reason: "marks-not-ready", retry_after });
         }
-        let place = self.places.as_ref().map(|places| places.over(received.queue, &request.function));
-        if !matches!(place, Some(FunctionPlacement::Elsewhere(_))) {
-            self.counters.leaving_shard += u64::from(place == Some(FunctionPlacement::Leaving));
+        let placement = self.places.as_ref().map(|places| places.over(received.queue, &request.function));
+        if !matches!(placement, Some(FunctionPlacement::Elsewhere(_))) {
+            self.counters.leaving_shard += u64::from(placement == Some(FunctionPlacement::Leaving));
             return None;
         }
         if !may_have_run {
             self.counters.other_shard += 1;
             let home = self.home_of(received);
             self.deliveries.entry(received.ticket).and_modify(|delivery| delivery.home = home);
-            tracing::info!(correlation, ?home, reason = OTHER_SHARD, "not taken");
+            tracing::info!(
+                correlation,
+                ?home,
+                reason = OTHER_SHARD,
+                "message refused: function belongs to another shard"
+            );
         }
         Some(Answer::Refused { reason: OTHER_SHARD, retry_after: 0 })
     }
 
-    /// Generation and shard that a message should have been sent to.
+    /// Returns the generation and shard that a message should have been sent to.
     fn home_of(&self, received: &Received<'_>) -> Option<(u32, Shard)> {
         let function = Reader::function(&received.properties, received.routing_key).ok()?;
-        // Calls of a function that is spread over shards are sent to each of them in turn.
+        // A function that is spread over several shards gets its calls in each of them in turn.
         self.places.as_ref()?.home(received.queue, &function, received.ticket)
     }
 }
 
-/// A delivery as far as it was read.
+/// A parsed delivery.
 struct Received<'a> {
     /// Index of its queue.
     queue: usize,
@@ -264,10 +276,10 @@
     routing_key: &'a str,
     properties: BasicProperties,
     body: Bytes,
-    /// Size of the body, also where that was left out.
+    /// Size of the body, also if the body was too large to be kept.
     size: u64,
     request: Result<CallRequest, Unusable>,
-    /// What is configured of its function, with its class's time until callers time out.
+    /// The configured properties of its function, with the time after which callers of its class give up.
     configured: Option<(FunctionProperties, Micros)>,
     effect: Effect,
 }
--- a/crates/gateway/src/amqp/front/drain.rs
+++ b/crates/gateway/src/amqp/front/drain.rs
@@ -1,9 +1,9 @@
-//! The drain, and the connection's end in order.
+//! Draining, and closing the connection in order.
 
 use super::*;
 
 impl Front {
-    /// Take no more messages; what was delivered is answered.
+    /// Stops consuming; deliveries already received are answered.
     pub fn drain(&mut self) {
         if std::mem::replace(&mut self.draining, true) {
             return;
@@ -15,16 +15,15 @@
         consumed.into_iter().for_each(|index| self.cancel(index));
     }
 
-    /// Whether all that was delivered is answered and acknowledged, and nothing more is on its way, after
-    /// [`Front::drain`].
+    /// Returns whether, after [`Front::drain`], all deliveries are answered and acknowledged, and no more can arrive.
     ///
-    /// What is still under way when the connection ends comes to others as delivered before, and fails there if it
-    /// is not idempotent.
+    /// A message that is still unacknowledged when the connection ends is redelivered to another front end, and fails
+    /// there if it is not idempotent.
     pub fn is_drained(&self) -> bool {
-        self.draining && self.stopping.is_empty() && self.unacknowledged() == 0
+        self.draining && self.cancelling.is_empty() && self.unacknowledged() == 0
     }
 
-    /// Ends the connection in order.
+    /// Closes the connection in order.
     pub fn close(&mut self, now: Micros) {
         self.flush(now);
         if let Some(client) = self.client.as_mut() {
--- a/crates/gateway/src/amqp/front/inquiries.rs
+++ b/crates/gateway/src/amqp/front/inquiries.rs
@@ -1,21 +1,23 @@
-//! Messages delivered again of which nothing is known here: they wait while whoever may have held them is asked.
+//! Redelivered messages that are unknown here: they wait while the members that may have received them before are
+//! asked.
 
 use super::*;
 use stagehoist_recovery::inquiry::{AttemptKnowledge, Inquiries, InquiryLimits, Outcome};
 use stagehoist_recovery::Identity;
 
-/// A question to one who may have held a message: the number of the answer, the message, who is asked.
+/// A question to a member that may have received a message: the ticket for the answer, the message's identity, and
+/// the member.
 pub type Question = (Ticket, Identity, Rc<str>);
 
-/// What a front with intents keeps.
+/// The inquiry state of a front that records intents.
 pub(super) struct PendingInquiries {
-    /// Who may have held a message that comes again: this member, by its intents, and others.
+    /// Members that may have received a redelivered message before: this front end, by its intent log, and others.
     members: Vec<Rc<str>>,
     inquiries: Inquiries<Rc<str>>,
     waiting: HashMap<Ticket, (Micros, Arrival)>,
     questions: Vec<Question>,
-    /// This run is known to those who may be asked about it. Until then nothing is taken that is not idempotent:
-    /// nobody could ask here what became of it.
+    /// Whether the members that may be asked about this run know it. Until then non-idempotent calls are refused,
+    /// because nobody could find out later what became of them.
     known: bool,
 }
 
@@ -26,8 +28,9 @@
 }
 
 impl Front {
-    /// From now on attempts are recorded on disk, and messages delivered again of which nothing is known wait for the word of
-    /// these members, this one's intents among them. Questions are to be asked from [`Front::take_questions`].
+    /// Enables inquiries: attempts are recorded on disk, and redelivered messages that are unknown here wait for the
+    /// answers of these members, which include this front end's own intent log. Questions are returned by
+    /// [`Front::take_questions`].
     pub fn set_inquiry(&mut self, members: Vec<Rc<str>>, patience: InquiryLimits) {
         self.memory.inquires(true);
         let inquiries = Inquiries::new(patience);
@@ -35,17 +38,17 @@
         self.inquiries = Some(PendingInquiries { members, inquiries, waiting, questions, known: true });
     }
 
-    /// Others are to be asked from now on.
+    /// Replaces the members to be asked.
     pub fn set_members(&mut self, members: Vec<Rc<str>>) {
-        if let Some(asking) = self.inquiries.as_mut() {
-            asking.members = members;
+        if let Some(pending) = self.inquiries.as_mut() {
+            pending.members = members;
         }
     }
 
-    /// Whether this run is known to others who may ask it.
+    /// Sets whether the members that may be asked about this run know it.
     pub fn set_known(&mut self, known: bool) {
-        if let Some(asking) = self.inquiries.as_mut() {
-            asking.known = known;
+        if let Some(pending) = self.inquiries.as_mut() {
+            pending.known = known;
         }
     }
 
@@ -53,41 +56,45 @@
         self.inquiries.as_ref().is_some_and(|a| !a.known)
     }
 
-    /// What a message that is asked about is known by.
+    /// Returns the key of a message that an inquiry is about.
     pub fn key_of(&self, ticket: Ticket) -> Option<&Key> {
         self.deliveries.get(&ticket)?.key.as_ref()
     }
 
-    /// Another member asks; see [`DeliveryCache::combine`].
+    /// Answers another member's question; see [`DeliveryCache::combine`].
     pub fn on_peer_inquiry(&mut self, key: &Key, marks: AttemptKnowledge, now: Micros) -> AttemptKnowledge {
         self.memory.combine(key, marks, now)
     }
 
-    /// Questions to be asked now; few and seldom, beside a restart none.
+    /// Returns the questions to be sent now. There are few, and only after a restart of some front end.
     pub fn take_questions(&mut self) -> Vec<Question> {
         self.inquiries.as_mut().map(|a| std::mem::take(&mut a.questions)).unwrap_or_default()
     }
 
     pub(super) fn inquire(&mut self, arrival: Arrival, now: Micros) {
         let ticket = arrival.ticket;
-        let Some((asking, identity)) = self.inquiries.as_mut().zip(arrival.identity) else {
+        let Some((pending, identity)) = self.inquiries.as_mut().zip(arrival.identity) else {
             return self.fail_unknown(ticket, now);
         };
         self.counters.inquired += 1;
-        match asking.inquiries.start(ticket, identity, asking.members.clone(), arrival.budget, now) {
+        match pending.inquiries.start(ticket, identity, pending.members.clone(), arrival.budget, now) {
             Ok(()) => {
-                let questions = asking.members.iter().map(|m| (ticket, identity, m.clone()));
-                asking.questions.extend(questions);
-                asking.waiting.insert(ticket, (now, arrival));
+                let questions = pending.members.iter().map(|m| (ticket, identity, m.clone()));
+                pending.questions.extend(questions);
+                pending.waiting.insert(ticket, (now, arrival));
             }
             Err(why) => {
-                tracing::info!(correlation = &*arrival.correlation, ?why, "not asked about");
+                tracing::info!(
+                    correlation = &*arrival.correlation,
+                    ?why,
+                    "redelivered message failed: members can't be asked about it"
+                );
                 self.fail_unknown(ticket, now);
             }
         }
     }
 
-    /// A member answered; None: it could not be asked.
+    /// Handles a member's answer; `None` if the member could not be asked.
     pub fn on_inquiry_answer(
         &mut self,
         ticket: Ticket,
@@ -96,36 +103,45 @@
         now: Micros,
     ) {
         let told = told.unwrap_or(AttemptKnowledge::NotKnown);
-        let Some(asking) = self.inquiries.as_mut() else { return };
-        match asking.inquiries.on_answer(ticket, member, told) {
+        let Some(pending) = self.inquiries.as_mut() else { return };
+        match pending.inquiries.on_answer(ticket, member, told) {
             None => {}
             Some(Outcome::Fail) => {
-                tracing::info!(ticket, ?told, member = &**member, "asked about; it may have run");
+                tracing::info!(
+                    ticket,
+                    ?told,
+                    member = &**member,
+                    "redelivered message failed: it may have run"
+                );
                 self.fail_unknown(ticket, now);
             }
             Some(Outcome::Run) => {
-                let Some((since, arrival)) = asking.waiting.remove(&ticket) else { return };
+                let Some((since, arrival)) = pending.waiting.remove(&ticket) else { return };
                 self.counters.run_by_intents += 1;
-                tracing::info!(ticket, waited_us = now - since, "asked about; it runs");
-                // What it waited is gone from its time, which runs from here on.
+                tracing::info!(
+                    ticket,
+                    waited_us = now - since,
+                    "redelivered message runs: no member has sent it"
+                );
+                // The time spent waiting is deducted from its budget, which counts from now on.
                 let budget = arrival.budget - (now - since);
                 self.arrivals.push(Arrival { budget, read_at: now, ..arrival });
             }
         }
     }
 
-    /// Questions whose time is over.
+    /// Fails the calls whose inquiries have timed out.
     pub(super) fn expire_inquiries(&mut self, now: Micros) {
-        let over = self.inquiries.as_mut().map(|a| a.inquiries.take_expired(now)).unwrap_or_default();
-        for ticket in over {
-            tracing::info!(ticket, "asked about; not all have said in time");
+        let expired = self.inquiries.as_mut().map(|a| a.inquiries.take_expired(now)).unwrap_or_default();
+        for ticket in expired {
+            tracing::info!(ticket, "redelivered message failed: not all members answered in time");
             self.fail_unknown(ticket, now);
         }
     }
 
     pub(super) fn fail_unknown(&mut self, ticket: Ticket, now: Micros) {
-        if let Some(asking) = self.inquiries.as_mut() {
-            asking.waiting.remove(&ticket);
+        if let Some(pending) = self.inquiries.as_mut() {
+            pending.waiting.remove(&ticket);
         }
         self.counters.failed_unknown += 1;
         self.answer(ticket, Answer::Failed { reason: "delivered-before" }, now);
--- a/crates/gateway/src/amqp/front/mod.rs
+++ b/crates/gateway/src/amqp/front/mod.rs
@@ -1,6 +1,6 @@
-//! One front end's side of its broker, without I/O: deliveries become calls, answers become replies, and a delivery is
-//! acknowledged only once its reply is confirmed or known to be impossible. What a lost connection leaves behind is kept:
-//! calls in progress go on, and their messages are answered from memory when they are delivered again.
+//! The AMQP state machine of one front end, without I/O. Deliveries become calls and answers become replies. A
+//! delivery is acknowledged only once its reply is confirmed or known to be unroutable. State survives a lost
+//! connection: calls in progress continue, and when their messages are redelivered they are answered from memory.
 
 mod consuming;
 mod counters;
@@ -28,38 +28,38 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Times that a reply is published again after the broker said it can't take it (`basic.nack`).
-const MAX_NACKS: u32 = 3;
-/// Begins the tags of this front's consumers.
-const TAG: &str = "stagehoist-";
-/// How often the depth of a queue is asked for while it was not seen empty.
-const CHECK_INTERVAL: Micros = 250_000;
+/// Maximum number of times that a reply is published again after the broker rejected it with `basic.nack`.
+const MAX_NACKS_PER_REPLY: u32 = 3;
+/// Prefix of the consumer tags of this front.
+const CONSUMER_TAG_PREFIX: &str = "stagehoist-";
+/// Interval at which the depth of a queue is requested while the queue has not been seen empty.
+const DEPTH_REQUEST_INTERVAL: Micros = 250_000;
 
 struct Delivery {
-    /// Which connection and channel it came on; its tag means something there only.
+    /// Identifies the connection and channel of the delivery; the delivery tag is valid only there.
     generation: u64,
     tag: u64,
     reply_to: Rc<str>,
     correlation: Rc<str>,
     key: Option<Key>,
     answer: Option<Answer>,
-    /// Number of its reply on the channel, and when it was published.
+    /// Sequence number of its reply on the channel, and when the reply was published.
     published: Option<(u64, Micros)>,
     nacks: u32,
-    /// Its room among the held calls.
+    /// The capacity that the call holds at intake.
     held: Option<Held>,
-    /// Generation and shard that it should have been sent to, where it is refused for that.
+    /// Generation and shard that it should have been sent to, if it is refused because it belongs to another shard.
     home: Option<(u32, Shard)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// No connection.
+    /// There is no connection.
     Disconnected,
     Opening,
     /// The channel is to be opened (again) at this time.
     Waiting(Micros),
-    /// The channel stands; consumes once the first endpoint list came.
+    /// The channel is open; consuming starts once the first endpoint list is received.
     Awaiting,
     Setup,
     Ready,
@@ -70,52 +70,52 @@
     config: Rc<Config>,
     reader: Reader,
     memory: DeliveryCache<Answer>,
-    /// Where attempts are recorded on disk.
+    /// Set if attempts are recorded on disk.
     inquiries: Option<inquiries::PendingInquiries>,
     backoff: Backoff,
     client: Option<Client>,
     phase: Phase,
     channel: u16,
     generation: u64,
-    /// Its channel stands.
+    /// The channel is open.
     is_open: bool,
     queues: Vec<Queue>,
-    /// Queues whose consumer the broker has said to stand.
+    /// Queues whose consumer the broker has confirmed.
     consuming: BTreeSet<usize>,
-    /// Queues whose consumer the broker cancelled, and when to consume again.
+    /// Queues whose consumer the broker cancelled, and when to consume them again.
     retry_at: BTreeMap<usize, Micros>,
     deliveries: HashMap<Ticket, Delivery>,
     replies: BTreeMap<u64, Ticket>,
-    /// In transactions: replies of the one that is open, whether it holds anything, and those being committed.
-    open: (Vec<Ticket>, bool),
+    /// With transactions: the replies of the open transaction, and whether it contains anything.
+    transaction: (Vec<Ticket>, bool),
     committing: VecDeque<(Micros, Vec<Ticket>)>,
     next_ticket: Ticket,
     arrivals: Vec<Arrival>,
     draining: bool,
-    /// Until when the first endpoint list is awaited; None: no more, or not at all.
-    list_by: Option<Micros>,
-    /// Queues whose consumer was ordered to stop and has not said so, as often as it was reported: deliveries of it may be on
-    /// their way.
-    stopping: Vec<usize>,
-    /// Deliveries of the present channel; their acknowledgements go out together, with the next replies.
+    /// Deadline of the wait for the first endpoint list; `None` if there is no wait, or it has ended.
+    endpoints_deadline: Option<Micros>,
+    /// Queues whose consumer is being cancelled, once for each `basic.cancel` that the broker has not answered:
+    /// deliveries of such a consumer may still arrive.
+    cancelling: Vec<usize>,
+    /// Deliveries of the current channel. Their acknowledgements are sent together, with the next replies.
     acks: Acks,
-    /// Of the present channel, where a queue is consumed without a told prefetch.
+    /// Prefetch window of the current channel, if a queue is consumed without a configured prefetch.
     window: Option<Window>,
     ages: Vec<Age>,
     depth_requested_at: Micros,
-    /// This process did not run from then on; ends for a queue once the broker answered a question about it.
-    blind_from: Micros,
+    /// When this process was last stopped. Applies to a queue until the broker answers a depth request for it.
+    stopped_from: Micros,
     intake: Intake,
     advice: Advice,
-    /// None: the fleet isn't divided.
+    /// `None` if the fleet isn't divided.
     places: Option<Places>,
     pub counters: FrontCounters,
 }
 
 impl Front {
-    /// A front without a connection. `seed` spreads its reconnects and its advice.
+    /// Creates a front without a connection. `seed` randomizes its reconnect pauses and its retry advice.
     pub fn new(config: Rc<Config>, seed: u64, now: Micros) -> Front {
-        let (most, keep) = config.answer_memory;
+        let (most, retention) = config.answer_memory;
         let places = Places::new(&config);
         let queues = queues::at_start(&config);
         let bounds = Bounds { calls: config.held_most, bytes: config.held_bytes_most };
@@ -125,10 +125,10 @@
             window: None,
             ages: vec![Age::default(); queues.len()],
             depth_requested_at: 0,
-            blind_from: 0,
+            stopped_from: 0,
             intake: Intake::new(bounds),
             advice: Advice::new(config.retry_after_most, seed, now),
-            memory: DeliveryCache::new(most as usize, keep, config.resend_doubtful),
+            memory: DeliveryCache::new(most as usize, retention, config.resend_doubtful),
             inquiries: None,
             backoff: Backoff::new(config.reconnect.0, config.reconnect.1, seed),
             config,
@@ -142,19 +142,19 @@
             retry_at: BTreeMap::new(),
             deliveries: HashMap::new(),
             replies: BTreeMap::new(),
-            open: (Vec::new(), false),
+            transaction: (Vec::new(), false),
             committing: VecDeque::new(),
             next_ticket: 1,
             arrivals: Vec::new(),
             draining: false,
-            list_by: None,
-            stopping: Vec::new(),
+            endpoints_deadline: None,
+            cancelling: Vec::new(),
             places,
             counters: FrontCounters::default(),
         }
     }
 
-    /// A socket to a broker stands.
+    /// A socket to a broker is connected.
     pub fn connected(&mut self, broker: &Broker, now: Micros) {
         let options = ClientOptions {
             user: broker.user.clone(),
@@ -168,65 +168,70 @@
         self.phase = Phase::Opening;
     }
 
-    /// Whether messages are being consumed.
+    /// Returns whether messages are being consumed.
     pub fn is_ready(&self) -> bool {
         self.phase == Phase::Ready
     }
 
-    /// The pause before the next attempt to connect.
+    /// Returns the pause before the next connection attempt.
     pub fn pause(&mut self) -> Micros {
         self.backoff.next_pause()
     }
 
-    /// The connection, while there is one.
+    /// Returns the connection, if there is one.
     pub fn client(&mut self) -> Option<&mut Client> {
         self.client.as_mut()
     }
 
-    /// Whether the connection is over and its output only waits to be written.
+    /// Returns whether the connection has ended, apart from output that is still to be written.
     pub fn is_over(&self) -> bool {
         self.client.as_ref().is_none_or(Client::is_over)
     }
 
-    /// Calls that came since last asked.
+    /// Returns the calls received since the last call of this function.
     pub fn take_arrivals(&mut self) -> Vec<Arrival> {
         std::mem::take(&mut self.arrivals)
     }
 
-    /// Deliveries of the present connection that are not acknowledged.
+    /// Returns the number of deliveries of the current channel that are not acknowledged.
     pub fn unacknowledged(&self) -> usize {
         self.deliveries.values().filter(|d| d.generation == self.generation).count()
     }
 
-    /// Calls in progress, of lost connections too.
+    /// Returns the number of calls in progress, including those from lost connections.
     pub fn at_work(&self) -> usize {
         self.deliveries.values().filter(|d| d.answer.is_none()).count()
     }
 
-    /// When [`Front::tick`] is due.
+    /// Returns when [`Front::tick`] is to be called next.
     pub fn due(&self) -> Option<Micros> {
         let client = self.client.as_ref().and_then(Client::due);
-        let waiting = match self.phase {
+        let channel_retry = match self.phase {
             Phase::Waiting(at) => Some(at),
             _ => None,
         };
-        let again = self.retry_at.values().min().copied();
+        let next_consume = self.retry_at.values().min().copied();
         let confirm = self.confirm_due();
-        let unsure =
-            |i: usize| self.ages[i].is_unsure(self.depth_requested_at + CHECK_INTERVAL, CHECK_INTERVAL);
-        let look = self.phase == Phase::Ready && self.consumed().any(unsure);
-        let look = look.then_some(self.depth_requested_at + CHECK_INTERVAL);
-        let asking = self.inquiries.as_ref().and_then(inquiries::PendingInquiries::due);
-        [client, waiting, again, confirm, look, asking, self.endpoints_due()].into_iter().flatten().min()
+        let is_unsure = |i: usize| {
+            self.ages[i].is_unsure(self.depth_requested_at + DEPTH_REQUEST_INTERVAL, DEPTH_REQUEST_INTERVAL)
+        };
+        let next_depth_request = self.phase == Phase::Ready && self.consumed().any(is_unsure);
+        let next_depth_request =
+            next_depth_request.then_some(self.depth_requested_at + DEPTH_REQUEST_INTERVAL);
+        let inquiry = self.inquiries.as_ref().and_then(inquiries::PendingInquiries::due);
+        [client, channel_retry, next_consume, confirm, next_depth_request, inquiry, self.endpoints_due()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    /// The connection is gone.
+    /// The connection is lost.
     pub fn lost(&mut self, _now: Micros) {
         if self.client.is_none() {
             return;
         }
         self.counters.connections_lost += 1;
-        self.leave_channel();
+        self.abandon_channel();
         self.client = None;
         self.phase = Phase::Disconnected;
     }
--- a/crates/gateway/src/amqp/front/replies.rs
+++ b/crates/gateway/src/amqp/front/replies.rs
@@ -3,25 +3,26 @@
 use super::*;
 
 impl Front {
-    /// When the reply that waits longest for its confirm, or commit, was sent.
+    /// Returns when the oldest reply without a confirm, or the oldest transaction without a commit, was sent.
     pub(super) fn oldest_unconfirmed(&self) -> Option<Micros> {
-        // Replies are published in turn, so that the lowest number is the oldest.
+        // Sequence numbers ascend, so the lowest number is the oldest reply.
         let reply = self.replies.values().next().and_then(|t| self.deliveries.get(t)?.published);
         reply.map(|r| r.1).or(self.committing.front().map(|c| c.0))
     }
 
-    /// When the broker has had its time to confirm; once, as a connection that is abandoned is closed.
+    /// Returns the deadline for the broker's oldest missing confirm. `None` unless the connection is open, so that a
+    /// connection is abandoned only once.
     pub(super) fn confirm_due(&self) -> Option<Micros> {
-        let open = self.client.as_ref().is_some_and(Client::is_open);
-        let oldest = self.oldest_unconfirmed().filter(|_| open);
+        let is_open = self.client.as_ref().is_some_and(Client::is_open);
+        let oldest = self.oldest_unconfirmed().filter(|_| is_open);
         oldest.map(|at| at + self.config.confirm_timeout)
     }
 
-    /// Sends the acknowledgements that wait, and ends the open transaction, if it holds anything: what was put into it since
-    /// the last call takes effect together.
+    /// Sends pending acknowledgements and commits the open transaction if it contains anything, so that everything
+    /// added since the last call takes effect together.
     ///
-    /// No transaction ends while replies are held back by the broker: a commit would overtake them and acknowledge without
-    /// a reply.
+    /// No transaction is committed while the broker holds replies back by flow control: the commit would overtake the
+    /// replies and acknowledge messages without a reply.
     pub fn flush(&mut self, now: Micros) {
         let held_back = self.client.as_ref().is_some_and(|c| c.is_held_back(self.channel));
         if held_back && self.config.transactions {
@@ -31,14 +32,14 @@
             self.counters.acks += 1;
             self.basic(basic::AMQPMethod::Ack(basic::Ack { delivery_tag, multiple }));
         }
-        if std::mem::take(&mut self.open.1) {
-            let tickets = std::mem::take(&mut self.open.0);
+        if std::mem::take(&mut self.transaction.1) {
+            let tickets = std::mem::take(&mut self.transaction.0);
             self.committing.push_back((now, tickets));
             self.send(AMQPClass::Tx(tx::AMQPMethod::Commit(tx::Commit {})));
         }
     }
 
-    /// A call has its final answer.
+    /// Handles the final answer of a call.
     pub fn answer(&mut self, ticket: Ticket, answer: Answer, now: Micros) {
         let Some(delivery) = self.deliveries.get_mut(&ticket) else { return };
         if let Some(held) = delivery.held.take() {
@@ -49,7 +50,7 @@
             self.memory.on_answer(key, ticket, answer.clone(), ReplyState::Never);
         }
         if delivery.generation != self.generation || self.client.as_ref().is_none_or(|c| !c.is_open()) {
-            // Its connection is lost: the broker delivers it again, here or elsewhere.
+            // Its connection is lost; the broker redelivers the message to this front end or another one.
             self.deliveries.remove(&ticket);
             return;
         }
@@ -70,39 +71,39 @@
             mandatory: true,
             immediate: false,
         };
-        if let Some(seq) = client.publish(self.channel, publish, &properties, &body) {
+        if let Some(sequence) = client.publish(self.channel, publish, &properties, &body) {
             self.counters.replies += 1;
             if self.config.transactions {
-                // The acknowledgement takes effect with the reply or not at all, so that a message which comes again has
-                // had no reply: there is no doubt to keep.
+                // The reply and the acknowledgement take effect together or not at all, so a redelivered message has
+                // had no reply: its state is never doubtful.
                 let tag = delivery.tag;
                 if let Some(key) = &delivery.key {
                     self.memory.on_reply_state(key, ReplyState::Never);
                 }
-                self.open.0.push(ticket);
+                self.transaction.0.push(ticket);
                 return self.ack(tag);
             }
-            delivery.published = Some((seq, now));
-            self.replies.insert(seq, ticket);
+            delivery.published = Some((sequence, now));
+            self.replies.insert(sequence, ticket);
             if let Some(key) = &delivery.key {
                 self.memory.on_reply_state(key, ReplyState::Doubtful);
             }
             return;
         }
-        // The broker closed the channel or the connection in the same read that brought the delivery, or the word
-        // that the last try was not taken: nothing left, and the message comes again.
+        // The broker closed the channel or the connection in the same read that contained the delivery or the
+        // `basic.nack` of the last attempt. Nothing was sent, and the message will be redelivered.
         let delivery = self.deliveries.remove(&ticket);
         if let Some(key) = delivery.and_then(|d| d.key) {
             self.memory.on_reply_state(&key, ReplyState::Never);
         }
     }
 
-    pub(super) fn take_confirm(&mut self, seq: u64, ok: bool, now: Micros) {
-        let Some(ticket) = self.replies.remove(&seq) else { return };
+    pub(super) fn on_confirm(&mut self, sequence: u64, ok: bool, now: Micros) {
+        let Some(ticket) = self.replies.remove(&sequence) else { return };
         if !ok {
             let Some(delivery) = self.deliveries.get_mut(&ticket) else { return };
             delivery.nacks += 1;
-            if delivery.nacks <= MAX_NACKS {
+            if delivery.nacks <= MAX_NACKS_PER_REPLY {
                 return self.publish(ticket, now);
             }
         }
@@ -116,30 +117,30 @@
         } else {
             tracing::warn!(
                 correlation = &*delivery.correlation,
-                "the broker can't take the reply; dead-lettered"
+                "broker rejected the reply; message dead-lettered"
             );
             self.reject(delivery.tag);
         }
     }
 
-    /// The channel is gone: what was on it comes again. Calls in progress go on.
-    pub(super) fn leave_channel(&mut self) {
+    /// The channel is closed: its unacknowledged messages will be redelivered. Calls in progress continue.
+    pub(super) fn abandon_channel(&mut self) {
         let channel = self.channel;
         for ticket in std::mem::take(&mut self.replies).into_values() {
             let Some(delivery) = self.deliveries.remove(&ticket) else { continue };
-            let (Some(key), Some((seq, _))) = (&delivery.key, delivery.published) else { continue };
-            let unsent = self.client.as_ref().is_some_and(|c| c.surely_unsent(channel, seq));
-            self.memory.on_reply_state(key, if unsent { ReplyState::Never } else { ReplyState::Doubtful });
+            let (Some(key), Some((sequence, _))) = (&delivery.key, delivery.published) else { continue };
+            let is_unsent = self.client.as_ref().is_some_and(|c| c.surely_unsent(channel, sequence));
+            self.memory.on_reply_state(key, if is_unsent { ReplyState::Never } else { ReplyState::Doubtful });
         }
-        // Tags mean nothing on another channel.
+        // Delivery tags are not valid on another channel.
         self.acks = Acks::default();
-        let open = std::mem::take(&mut self.open).0;
-        for ticket in std::mem::take(&mut self.committing).into_iter().flat_map(|c| c.1).chain(open) {
+        let uncommitted = std::mem::take(&mut self.transaction).0;
+        for ticket in std::mem::take(&mut self.committing).into_iter().flat_map(|c| c.1).chain(uncommitted) {
             self.deliveries.remove(&ticket);
         }
         self.generation += 1;
         self.retry_at.clear();
-        self.stopping.clear();
+        self.cancelling.clear();
         self.is_open = false;
         self.consuming.clear();
     }
--- a/crates/gateway/src/amqp/inquiries.rs
+++ b/crates/gateway/src/amqp/inquiries.rs
@@ -1,5 +1,5 @@
-//! A link's end of intents: questions of its front go to this member's store and to others, answers come back; and others'
-//! questions are answered from store and front.
+//! Routes inquiries about redelivered messages for one link: questions of its front go to the local intent log and to
+//! peers, and questions of peers are answered from the intent log and the front.
 
 use super::front::Question;
 use super::Front;
@@ -15,19 +15,19 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// This member and all others, among those that the front asks.
-const LOCAL_STORE: &str = "own";
+/// Names under which the front asks the local intent log and all peers together.
+const LOCAL_LOG: &str = "own";
 const PEERS: &str = "others";
-/// Numbers of questions to the store that others asked; the front's own are below.
-const FOREIGN: u64 = 1 << 63;
+/// Set in the numbers of intent log queries that peers asked for; numbers of the front's own queries are below it.
+const PEER_QUERY_BIT: u64 = 1 << 63;
 
-/// A front end's intents, and its way to the others' where there are others.
+/// The intent log of a front end, and its connection to its peers if it has any.
 pub struct InquirySettings {
     pub intent_log: IntentLog,
     pub peers: Option<PeerInquiry>,
 }
 
-/// Another member's question, while the store looks.
+/// A peer's inquiry whose keys are being looked up in the intent log.
 struct PeerQuestion {
     from: Member,
     number: u64,
@@ -40,110 +40,122 @@
     Inquiry(InquiryEvent),
 }
 
-/// The intents of this member, where there are any.
+/// The inquiries of this front end; inactive without an intent log.
 pub(super) struct Inquiries {
     log: Option<(IntentLog, EventSender)>,
-    answers: mpsc::UnboundedReceiver<LogEvent>,
+    log_events: mpsc::UnboundedReceiver<LogEvent>,
     peers: Option<PeerInquiry>,
-    names: (Rc<str>, Rc<str>),
-    /// Questions to others by number, with the calls that wait.
+    member_names: (Rc<str>, Rc<str>),
+    /// Inquiries sent to peers, by number, with the calls that wait for the answer.
     local: BTreeMap<u64, Vec<Ticket>>,
     of_peers: BTreeMap<u64, PeerQuestion>,
     next: u64,
 }
 
 impl Inquiries {
-    /// Turns the front's questions on, where there are intents.
-    pub(super) fn new(marking: Option<InquirySettings>, front: &mut Front) -> Inquiries {
-        let (reply, answers) = mpsc::unbounded_channel();
-        let (marks, others) = marking.map_or((None, None), |m| (Some((m.intent_log, reply)), m.peers));
-        let names: (Rc<str>, Rc<str>) = (LOCAL_STORE.into(), PEERS.into());
-        if marks.is_some() {
-            let members = [Some(names.0.clone()), others.as_ref().map(|_| names.1.clone())];
+    /// Enables the front's inquiries if there is an intent log.
+    pub(super) fn new(settings: Option<InquirySettings>, front: &mut Front) -> Inquiries {
+        let (reply, log_events) = mpsc::unbounded_channel();
+        let (intents, peer_inquiry) =
+            settings.map_or((None, None), |s| (Some((s.intent_log, reply)), s.peers));
+        let member_names: (Rc<str>, Rc<str>) = (LOCAL_LOG.into(), PEERS.into());
+        if intents.is_some() {
+            let members =
+                [Some(member_names.0.clone()), peer_inquiry.as_ref().map(|_| member_names.1.clone())];
             front.set_inquiry(members.into_iter().flatten().collect(), InquiryLimits::default());
-            front.set_known(others.is_none());
+            front.set_known(peer_inquiry.is_none());
+        }
+        let (local_inquiries, peer_questions) = (BTreeMap::new(), BTreeMap::new());
+        Inquiries {
+            log: intents,
+            log_events,
+            peers: peer_inquiry,
+            member_names,
+            local: local_inquiries,
+            of_peers: peer_questions,
+            next: 0,
         }
-        let (out, asked) = (BTreeMap::new(), BTreeMap::new());
-        Inquiries { log: marks, answers, peers: others, names, local: out, of_peers: asked, next: 0 }
     }
 
     pub(super) fn are_on(&self) -> bool {
         self.log.is_some()
     }
 
-    /// Asks what the front wants to know. One that can't be reached from here is known not to tell.
-    pub(super) fn put(&mut self, front: &mut Front, clock: Clock) {
-        while let Some(heard) = self.peers.as_mut().and_then(|o| o.events.try_recv().ok()) {
-            self.on_inquiry_event(heard, front, clock);
+    /// Sends the front's questions. A member that can't be reached is reported to the front as unable to answer.
+    pub(super) fn send_questions(&mut self, front: &mut Front, clock: Clock) {
+        while let Some(event) = self.peers.as_mut().and_then(|o| o.events.try_recv().ok()) {
+            self.on_inquiry_event(event, front, clock);
         }
-        let (own, others): (Vec<Question>, Vec<Question>) =
-            front.take_questions().into_iter().partition(|q| q.2 == self.names.0);
-        for (ticket, identity, member) in own {
-            if !self.log.as_ref().is_some_and(|(marks, reply)| marks.query(ticket, identity, reply)) {
+        let (local, remote): (Vec<Question>, Vec<Question>) =
+            front.take_questions().into_iter().partition(|q| q.2 == self.member_names.0);
+        for (ticket, identity, member) in local {
+            if !self.log.as_ref().is_some_and(|(intents, reply)| intents.query(ticket, identity, reply)) {
                 front.on_inquiry_answer(ticket, &member, None, clock.now());
             }
         }
-        for part in others.chunks(MAX_KEYS) {
-            let tickets: Vec<Ticket> = part.iter().map(|q| q.0).collect();
+        for chunk in remote.chunks(MAX_KEYS) {
+            let tickets: Vec<Ticket> = chunk.iter().map(|q| q.0).collect();
             let keys: Vec<MessageKey> =
-                tickets.iter().filter_map(|t| front.key_of(*t)).map(message).collect();
+                tickets.iter().filter_map(|t| front.key_of(*t)).map(message_key).collect();
             self.next += 1;
-            let said = InquiryMessage::Inquire { number: self.next, keys };
-            let whole = matches!(&said, InquiryMessage::Inquire { keys, .. } if keys.len() == tickets.len());
-            if !whole || self.peers.as_ref().is_none_or(|o| o.requests.try_send(said).is_err()) {
-                let name = self.names.1.clone();
+            let inquiry = InquiryMessage::Inquire { number: self.next, keys };
+            let is_complete =
+                matches!(&inquiry, InquiryMessage::Inquire { keys, .. } if keys.len() == tickets.len());
+            if !is_complete || self.peers.as_ref().is_none_or(|o| o.requests.try_send(inquiry).is_err()) {
+                let name = self.member_names.1.clone();
                 tickets.iter().for_each(|t| front.on_inquiry_answer(*t, &name, None, clock.now()));
                 continue;
             }
             self.local.insert(self.next, tickets);
             while self.local.len() > MAX_OPEN_INQUIRIES {
-                // Nobody answers so late.
+                // The oldest inquiries have timed out: no answer is expected for them any more.
                 self.local.pop_first();
             }
         }
     }
 
-    /// The next word.
+    /// Waits for the next event of the intent log or of the peers.
     pub(super) async fn next(&mut self) -> InquiryInput {
-        let heard = async {
+        let event = async {
             match self.peers.as_mut() {
-                Some(others) => others.events.recv().await,
+                Some(peers) => peers.events.recv().await,
                 None => None,
             }
         };
         tokio::select! {
-            // Only where there are no intents nothing can come.
-            Some(done) = self.answers.recv() => InquiryInput::Log(done),
-            Some(heard) = heard => InquiryInput::Inquiry(heard),
+            // Without an intent log its sender is dropped and this branch is disabled.
+            Some(log_event) = self.log_events.recv() => InquiryInput::Log(log_event),
+            Some(event) = event => InquiryInput::Inquiry(event),
             else => std::future::pending().await,
         }
     }
 
-    pub(super) fn take(&mut self, came: InquiryInput, front: &mut Front, clock: Clock) {
-        match came {
-            InquiryInput::Inquiry(heard) => self.on_inquiry_event(heard, front, clock),
+    pub(super) fn on_input(&mut self, input: InquiryInput, front: &mut Front, clock: Clock) {
+        match input {
+            InquiryInput::Inquiry(event) => self.on_inquiry_event(event, front, clock),
             InquiryInput::Log(LogEvent::Recorded(..)) => {}
-            InquiryInput::Log(LogEvent::Answered(number, convert_knowledge)) if number >= FOREIGN => {
-                let (id, at) = split(number);
-                self.on_local_answer(id, at, convert_knowledge, front, clock);
+            InquiryInput::Log(LogEvent::Answered(number, knowledge)) if number >= PEER_QUERY_BIT => {
+                let (id, index) = split_peer_query(number);
+                self.on_log_answer(id, index, knowledge, front, clock);
             }
-            InquiryInput::Log(LogEvent::Answered(ticket, convert_knowledge)) => {
-                let own = self.names.0.clone();
-                front.on_inquiry_answer(ticket, &own, Some(convert_knowledge), clock.now());
+            InquiryInput::Log(LogEvent::Answered(ticket, knowledge)) => {
+                let local = self.member_names.0.clone();
+                front.on_inquiry_answer(ticket, &local, Some(knowledge), clock.now());
             }
         }
     }
 
-    fn on_inquiry_event(&mut self, heard: InquiryEvent, front: &mut Front, clock: Clock) {
-        let Some((marks, reply)) = self.log.as_ref() else { return };
-        match heard {
+    fn on_inquiry_event(&mut self, event: InquiryEvent, front: &mut Front, clock: Clock) {
+        let Some((intents, reply)) = self.log.as_ref() else { return };
+        match event {
             InquiryEvent::Joined { run, before } => {
-                // No report tells commits: a store that was set back within the last run is not noticed.
+                // The number of commits is not reported, so an intent log that was reset to an earlier state within
+                // the last run is not detected.
                 let witness = before.map(|run| LastRun { run, commits: 0 });
-                if marks.begin(run, witness) {
+                if intents.begin(run, witness) {
                     front.set_known(true);
                 } else {
-                    tracing::error!(run, "the intent log can't begin this run");
+                    tracing::error!(run, "intent log did not accept the new run");
                 }
             }
             InquiryEvent::Inquired { from, number, keys } => {
@@ -152,11 +164,11 @@
                 }
                 self.next += 1;
                 let id = self.next;
-                let keys: Vec<Key> = keys.into_iter().filter_map(key).collect();
+                let keys: Vec<Key> = keys.into_iter().filter_map(log_key).collect();
                 let known = vec![None; keys.len()];
-                for (at, key) in keys.iter().enumerate() {
-                    if !marks.query(joined(id, at), key.identity(), reply) {
-                        // What can't be asked is left out, and whoever asked times out.
+                for (index, key) in keys.iter().enumerate() {
+                    if !intents.query(peer_query_number(id, index), key.identity(), reply) {
+                        // Without a complete lookup no answer is sent, and the asking peer's inquiry times out.
                         return;
                     }
                 }
@@ -169,7 +181,7 @@
                 }
                 for (ticket, known) in tickets.into_iter().zip(known) {
                     if let Some(known) = known {
-                        let name = self.names.1.clone();
+                        let name = self.member_names.1.clone();
                         front.on_inquiry_answer(ticket, &name, Some(convert_knowledge(known)), clock.now());
                     }
                 }
@@ -177,46 +189,46 @@
         }
     }
 
-    /// The store looked for one message of another's question.
-    fn on_local_answer(
+    /// Handles the intent log's result for one key of a peer's inquiry.
+    fn on_log_answer(
         &mut self,
         id: u64,
-        at: usize,
-        marks: AttemptKnowledge,
+        i: usize,
+        intents: AttemptKnowledge,
         front: &mut Front,
         clock: Clock,
     ) {
-        let Some(asked) = self.of_peers.get_mut(&id) else { return };
-        let (Some(key), Some(place)) = (asked.keys.get(at), asked.known.get_mut(at)) else { return };
-        *place = Some(match front.on_peer_inquiry(key, marks, clock.now()) {
+        let Some(query) = self.of_peers.get_mut(&id) else { return };
+        let (Some(key), Some(slot)) = (query.keys.get(i), query.known.get_mut(i)) else { return };
+        *slot = Some(match front.on_peer_inquiry(key, intents, clock.now()) {
             AttemptKnowledge::None => MessageKnowledge::None,
             AttemptKnowledge::MayHaveRun => MessageKnowledge::MayHaveRun,
             AttemptKnowledge::NotKnown => MessageKnowledge::NotKnown,
         });
-        let Some(known) = asked.known.iter().copied().collect::<Option<Vec<MessageKnowledge>>>() else {
+        let Some(known) = query.known.iter().copied().collect::<Option<Vec<MessageKnowledge>>>() else {
             return;
         };
-        if let (Some(asked), Some(others)) = (self.of_peers.remove(&id), self.peers.as_ref()) {
-            // What finds no room is asked again.
-            let _ = others.requests.try_send(InquiryMessage::Answer {
-                to: asked.from,
-                number: asked.number,
+        if let (Some(query), Some(peers)) = (self.of_peers.remove(&id), self.peers.as_ref()) {
+            // If the channel is full, the answer is dropped and the peer asks again.
+            let _ = peers.requests.try_send(InquiryMessage::Answer {
+                to: query.from,
+                number: query.number,
                 known,
             });
         }
     }
 }
 
-fn joined(id: u64, at: usize) -> u64 {
-    FOREIGN | (id * MAX_KEYS as u64 + at as u64)
+fn peer_query_number(id: u64, index: usize) -> u64 {
+    PEER_QUERY_BIT | (id * MAX_KEYS as u64 + index as u64)
 }
 
-fn split(number: u64) -> (u64, usize) {
-    let number = number & !FOREIGN;
+fn split_peer_query(number: u64) -> (u64, usize) {
+    let number = number & !PEER_QUERY_BIT;
     (number / MAX_KEYS as u64, (number % MAX_KEYS as u64) as usize)
 }
 
-fn message(key: &Key) -> MessageKey {
+fn message_key(key: &Key) -> MessageKey {
     MessageKey {
         reply_to: key.reply_to.clone(),
         correlation: key.correlation.clone(),
@@ -224,7 +236,7 @@
     }
 }
 
-fn key(message: MessageKey) -> Option<Key> {
+fn log_key(message: MessageKey) -> Option<Key> {
     Key::new(&message.reply_to, &message.correlation, &message.message)
 }
 
--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -1,4 +1,4 @@
-//! The socket of a front: brokers tried in turn, with seeded pauses between attempts.
+//! The socket of a front. The configured brokers are tried in turn, with seeded pauses between the attempts.
 
 use super::commands::publish_state;
 pub use super::commands::{LinkCommand, LinkState};
@@ -15,19 +15,19 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 
-/// How often the loop looks at its own clock; a look that comes later by more than [`MAX_UNOBSERVED`] means that this process was
-/// stopped, and that what it reads next may have waited so long.
+/// How often the loop reads the clock. If a reading is late by more than [`MAX_TICK_DELAY`], this process was
+/// stopped, and the data that it reads next may have waited in the socket for all that time.
 const POLL_INTERVAL: Micros = 100_000;
-const MAX_UNOBSERVED: Micros = 200_000;
-/// Bytes read at once.
+const MAX_TICK_DELAY: Micros = 200_000;
+/// Size of a single read.
 const READ_BUFFER: usize = 64 << 10;
-/// A socket that was waited on for longer had nothing to read until then.
+/// If waiting for the socket took longer than this, the socket was empty until then.
 const BATCH_WAIT: Micros = 1000;
-/// Longest time for a connection to stand, and for a broker to take bytes.
+/// Maximum time for a connection to be established, and for a broker to accept bytes.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs until the driver drops its sender, or until all is answered after [`LinkCommand::Drain`]. `inquiry` is there where
-/// attempts are recorded.
+/// Runs until the driver drops its sender, or until all calls are answered after [`LinkCommand::Drain`]. `inquiry` is
+/// set if attempts are recorded.
 pub async fn run(
     config: Rc<Config>,
     (seed, clock): (u64, Clock),
@@ -37,7 +37,8 @@
     state: watch::Sender<LinkState>,
 ) {
     let mut front = Front::new(config.clone(), seed, clock.now());
-    // Where the module asks for the list itself it does so for calls alone, which would never come.
+    // Without a subscription the module requests the list only when calls arrive, and no call would arrive before the
+    // list: don't wait.
     if config.list_initial_wait > 0 && !config.list_subscribe {
         front.await_endpoints(clock.now() + config.list_initial_wait);
     }
@@ -46,14 +47,14 @@
     link.run().await;
 }
 
-/// Why a connection ended.
-enum Ended {
-    /// In order, or the driver is gone.
-    Over,
+/// Why a connection end.
+enum ConnectionEnd {
+    /// Closed in order, or the driver has exited.
+    Finished,
     Lost(String),
 }
 
-/// A front and its connections to the brokers, one at a time.
+/// A front and its broker connections, of which one is open at a time.
 struct Link {
     config: Rc<Config>,
     clock: Clock,
@@ -80,14 +81,16 @@
                     if self.draining {
                         self.front.drain();
                     }
-                    let ended = self.talk(stream).await;
+                    let end = self.exchange(stream).await;
                     self.front.lost(self.clock.now());
-                    match ended {
-                        Ended::Over => return publish_state(&self.front, &self.state, true),
-                        Ended::Lost(why) => tracing::warn!(broker = broker.address, why, "connection lost"),
+                    match end {
+                        ConnectionEnd::Finished => return publish_state(&self.front, &self.state, true),
+                        ConnectionEnd::Lost(why) => {
+                            tracing::warn!(broker = broker.address, why, "connection to broker lost")
+                        }
                     }
                 }
-                Err(error) => tracing::warn!(broker = broker.address, %error, "can't connect"),
+                Err(error) => tracing::warn!(broker = broker.address, %error, "can't connect to broker"),
             }
             publish_state(&self.front, &self.state, false);
             let pause = self.front.pause();
@@ -97,14 +100,14 @@
         }
     }
 
-    /// Connects to a broker; `None` where the driver is gone.
+    /// Connects to a broker; returns `None` if the driver has exited.
     async fn connect(&mut self, address: &str) -> Option<io::Result<TcpStream>> {
         let connecting = tokio::time::timeout(HANDSHAKE_TIMEOUT, TcpStream::connect(address));
         tokio::pin!(connecting);
         loop {
             tokio::select! {
                 input = self.inquiries.next(), if self.inquiries.are_on() => {
-                    self.inquiries.take(input, &mut self.front, self.clock);
+                    self.inquiries.on_input(input, &mut self.front, self.clock);
                 }
                 done = &mut connecting => {
                     return Some(done.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())));
@@ -114,14 +117,14 @@
         }
     }
 
-    /// Waits without a connection; false where the driver is gone.
+    /// Waits without a connection; returns false if the driver has exited.
     async fn wait(&mut self, pause: Micros) -> bool {
         let until = self.clock.instant(self.clock.now() + pause);
         loop {
             tokio::select! {
                 _ = tokio::time::sleep_until(until) => return true,
                 input = self.inquiries.next(), if self.inquiries.are_on() => {
-                    self.inquiries.take(input, &mut self.front, self.clock);
+                    self.inquiries.on_input(input, &mut self.front, self.clock);
                 }
                 command = self.from_driver.recv() => match command {
                     None => return false,
@@ -132,58 +135,62 @@
     }
 
     fn on_command(&mut self, command: LinkCommand) {
-        self.draining |= command.take(&mut self.front, self.clock.now());
+        self.draining |= command.apply(&mut self.front, self.clock.now());
     }
 
     /// Exchanges bytes with a broker until the connection ends.
-    async fn talk(&mut self, stream: TcpStream) -> Ended {
+    async fn exchange(&mut self, stream: TcpStream) -> ConnectionEnd {
         if let Err(error) = stream.set_nodelay(true) {
-            return Ended::Lost(error.to_string());
+            return ConnectionEnd::Lost(error.to_string());
         }
         let mut socket = Socket::new(stream, self.clock);
         loop {
             if self.inquiries.are_on() {
-                self.inquiries.put(&mut self.front, self.clock);
+                self.inquiries.send_questions(&mut self.front, self.clock);
             }
             for arrival in self.front.take_arrivals() {
-                // A driver that is behind holds back reading, and so the broker.
+                // If the driver's queue is full, reading stops, which applies backpressure to the broker.
                 if self.inputs.send(Input::Call(arrival)).await.is_err() {
-                    return Ended::Over;
+                    return ConnectionEnd::Finished;
                 }
             }
             self.update_state(&mut socket);
-            let wants_write = match self.write(&mut socket) {
-                Ok(wants_write) => wants_write,
-                Err(ended) => return ended,
+            let has_output = match self.write(&mut socket) {
+                Ok(has_output) => has_output,
+                Err(end) => return end,
             };
-            if self.front.is_over() && !wants_write {
+            if self.front.is_over() && !has_output {
                 let _ = socket.stream.shutdown().await;
-                return if socket.closing { Ended::Over } else { Ended::Lost("closed".into()) };
+                return if socket.closing {
+                    ConnectionEnd::Finished
+                } else {
+                    ConnectionEnd::Lost("closed".into())
+                };
             }
-            let due = self.front.due().unwrap_or(Micros::MAX).min(socket.observed_at + POLL_INTERVAL);
+            let due = self.front.due().unwrap_or(Micros::MAX).min(socket.last_tick + POLL_INTERVAL);
             socket.alarm.set(due);
             let waits_from = self.clock.now();
             tokio::select! {
                 biased;
                 command = self.from_driver.recv() => match command {
-                    None => return Ended::Over,
+                    None => return ConnectionEnd::Finished,
                     Some(command) => self.on_commands(command),
                 },
                 ready = socket.stream.readable() => {
                     if let Err(error) = ready {
-                        return Ended::Lost(error.to_string());
+                        return ConnectionEnd::Lost(error.to_string());
                     }
-                    if let Err(ended) = self.read(&mut socket, waits_from) {
-                        return ended;
+                    if let Err(end) = self.read(&mut socket, waits_from) {
+                        return end;
                     }
                 }
-                _ = socket.stream.writable(), if wants_write => {}
+                _ = socket.stream.writable(), if has_output => {}
                 input = self.inquiries.next(), if self.inquiries.are_on() => {
-                    self.inquiries.take(input, &mut self.front, self.clock);
+                    self.inquiries.on_input(input, &mut self.front, self.clock);
                 }
                 () = socket.alarm.rings() => {
                     let now = self.clock.now();
-                    socket.observe(now);
+                    socket.record_tick(now);
                     self.front.tick(now);
                 }
             }
@@ -192,7 +199,7 @@
 
     /// Publishes the state, and closes the connection in order once the front is drained.
     fn update_state(&mut self, socket: &mut Socket) {
-        // Counting looks at every delivery: not in every turn.
+        // Counting iterates over all deliveries, so it is not done in every turn.
         if self.draining || self.clock.now() - socket.published_at >= POLL_INTERVAL {
             socket.published_at = self.clock.now();
             publish_state(&self.front, &self.state, false);
@@ -203,11 +210,11 @@
         }
     }
 
-    /// All commands that are there, so that replies of one batch go out in one write.
+    /// Applies all queued commands, so that the replies of one batch go out in one write.
     fn on_commands(&mut self, first: LinkCommand) {
         let mut next = Some(first);
         while let Some(command) = next {
-            if command.take(&mut self.front, self.clock.now()) {
+            if command.apply(&mut self.front, self.clock.now()) {
                 self.draining = true;
                 self.front.drain();
             }
@@ -215,15 +222,17 @@
         }
     }
 
-    /// Writes what there is, as far as the socket takes it; whether some is left.
-    fn write(&mut self, socket: &mut Socket) -> Result<bool, Ended> {
+    /// Writes as much of the output as the socket accepts; returns whether some is left.
+    fn write(&mut self, socket: &mut Socket) -> Result<bool, ConnectionEnd> {
         let now = self.clock.now();
         self.front.flush(now);
-        let Some(client) = self.front.client() else { return Err(Ended::Lost("no client".into())) };
+        let Some(client) = self.front.client() else { return Err(ConnectionEnd::Lost("no client".into())) };
         let closed_since = if client.is_open() { None } else { Some(socket.closed_since.unwrap_or(now)) };
         socket.closed_since = closed_since;
-        if is_past_handshake(closed_since, now) {
-            return Err(Ended::Lost("the broker does not say what it has to".into()));
+        if has_timed_out(closed_since, now) {
+            return Err(ConnectionEnd::Lost(
+                "broker did not complete the handshake or the close in time".into(),
+            ));
         }
         if client.output().is_empty() {
             return Ok(false);
@@ -232,57 +241,60 @@
             Ok(written) => {
                 let _ = client.output().split_to(written);
                 client.wrote(written, now);
-                socket.stuck_since = None;
+                socket.write_blocked_since = None;
                 Ok(!client.output().is_empty())
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                socket.stuck_since.get_or_insert(now);
-                if is_past_handshake(socket.stuck_since, now) {
-                    return Err(Ended::Lost("the broker reads nothing".into()));
+                socket.write_blocked_since.get_or_insert(now);
+                if has_timed_out(socket.write_blocked_since, now) {
+                    return Err(ConnectionEnd::Lost("broker is not reading".into()));
                 }
                 Ok(true)
             }
-            Err(error) => Err(Ended::Lost(error.to_string())),
+            Err(error) => Err(ConnectionEnd::Lost(error.to_string())),
         }
     }
 
-    /// Reads what there is; `waits_from` is when the socket began to be waited on.
-    fn read(&mut self, socket: &mut Socket, waits_from: Micros) -> Result<(), Ended> {
+    /// Reads the available bytes; `waits_from` is when the wait for the socket began.
+    fn read(&mut self, socket: &mut Socket, waits_from: Micros) -> Result<(), ConnectionEnd> {
         let now = self.clock.now();
-        if socket.observe(now) {
-            let ms = socket.unobserved / 1000;
-            tracing::warn!(ms, "this process did not run; messages read now count as waiting so long");
+        if socket.record_tick(now) {
+            let ms = socket.stopped_for / 1000;
+            tracing::warn!(
+                ms,
+                "process was stopped; messages read now are counted as having waited that long"
+            );
         }
-        if socket.unobserved == 0 && now - waits_from > BATCH_WAIT {
-            // The socket was empty until this moment, and so the queue.
+        if socket.stopped_for == 0 && now - waits_from > BATCH_WAIT {
+            // The socket was empty until now, and so was the queue at the broker.
             self.front.on_socket_drained(now);
         }
         match socket.stream.try_read(&mut socket.buffer) {
-            Ok(0) => return Err(Ended::Lost("closed by the broker".into())),
+            Ok(0) => return Err(ConnectionEnd::Lost("closed by the broker".into())),
             Ok(read) => {
-                let unobserved = std::mem::take(&mut socket.unobserved);
-                self.front.receive(&socket.buffer[..read], now, unobserved);
+                let stopped_for = std::mem::take(&mut socket.stopped_for);
+                self.front.receive(&socket.buffer[..read], now, stopped_for);
                 if read < socket.buffer.len() {
                     self.front.on_socket_drained(now);
                 }
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                if socket.unobserved == 0 {
+                if socket.stopped_for == 0 {
                     self.front.on_socket_drained(now);
                 }
             }
-            Err(error) => return Err(Ended::Lost(error.to_string())),
+            Err(error) => return Err(ConnectionEnd::Lost(error.to_string())),
         }
         Ok(())
     }
 }
 
-/// Whether something has lasted for longer than a broker may take.
-fn is_past_handshake(since: Option<Micros>, now: Micros) -> bool {
+/// Returns whether a state has lasted longer than [`HANDSHAKE_TIMEOUT`].
+fn has_timed_out(since: Option<Micros>, now: Micros) -> bool {
     since.is_some_and(|since| now - since > HANDSHAKE_TIMEOUT.as_micros() as Micros)
 }
 
-/// A connection's socket, and when what happened on it.
+/// A connection's socket and the times of its last events.
 struct Socket {
     stream: TcpStream,
     buffer: Vec<u8>,
@@ -291,13 +303,14 @@
     closing: bool,
     /// When the state was last published.
     published_at: Micros,
-    /// When the socket was last looked at.
-    observed_at: Micros,
-    /// For how long this process did not run before what is read next.
-    unobserved: Micros,
-    /// Since when the broker takes no bytes.
-    stuck_since: Option<Micros>,
-    /// Until the connection stands, and again from its close on, no heartbeat need tell that nobody is there.
+    /// When the loop last read the clock.
+    last_tick: Micros,
+    /// How long this process was stopped before the data that is read next.
+    stopped_for: Micros,
+    /// Since when the broker has accepted no bytes.
+    write_blocked_since: Option<Micros>,
+    /// Set while the connection is not open: before its handshake completes and after its close begins. In these
+    /// times heartbeats do not detect a dead peer, so [`HANDSHAKE_TIMEOUT`] applies.
     closed_since: Option<Micros>,
 }
 
@@ -309,20 +322,20 @@
             alarm: Alarm::new(clock),
             closing: false,
             published_at: 0,
-            observed_at: clock.now(),
-            unobserved: 0,
-            stuck_since: None,
+            last_tick: clock.now(),
+            stopped_for: 0,
+            write_blocked_since: None,
             closed_since: None,
         }
     }
 
-    /// The socket is looked at; whether this process did not run for long before.
-    fn observe(&mut self, now: Micros) -> bool {
-        let gap = now - self.observed_at;
-        self.observed_at = now;
-        let is_stall = gap > POLL_INTERVAL + MAX_UNOBSERVED;
+    /// Records a clock reading; returns whether this process was stopped for a long time before it.
+    fn record_tick(&mut self, now: Micros) -> bool {
+        let gap = now - self.last_tick;
+        self.last_tick = now;
+        let is_stall = gap > POLL_INTERVAL + MAX_TICK_DELAY;
         if is_stall {
-            self.unobserved = gap;
+            self.stopped_for = gap;
         }
         is_stall
     }
--- a/crates/gateway/src/amqp/message.rs
+++ b/crates/gateway/src/amqp/message.rs
@@ -1,13 +1,17 @@
-//! A delivery to a call, an answer to a reply.
+//! Converts deliveries to calls and answers to replies.
 //!
-//! Of a call: the function is the header `function`, else the routing key; the tenant the header `tenant`; the budget
-//! `expiration` in milliseconds where that is less than the class's give-up time, less the time that the message waited: by
-//! the broker's header `timestamp_in_ms`, else the publisher's `timestamp`, else by its place in the queue. Of a reply: the
-//! headers `outcome` (`served`, `refused`, `failed`), `reason`, and `retry-after-ms` with a refusal. Where there is a fleet, the
-//! header `generation` tells which use of a function's name a call is for, and what is retired is answered with
-//! `retired-generation`, `retired-at` (milliseconds since 1970), `retired-reason` and, where told, `successor`. In a
-//! divided fleet a refusal with `other-shard` has `shard` and `shard-generation`: those of the queue that the
-//! call belongs to.
+//! For a call, the function is the header `function`, else the routing key; the tenant is the header `tenant`. The
+//! time budget is `expiration` in milliseconds if that is less than the class's give-up time, less the time that the
+//! message waited. The waiting time is computed from the broker's header `timestamp_in_ms`, else from the publisher's
+//! `timestamp`, else estimated from the age of the queue.
+//!
+//! A reply has the headers `outcome` (`served`, `refused`, `failed`) and `reason`, and a refusal also has
+//! `retry-after-ms`.
+//!
+//! In a is_fleet, the header `generation` names the generation of the function that a call is for. A call of a retired
+//! function is answered with `retired-generation`, `retired-at` (milliseconds since 1970), `retired-reason` and, if
+//! configured, `successor`. In a divided is_fleet a refusal with `other-shard` has the headers `shard` and
+//! `shard-generation` of the queue that the call belongs to.
 
 use crate::fleet::ClosedReason;
 use crate::state::Answer;
@@ -19,42 +23,43 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Header that RabbitMQ's message interceptors (and the emulator broker) stamp on what they take.
+/// Header with the publication time that RabbitMQ's message interceptors (and the emulator broker) add to each
+/// message they accept.
 pub const STAMP: &str = "timestamp_in_ms";
 
-/// What a message asks for.
+/// The call that a message requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallRequest {
     pub function: Rc<str>,
     pub tenant: u32,
     pub budget: Micros,
-    /// The use of the function's name, where the message names one.
+    /// The generation of the function, if the message names one.
     pub generation: Option<u32>,
 }
 
-/// Why a message is no call; the word goes into the reply's `reason`.
+/// Why a message is not a valid call; [`Unusable::reason`] goes into the reply's header `reason`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unusable {
-    #[error("header function is no text")]
+    #[error("header function is not a text")]
     MalformedFunction,
-    #[error("header generation is no whole number from 1")]
+    #[error("header generation is not a whole number of at least 1")]
     MalformedGeneration,
-    #[error("header tenant is no text")]
+    #[error("header tenant is not a text")]
     MalformedTenant,
-    #[error("header tenant names no tenant of this configuration")]
+    #[error("header tenant names an unknown tenant")]
     UnknownTenant,
-    #[error("expiration is no whole number of milliseconds")]
+    #[error("expiration is not a whole number of milliseconds")]
     MalformedExpiration,
     #[error("neither header function nor routing key names a function")]
     NoFunction,
-    #[error("body is larger than the configuration takes")]
+    #[error("body exceeds the configured maximum")]
     TooLarge,
-    #[error("its time was over before it was taken")]
+    #[error("message expired before it was received")]
     TooLate,
 }
 
 impl Unusable {
-    /// The word for the reply.
+    /// Returns the value of the reply's header `reason`.
     pub fn reason(self) -> &'static str {
         match self {
             Unusable::MalformedFunction => "malformed-function",
@@ -69,18 +74,21 @@
     }
 }
 
-/// When a message was published, in microseconds since the Unix epoch, as far as it tells: the broker's stamp, else the
-/// publisher's `timestamp`, which counts whole seconds, so that its middle is taken.
+/// Returns when a message was published, in microseconds since the Unix epoch, if it has a time: the broker's stamp,
+/// else the publisher's `timestamp`. That one counts whole seconds, so the middle of the second is returned.
 pub fn stamp(properties: &BasicProperties) -> Option<Micros> {
     let headers = properties.headers().as_ref();
-    let stamped =
-        headers.and_then(|h| h.inner().get(STAMP)).and_then(header_int).map(|ms| ms.checked_mul(1000));
-    let told = || properties.timestamp().and_then(|s| i64::try_from(s).ok()?.checked_mul(1_000_000));
-    // A stamp from before anything could still wait tells of clocks and not of waiting.
-    stamped.flatten().or_else(|| Some(told()? + 500_000)).filter(|at| *at > 0)
+    let stamped = headers
+        .and_then(|headers| headers.inner().get(STAMP))
+        .and_then(header_int)
+        .map(|ms| ms.checked_mul(1000));
+    let publisher_time =
+        || properties.timestamp().and_then(|s| i64::try_from(s).ok()?.checked_mul(1_000_000));
+    // A time at or before the epoch comes from a error clock and gives no waiting time.
+    stamped.flatten().or_else(|| Some(publisher_time()? + 500_000)).filter(|at| *at > 0)
 }
 
-/// Reads messages by a configuration.
+/// Parses messages according to a configuration.
 #[derive(Debug)]
 pub struct Reader {
     config: Rc<Config>,
@@ -88,13 +96,13 @@
 }
 
 impl Reader {
-    /// A reader for the tenants of a configuration.
+    /// Creates a reader for the tenants of a configuration.
     pub fn new(config: Rc<Config>) -> Reader {
         let tenants = config.tenants.iter().enumerate().map(|(i, t)| (t.name.clone(), i as u32)).collect();
         Reader { config, tenants }
     }
 
-    /// The function that a message names, by its headers or its routing key.
+    /// Returns the function that a message names in its header or routing key.
     pub fn function(properties: &BasicProperties, routing_key: &str) -> Result<String, Unusable> {
         let header = properties.headers().as_ref().and_then(|h| h.inner().get("function"));
         let function = match header {
@@ -111,7 +119,7 @@
         Ok(function)
     }
 
-    /// What a message asks for. `waited` is how long it waited before it was taken, in microseconds.
+    /// Parses a message into a call. `waited` is how long the message waited before it was received, in microseconds.
     pub fn read(
         &self,
         properties: &BasicProperties,
@@ -119,20 +127,20 @@
         size: u64,
         waited: Micros,
     ) -> Result<CallRequest, Unusable> {
-        let none = FieldTable::default();
-        let headers = properties.headers().as_ref().unwrap_or(&none);
-        let text = |key: &str, wrong: Unusable| match headers.inner().get(key) {
+        let no_headers = FieldTable::default();
+        let headers = properties.headers().as_ref().unwrap_or(&no_headers);
+        let text = |key: &str, error: Unusable| match headers.inner().get(key) {
             None | Some(AMQPValue::Void) => Ok(None),
-            Some(_) => header_text(headers, key).map(Some).ok_or(wrong),
+            Some(_) => header_text(headers, key).map(Some).ok_or(error),
         };
         let function = Reader::function(properties, routing_key)?;
-        let fleet = self.config.fleet.is_some();
-        if fleet && ends_numbered(&function) {
-            // Later generations are known inside by such names.
+        let is_fleet = self.config.fleet.is_some();
+        if is_fleet && ends_numbered(&function) {
+            // Names that end in `@N` are reserved: later generations have such internal names.
             return Err(Unusable::MalformedFunction);
         }
         let generation = match text("generation", Unusable::MalformedGeneration)? {
-            Some(text) if fleet => {
+            Some(text) if is_fleet => {
                 let number = text.parse::<u32>().ok().filter(|n| *n > 0);
                 Some(number.ok_or(Unusable::MalformedGeneration)?)
             }
@@ -149,14 +157,14 @@
         }
         let give_up = self.config.function(&function).and_then(|f| self.config.class_index(&f.class));
         let give_up = give_up.map_or(i64::MAX / 4, |class| self.config.classes[class].give_up);
-        let own = match properties.expiration() {
+        let expiration = match properties.expiration() {
             None => i64::MAX / 4,
             Some(text) => match text.as_str().parse::<u32>() {
                 Ok(ms) => Micros::from(ms) * 1000,
                 Err(_) => return Err(Unusable::MalformedExpiration),
             },
         };
-        let budget = give_up.min(own) - waited - self.config.answer_margin;
+        let budget = give_up.min(expiration) - waited - self.config.answer_margin;
         if budget <= 0 {
             return Err(Unusable::TooLate);
         }
@@ -164,10 +172,10 @@
     }
 }
 
-/// The properties and body of a reply.
+/// Returns the properties and body of a reply.
 pub fn reply(answer: &Answer, correlation: &str) -> (BasicProperties, Bytes) {
     let mut headers = FieldTable::default();
-    let mut put = |key: &str, value: AMQPValue| {
+    let mut insert = |key: &str, value: AMQPValue| {
         headers.insert(short(key), value);
     };
     let mut properties = BasicProperties::default();
@@ -180,39 +188,39 @@
     };
     let body = match closed.as_ref().unwrap_or(answer) {
         Answer::Gated(gated) => {
-            put("outcome", long("served"));
+            insert("outcome", long("served"));
             if let Some(kind) = &gated.content_type {
                 properties = properties.with_content_type(short(kind));
             }
             gated.body.clone()
         }
         Answer::Retired(retired) => {
-            put("outcome", long("failed"));
-            put("reason", long("retired"));
-            put("retired-generation", AMQPValue::LongLongInt(retired.generation.into()));
-            put("retired-at", AMQPValue::LongLongInt(retired.at_ms));
-            put("retired-reason", long(&retired.reason));
+            insert("outcome", long("failed"));
+            insert("reason", long("retired"));
+            insert("retired-generation", AMQPValue::LongLongInt(retired.generation.into()));
+            insert("retired-at", AMQPValue::LongLongInt(retired.at_ms));
+            insert("retired-reason", long(&retired.reason));
             if let Some(successor) = &retired.successor {
-                put("successor", long(successor));
+                insert("successor", long(successor));
             }
             Bytes::new()
         }
         Answer::Served { body, content_type } => {
-            put("outcome", long("served"));
+            insert("outcome", long("served"));
             if let Some(kind) = content_type {
                 properties = properties.with_content_type(short(kind));
             }
             body.clone()
         }
         Answer::Refused { reason, retry_after } => {
-            put("outcome", long("refused"));
-            put("reason", long(*reason));
-            put("retry-after-ms", AMQPValue::LongLongInt((retry_after + 999) / 1000));
+            insert("outcome", long("refused"));
+            insert("reason", long(*reason));
+            insert("retry-after-ms", AMQPValue::LongLongInt((retry_after + 999) / 1000));
             Bytes::new()
         }
         Answer::Failed { reason } => {
-            put("outcome", long("failed"));
-            put("reason", long(*reason));
+            insert("outcome", long("failed"));
+            insert("reason", long(*reason));
             Bytes::new()
         }
     };
@@ -222,7 +230,7 @@
     (properties.with_headers(headers).with_delivery_mode(1), body)
 }
 
-/// The same properties, and the shard that the call should have been sent to, with its division's generation.
+/// Adds the headers for the generation and shard that the call should have been sent to.
 pub fn with_home(properties: BasicProperties, (generation, shard): (u32, Shard)) -> BasicProperties {
     let mut headers = properties.headers().clone().unwrap_or_default();
     headers.insert(short("shard"), AMQPValue::LongLongInt(shard.into()));
--- a/crates/gateway/src/amqp/mod.rs
+++ b/crates/gateway/src/amqp/mod.rs
@@ -1,8 +1,9 @@
-//! Callers over AMQP 0-9-1: messages of a queue are calls, replies go to `reply_to` with `correlation_id`.
+//! Callers over AMQP 0-9-1: each message of a consumed queue is a call; its reply is published to `reply_to` with the
+//! same `correlation_id`.
 //!
-//! - [`message`]: a delivery to a call, an answer to a reply.
-//! - [`front`]: deliveries, replies, confirms and what a lost connection leaves behind, without I/O.
-//! - [`link`]: the socket, brokers tried in turn.
+//! - [`message`]: converts deliveries to calls and answers to replies.
+//! - [`front`]: the state machine of deliveries, replies, confirms and recovery from lost connections, without I/O.
+//! - [`link`]: the socket; it tries the configured brokers in turn.
 
 mod commands;
 pub mod front;
--- a/crates/gateway/src/fleet/egress.rs
+++ b/crates/gateway/src/fleet/egress.rs
@@ -1,5 +1,6 @@
-//! The gate where things leave. Between a choice and the moment at which its bytes go to a socket lie queues, and this
-//! process may have been stopped for long: what may not be late is looked at once more there, by the clock of that moment.
+//! Checks the retirement gate again where data is sent. Between a decision and the write to a socket there are
+//! queues, and this process may have been stopped for long. What must not be sent late is checked at the time of the
+//! write.
 
 use super::retirement_gate::{ClosedReason, RetirementGate};
 use bytes::Bytes;
@@ -9,19 +10,19 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// One front end's gate, shared by its tasks; all of them run on one thread.
+/// A front end's gate, shared by its tasks, all of which run on one thread.
 #[derive(Clone)]
 pub struct EgressCheck(Rc<Inner>);
 
 struct Inner {
     gate: RefCell<RetirementGate>,
     now: Box<dyn Fn() -> Micros>,
-    /// Answers on their way to callers, by inner name.
+    /// Number of answers on their way to callers, by internal name.
     answering: RefCell<HashMap<Rc<str>, usize>>,
 }
 
 impl EgressCheck {
-    /// `now` is the clock that the standing's times are on.
+    /// Creates a check of a gate. `now` is the clock to which the times in the cluster status refer.
     pub fn new(gate: RetirementGate, now: impl Fn() -> Micros + 'static) -> EgressCheck {
         EgressCheck(Rc::new(Inner {
             gate: RefCell::new(gate),
@@ -30,52 +31,53 @@
         }))
     }
 
-    /// The gate behind the check.
+    /// Returns the gate.
     pub fn gate(&self) -> Ref<'_, RetirementGate> {
         self.0.gate.borrow()
     }
 
-    /// The gate behind the check, to be changed.
+    /// Returns the gate for changes.
     pub fn gate_mut(&self) -> RefMut<'_, RetirementGate> {
         self.0.gate.borrow_mut()
     }
 
-    /// Whether nothing may go to a worker for an inner name at this very moment.
+    /// Returns whether currently nothing may be sent to a worker for an internal name.
     pub fn is_closed(&self, inner: &str) -> bool {
         self.gate().closed(inner, (self.0.now)()).is_some()
     }
 
-    /// The view's version, and whether it is known to be the newest.
+    /// Returns the view's version, and whether it is known to be the newest.
     pub fn view_state(&self) -> (u64, bool) {
         let gate = self.gate();
         (gate.view().version, gate.is_fresh((self.0.now)()))
     }
 
-    /// Whether an answer for an inner name was given and is not settled with the broker.
+    /// Returns whether an answer for an internal name is on its way and not yet settled with the broker.
     pub fn is_answering(&self, inner: &str) -> bool {
         self.0.answering.borrow().contains_key(inner)
     }
 
-    /// The same of any of these.
+    /// Returns whether an answer for any of these internal names is on its way.
     pub fn is_answering_any(&self, inner: &BTreeSet<Rc<str>>) -> bool {
         inner.iter().any(|name| self.is_answering(name))
     }
 
-    /// Inner names of which answers are on their way.
+    /// Returns the internal names with answers on their way.
     pub fn answering(&self) -> Vec<Rc<str>> {
         self.0.answering.borrow().keys().cloned().collect()
     }
 
-    /// Lets an answer go.
+    /// Creates the permit for an answer.
     pub fn permit(&self, inner: &Rc<str>) -> EgressPermit {
         *self.0.answering.borrow_mut().entry(inner.clone()).or_default() += 1;
         EgressPermit { egress: self.clone(), inner: inner.clone(), is_original: true }
     }
 }
 
-/// Goes with an answer until the broker has it, or it is known that it will not. As long as it is held, no view under whose
-/// tombstones its function falls is confirmed. A copy, such as the one kept for a message that comes again, holds nothing
-/// up, and so it may not leave once the function is retired.
+/// Accompanies an answer until the broker has it, or it is known that the broker will not get it. While the original
+/// permit exists, no view whose tombstones include its function is confirmed. A clone, such as that in the cached
+/// copy for a redelivered message, does not delay the confirmation, so it must not be sent once the function is
+/// retired.
 pub struct EgressPermit {
     egress: EgressCheck,
     inner: Rc<str>,
@@ -83,7 +85,7 @@
 }
 
 impl EgressPermit {
-    /// Why the answer may not leave at this very moment.
+    /// Returns why the answer must not be sent now, if so.
     pub fn closed(&self) -> Option<ClosedReason> {
         let gate = self.egress.gate();
         let now = (self.egress.0.now)();
@@ -105,17 +107,17 @@
         if !self.is_original {
             return;
         }
-        let mut leaving = self.egress.0.answering.borrow_mut();
-        if let Some(count) = leaving.get_mut(&self.inner) {
+        let mut answering = self.egress.0.answering.borrow_mut();
+        if let Some(count) = answering.get_mut(&self.inner) {
             *count -= 1;
             if *count == 0 {
-                leaving.remove(&self.inner);
+                answering.remove(&self.inner);
             }
         }
     }
 }
 
-/// A worker's answer that is looked at once more when it becomes a frame.
+/// A worker's answer that is checked again when it is encoded into a frame.
 #[derive(Clone)]
 pub struct CheckedAnswer {
     pub body: Bytes,
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -1,12 +1,14 @@
-//! A front end as part of a fleet: what it knows of retired functions, and what it tells the replicas. Off where the
-//! configuration has no fleet: nothing here exists then.
+//! The fleet part of a front end: what it knows of retired functions, and what it reports to the replicas. It does
+//! not exist if the configuration has no fleet.
 //!
-//! - [`retirement_gate`]: what may be taken, sent and answered, without I/O; [`names`]: generations by inner names.
+//! - [`retirement_gate`]: decides which calls may be accepted, sent and answered, without I/O; [`names`]: internal
+//!   names of generations.
 //! - [`pool_admission`]: calls of pools wait for permits.
-//! - [`egress`]: the gate at the sockets, and answers on their way out.
-//! - [`membership`]: which view is confirmed, and which workers may have copies.
-//! - [`recovery`]: the stages after a loss of everything; [`shutdown_marker`]: whether the last run left in order.
-//! - [`retirements`], [`retirement_states`]: the watched file of retired functions, and the file beside it.
+//! - [`egress`]: applies the gate where data is written to sockets, and tracks answers on their way to callers.
+//! - [`membership`]: which view is confirmed, and which workers may have copies of functions.
+//! - [`recovery`]: the recovery phases after a loss of the whole fleet; [`shutdown_marker`]: whether the last run
+//!   shut down in order.
+//! - [`retirements`], [`retirement_states`]: the watched file of retired functions, and the file with their states.
 
 pub mod egress;
 pub mod membership;
@@ -32,64 +34,69 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// What a front end tells its session with the replicas; the newest counts.
+/// What a front end reports to its session with the replicas; only the newest report counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionReport {
-    /// The newest view that holds here: nothing under its tombstones is in progress or on its way out.
+    /// The newest view confirmed here: no call under its tombstones is in progress and no answer to one is being
+    /// sent.
     pub confirmed: Version,
     pub ready_capacity: u32,
     pub demand: Vec<Demand>,
 }
 
-/// A driver's ends of its session with the replicas; it never waits for it.
+/// A driver's channels to its session with the replicas; the driver never waits for the session.
 pub struct SessionHandle {
     pub status: watch::Receiver<ClusterStatus>,
     pub report: watch::Sender<SessionReport>,
-    /// Where attempts are recorded.
+    /// Set if attempts are recorded.
     pub inquiry: Option<PeerInquiry>,
 }
 
-/// A front end's way to ask others about messages, and to be asked.
+/// The channels on which a front end asks its peers about messages and is asked by them.
 pub struct PeerInquiry {
     pub requests: mpsc::Sender<InquiryMessage>,
     pub events: mpsc::Receiver<InquiryEvent>,
 }
 
 impl SessionHandle {
-    /// The next word of the replicas; None once the session ended.
+    /// Returns the next cluster status; `None` once the session has ended.
     pub async fn next(&mut self) -> Option<ClusterStatus> {
         self.status.changed().await.ok()?;
         Some(self.status.borrow_and_update().clone())
     }
 }
 
-/// Waits until the cluster status is here, at most so long: nothing is consumed before. After that functions that are not
-/// strict are served by what is known.
-pub async fn await_first_status(status: Option<watch::Receiver<ClusterStatus>>, clock: Clock, most: Micros) {
-    let limit = Duration::from_micros(most.max(0) as u64);
-    let word = async {
+/// Waits for the cluster status, at most for this time; nothing is consumed before. After that, functions that are
+/// not strict are served according to the last known state.
+pub async fn await_first_status(
+    status: Option<watch::Receiver<ClusterStatus>>,
+    clock: Clock,
+    limit_us: Micros,
+) {
+    let limit = Duration::from_micros(limit_us.max(0) as u64);
+    let received = async {
         match status {
             Some(mut status) => status.wait_for(|s| !s.is_stale(clock.now())).await.is_ok(),
             None => false,
         }
     };
-    match tokio::time::timeout(limit, word).await {
+    match tokio::time::timeout(limit, received).await {
         Ok(true) => tracing::info!("cluster status received"),
         _ => tracing::warn!(
-            ms = most / 1000,
-            "no cluster status yet; functions that are not strict are served"
+            ms = limit_us / 1000,
+            "no cluster status received yet; serving functions that are not strict"
         ),
     }
 }
 
-/// Tells a session, where there is something new.
-pub fn publish_report(session: &watch::Sender<SessionReport>, told: SessionReport) {
+/// Publishes a report to the session if it differs from the last one.
+pub fn publish_report(session: &watch::Sender<SessionReport>, report: SessionReport) {
     session.send_if_modified(|last| {
-        if last.confirmed != told.confirmed {
-            tracing::info!(version = told.confirmed, "confirmed");
+        if last.confirmed != report.confirmed {
+            tracing::info!(version = report.confirmed, "confirmed");
         }
-        let inputs = *last != told;
-        *last = told;
-        inputs
+        let is_changed = *last != report;
+        *last = report;
+        is_changed
     });
 }
--- a/crates/gateway/src/fleet/names.rs
+++ b/crates/gateway/src/fleet/names.rs
@@ -1,9 +1,9 @@
-//! Generations of a function by inner names: the first is `NAME`, the second `NAME@2`. Callers can't name one so, as their
-//! names may not end like that where there is a fleet.
+//! Internal names of a function's generations: the first is `NAME`, the second `NAME@2`. Callers can't use such
+//! names, because function names must not end that way in a fleet.
 
 use std::rc::Rc;
 
-/// The inner name of a generation.
+/// Returns the internal name of a generation.
 pub fn inner_name(name: &Rc<str>, generation: u32) -> Rc<str> {
     match generation {
         0 | 1 => name.clone(),
@@ -11,7 +11,7 @@
     }
 }
 
-/// The name and generation behind an inner name.
+/// Returns the name and generation that an internal name stands for.
 pub fn outer_name(inner: &str) -> (&str, u32) {
     let numbered = inner.rsplit_once('@').and_then(|(name, n)| Some((name, n.parse::<u32>().ok()?)));
     numbered.filter(|(_, n)| *n > 1).unwrap_or((inner, 1))
--- a/crates/gateway/src/fleet/pool_admission.rs
+++ b/crates/gateway/src/fleet/pool_admission.rs
@@ -1,5 +1,5 @@
-//! Permits of pools at a front end: which calls need one before they enter the module, those that wait for one, and what the
-//! replicas are notified of it. Without I/O.
+//! Pool permits at a front end: which calls need one before they enter the decision module, the calls that wait for
+//! one, and the demand reported to the replicas. Without I/O.
 
 use super::names::outer_name;
 use stagehoist::{Micros, Request, RequestId};
@@ -12,10 +12,10 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// What becomes of a call.
+/// The result of a call's request to enter.
 #[derive(Debug)]
 pub enum Entry {
-    /// Its function is in no pool.
+    /// The function is in no pool: no permit is needed.
     Free,
     Admitted(Permit),
     Wait,
@@ -24,14 +24,14 @@
     },
 }
 
-/// A call that waits no longer.
+/// The decision on a call that was waiting.
 #[derive(Debug)]
 pub enum PoolDecision {
     Admitted(Request, Permit),
     Rejected(RequestId, Micros),
 }
 
-/// The entrance of one front end; there is none without pools.
+/// Pool admission of a front end; exists only if there are pools.
 pub struct PoolAdmission {
     config: Rc<Config>,
     permits: PermitPools,
@@ -40,44 +40,44 @@
     limits: AllocationLimits,
     ready_capacity: u32,
     waiting: HashMap<RequestId, (Request, Micros)>,
-    /// Permits of calls that are over, not yet given back.
-    freed: Vec<Permit>,
+    /// Permits of finished calls that are not yet returned.
+    released: Vec<Permit>,
     outcomes: Vec<WaitOutcome>,
     applied: u64,
     checked_at: Micros,
 }
 
 impl PoolAdmission {
-    /// None where the configuration has no pool. Guaranteed minimums count from the first moment.
+    /// Returns `None` if the configuration has no pool. The guaranteed minimums apply from the start.
     pub fn new(config: &Rc<Config>, seed: u64, now: Micros) -> Option<PoolAdmission> {
         let fleet = config.fleet.as_ref().filter(|f| !f.pools.is_empty())?;
-        // Where closing a connection ends the run at its worker, nothing of an earlier run goes on.
-        let rests_until = if config.cancel { now } else { now + config.longest_run() };
-        let most = usize::try_from(config.held_most).unwrap_or(usize::MAX);
+        // If closing a connection cancels the run at its worker, no run of an earlier process is still in progress.
+        let earlier_runs_until = if config.cancel { now } else { now + config.longest_run() };
+        let max_waiting = usize::try_from(config.held_most).unwrap_or(usize::MAX);
         let limits = AllocationLimits {
             front_ends: config.fleet_front_ends,
             guaranteed_share: GUARANTEED_SHARE,
             longest_run: 0,
             interval: 0,
         };
-        let mut entrance = PoolAdmission {
+        let mut admission = PoolAdmission {
             config: config.clone(),
-            permits: PermitPools::new(most, config.retry_after_most, rests_until, seed),
+            permits: PermitPools::new(max_waiting, config.retry_after_most, earlier_runs_until, seed),
             pools: fleet.pools.iter().map(pool).collect(),
             edition: fleet.pools_edition,
             limits,
             ready_capacity: 0,
             waiting: HashMap::new(),
-            freed: Vec::new(),
+            released: Vec::new(),
             outcomes: Vec::new(),
             applied: 0,
             checked_at: now,
         };
-        entrance.configure(now);
-        Some(entrance)
+        admission.configure(now);
+        Some(admission)
     }
 
-    /// The cluster status: pools of a newer edition, and permits.
+    /// Applies a cluster status: pools of a newer edition, and permits.
     pub fn on_cluster_status(&mut self, status: &ClusterStatus, now: Micros) {
         let view = &status.view;
         if view.edition >= self.edition && view.pools != self.pools {
@@ -93,9 +93,9 @@
         }
     }
 
-    /// Permits of the ready workers, by which some pools' guaranteed minimums go.
-    pub fn on_capacity(&mut self, ready_lanes: u32, now: Micros) {
-        if std::mem::replace(&mut self.ready_capacity, ready_lanes) != ready_lanes
+    /// Sets the capacity of the ready workers, which determines some pools' guaranteed minimums.
+    pub fn on_capacity(&mut self, ready_capacity: u32, now: Micros) {
+        if std::mem::replace(&mut self.ready_capacity, ready_capacity) != ready_capacity
             && self.pools.iter().any(|p| p.size == PoolSize::ByWorkers)
         {
             self.configure(now);
@@ -104,7 +104,7 @@
 
     fn configure(&mut self, now: Micros) {
         let tenants = &self.config.tenants;
-        let number = |name: &str| tenants.iter().position(|t| t.name == name).map(|n| n as u32);
+        let tenant_index = |name: &str| tenants.iter().position(|t| t.name == name).map(|n| n as u32);
         let rules = self.pools.iter().map(|pool| {
             let size = match pool.size {
                 PoolSize::Permits(permits) => permits,
@@ -114,32 +114,35 @@
             PoolRules {
                 name: pool.name.clone(),
                 guaranteed: guaranteed_permits(size, &self.limits),
-                reserved: reserved.filter_map(|r| Some((number(&r.tenant)?, r.tenant.clone()))).collect(),
+                reserved: reserved
+                    .filter_map(|r| Some((tenant_index(&r.tenant)?, r.tenant.clone())))
+                    .collect(),
             }
         });
         let rules: Vec<PoolRules> = rules.collect();
         self.permits.configure(&rules, now);
     }
 
-    /// The pool of a function, by its inner name: of the patterns that take it the name itself, else the longest.
+    /// Returns the pool of a function, given by its internal name: of the matching patterns an exact name wins, else
+    /// the longest.
     fn pool(&self, inner: &str) -> Option<usize> {
         let (name, _) = outer_name(inner);
-        let weight = |pattern: &String| match pattern.strip_suffix('*') {
+        let match_rank = |pattern: &String| match pattern.strip_suffix('*') {
             Some(prefix) => name.starts_with(prefix).then_some((false, prefix.len())),
             None => (name == pattern).then_some((true, name.len())),
         };
-        let of = |pool: &Pool| pool.functions.iter().filter_map(weight).max();
+        let of = |pool: &Pool| pool.functions.iter().filter_map(match_rank).max();
         let (_, pool) =
-            self.pools.iter().filter_map(|p| Some((of(p)?, p))).max_by_key(|(weight, _)| *weight)?;
+            self.pools.iter().filter_map(|p| Some((of(p)?, p))).max_by_key(|(match_rank, _)| *match_rank)?;
         self.permits.pool(&pool.name)
     }
 
-    /// A call wants to enter the module; its caller waits until the deadline.
+    /// A call requests to enter the decision module; its caller waits until the deadline.
     pub fn enter(&mut self, request: &Request, inner: &str, deadline: Micros, now: Micros) -> Entry {
         let Some(pool) = self.pool(inner) else { return Entry::Free };
         let latest = deadline - request.work.unwrap_or(0);
         match self.permits.enter(pool, request.tenant, u64::from(request.id), latest, now) {
-            PermitDecision::Granted(lane) => Entry::Admitted(lane),
+            PermitDecision::Granted(permit) => Entry::Admitted(permit),
             PermitDecision::Wait => {
                 self.waiting.insert(request.id, (request.clone(), deadline));
                 Entry::Wait
@@ -148,40 +151,40 @@
         }
     }
 
-    /// Whether a call waits here, unknown to the module.
+    /// Returns whether a call waits here and has not entered the decision module.
     pub fn is_waiting(&self, request: RequestId) -> bool {
         self.waiting.contains_key(&request)
     }
 
-    /// A call was answered, or its caller left.
+    /// Removes a waiting call that was answered, or whose caller disconnected.
     pub fn forget(&mut self, request: RequestId) {
         if self.waiting.remove(&request).is_some() {
             self.permits.cancel(u64::from(request));
         }
     }
 
-    /// A call is over and all its attempts are known to have ended.
-    pub fn release(&mut self, lane: Permit) {
-        self.freed.push(lane);
+    /// Returns the permit of a call that is finished and whose attempts are all known to have ended.
+    pub fn release(&mut self, permit: Permit) {
+        self.released.push(permit);
     }
 
-    /// Calls that wait no longer, in their order, each with what is left of its time.
+    /// Returns the decisions on calls that wait no longer, in order. An admitted call has its remaining budget.
     pub fn take_decisions(&mut self, now: Micros) -> Vec<PoolDecision> {
         self.checked_at = now;
-        for lane in self.freed.drain(..) {
-            self.permits.leave(lane, now);
+        for permit in self.released.drain(..) {
+            self.permits.leave(permit, now);
         }
         self.permits.take_ready(now, &mut self.outcomes);
         let mut decisions = Vec::with_capacity(self.outcomes.len());
-        for outcomes in self.outcomes.drain(..) {
-            match outcomes {
-                WaitOutcome::Granted { call, permit: lane } => {
+        for outcome in self.outcomes.drain(..) {
+            match outcome {
+                WaitOutcome::Granted { call, permit: granted } => {
                     match self.waiting.remove(&(call as RequestId)) {
                         Some((request, deadline)) => {
                             let budget = (deadline - now).max(0);
-                            decisions.push(PoolDecision::Admitted(Request { budget, ..request }, lane));
+                            decisions.push(PoolDecision::Admitted(Request { budget, ..request }, granted));
                         }
-                        None => self.freed.push(lane),
+                        None => self.released.push(granted),
                     }
                 }
                 WaitOutcome::Rejected { call, retry_after } => {
@@ -193,16 +196,16 @@
         decisions
     }
 
-    /// When [`PoolAdmission::take_decisions`] is due though nothing came.
+    /// Returns when [`PoolAdmission::take_decisions`] is to be called even without an event.
     pub fn due(&self) -> Option<Micros> {
-        if self.freed.is_empty() {
+        if self.released.is_empty() {
             self.permits.next(self.checked_at)
         } else {
             Some(Micros::MIN)
         }
     }
 
-    /// What the replicas are to be told.
+    /// Returns the demand to report to the replicas.
     pub fn demand(&self) -> Vec<Demand> {
         let demand = self.permits.demand(self.checked_at).map(|wanted| Demand {
             pool: wanted.pool.to_owned(),
@@ -215,14 +218,14 @@
     }
 }
 
-/// A pool in the cluster state's words.
-fn pool(told: &stagehoist_config::Pool) -> Pool {
+/// Converts a configured pool to the cluster state's type.
+fn pool(configured: &stagehoist_config::Pool) -> Pool {
     let reservation =
         |(tenant, permits): &(String, u32)| Reservation { tenant: tenant.clone(), permits: *permits };
     Pool {
-        name: told.name.clone(),
-        functions: told.functions.clone(),
-        size: told.permits.map_or(PoolSize::ByWorkers, PoolSize::Permits),
-        reservations: told.reservations.iter().map(reservation).collect(),
+        name: configured.name.clone(),
+        functions: configured.functions.clone(),
+        size: configured.permits.map_or(PoolSize::ByWorkers, PoolSize::Permits),
+        reservations: configured.reservations.iter().map(reservation).collect(),
     }
 }
--- a/crates/gateway/src/fleet/recovery.rs
+++ b/crates/gateway/src/fleet/recovery.rs
@@ -1,9 +1,10 @@
-//! Whether a start is one after a loss of everything, and what the stages of the way back are shown. Without I/O.
+//! Detects a start after a loss of the whole fleet, and drives the recovery phases that follow it. Without I/O.
 //!
-//! A start counts as one after a loss where both hold: the last run of this front end did not leave in order, and the list
-//! of workers names none that is older than this start by more than a told time (or none that is ready at all). A front end
-//! that is killed or replaced in a warm fleet meets old workers and holds nobody up; one whose last run ended in order has
-//! no stages at all. Until the first list is here calls go in: the module holds them without workers anyway.
+//! A start counts as one after a loss if both hold: the last run of this front end did not shut down in order, and
+//! the worker list contains no worker that is older than this start by more than the configured time (or no ready
+//! worker at all). A front end that is killed or replaced in a warm fleet finds older workers and delays no calls;
+//! one whose last run shut down in order has no recovery phases. Calls are admitted until the first list is received:
+//! without workers the decision module holds them anyway.
 
 use super::priority;
 use stagehoist::{EndpointUpdate, Lifecycle, Micros, Outcome, WorkerId};
@@ -13,93 +14,103 @@
 use stagehoist_recovery::RecoveryPhases;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Evidence is of the last so many slots of so long.
+/// Evidence is collected over the last `SLOTS` slots of `SLOT` microseconds each.
 const SLOTS: usize = 4;
 const SLOT: Micros = 500_000;
-/// Fewest ends of calls in them that are evidence.
-const CALLS: u32 = 5;
-/// How the worker told that a call found its copy: it stood.
+/// Minimum number of finished calls in these slots that counts as evidence.
+const MIN_CALLS: u32 = 5;
+/// Value with which a worker reports that a call found its copy loaded.
 const COPY_WARM: u8 = 1;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     ended: u32,
     in_time: u32,
-    /// Attempts whose worker told how it found the copy, and those for which it had to be loaded.
+    /// Attempts whose worker reported the state of the copy; `cold` counts those for which it had to be loaded.
     found: u32,
     cold: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Start {
-    /// No endpoint list came yet.
-    Unheard,
+    /// No endpoint list was received yet.
+    Unknown,
     Lost,
     Warm,
 }
 
-/// One front end's way back to service.
+/// The recovery of one front end.
 #[derive(Debug)]
 pub struct FleetRecovery {
     start: Start,
     phases: RecoveryPhases,
     limits: Limits,
     seed: u64,
-    began: Micros,
+    started_at: Micros,
     new: Micros,
     warm_up: Micros,
-    /// Tenants with reservations, and the functions of the pool.
-    first: Vec<(u32, Vec<String>)>,
-    /// Ready workers and when they started; None: no list came.
+    /// Tenants with reservations, with the functions of the pool; their calls are admitted first.
+    reservations: Vec<(u32, Vec<String>)>,
+    /// Ready workers and when they started; `None` before the first list.
     workers: Option<BTreeMap<WorkerId, Micros>>,
-    /// Those that served a call of this run.
+    /// Workers that served a call of this run.
     served: BTreeSet<WorkerId>,
     slots: VecDeque<(Micros, Counts)>,
 }
 
 impl FleetRecovery {
-    /// `unordered`: the last run of this front end did not leave in order.
-    pub fn new(config: &Config, told: &Recover, unordered: bool, seed: u64, now: Micros) -> FleetRecovery {
+    /// Creates the recovery. `was_unclean` is set if the last run of this front end did not shut down in order.
+    pub fn new(
+        config: &Config,
+        recover: &Recover,
+        was_unclean: bool,
+        seed: u64,
+        now: Micros,
+    ) -> FleetRecovery {
         let limits = Limits {
-            opening_storage: told.waking,
-            resolving_in_doubt: told.asking,
-            ramping: told.reserved,
-            least: told.share,
-            calls: CALLS,
+            opening_storage: recover.waking,
+            resolving_in_doubt: recover.asking,
+            ramping: recover.reserved,
+            least: recover.share,
+            calls: MIN_CALLS,
             ..Limits::default()
         };
-        let start = if unordered { Start::Unheard } else { Start::Warm };
-        if !unordered {
-            tracing::info!(stage = "open", why = "the last run left in order, or there was none", "recovery");
+        let start = if was_unclean { Start::Unknown } else { Start::Warm };
+        if !was_unclean {
+            tracing::info!(
+                stage = "open",
+                why = "the last run shut down in order, or there was none",
+                "recovery"
+            );
         }
         FleetRecovery {
             start,
             phases: RecoveryPhases::open(now),
             limits,
             seed,
-            began: now,
-            new: told.new,
+            started_at: now,
+            new: recover.new,
             warm_up: config.warm_up,
-            first: priority::of(config),
+            reservations: priority::of(config),
             workers: None,
             served: BTreeSet::new(),
             slots: VecDeque::new(),
         }
     }
 
-    /// The present phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> RecoveryPhase {
         self.phases.phase()
     }
 
-    /// When the phase may change though nothing happens.
+    /// Returns when the phase may change without an event.
     pub fn due(&self) -> Option<Micros> {
         self.phases.due()
     }
 
-    /// What the endpoint list says.
+    /// Applies an update of the endpoint list.
     pub fn roster(&mut self, update: &Update) {
-        if self.is_over() || update.kind == EndpointUpdate::Failed {
+        if self.is_finished() || update.kind == EndpointUpdate::Failed {
             return;
         }
         let workers = self.workers.get_or_insert_default();
@@ -114,7 +125,7 @@
         }
     }
 
-    /// A call that was admitted is answered.
+    /// An admitted call was answered.
     pub fn ended(&mut self, in_time: bool, now: Micros) {
         if let Some(slot) = self.slot(now) {
             slot.ended += 1;
@@ -122,7 +133,7 @@
         }
     }
 
-    /// An attempt ended; `copy` is how its worker found the copy.
+    /// An attempt ended; `copy` is the state in which its worker found the copy.
     pub fn attempt(&mut self, worker: WorkerId, outcome: Outcome, copy: u8, now: Micros) {
         let Some(slot) = self.slot(now) else { return };
         let missed = outcome == Outcome::Miss;
@@ -133,9 +144,9 @@
         }
     }
 
-    /// Looks at what is known. True where calls that wait are to be asked for again.
+    /// Evaluates the evidence. Returns true if waiting calls are to be submitted for admission again.
     pub fn update(&mut self, record: bool, now: Micros) -> bool {
-        if self.is_over() {
+        if self.is_finished() {
             return false;
         }
         let before = self.phase();
@@ -147,38 +158,38 @@
         if self.phases.observe(&seen, now) {
             let why = match self.phase() {
                 RecoveryPhase::OpeningStorage | RecoveryPhase::ResolvingInDoubt => {
-                    "nothing of its own store is waited for"
+                    "no local storage to wait for"
                 }
                 RecoveryPhase::Ramping if record => "cluster status received",
                 RecoveryPhase::Ramping => "the limit passed without the cluster status",
-                RecoveryPhase::Serving => "the fleet is warm, or time opened it",
+                RecoveryPhase::Serving => "the fleet is warm, or the time limit of the phase passed",
             };
             tracing::info!(stage = self.phase().word(), why, ?seen, "recovery");
         }
         self.phase() != before
     }
 
-    /// What is decided about a call of a tenant.
+    /// Decides about the admission of a tenant's call.
     pub fn admit(&mut self, call: (u32, &str), left: Micros, now: Micros) -> Admission {
         if self.phase() == RecoveryPhase::Serving {
             return Admission::Enter;
         }
-        let first = priority::is_first(&self.first, call.0, call.1);
-        self.phases.admit(first, left, now)
+        let has_priority = priority::has_priority(&self.reservations, call.0, call.1);
+        self.phases.admit(has_priority, left, now)
     }
 
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.start == Start::Warm || (self.start == Start::Lost && self.phase() == RecoveryPhase::Serving)
     }
 
-    /// Whether this is a start after a loss, by the workers that are listed.
+    /// Decides from the listed workers whether this is a start after a loss.
     fn evaluate(&mut self, now: Micros) {
         let Some(workers) = &self.workers else { return };
-        // A start that is not told is no sign of a new worker.
-        let old = workers.values().filter(|started| **started < self.began - self.new).count();
+        // A worker without a start time is not evidence of a new worker.
+        let old = workers.values().filter(|started| **started < self.started_at - self.new).count();
         let listed = workers.len();
         match self.start {
-            Start::Unheard | Start::Lost if old > 0 => {
+            Start::Unknown | Start::Lost if old > 0 => {
                 tracing::info!(
                     stage = "open",
                     why = "workers are older than this start",
@@ -188,8 +199,8 @@
                 );
                 (self.start, self.phases) = (Start::Warm, RecoveryPhases::open(now));
             }
-            Start::Unheard => {
-                let why = "the last run did not leave in order, and no worker is older than this start";
+            Start::Unknown => {
+                let why = "the last run did not shut down in order, and no worker is older than this start";
                 tracing::info!(stage = "waking", why, listed, "recovery");
                 (self.start, self.phases) = (Start::Lost, RecoveryPhases::new(self.limits, self.seed, now));
             }
@@ -198,18 +209,18 @@
     }
 
     fn evidence(&mut self, record: bool, now: Micros) -> RecoveryEvidence {
-        let from = now - SLOT * SLOTS as Micros;
-        self.slots.retain(|(at, _)| *at > from);
-        let mut all = Counts::default();
+        let oldest = now - SLOT * SLOTS as Micros;
+        self.slots.retain(|(at, _)| *at > oldest);
+        let mut total = Counts::default();
         for (_, slot) in &self.slots {
-            all.ended += slot.ended;
-            all.in_time += slot.in_time;
-            all.found += slot.found;
-            all.cold += slot.cold;
+            total.ended += slot.ended;
+            total.in_time += slot.in_time;
+            total.found += slot.found;
+            total.cold += slot.cold;
         }
         let none = BTreeMap::new();
         let workers = self.workers.as_ref().unwrap_or(&none);
-        // One that is past its time of warming up is warm as far as its falling over goes.
+        // A worker whose warm-up time has passed counts as warm, as far as overload is concerned.
         let warm = |(worker, started): &(&WorkerId, &Micros)| {
             self.served.contains(worker) || now - **started >= self.warm_up
         };
@@ -217,20 +228,20 @@
             store: true,
             record,
             open_inquiries: 0,
-            ended: all.ended,
-            in_time: all.in_time,
+            ended: total.ended,
+            in_time: total.in_time,
             workers: workers.len() as u32,
             warm_workers: workers.iter().filter(warm).count() as u32,
-            unused_capacity: if all.found == 0 {
+            unused_capacity: if total.found == 0 {
                 1.0
             } else {
-                1.0 - f64::from(all.cold) / f64::from(all.found)
+                1.0 - f64::from(total.cold) / f64::from(total.found)
             },
         }
     }
 
     fn slot(&mut self, now: Micros) -> Option<&mut Counts> {
-        if self.start != Start::Lost || self.is_over() {
+        if self.start != Start::Lost || self.is_finished() {
             return None;
         }
         let at = now - now % SLOT;
--- a/crates/gateway/src/fleet/retirement_gate.rs
+++ b/crates/gateway/src/fleet/retirement_gate.rs
@@ -1,4 +1,5 @@
-//! What may be taken, sent and answered by what is known of retired functions. Pure: the standing and the time go in.
+//! Decides which calls may be accepted, sent and answered, according to the retired functions that are known. A pure
+//! state machine: the cluster status and the time are passed in.
 
 use super::names::{inner_name, outer_name};
 use stagehoist::Micros;
@@ -6,56 +7,58 @@
 use stagehoist_config::Config;
 use std::rc::Rc;
 
-/// A front end looks at the clock four times a second, and a turn is short: after a longer gap it did not run.
+/// A front end reads the clock four times a second and a turn is short, so a longer gap means that the process was
+/// stopped.
 const STALL_THRESHOLD: Micros = 350_000;
 
 /// What a caller is notified of a retired function.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Retired {
-    /// The highest generation that is retired.
+    /// The highest retired generation.
     pub generation: u32,
-    /// When it was asked for, in milliseconds since 1970.
+    /// When the retirement was requested, in milliseconds since 1970.
     pub at_ms: i64,
-    /// For information: nothing is passed on to it.
+    /// For information only: no call is forwarded to it.
     pub successor: Option<String>,
     pub reason: String,
 }
 
 impl From<&Tombstone> for Retired {
     fn from(tombstone: &Tombstone) -> Retired {
-        let told = &tombstone.retirement;
+        let retirement = &tombstone.retirement;
         Retired {
-            generation: told.generation,
-            at_ms: told.requested_ms,
-            successor: told.successor.clone(),
-            reason: told.reason.clone(),
+            generation: retirement.generation,
+            at_ms: retirement.requested_ms,
+            successor: retirement.successor.clone(),
+            reason: retirement.reason.clone(),
         }
     }
 }
 
-/// Why something may not go on.
+/// Why a call or an answer must not proceed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClosedReason {
     Retired(Box<Retired>),
-    /// It can't be known here whether the function is retired by now, and it is strict or this front end did not run.
+    /// It is unknown whether the function is retired by now, and the function is strict or this front end was
+    /// stopped.
     ViewNotCurrent,
-    /// A generation that is neither retired nor the configured one.
+    /// The generation is neither retired nor the configured one.
     UnknownGeneration,
 }
 
-/// One front end's knowledge of what is retired.
+/// A front end's knowledge of retired functions.
 #[derive(Clone, Debug)]
 pub struct RetirementGate {
     config: Rc<Config>,
     status: ClusterStatus,
-    /// When the front end last looked at the clock; none before it first did.
+    /// When the front end last read the clock; `None` before the first reading.
     last_active: Option<Micros>,
-    /// It did not run while its view ran out: until then it goes on only with fresh word.
+    /// The process was stopped while its view expired: until this time it proceeds only with a fresh cluster status.
     must_confirm_until: Micros,
 }
 
 impl RetirementGate {
-    /// Before any word of the replicas.
+    /// Creates a gate before the first cluster status.
     pub fn new(config: Rc<Config>) -> RetirementGate {
         let status = ClusterStatus {
             fresh_until: Micros::MIN,
@@ -65,30 +68,32 @@
         RetirementGate { config, status, last_active: None, must_confirm_until: Micros::MIN }
     }
 
-    /// The front end runs at this moment. One that did not for long, and whose view ran out meanwhile, was stopped: it asks
-    /// before it goes on, as at its start. One that is cut off has run all the time.
+    /// Records that the front end is running now. If it did not run for long and its view expired meanwhile, it was
+    /// stopped: it waits for a fresh status before it proceeds, as at its start. A front end that is only cut off
+    /// from the replicas has been running all the time.
     pub fn record_activity(&mut self, now: Micros) {
         if self.was_stalled(now) {
-            let most = self.config.fleet.as_ref().map_or(0, |f| f.asking_most);
-            self.must_confirm_until = now.saturating_add(most);
+            let asking_most = self.config.fleet.as_ref().map_or(0, |f| f.asking_most);
+            self.must_confirm_until = now.saturating_add(asking_most);
             tracing::warn!(
-                most_ms = most / 1000,
-                "did not run while its view ran out; asks before it goes on"
+                most_ms = asking_most / 1000,
+                "process was stopped while its view expired; waiting for a fresh cluster status"
             );
         }
         self.last_active = Some(now);
     }
 
     fn was_stalled(&self, now: Micros) -> bool {
-        !self.is_fresh(now) && self.last_active.is_some_and(|awake| now - awake > STALL_THRESHOLD)
+        !self.is_fresh(now) && self.last_active.is_some_and(|last| now - last > STALL_THRESHOLD)
     }
 
-    /// Whether this front end was stopped and has no word since, whatever a function's mode is.
+    /// Returns whether this front end was stopped and has received no status since, whatever the function's mode.
     pub fn must_confirm(&self, now: Micros) -> bool {
         !self.is_fresh(now) && (now < self.must_confirm_until || self.was_stalled(now))
     }
 
-    /// The replicas' newest word; whether its view is another. A view older than the one that is known counts for nothing.
+    /// Applies a cluster status; returns whether its view is a newer one. A status with an older view than the known
+    /// one is ignored.
     pub fn update(&mut self, status: ClusterStatus) -> bool {
         let (old, new) = (self.status.view.version, status.view.version);
         if new < old {
@@ -98,21 +103,26 @@
         new > old
     }
 
-    /// The newest view that came.
+    /// Returns the newest view received.
     pub fn view(&self) -> &ClusterView {
         &self.status.view
     }
 
-    /// Whether the view is known to be the newest in force.
+    /// Returns whether the view is known to be the newest in force.
     pub fn is_fresh(&self, now: Micros) -> bool {
         !self.status.is_stale(now)
     }
 
-    /// The inner name under which a call is taken; `asked` is the generation that it names.
-    pub fn admit(&self, name: &Rc<str>, asked: Option<u32>, now: Micros) -> Result<Rc<str>, ClosedReason> {
+    /// Returns the internal name under which a call is accepted; `requested` is the generation that the call names.
+    pub fn admit(
+        &self,
+        name: &Rc<str>,
+        requested: Option<u32>,
+        now: Micros,
+    ) -> Result<Rc<str>, ClosedReason> {
         let function = self.config.function(name);
         let configured = function.map_or(1, |f| f.generation);
-        let generation = asked.unwrap_or(configured);
+        let generation = requested.unwrap_or(configured);
         if let Some(tombstone) = self.view().retired(name, generation) {
             return Err(ClosedReason::Retired(Box::new(tombstone.into())));
         }
@@ -125,7 +135,7 @@
         Ok(inner_name(name, generation))
     }
 
-    /// Under which tombstone an inner name falls.
+    /// Returns the tombstone that applies to an internal name.
     pub fn retired(&self, inner: &str) -> Option<ClosedReason> {
         if self.view().tombstones.is_empty() {
             return None;
@@ -135,12 +145,12 @@
         Some(ClosedReason::Retired(Box::new(tombstone.into())))
     }
 
-    /// Whether it can't be known at this moment if a function is retired, though it must be.
+    /// Returns whether a strict function may be retired by now without this front end knowing.
     pub fn in_doubt(&self, inner: &str, now: Micros) -> bool {
         !self.is_fresh(now) && self.config.is_strict(outer_name(inner).0)
     }
 
-    /// Why nothing may go to a worker for an inner name at this moment.
+    /// Returns why nothing may be sent to a worker for an internal name now, if so.
     pub fn closed(&self, inner: &str, now: Micros) -> Option<ClosedReason> {
         let unknown =
             || (self.in_doubt(inner, now) || self.must_confirm(now)).then_some(ClosedReason::ViewNotCurrent);
--- a/crates/gateway/src/fleet/retirement_states.rs
+++ b/crates/gateway/src/fleet/retirement_states.rs
@@ -1,4 +1,4 @@
-//! The file beside the retirements, `FILE.state`, which tells how far each has come:
+//! The file `FILE.state` beside the file of retirements. It holds the state of each retirement:
 //!
 //! ```text
 //! free-times 1 in-force 1700000000123
@@ -8,24 +8,25 @@
 //! # version 17
 //! ```
 //!
-//! `not-in-force` is one that the cluster state has not taken, as where it is full: it is proposed again until it is.
-//! The time is when a process that wrote the file first saw that state, in milliseconds since 1970. Several processes may
-//! keep one file: what is there is replaced only by a later view, or where it is lost or damaged.
+//! `not-in-force` marks a retirement that the cluster state has not accepted, for example because it is full; it is
+//! proposed again until it is accepted. The time is when a process that wrote the file first saw that state, in
+//! milliseconds since 1970. Several processes may maintain the same file: its content is replaced only by that of a
+//! later view, or if it is lost or damaged.
 
 use stagehoist_cluster_state::{ClusterView, Tombstone, TombstoneState};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What a file of states holds: by function its state's words and time, and the view that they are of.
+/// Content of a state file: the state's text and time by function, and the version of the view that they belong to.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct States {
     pub version: u64,
     pub lines: BTreeMap<String, (String, i64)>,
 }
 
-/// The words of a state, as they stand before and after its time.
-fn words(tombstone: &Tombstone) -> (String, String) {
+/// Returns the text of a state before and after its time.
+fn state_text(tombstone: &Tombstone) -> (String, String) {
     let generation = tombstone.retirement.generation;
     match &tombstone.state {
         TombstoneState::Proposed => (format!("{generation} proposed"), String::new()),
@@ -39,7 +40,7 @@
     }
 }
 
-/// Reads a file; None where it is damaged.
+/// Parses a state file; returns `None` if it is damaged.
 pub fn parse(text: &str) -> Option<States> {
     let mut states = States::default();
     let mut lines = text.strip_suffix('\n')?.split('\n').rev();
@@ -48,9 +49,9 @@
         let mut parts = line.split(' ');
         let (name, generation, state) = (parts.next()?, parts.next()?, parts.next()?);
         let ms: i64 = parts.next()?.parse().ok()?;
-        let rest: Vec<&str> = parts.collect();
+        let exceptions: Vec<&str> = parts.collect();
         generation.parse::<u32>().ok()?;
-        let known = match (state, &rest[..]) {
+        let known = match (state, &exceptions[..]) {
             ("proposed" | "in-force" | "not-in-force", []) => format!("{generation} {state}"),
             ("in-force", ["but-for", names]) => format!("{generation} {state} but-for {names}"),
             _ => return None,
@@ -60,34 +61,37 @@
     Some(states)
 }
 
-/// The state of what the cluster state has not taken.
-fn unmet(generation: u32) -> (String, String) {
+/// Returns the state's text of a retirement that the cluster state has not accepted.
+fn not_in_force(generation: u32) -> (String, String) {
     (format!("{generation} not-in-force"), String::new())
 }
 
-/// The file of a view and of what it does not show though it was asked for; a state that stood before keeps its time.
+/// Renders the file for a view and for the requested retirements that the view does not show yet. An unchanged state
+/// keeps its time.
 pub fn render(
     view: &ClusterView,
     outstanding: &BTreeMap<String, u32>,
-    before: &States,
+    previous: &States,
     now_ms: i64,
 ) -> String {
     let mut text = String::new();
-    let mut states: BTreeMap<&String, _> = outstanding.iter().map(|(name, g)| (name, unmet(*g))).collect();
-    // A lower generation that is in force says more than a higher one that waits.
-    states.extend(view.tombstones.iter().map(|(name, tombstone)| (name, words(tombstone))));
-    for (name, (state, rest)) in states {
-        let since = before.lines.get(name).filter(|(known, _)| *known == format!("{state}{rest}"));
-        let ms = since.map_or(now_ms, |(_, ms)| *ms);
-        text.push_str(&format!("{name} {state} {ms}{rest}\n"));
+    let mut states: BTreeMap<&String, _> =
+        outstanding.iter().map(|(name, g)| (name, not_in_force(*g))).collect();
+    // A lower generation that is in force is more informative than a higher one that is outstanding.
+    states.extend(view.tombstones.iter().map(|(name, tombstone)| (name, state_text(tombstone))));
+    for (name, (state, suffix)) in states {
+        let unchanged = previous.lines.get(name).filter(|(known, _)| *known == format!("{state}{suffix}"));
+        let ms = unchanged.map_or(now_ms, |(_, ms)| *ms);
+        text.push_str(&format!("{name} {state} {ms}{suffix}\n"));
     }
     text.push_str(&format!("# version {}\n", view.version));
     text
 }
 
-/// Brings the file up to date, if its view is older, it lacks something outstanding, or it is lost or damaged. What
-/// another process wrote of the same view as outstanding stays. Nothing is written before any view came.
-pub async fn keep(
+/// Updates the file if its view is older, it lacks an outstanding retirement, or it is lost or damaged. Outstanding
+/// retirements that another process wrote for the same view stay. Nothing is written before the first view was
+/// received.
+pub async fn update(
     retirements: &Path,
     view: &ClusterView,
     outstanding: &BTreeMap<String, u32>,
@@ -96,7 +100,7 @@
     if view.version == 0 {
         return Ok(());
     }
-    let path = beside(retirements, ".state");
+    let path = with_suffix(retirements, ".state");
     let known = match tokio::fs::read(&path).await {
         Ok(bytes) => String::from_utf8(bytes).ok().and_then(|text| parse(&text)),
         Err(e) if e.kind() == io::ErrorKind::NotFound => None,
@@ -105,40 +109,41 @@
     let known = known.unwrap_or_default();
     let mut outstanding = outstanding.clone();
     if known.version == view.version {
-        let told = known.lines.iter().filter_map(|(name, (words, _))| {
-            Some((name, words.strip_suffix(" not-in-force")?.parse::<u32>().ok()?))
+        let known_outstanding = known.lines.iter().filter_map(|(name, (state_text, _))| {
+            Some((name, state_text.strip_suffix(" not-in-force")?.parse::<u32>().ok()?))
         });
-        for (name, generation) in told {
+        for (name, generation) in known_outstanding {
             let highest = outstanding.entry(name.clone()).or_default();
             *highest = generation.max(*highest);
         }
     }
     let lacks = |(name, generation): (&String, &u32)| {
         !view.tombstones.contains_key(name)
-            && known.lines.get(name).is_none_or(|(words, _)| *words != unmet(*generation).0)
+            && known.lines.get(name).is_none_or(|(state_text, _)| *state_text != not_in_force(*generation).0)
     };
     if known.version > view.version || known.version == view.version && !outstanding.iter().any(lacks) {
         return Ok(());
     }
     let text = render(view, &outstanding, &known, now_ms);
-    let temp = beside(retirements, &format!(".state.{}.new", std::process::id()));
-    let written = write(&temp, &path, text.as_bytes()).await;
-    if written.is_err() {
-        // What is left of it is of no use; the file itself still stands.
-        let _ = tokio::fs::remove_file(&temp).await;
+    let temporary = with_suffix(retirements, &format!(".state.{}.new", std::process::id()));
+    let result = write(&temporary, &path, text.as_bytes()).await;
+    if result.is_err() {
+        // The temporary file is useless; the previous file is unchanged.
+        let _ = tokio::fs::remove_file(&temporary).await;
     }
-    written
+    result
 }
 
-async fn write(temp: &Path, path: &Path, bytes: &[u8]) -> io::Result<()> {
-    // Not flushed to the disk: that took over a second where others wrote much, and the cluster state is what is kept. What a power
-    // loss leaves is whole and older, or shows that it is damaged; either is replaced.
-    tokio::fs::write(temp, bytes).await?;
-    tokio::fs::rename(temp, path).await
+async fn write(temporary: &Path, path: &Path, bytes: &[u8]) -> io::Result<()> {
+    // Not flushed to the disk: that took over a second while other processes wrote much, and the cluster state is the
+    // durable copy. After a power loss the file is either complete and older, or recognized as damaged; both are
+    // replaced.
+    tokio::fs::write(temporary, bytes).await?;
+    tokio::fs::rename(temporary, path).await
 }
 
-fn beside(path: &Path, ending: &str) -> PathBuf {
+fn with_suffix(path: &Path, suffix: &str) -> PathBuf {
     let mut name = path.as_os_str().to_os_string();
-    name.push(ending);
+    name.push(suffix);
     name.into()
 }
--- a/crates/gateway/src/fleet/retirements.rs
+++ b/crates/gateway/src/fleet/retirements.rs
@@ -1,12 +1,12 @@
-//! The watched file of retired functions, one a line, and the task that proposes each new line:
+//! The watched file of retired functions, one per line, and the task that proposes each new line:
 //!
 //! ```text
 //! # NAME GENERATION [successor=NAME] [reason=WORDS]
 //! free-times 1 successor=free-times-two reason=replaced by the new model
 //! ```
 //!
-//! A last line without its end is still being written, and not taken. A line that was proposed stays proposed though it is
-//! taken out of the file: a retirement is for good.
+//! A last line without a line end is still being written and is ignored. A line that was proposed stays proposed even
+//! if it is removed from the file: a retirement is permanent.
 
 use super::retirement_states;
 use stagehoist_cluster_state::{ClusterStatus, ClusterView, Retirement, RetirementMode};
@@ -16,14 +16,15 @@
 use std::time::{Duration, SystemTime};
 use tokio::sync::{mpsc, watch};
 
-/// How often the file's size, time and number are looked at. It is read when they changed, and once in so many looks
-/// whatever they say: two changes within a tick of the file system's clock may look alike.
+/// Interval at which the file's size, modification time and inode number are checked. The file is read when they
+/// changed, and once in [`POLLS_BETWEEN_READS`] checks regardless: two changes within a tick of the file system's
+/// clock may look alike.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 const POLLS_BETWEEN_READS: u32 = 8;
-/// Largest file, in bytes, and most lines that are taken of it.
+/// Maximum size of the file in bytes, and maximum number of lines that are read from it.
 const MAX_FILE_SIZE: u64 = 4 << 20;
 const MAX_LINES: usize = 20_000;
-/// Faults kept in mind so that each is reported once.
+/// Maximum number of recorded faults; each recorded fault is reported once.
 const MAX_FAULTS: usize = 1000;
 const EXPECTED: &str = "NAME GENERATION [successor=NAME] [reason=WORDS]";
 
@@ -36,19 +37,19 @@
     pub reason: String,
 }
 
-/// The whole lines of a text; of a line at fault its number and what is wrong.
+/// Parses the complete lines of a text; returns them, and for each malformed line its number and the error.
 pub fn parse(text: &str) -> (Vec<Line>, Vec<(usize, String)>) {
-    // What follows the last line end is not whole.
-    let whole = text.rfind('\n').map_or("", |end| &text[..end]);
+    // Text after the last line end is incomplete.
+    let complete = text.rfind('\n').map_or("", |end| &text[..end]);
     let (mut lines, mut faults) = (Vec::new(), Vec::new());
-    for (number, line) in whole.split('\n').enumerate() {
+    for (number, line) in complete.split('\n').enumerate() {
         if lines.len() >= MAX_LINES {
-            faults.push((number + 1, format!("more than {MAX_LINES} lines; the rest is not taken")));
+            faults.push((number + 1, format!("more than {MAX_LINES} lines; the rest is ignored")));
             break;
         }
         match parse_line(line) {
             Ok(line) => lines.extend(line),
-            Err(what) => faults.push((number + 1, what)),
+            Err(error) => faults.push((number + 1, error)),
         }
     }
     (lines, faults)
@@ -58,12 +59,12 @@
     let mut words = line.split_whitespace().take_while(|w| !w.starts_with('#'));
     let Some(function) = words.next() else { return Ok(None) };
     if function.chars().any(char::is_control) || function.len() > 255 {
-        return Err("the name is longer than 255 bytes or holds control characters".into());
+        return Err("the name is longer than 255 bytes or contains control characters".into());
     }
     let generation = words.next().ok_or("the generation is missing")?;
     let generation = match generation.parse::<u32>() {
         Ok(n) if n > 0 => n,
-        _ => return Err(format!("generation is {generation:?}, expected a whole number from 1")),
+        _ => return Err(format!("generation is {generation:?}, expected a whole number of at least 1")),
     };
     let (mut successor, mut reason): (Option<String>, Option<String>) = (None, None);
     for word in words {
@@ -85,19 +86,19 @@
     Ok(Some(Line { function: function.into(), generation, successor, reason }))
 }
 
-/// What of a file was proposed already.
+/// Tracks which lines of a file were proposed.
 #[derive(Debug, Default)]
 pub struct Proposer {
     text: String,
     lines: Vec<Line>,
     proposed: BTreeMap<String, u32>,
-    /// Those of them that no view has shown yet.
+    /// Proposed retirements that no view has shown yet.
     unseen: BTreeMap<String, u32>,
     faults: BTreeSet<(usize, String)>,
 }
 
 impl Proposer {
-    /// A file was read; the faults that were not told before.
+    /// Applies the text of the file; returns the faults that were not reported before.
     pub fn read(&mut self, text: String) -> Vec<(usize, String)> {
         if text == self.text {
             return Vec::new();
@@ -110,13 +111,13 @@
         new
     }
 
-    /// Lines not proposed yet, in the order of the file.
+    /// Returns the lines not proposed yet, in the order of the file.
     pub fn pending(&self) -> impl Iterator<Item = &Line> + '_ {
         let known = |l: &Line| self.proposed.get(&l.function).is_some_and(|g| *g >= l.generation);
         self.lines.iter().filter(move |l| !known(l))
     }
 
-    /// A line was handed to the session.
+    /// Records that a line was passed to the session.
     pub fn on_proposed(&mut self, line: &Line) {
         if self.proposed.len() < MAX_LINES || self.proposed.contains_key(&line.function) {
             self.proposed.insert(line.function.clone(), line.generation);
@@ -124,7 +125,8 @@
         }
     }
 
-    /// What was asked for and no view has shown so far, so that it is not in force anywhere: proposed, or still to be.
+    /// Returns the requested retirements that no view has shown yet, so that they are not in force anywhere:
+    /// proposed, or still to be proposed.
     pub fn outstanding(&mut self, view: &ClusterView) -> BTreeMap<String, u32> {
         let is_shown = |function: &str, generation| view.retired(function, generation).is_some();
         self.unseen.retain(|function, generation| !is_shown(function, *generation));
@@ -142,8 +144,8 @@
     i64::try_from(since.as_millis()).unwrap_or(i64::MAX)
 }
 
-/// What tells one state of a file from another without reading it.
-async fn stamp(path: &PathBuf) -> Option<(u64, u64, SystemTime)> {
+/// Returns the metadata by which a change of a file is detected without reading it.
+async fn file_state(path: &PathBuf) -> Option<(u64, u64, SystemTime)> {
     use std::os::unix::fs::MetadataExt;
     let found = tokio::fs::metadata(path).await.ok()?;
     Some((found.ino(), found.len(), found.modified().ok()?))
@@ -156,11 +158,11 @@
     if bytes.len() as u64 > MAX_FILE_SIZE {
         return Err(std::io::Error::new(std::io::ErrorKind::FileTooLarge, "too large"));
     }
-    // A line that is no text is at fault by itself; the others count.
+    // A line that is not valid UTF-8 is a fault by itself; the other lines are still used.
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// Follows the file and keeps the one beside it up to date, until the session is gone or the future is dropped.
+/// Follows the file and updates the state file beside it, until the session has ended or the future is dropped.
 pub async fn follow(
     config: Config,
     path: PathBuf,
@@ -168,12 +170,12 @@
     retire: mpsc::Sender<Retirement>,
 ) {
     let mut proposer = Proposer::default();
-    let (mut failing, mut seen, mut looks) = (false, None, 0);
-    let mut look = tokio::time::interval(POLL_INTERVAL);
-    look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let (mut read_failing, mut seen, mut polls) = (false, None, 0);
+    let mut poll_timer = tokio::time::interval(POLL_INTERVAL);
+    poll_timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        let told = tokio::select! {
-            _ = look.tick() => false,
+        let has_new_status = tokio::select! {
+            _ = poll_timer.tick() => false,
             changed = status.changed() => {
                 if changed.is_err() {
                     return;
@@ -181,38 +183,39 @@
                 true
             }
         };
-        let newest = stamp(&path).await;
-        let waits = retire.capacity() > 0 && proposer.pending().next().is_some();
-        let idle = !told && !waits && newest == seen && looks % POLLS_BETWEEN_READS != 0;
-        looks = if told { looks } else { (looks + 1) % POLLS_BETWEEN_READS };
+        let newest = file_state(&path).await;
+        let can_propose = retire.capacity() > 0 && proposer.pending().next().is_some();
+        let idle = !has_new_status && !can_propose && newest == seen && polls % POLLS_BETWEEN_READS != 0;
+        polls = if has_new_status { polls } else { (polls + 1) % POLLS_BETWEEN_READS };
         if idle {
             continue;
         }
         seen = newest;
         match read(&path).await {
             Ok(text) => {
-                failing = false;
+                read_failing = false;
                 for (line, what) in proposer.read(text) {
-                    tracing::warn!(file = %path.display(), line, what, expected = EXPECTED, "not a retirement");
+                    tracing::warn!(file = %path.display(), line, what, expected = EXPECTED, "malformed line in the file of retirements");
                 }
             }
-            Err(e) if !std::mem::replace(&mut failing, true) => {
-                tracing::warn!(file = %path.display(), error = %e, "can't read the retirements; what was read stands");
+            Err(e) if !std::mem::replace(&mut read_failing, true) => {
+                tracing::warn!(file = %path.display(), error = %e, "can't read the file of retirements; using the last content");
             }
             Err(_) => {}
         }
         propose(&config, &mut proposer, &retire);
         let view = status.borrow_and_update().view.clone();
-        if let Err(e) = retirement_states::keep(&path, &view, &proposer.outstanding(&view), now_ms()).await {
-            tracing::warn!(file = %path.display(), error = %e, "can't write the states of the retirements");
+        if let Err(e) = retirement_states::update(&path, &view, &proposer.outstanding(&view), now_ms()).await
+        {
+            tracing::warn!(file = %path.display(), error = %e, "can't write the state file of the retirements");
         }
     }
 }
 
-/// Hands over as many lines as the session takes now; the others at the next look.
+/// Passes as many lines to the session as its channel has capacity for now; the others follow at the next check.
 fn propose(config: &Config, proposer: &mut Proposer, retire: &mpsc::Sender<Retirement>) {
-    let open: Vec<Line> = proposer.pending().take(retire.capacity()).cloned().collect();
-    for line in open {
+    let ready: Vec<Line> = proposer.pending().take(retire.capacity()).cloned().collect();
+    for line in ready {
         let known = config.function(&line.function);
         let strict = known.is_some_and(|f| f.strict);
         let retirement = Retirement {
@@ -229,7 +232,7 @@
         if known.is_none() {
             tracing::warn!(
                 function = line.function,
-                "retired, though this configuration has no such function"
+                "proposing the retirement of a function that is not configured"
             );
         }
         tracing::info!(function = line.function, generation = line.generation, "retirement proposed");
--- a/crates/gateway/src/shards/ownership.rs
+++ b/crates/gateway/src/shards/ownership.rs
@@ -1,8 +1,9 @@
-//! Which shards a front end of a divided fleet owns by the list of front ends, without I/O.
+//! Computes which shards a front end of a divided fleet owns according to the list of front ends, without I/O.
 //!
-//! Nothing is owned before the first whole list. A shard that comes is owned at once. One that goes is handed over: its queue
-//! is consumed a while longer, until whoever comes in its place knows the list too; then its calls and its workers are kept
-//! as long again, for what is under way over the cancelled queue. A list that fails changes nothing.
+//! Nothing is owned before the first complete list. A shard that is gained is owned at once. A shard that is lost is
+//! handed over: its queue is consumed until the new owners know the list too; then its calls and workers are retained
+//! for the same time again, for messages already on their way from the cancelled queue. A failed list changes
+//! nothing.
 
 use crate::discovery::front_ends::Entry;
 use stagehoist::Micros;
@@ -10,58 +11,61 @@
 use stagehoist_sharding::{Division, Divisions, FrontEnd, FrontEnds, Key, Member, Shard, MAX_MEMBERS};
 use std::collections::BTreeMap;
 
-/// Added to the time in which all know a list, before a queue is left; and the time of a `basic.cancel` and its answer.
+/// Safety margin added to the time within which all front ends know a list, before a queue is left; it covers a
+/// `basic.cancel` and its answer.
 const MARGIN: Micros = 1_000_000;
 
-/// What a front end has of one division served, in ascending order.
+/// The shards that a front end has of one division served, in ascending order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnedShards {
     pub generation: u32,
     pub current: Vec<Shard>,
-    /// No more its own; their queues are consumed still.
+    /// No longer owned; their queues are still consumed.
     pub leaving: Vec<Shard>,
-    /// Their queues are consumed no more; what still comes over them is taken.
+    /// Their queues are no longer consumed; late deliveries from them are still accepted.
     pub retained: Vec<Shard>,
 }
 
 impl OwnedShards {
-    /// Shards whose functions and workers are this front end's.
+    /// Returns the shards whose functions and workers belong to this front end.
     pub fn served(&self) -> Vec<Shard> {
-        let mut all = [&self.current[..], &self.leaving, &self.retained].concat();
-        all.sort_unstable();
-        all
+        let mut members = [&self.current[..], &self.leaving, &self.retained].concat();
+        members.sort_unstable();
+        members
     }
 
-    /// Shards whose queues are consumed.
+    /// Returns the shards whose queues are consumed.
     pub fn consumed(&self) -> impl Iterator<Item = Shard> + '_ {
         self.current.iter().chain(&self.leaving).copied()
     }
 }
 
-/// One front end's shards by the list of front ends.
+/// The shards of one front end according to the list of front ends.
 #[derive(Debug)]
 pub struct Ownership {
     divisions: Divisions,
     member: Member,
     name: String,
-    /// Name of the own zone; None: zones aren't told, and all are of one.
+    /// Name of this front end's zone; `None` if zones aren't configured and all front ends count as one zone.
     zone: Option<String>,
-    handover: Micros,
-    /// None: no list came yet.
+    handover_time: Micros,
+    /// `None` before the first list.
     front_ends: Option<FrontEnds>,
-    /// The others of the own zone. What is believed of another zone changes nothing in one's own.
+    /// The other front ends of this zone. The membership of another zone does not affect the shards owned here.
     known: BTreeMap<Key, FrontEnd>,
-    /// Own shards, by generation, that went, and when; bounded by the divisions.
+    /// Shards that are no longer owned, with their division's generation, and when they were lost; bounded by the
+    /// divisions.
     released: BTreeMap<(u32, Shard), Micros>,
     current: Vec<OwnedShards>,
     omitted: usize,
     is_listed: bool,
-    /// Lists that changed own shards.
+    /// Number of lists that changed the owned shards.
     pub changes: u64,
 }
 
 impl Ownership {
-    /// None: front ends own by their numbers, or the fleet isn't divided. `first` in the configuration is this front end's number.
+    /// Returns `None` if front ends own shards by their numbers, or the fleet isn't divided. `first` in the
+    /// configuration is this front end's number.
     pub fn new(config: &Config) -> Option<Ownership> {
         let (sharding, list) = (config.sharding.as_ref()?, config.front_ends_list.as_ref()?);
         let zone = config.zone.clone().or_else(|| config.zones.first().cloned());
@@ -72,7 +76,7 @@
             member: Member::new(&name, at as u16, 1.0),
             name,
             zone,
-            handover: list.interval() + MARGIN,
+            handover_time: list.interval() + MARGIN,
             front_ends: None,
             known: BTreeMap::new(),
             released: BTreeMap::new(),
@@ -83,117 +87,120 @@
         })
     }
 
-    /// Others of the own zone that are counted.
+    /// Returns the number of other front ends of this zone.
     pub fn front_end_count(&self) -> usize {
         self.known.len()
     }
 
-    /// For how long a queue that goes is consumed, and what still comes over it is taken as long again.
-    pub fn handover(&self) -> Micros {
-        self.handover
+    /// Returns for how long the queue of a lost shard is still consumed. Its late deliveries are accepted for the
+    /// same time again.
+    pub fn handover_time(&self) -> Micros {
+        self.handover_time
     }
 
-    /// Whether this front end counts another to its shards, and so a whole list came.
+    /// Returns whether a complete list was received.
     pub fn is_known(&self) -> bool {
         self.front_ends.is_some()
     }
 
-    /// A whole list came. Gives what is owned where that changed.
+    /// Applies a complete list. Returns the owned shards if they changed.
     pub fn listed(&mut self, list: &[Entry], now: Micros) -> Option<Vec<OwnedShards>> {
-        let listed = self.of_zone(list);
+        let listed = self.own_zone_members(list);
         let changed: Vec<(Key, Option<FrontEnd>)> = {
-            let came = listed.iter().filter(|(key, f)| self.known.get(key) != Some(f));
-            let left = self.known.keys().filter(|key| !listed.contains_key(key));
-            left.map(|key| (*key, None)).chain(came.map(|(key, f)| (*key, Some(*f)))).collect()
+            let added = listed.iter().filter(|(key, f)| self.known.get(key) != Some(f));
+            let removed = self.known.keys().filter(|key| !listed.contains_key(key));
+            removed.map(|key| (*key, None)).chain(added.map(|(key, f)| (*key, Some(*f)))).collect()
         };
         match self.front_ends.as_mut() {
             Some(known) => drop(known.apply(&changed)),
             None => {
-                let all = FrontEnds::of(&self.divisions, self.member, listed.values().copied());
-                self.front_ends = Some(all);
+                let members = FrontEnds::of(&self.divisions, self.member, listed.values().copied());
+                self.front_ends = Some(members);
             }
         }
         self.known = listed;
-        self.renew(now)
+        self.recompute(now)
     }
 
-    /// Time passes: what was handed over is let go.
+    /// Releases shards whose handover has ended.
     pub fn tick(&mut self, now: Micros) -> Option<Vec<OwnedShards>> {
         self.due().filter(|due| *due <= now)?;
-        self.renew(now)
+        self.recompute(now)
     }
 
-    /// When [`Ownership::tick`] has something to tell.
+    /// Returns when [`Ownership::tick`] is to be called next.
     pub fn due(&self) -> Option<Micros> {
         let of = |d: &OwnedShards| -> Option<Micros> {
             let at = |s: &Shard| self.released.get(&(d.generation, *s)).copied();
-            let leaving = d.leaving.iter().filter_map(at).map(|at| at + self.handover);
-            let kept = d.retained.iter().filter_map(at).map(|at| at + 2 * self.handover);
-            leaving.chain(kept).min()
+            let leaving = d.leaving.iter().filter_map(at).map(|at| at + self.handover_time);
+            let retained_until = d.retained.iter().filter_map(at).map(|at| at + 2 * self.handover_time);
+            leaving.chain(retained_until).min()
         };
         self.current.iter().filter_map(of).min()
     }
 
-    /// The other front ends of the own zone, at most so many that the table holds them beside this one; the same are left
-    /// out everywhere. A name that stands twice counts once, by the last line.
-    fn of_zone(&mut self, list: &[Entry]) -> BTreeMap<Key, FrontEnd> {
-        let mine = |e: &&Entry| self.zone.as_ref().is_none_or(|z| *z == e.zone);
+    /// Returns the other front ends of this zone, limited so that the table can hold them beside this one; every
+    /// front end omits the same ones. A name that is listed twice counts once, by its last line.
+    fn own_zone_members(&mut self, list: &[Entry]) -> BTreeMap<Key, FrontEnd> {
+        let is_own_zone = |e: &&Entry| self.zone.as_ref().is_none_or(|z| *z == e.zone);
         let member = |e: &Entry| {
             let member = Member::new(&e.name, self.member.zone, 1.0);
             (member.key, FrontEnd { member, serves: e.serves })
         };
-        let mut listed: BTreeMap<Key, FrontEnd> = list.iter().filter(mine).map(member).collect();
+        let mut listed: BTreeMap<Key, FrontEnd> = list.iter().filter(is_own_zone).map(member).collect();
         let is_listed = listed.remove(&self.member.key).is_some();
         if self.is_listed && !is_listed {
             tracing::warn!(name = self.name, "the list of front ends leaves this one out; it counts itself");
         }
-        let over = listed.len().saturating_sub(MAX_MEMBERS - 1);
-        if over > 0 && over != self.omitted {
+        let excess = listed.len().saturating_sub(MAX_MEMBERS - 1);
+        if excess > 0 && excess != self.omitted {
             tracing::warn!(
-                left_out = over,
+                left_out = excess,
                 most = MAX_MEMBERS,
                 "the list of front ends is too long; the last by key are left out"
             );
         }
-        (self.is_listed, self.omitted) = (is_listed, over);
-        if let Some(first) = listed.keys().nth(MAX_MEMBERS - 1).copied() {
-            drop(listed.split_off(&first));
+        (self.is_listed, self.omitted) = (is_listed, excess);
+        if let Some(first_excess) = listed.keys().nth(MAX_MEMBERS - 1).copied() {
+            drop(listed.split_off(&first_excess));
         }
         listed
     }
 
-    /// What is owned now; given where it changed.
-    fn renew(&mut self, now: Micros) -> Option<Vec<OwnedShards>> {
+    /// Recomputes the owned shards; returns them if they changed.
+    fn recompute(&mut self, now: Micros) -> Option<Vec<OwnedShards>> {
         let front_ends = self.front_ends.as_ref()?;
         let own_before: Vec<Vec<Shard>> = self.current.iter().map(|d| d.current.clone()).collect();
-        let mut told = Vec::new();
+        let mut divisions = Vec::new();
         for (at, division) in self.divisions.served().map(Division::generation).enumerate() {
-            let own = front_ends.own_key(division).to_vec();
-            for shard in own_before.get(at).into_iter().flatten().filter(|s| !own.contains(s)) {
+            let owned_shards = front_ends.own_key(division).to_vec();
+            for shard in own_before.get(at).into_iter().flatten().filter(|s| !owned_shards.contains(s)) {
                 self.released.insert((division, *shard), now);
             }
-            self.released.retain(|(generation, shard), _| *generation != division || !own.contains(shard));
-            let mut owned = OwnedShards { generation: division, current: own, ..OwnedShards::default() };
+            self.released
+                .retain(|(generation, shard), _| *generation != division || !owned_shards.contains(shard));
+            let mut owned =
+                OwnedShards { generation: division, current: owned_shards, ..OwnedShards::default() };
             for ((_, shard), at) in self.released.range((division, 0)..=(division, Shard::MAX)) {
                 match now - at {
-                    age if age < self.handover => owned.leaving.push(*shard),
-                    age if age < 2 * self.handover => owned.retained.push(*shard),
+                    age if age < self.handover_time => owned.leaving.push(*shard),
+                    age if age < 2 * self.handover_time => owned.retained.push(*shard),
                     _ => {}
                 }
             }
-            told.push(owned);
+            divisions.push(owned);
         }
-        let handover = self.handover;
-        self.released.retain(|_, at| now - *at < 2 * handover);
-        if told == self.current {
+        let handover_time = self.handover_time;
+        self.released.retain(|_, at| now - *at < 2 * handover_time);
+        if divisions == self.current {
             return None;
         }
-        let own: Vec<Vec<Shard>> = told.iter().map(|d| d.current.clone()).collect();
+        let own: Vec<Vec<Shard>> = divisions.iter().map(|d| d.current.clone()).collect();
         if own != own_before {
             self.changes += 1;
-            tracing::info!(?own, others = self.known.len(), "own shards by the list of front ends");
+            tracing::info!(?own, others = self.known.len(), "owned shards changed");
         }
-        self.current.clone_from(&told);
-        Some(told)
+        self.current.clone_from(&divisions);
+        Some(divisions)
     }
 }
--- a/crates/gateway/src/shards/placement.rs
+++ b/crates/gateway/src/shards/placement.rs
@@ -1,17 +1,19 @@
-//! What a front end has to do with a function that is asked for over one of its queues, without I/O.
+//! Decides how a front end handles a call, by the queue that it arrived on and by the function, without I/O.
 
 use super::{homes, owned, queue, OwnedShards};
 use stagehoist_config::{Config, Consume};
 use stagehoist_sharding::{place, Division, FunctionPlacement, HomeShards, Key, Shard};
 
-/// Of a queue: the place of its division among those served, and whether calls over it are ones that leave.
+/// For a queue: the index of its division among those served, and whether calls that arrive on it are leaving this
+/// front end.
 pub type Arrives = (usize, bool);
 
-/// The homes and own shards of the divisions served, the newest last; what each queue is; and the divisions' generations.
+/// The home shards and owned shards of the divisions served, the newest last; the kind of each queue; and the
+/// divisions' generations.
 pub struct Places(Vec<(HomeShards, Vec<Shard>)>, Vec<Arrives>, Vec<u32>);
 
 impl Places {
-    /// The placement of functions; `None` where the fleet isn't divided.
+    /// Creates the placement of functions; returns `None` if the fleet isn't divided.
     pub fn new(config: &Config) -> Option<Places> {
         let sharding = config.sharding.as_ref()?;
         let of = |d: &Division| Some((homes(sharding, d)?, owned(config, sharding, d)));
@@ -22,39 +24,40 @@
             let shard = shard(c)?;
             generations.iter().position(|g| c.queue.ends_with(&queue("", *g, shard)))
         };
-        let arrives = |c: &Consume| at(c).map_or((newest, false), |at| (at, at < newest));
-        let queues = config.consume.iter().map(arrives).collect();
+        let arrival = |c: &Consume| at(c).map_or((newest, false), |at| (at, at < newest));
+        let queues = config.consume.iter().map(arrival).collect();
         Some(Places(sharding.divisions.served().filter_map(of).collect(), queues, generations))
     }
 
-    /// What the front end has to do with a function that was asked for over one of its queues, by that queue's place in the
-    /// configuration: over a queue of the older division every call is one that leaves.
+    /// Returns how the front end handles a call of a function that arrived on the queue with this index in the
+    /// configuration. Every call that arrives on a queue of the older division is leaving.
     pub fn over(&self, queue: usize, function: &str) -> FunctionPlacement {
         match self.of(function) {
-            FunctionPlacement::Owned if self.1.get(queue).is_some_and(|arrives| arrives.1) => {
+            FunctionPlacement::Owned if self.1.get(queue).is_some_and(|arrival| arrival.1) => {
                 FunctionPlacement::Leaving
             }
             place => place,
         }
     }
 
-    /// Generation and shard that a call should have been sent to, by the division over whose queue it came: its
-    /// caller sends by that one. In a change the other may not be served by all yet, or any more.
+    /// Returns the generation and shard that a call should have been sent to, by the division on whose queue it
+    /// arrived, because its caller routes by that division. During a change the other division may not yet, or no
+    /// longer, be served by all.
     pub fn home(&self, queue: usize, function: &str, call: u64) -> Option<(u32, Shard)> {
         let newest = self.0.len().checked_sub(1)?;
-        let at = self.1.get(queue).map_or(newest, |arrives| arrives.0);
+        let at = self.1.get(queue).map_or(newest, |arrival| arrival.0);
         Some((*self.2.get(at)?, self.0.get(at)?.0.for_call(Key::of(function), call)))
     }
 
-    /// Where a function belongs, over all queues.
+    /// Returns where a function belongs, regardless of the queue.
     pub fn of(&self, function: &str) -> FunctionPlacement {
-        place(self.0.iter().map(|(homes, own)| (homes, &own[..])), Key::of(function), 0)
+        place(self.0.iter().map(|(homes, owned_shards)| (homes, &owned_shards[..])), Key::of(function), 0)
     }
 
-    /// Own shards changed; `queues` tells what each queue is, by its place.
+    /// Applies changed owned shards; `queues` has the kind of each queue, by its index.
     pub fn set_served(&mut self, owned: &[OwnedShards], queues: Vec<Arrives>) {
-        for ((_, own), told) in self.0.iter_mut().zip(owned) {
-            *own = told.served();
+        for ((_, owned_shards), shards) in self.0.iter_mut().zip(owned) {
+            *owned_shards = shards.served();
         }
         self.1 = queues;
     }
--- a/crates/gateway/tests/retirements.rs
+++ b/crates/gateway/tests/retirements.rs
@@ -167,7 +167,7 @@
     assert!(std::fs::read_to_string(&state).unwrap().contains("\nother 2 not-in-force "));
     // Another process that has not read the lines yet takes nothing from it.
     let before = std::fs::read_to_string(&state).unwrap();
-    retirement_states::keep(&path, &view(&taken), &BTreeMap::new(), 9).await.unwrap();
+    retirement_states::update(&path, &view(&taken), &BTreeMap::new(), 9).await.unwrap();
     assert_eq!(std::fs::read_to_string(&state).unwrap(), before);
     for function in ["free", "other", "third"] {
         assert_eq!(asked.recv().await.unwrap().function, function);
--- a/crates/gateway/tests/shards_list.rs
+++ b/crates/gateway/tests/shards_list.rs
@@ -146,7 +146,7 @@
 fn a_shard_that_goes_is_handed_over_and_one_that_comes_back_stays() {
     // Alone in its zone it has all; a second comes and takes a part.
     let mut it = ownership(0, 8, 4);
-    assert_eq!(it.handover(), HANDOVER);
+    assert_eq!(it.handover_time(), HANDOVER);
     it.listed(&list([0]), 0).unwrap();
     let now = it.listed(&list([0, 2]), S).unwrap().remove(0);
     assert!(!now.leaving.is_empty() && now.retained.is_empty());
