--- a/crates/gateway/src/amqp/front/deliveries.rs
+++ b/crates/gateway/src/amqp/front/deliveries.rs
@@ -150,7 +150,7 @@
                 tracing::info!(
                     correlation,
                     doubtful,
-                    "redelivered message acknowledged: its reply was already published"
+                    "redelivered message acknowledged: its reply was already sent"
                 );
                 self.ack(delivery.tag);
             }
@@ -279,7 +279,7 @@
     /// Size of the body, also if the body was too large to be kept.
     size: u64,
     request: Result<CallRequest, Unusable>,
-    /// The configured properties of its function, with the time after which callers of its class give up.
+    /// The configured properties of its function, with the time after which its class's callers time out.
     configured: Option<(FunctionProperties, Micros)>,
     effect: Effect,
 }
--- a/crates/gateway/src/amqp/front/mod.rs
+++ b/crates/gateway/src/amqp/front/mod.rs
@@ -1,6 +1,7 @@
 //! The AMQP state machine of one front end, without I/O. Deliveries become calls and answers become replies. A
-//! delivery is acknowledged only once its reply is confirmed or known to be unroutable. State survives a lost
-//! connection: calls in progress continue, and when their messages are redelivered they are answered from memory.
+//! delivery is acknowledged only once its reply is confirmed or can't be delivered at all. State survives a lost
+//! connection: calls in progress continue, and when their messages are redelivered they are answered from the cached
+//! answers.
 
 mod consuming;
 mod counters;
--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -229,7 +229,7 @@
         let Some(client) = self.front.client() else { return Err(ConnectionEnd::Lost("no client".into())) };
         let closed_since = if client.is_open() { None } else { Some(socket.closed_since.unwrap_or(now)) };
         socket.closed_since = closed_since;
-        if has_timed_out(closed_since, now) {
+        if is_timed_out(closed_since, now) {
             return Err(ConnectionEnd::Lost(
                 "broker did not complete the handshake or the close in time".into(),
             ));
@@ -246,7 +246,7 @@
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                 socket.write_blocked_since.get_or_insert(now);
-                if has_timed_out(socket.write_blocked_since, now) {
+                if is_timed_out(socket.write_blocked_since, now) {
                     return Err(ConnectionEnd::Lost("broker is not reading".into()));
                 }
                 Ok(true)
@@ -290,7 +290,7 @@
 }
 
 /// Returns whether a state has lasted longer than [`HANDSHAKE_TIMEOUT`].
-fn has_timed_out(since: Option<Micros>, now: Micros) -> bool {
+fn is_timed_out(since: Option<Micros>, now: Micros) -> bool {
     since.is_some_and(|since| now - since > HANDSHAKE_TIMEOUT.as_micros() as Micros)
 }
 
--- a/crates/gateway/src/shards/by_list.rs
+++ b/crates/gateway/src/shards/by_list.rs
@@ -11,16 +11,16 @@
     /// module, if the owned shards changed.
     pub fn front_ends(&mut self, list: &[Entry], now: Micros) -> Option<(Vec<OwnedShards>, Update)> {
         let owned = self.ownership.as_mut()?.listed(list, now)?;
-        Some(self.set_owned(owned, now))
+        Some(self.apply_owned(owned, now))
     }
 
     /// The same for elapsed time: releases shards whose handover has ended.
     pub fn handed_over(&mut self, now: Micros) -> Option<(Vec<OwnedShards>, Update)> {
         let owned = self.ownership.as_mut()?.tick(now)?;
-        Some(self.set_owned(owned, now))
+        Some(self.apply_owned(owned, now))
     }
 
-    fn set_owned(&mut self, owned: Vec<OwnedShards>, now: Micros) -> (Vec<OwnedShards>, Update) {
+    fn apply_owned(&mut self, owned: Vec<OwnedShards>, now: Micros) -> (Vec<OwnedShards>, Update) {
         for ((served, _), shards) in self.served.iter_mut().zip(&owned) {
             *served = shards.served();
         }
--- a/crates/gateway/src/shards/ownership.rs
+++ b/crates/gateway/src/shards/ownership.rs
@@ -105,7 +105,7 @@
 
     /// Applies a complete list. Returns the owned shards if they changed.
     pub fn listed(&mut self, list: &[Entry], now: Micros) -> Option<Vec<OwnedShards>> {
-        let listed = self.own_zone_members(list);
+        let listed = self.zone_members(list);
         let changed: Vec<(Key, Option<FrontEnd>)> = {
             let added = listed.iter().filter(|(key, f)| self.known.get(key) != Some(f));
             let removed = self.known.keys().filter(|key| !listed.contains_key(key));
@@ -141,7 +141,7 @@
 
     /// Returns the other front ends of this zone, limited so that the table can hold them beside this one; every
     /// front end omits the same ones. A name that is listed twice counts once, by its last line.
-    fn own_zone_members(&mut self, list: &[Entry]) -> BTreeMap<Key, FrontEnd> {
+    fn zone_members(&mut self, list: &[Entry]) -> BTreeMap<Key, FrontEnd> {
         let is_own_zone = |e: &&Entry| self.zone.as_ref().is_none_or(|z| *z == e.zone);
         let member = |e: &Entry| {
             let member = Member::new(&e.name, self.member.zone, 1.0);
--- a/crates/gateway/tests/divided/mod.rs
+++ b/crates/gateway/tests/divided/mod.rs
@@ -126,7 +126,7 @@
         address
     }
 
-    pub fn cut(&self) {
+    pub fn disconnect(&self) {
         let mut state = self.0.lock().unwrap();
         state.0 = true;
         state.1.drain(..).for_each(|s| drop(s.shutdown(Shutdown::Both)));
--- a/crates/gateway/tests/lanes.rs
+++ b/crates/gateway/tests/lanes.rs
@@ -116,25 +116,25 @@
 }
 
 thread_local! {
-    static SEEN: RefCell<Vec<(RequestId, Micros, Micros)>> = const { RefCell::new(Vec::new()) };
+    static RECEIVED_REQUESTS: RefCell<Vec<(RequestId, Micros, Micros)>> = const { RefCell::new(Vec::new()) };
 }
 
 struct Recording(Box<dyn DecisionPolicy>);
 
 impl DecisionPolicy for Recording {
     fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
-        let requests = events.iter().filter_map(|e| match e {
+        let new_requests = events.iter().filter_map(|e| match e {
             Event::Request(r) => Some((r.id, r.accepted_at, r.budget)),
             _ => None,
         });
-        SEEN.with(|seen| seen.borrow_mut().extend(requests));
-        assert!(!events.iter().any(|e| matches!(e, Event::ClientGone { request } if !is_known(*request))));
+        RECEIVED_REQUESTS.with(|requests| requests.borrow_mut().extend(new_requests));
+        assert!(!events.iter().any(|e| matches!(e, Event::ClientGone { request } if !is_received(*request))));
         self.0.handle(now, events, out);
     }
 }
 
-fn is_known(request: RequestId) -> bool {
-    SEEN.with(|seen| seen.borrow().iter().any(|s| s.0 == request))
+fn is_received(request: RequestId) -> bool {
+    RECEIVED_REQUESTS.with(|requests| requests.borrow().iter().any(|s| s.0 == request))
 }
 
 fn recording(settings: stagehoist::Settings, seed: u64, now: Micros) -> Box<dyn DecisionPolicy> {
@@ -152,7 +152,9 @@
     s.turn(MS, vec![Input::ClientGone(3)]);
     s.turn(299 * MS, vec![ended(&first[0], Outcome::Ok)]);
     let now = s.now;
-    SEEN.with(|seen| assert_eq!(seen.borrow()[1..], [(2, accepted_at, 1000 * MS - (now - accepted_at))]));
+    RECEIVED_REQUESTS.with(|requests| {
+        assert_eq!(requests.borrow()[1..], [(2, accepted_at, 1000 * MS - (now - accepted_at))])
+    });
 }
 
 #[test]
--- a/crates/gateway/tests/shards_home.rs
+++ b/crates/gateway/tests/shards_home.rs
@@ -1,5 +1,5 @@
-//! Tests that a refused call of another shard is told its home shard, by the division that its caller routes by, also
-//! during a change.
+//! Tests that the refusal of another shard's call names its home shard, by the division that the caller routes by,
+//! also during a change.
 
 mod world;
 
--- a/crates/gateway/tests/shards_list_sockets.rs
+++ b/crates/gateway/tests/shards_list_sockets.rs
@@ -81,7 +81,7 @@
     let mut ids = Vec::new();
     for round in 0..20 {
         if round == 10 {
-            proxy.cut();
+            proxy.disconnect();
         }
         for function in &functions {
             let id = format!("{function}-{round}");
--- a/crates/gateway/tests/shards_queues.rs
+++ b/crates/gateway/tests/shards_queues.rs
@@ -18,9 +18,9 @@
     Rc::new(own(Config::clone(&config(LISTED)), number))
 }
 
-fn owned(own: &[Shard], leaving: &[Shard], retained: &[Shard]) -> [OwnedShards; 1] {
-    let [own, leaving, retained] = [own, leaving, retained].map(<[Shard]>::to_vec);
-    [OwnedShards { generation: 1, current: own, leaving, retained: retained }]
+fn owned(current: &[Shard], leaving: &[Shard], retained: &[Shard]) -> [OwnedShards; 1] {
+    let [own_shards, leaving, late] = [current, leaving, retained].map(<[Shard]>::to_vec);
+    [OwnedShards { generation: 1, current: own_shards, leaving, retained: late }]
 }
 
 /// Returns a non-idempotent function of this shard.
--- a/crates/gateway/tests/shards_sums.rs
+++ b/crates/gateway/tests/shards_sums.rs
@@ -62,7 +62,7 @@
 
     /// Returns the maximum share of the configured total that is handed out: of a tenant's quota, and of a worker's
     /// capacity.
-    fn handed_out(&self, served: &[BTreeSet<Shard>]) -> (f64, f64) {
+    fn allocated(&self, served: &[BTreeSet<Shard>]) -> (f64, f64) {
         let of = |(quota, homes): (&f64, &BTreeSet<Shard>)| {
             quota * served.iter().filter(|own| !own.is_disjoint(homes)).count() as f64 / 100.0
         };
@@ -91,8 +91,8 @@
                 let mut ownership = Ownership::new(&of(*n, fleet, shards)).unwrap();
                 served(&ownership.listed(&list, 0).unwrap())
             };
-            let handed_out = all.handed_out(&alive.iter().map(own).collect::<Vec<_>>());
-            most = (most.0.max(handed_out.0), most.1.max(handed_out.1));
+            let allocated = all.allocated(&alive.iter().map(own).collect::<Vec<_>>());
+            most = (most.0.max(allocated.0), most.1.max(allocated.1));
         }
         println!(
             "{fleet} front ends, {shards} shards: quota {:.3}, worker {:.3} of the whole",
@@ -128,8 +128,8 @@
                     };
                     own[n] = update.map_or(std::mem::take(&mut own[n]), |w| served(&w));
                 }
-                let handed_out = all.handed_out(&own);
-                most = (most.0.max(handed_out.0), most.1.max(handed_out.1));
+                let allocated = all.allocated(&own);
+                most = (most.0.max(allocated.0), most.1.max(allocated.1));
             }
         }
         println!(
--- a/crates/gateway/tests/shards_turns.rs
+++ b/crates/gateway/tests/shards_turns.rs
@@ -28,18 +28,18 @@
 }
 
 struct TurnResult {
-    own: Vec<Vec<OwnedShards>>,
+    owned: Vec<Vec<OwnedShards>>,
     due: Option<i64>,
 }
 
 fn turn(core: &mut Core, now: i64, inputs: Vec<Input>) -> TurnResult {
     let mut out = Vec::new();
     core.process(now, &mut { inputs }, &mut out);
-    let own = out.into_iter().filter_map(|c| match c {
+    let served = out.into_iter().filter_map(|c| match c {
         Command::ServeShards(owned) => Some(owned.to_vec()),
         _ => None,
     });
-    TurnResult { own: own.collect(), due: core.due() }
+    TurnResult { owned: served.collect(), due: core.due() }
 }
 
 /// Four front ends, one of which dies: in the turn that processes the list without it, others consume its shards and
@@ -59,10 +59,10 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let (mut shards, mut workers) = (Vec::new(), Vec::new());
     for core in &mut cores {
-        assert!(turn(core, now, vec![Input::EndpointList(entries(&names))]).own.is_empty());
+        assert!(turn(core, now, vec![Input::EndpointList(entries(&names))]).owned.is_empty());
         assert_eq!(core.shard_workers(), Some((0, 0)), "a worker is reported before the first list");
-        assert!(turn(core, now, vec![Input::FrontEndList(None)]).own.is_empty());
-        let result = turn(core, now, vec![Input::FrontEndList(Some(full_list.clone()))]).own;
+        assert!(turn(core, now, vec![Input::FrontEndList(None)]).owned.is_empty());
+        let result = turn(core, now, vec![Input::FrontEndList(Some(full_list.clone()))]).owned;
         shards.push(result[0][0].current.clone());
         workers.push(core.shard_workers().unwrap().0);
         assert!(workers.last().is_some_and(|n| *n > 0));
@@ -71,7 +71,7 @@
     // The list fails, is empty and stalls: nothing changes, however long it lasts.
     for core in &mut cores {
         let lost = vec![Input::FrontEndList(None), Input::FrontEndList(Some(Vec::new()))];
-        assert!(turn(core, now + 60_000 * MS, lost).own.is_empty());
+        assert!(turn(core, now + 60_000 * MS, lost).owned.is_empty());
         assert_eq!(core.counters.front_end_list_failures, 3);
     }
     let later = now + 60_001 * MS;
@@ -79,7 +79,7 @@
     for (n, core) in cores.iter_mut().enumerate().skip(1) {
         let before = core.shard_workers().unwrap().0;
         let result = turn(core, later, vec![Input::FrontEndList(Some(full_list[1..].to_vec()))]);
-        let own = result.own.first().map_or(shards[n].clone(), |o| o[0].current.clone());
+        let own = result.owned.first().map_or(shards[n].clone(), |o| o[0].current.clone());
         assert!(
             own.len() == shards[n].len() || core.shard_workers().unwrap().0 > before,
             "{n}: the workers of a gained shard are missing"
@@ -95,11 +95,11 @@
     let core = &mut cores[gained];
     let mut at = back;
     let mut result = turn(core, at, vec![Input::FrontEndList(Some(full_list))]);
-    let (mut steps, mut owned) = (Vec::new(), result.own.concat());
+    let (mut steps, mut owned) = (Vec::new(), result.owned.concat());
     while let Some(due) = result.due.filter(|d| *d < back + 60_000 * MS) {
         at = due.max(at + 1);
         result = turn(core, at, vec![]);
-        owned.extend(result.own.concat());
+        owned.extend(result.owned.concat());
         steps.push((at - back, core.shard_workers().unwrap()));
     }
     let handover_states: Vec<(bool, bool)> =
