--- a/crates/gateway/src/amqp/commands.rs
+++ b/crates/gateway/src/amqp/commands.rs
@@ -39,7 +39,7 @@
     /// The channel is open, but consuming waits for the first endpoint list.
     pub awaits_endpoints: bool,
     pub drained: bool,
-    pub at_work: usize,
+    pub calls_in_progress: usize,
     pub counters: FrontCounters,
 }
 
@@ -48,7 +48,7 @@
         ready: front.is_ready(),
         awaits_endpoints: front.awaits_endpoints(),
         drained,
-        at_work: front.at_work(),
+        calls_in_progress: front.calls_in_progress(),
         counters: front.counters,
     });
 }
--- a/crates/gateway/src/amqp/front/mod.rs
+++ b/crates/gateway/src/amqp/front/mod.rs
@@ -156,7 +156,7 @@
     }
 
     /// A socket to a broker is connected.
-    pub fn connected(&mut self, broker: &Broker, now: Micros) {
+    pub fn on_connected(&mut self, broker: &Broker, now: Micros) {
         let options = ClientOptions {
             user: broker.user.clone(),
             password: broker.password.clone(),
@@ -200,7 +200,7 @@
     }
 
     /// Returns the number of calls in progress, including those from lost connections.
-    pub fn at_work(&self) -> usize {
+    pub fn calls_in_progress(&self) -> usize {
         self.deliveries.values().filter(|d| d.answer.is_none()).count()
     }
 
@@ -227,7 +227,7 @@
     }
 
     /// The connection is lost.
-    pub fn lost(&mut self, _now: Micros) {
+    pub fn on_disconnected(&mut self, _now: Micros) {
         if self.client.is_none() {
             return;
         }
--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -70,19 +70,19 @@
     async fn run(mut self) {
         let config = self.config.clone();
         for broker in config.brokers.iter().cycle() {
-            if self.draining && self.front.at_work() == 0 {
+            if self.draining && self.front.calls_in_progress() == 0 {
                 return publish_state(&self.front, &self.state, true);
             }
             let Some(stream) = self.connect(&broker.address).await else { return };
             match stream {
                 Ok(stream) => {
                     tracing::info!(broker = broker.address, "connected");
-                    self.front.connected(broker, self.clock.now());
+                    self.front.on_connected(broker, self.clock.now());
                     if self.draining {
                         self.front.drain();
                     }
                     let end = self.exchange(stream).await;
-                    self.front.lost(self.clock.now());
+                    self.front.on_disconnected(self.clock.now());
                     match end {
                         ConnectionEnd::Finished => return publish_state(&self.front, &self.state, true),
                         ConnectionEnd::Lost(why) => {
--- a/crates/gateway/tests/crossings_amqp.rs
+++ b/crates/gateway/tests/crossings_amqp.rs
@@ -38,7 +38,7 @@
 fn connect_and_end(w: &mut World, end: End) {
     let number = w.broker.connect(w.now);
     w.front_at = Some(number);
-    w.front.connected(&config("").brokers[0], w.now);
+    w.front.on_connected(&config("").brokers[0], w.now);
     for _ in 0..20 {
         let before = w.broker.stats.delivered;
         w.push_front();
--- a/crates/gateway/tests/crossings_redelivered.rs
+++ b/crates/gateway/tests/crossings_redelivered.rs
@@ -56,7 +56,7 @@
         // Another front end receives it first.
         let number = w.broker.connect(w.now);
         w.front_at = Some(number);
-        w.front.connected(&config("").brokers[0], w.now);
+        w.front.on_connected(&config("").brokers[0], w.now);
         for _ in 0..20 {
             let delivered_before = w.broker.stats.delivered;
             w.push_front();
@@ -71,7 +71,7 @@
         let number = w.broker.connect(w.now);
         w.broker.arm_disconnect(number, Disconnect::BeforeConfirm);
         w.front_at = Some(number);
-        w.front.connected(&config("").brokers[0], w.now);
+        w.front.on_connected(&config("").brokers[0], w.now);
         w.settle();
         assert!(w.front_at.is_none(), "cut between the answer and its confirm");
         w.connect();
--- a/crates/gateway/tests/first_list.rs
+++ b/crates/gateway/tests/first_list.rs
@@ -24,7 +24,7 @@
 /// As [`World::connect`], which wants the front to consume.
 fn connect(w: &mut World) {
     w.front_at = Some(w.broker.connect(w.now));
-    w.front.connected(&config("").brokers[0], w.now);
+    w.front.on_connected(&config("").brokers[0], w.now);
     w.settle();
 }
 
--- a/crates/gateway/tests/shards_queues.rs
+++ b/crates/gateway/tests/shards_queues.rs
@@ -62,7 +62,7 @@
     w.cut();
     w.front = Front::new(of(0), 2, w.now);
     w.front_at = Some(w.broker.connect(w.now));
-    w.front.connected(&of(0).brokers[0], w.now);
+    w.front.on_connected(&of(0).brokers[0], w.now);
     w.settle();
     w
 }
@@ -107,7 +107,7 @@
     let mut w = world();
     w.cut();
     w.front_at = Some(w.broker.connect(w.now));
-    w.front.connected(&of(0).brokers[0], w.now);
+    w.front.on_connected(&of(0).brokers[0], w.now);
     for _ in 0..12 {
         w.front.serve_shards(&owned(&[0, 3], &[], &[]), w.now);
         w.front.serve_shards(&owned(&[3], &[], &[0]), w.now);
@@ -156,7 +156,7 @@
         w.cut();
         w.front = Front::new(Rc::new(own(Config::clone(&config(&format!("{LISTED}{mode}"))), 0)), 2, w.now);
         w.front_at = Some(w.broker.connect(w.now));
-        w.front.connected(&of(0).brokers[0], w.now);
+        w.front.on_connected(&of(0).brokers[0], w.now);
         w.front.serve_shards(&owned(&[0, 1], &[], &[]), w.now);
         w.settle();
         publish(&mut w, "a", 0);
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -72,7 +72,7 @@
     pub fn connect(&mut self) {
         let config = config("");
         self.front_at = Some(self.broker.connect(self.now));
-        self.front.connected(&config.brokers[0], self.now);
+        self.front.on_connected(&config.brokers[0], self.now);
         self.settle();
         assert!(self.front.is_ready());
     }
@@ -81,7 +81,7 @@
     pub fn cut(&mut self) {
         if let Some(number) = self.front_at.take() {
             self.broker.disconnect(number, self.now);
-            self.front.lost(self.now);
+            self.front.on_disconnected(self.now);
         }
     }
 
