--- a/crates/gateway/src/fleet/membership.rs
+++ b/crates/gateway/src/fleet/membership.rs
@@ -1,7 +1,7 @@
 //! Tracks which view a front end has confirmed, and which workers may hold copies of retired functions. Without I/O.
 
 use super::egress::EgressCheck;
-use super::names::outer_name;
+use super::names::parse_internal_name;
 use stagehoist::{Micros, RequestId, WorkerId};
 use stagehoist_cluster_state::{TombstoneState, Version};
 use std::collections::{BTreeMap, BTreeSet};
@@ -109,7 +109,7 @@
         let gate = self.egress.gate();
         let view = gate.view();
         self.copies.retain(|inner, workers| {
-            let (name, generation) = outer_name(inner);
+            let (name, generation) = parse_internal_name(inner);
             let tombstone = view.retired(name, generation);
             let in_force = tombstone.is_some_and(|t| matches!(t.state, TombstoneState::InForce { .. }));
             if in_force {
--- a/crates/gateway/src/fleet/names.rs
+++ b/crates/gateway/src/fleet/names.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 /// Returns the internal name of a generation.
-pub fn inner_name(name: &Rc<str>, generation: u32) -> Rc<str> {
+pub fn internal_name(name: &Rc<str>, generation: u32) -> Rc<str> {
     match generation {
         0 | 1 => name.clone(),
         n => format!("{name}@{n}").into(),
@@ -12,7 +12,7 @@
 }
 
 /// Returns the name and generation that an internal name stands for.
-pub fn outer_name(inner: &str) -> (&str, u32) {
+pub fn parse_internal_name(inner: &str) -> (&str, u32) {
     let numbered = inner.rsplit_once('@').and_then(|(name, n)| Some((name, n.parse::<u32>().ok()?)));
     numbered.filter(|(_, n)| *n > 1).unwrap_or((inner, 1))
 }
--- a/crates/gateway/src/fleet/pool_admission.rs
+++ b/crates/gateway/src/fleet/pool_admission.rs
@@ -1,7 +1,7 @@
 //! Pool permits at a front end: which calls need one before they enter the decision module, the calls that wait for
 //! one, and the demand reported to the replicas. Without I/O.
 
-use super::names::outer_name;
+use super::names::parse_internal_name;
 use stagehoist::{Micros, Request, RequestId};
 use stagehoist_admission::permits::{Permit, PermitDecision, PermitPools, PoolRules, WaitOutcome};
 use stagehoist_cluster_state::{
@@ -126,7 +126,7 @@
     /// Returns the pool of a function, given by its internal name: of the matching patterns an exact name wins, else
     /// the longest.
     fn pool(&self, inner: &str) -> Option<usize> {
-        let (name, _) = outer_name(inner);
+        let (name, _) = parse_internal_name(inner);
         let match_rank = |pattern: &String| match pattern.strip_suffix('*') {
             Some(prefix) => name.starts_with(prefix).then_some((false, prefix.len())),
             None => (name == pattern).then_some((true, name.len())),
--- a/crates/gateway/src/fleet/priority.rs
+++ b/crates/gateway/src/fleet/priority.rs
@@ -1,7 +1,7 @@
 //! Priority of calls during recovery: tenants with a reservation are admitted first, for functions of the
 //! reservation's pool. Without reservations no call has priority.
 
-use super::names::outer_name;
+use super::names::parse_internal_name;
 use stagehoist_config::{takes, Config};
 
 /// Returns the tenants with reservations, each with the functions of the pool.
@@ -17,7 +17,7 @@
 
 /// Returns whether a tenant has a reservation for a function, given by its internal name.
 pub fn has_priority(reservations: &[(u32, Vec<String>)], tenant: u32, internal_name: &str) -> bool {
-    let function = outer_name(internal_name).0;
+    let function = parse_internal_name(internal_name).0;
     let pool = |patterns: &[String]| patterns.iter().any(|pattern| takes(pattern, function));
     reservations.iter().any(|(reserved, patterns)| *reserved == tenant && pool(patterns))
 }
--- a/crates/gateway/src/fleet/recovery.rs
+++ b/crates/gateway/src/fleet/recovery.rs
@@ -109,7 +109,7 @@
     }
 
     /// Applies an update of the endpoint list.
-    pub fn roster(&mut self, update: &Update) {
+    pub fn on_endpoints(&mut self, update: &Update) {
         if self.is_finished() || update.kind == EndpointUpdate::Failed {
             return;
         }
--- a/crates/gateway/src/fleet/retirement_gate.rs
+++ b/crates/gateway/src/fleet/retirement_gate.rs
@@ -1,7 +1,7 @@
 //! Decides which calls may be accepted, sent and answered, according to the retired functions that are known. A pure
 //! state machine: the cluster status and the time are passed in.
 
-use super::names::{inner_name, outer_name};
+use super::names::{internal_name, parse_internal_name};
 use stagehoist::Micros;
 use stagehoist_cluster_state::{ClusterStatus, ClusterView, Tombstone};
 use stagehoist_config::Config;
@@ -132,7 +132,7 @@
         if function.is_some_and(|f| f.strict) && !self.is_fresh(now) || self.must_confirm(now) {
             return Err(ClosedReason::ViewNotCurrent);
         }
-        Ok(inner_name(name, generation))
+        Ok(internal_name(name, generation))
     }
 
     /// Returns the tombstone that applies to an internal name.
@@ -140,14 +140,14 @@
         if self.view().tombstones.is_empty() {
             return None;
         }
-        let (name, generation) = outer_name(inner);
+        let (name, generation) = parse_internal_name(inner);
         let tombstone = self.view().retired(name, generation)?;
         Some(ClosedReason::Retired(Box::new(tombstone.into())))
     }
 
     /// Returns whether a strict function may be retired by now without this front end knowing.
     pub fn in_doubt(&self, inner: &str, now: Micros) -> bool {
-        !self.is_fresh(now) && self.config.is_strict(outer_name(inner).0)
+        !self.is_fresh(now) && self.config.is_strict(parse_internal_name(inner).0)
     }
 
     /// Returns why nothing may be sent to a worker for an internal name now, if so.
--- a/crates/gateway/src/state/core/endpoints.rs
+++ b/crates/gateway/src/state/core/endpoints.rs
@@ -170,7 +170,7 @@
     /// Tells the module of workers, and all who have to know of them.
     fn pass_to_policy(&mut self, update: Update, now: Micros) {
         if let Some(recovery) = self.recovery.as_mut() {
-            recovery.roster(&update);
+            recovery.on_endpoints(&update);
         }
         if update.kind != EndpointUpdate::Failed {
             tracing::debug!(rows = update.endpoints.len(), form = ?update.kind, "workers");
--- a/crates/gateway/src/workers/paths.rs
+++ b/crates/gateway/src/workers/paths.rs
@@ -1,6 +1,6 @@
 //! Paths of functions at a worker: a later generation is a version of its model.
 
-use crate::fleet::names::outer_name;
+use crate::fleet::names::parse_internal_name;
 use percent_encoding::{utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
 
 #[cfg(test)]
@@ -11,7 +11,7 @@
 
 /// A function's name and version, the latter for later generations; only in a fleet do names tell them.
 fn named(function: &str, fleet: bool) -> (&str, Option<u32>) {
-    match outer_name(function) {
+    match parse_internal_name(function) {
         (name, generation) if fleet && generation > 1 => (name, Some(generation)),
         _ => (function, None),
     }
