--- a/crates/gateway/src/amqp/front/counters.rs
+++ b/crates/gateway/src/amqp/front/counters.rs
@@ -6,7 +6,7 @@
     pub delivered: u64,
     pub redelivered: u64,
     pub rejected: u64,
-    pub answered_unusable: u64,
+    pub refused_invalid: u64,
     /// Messages refused at intake, as the maximum of held calls or bytes was reached.
     pub rejected_at_intake: u64,
     /// Changes of the prefetch window requested from the broker.
@@ -29,7 +29,7 @@
     pub leaving_shard: u64,
     pub other_shard: u64,
     /// Messages returned to their queues, because this front end no longer had their shard when they arrived.
-    pub given_back: u64,
+    pub requeued: u64,
     pub connections_lost: u64,
     pub channels_lost: u64,
 }
--- a/crates/gateway/src/amqp/front/deliveries.rs
+++ b/crates/gateway/src/amqp/front/deliveries.rs
@@ -104,7 +104,7 @@
     /// Returns whether the call is idempotent, by its function's class.
     fn effect(
         &self,
-        request: &Result<CallRequest, Unusable>,
+        request: &Result<CallRequest, InvalidMessage>,
         configured: Option<(FunctionProperties, Micros)>,
         properties: &BasicProperties,
         routing_key: &str,
@@ -112,7 +112,7 @@
         let configured = match request {
             // An earlier recipient may have run it in time: that it is too late now does not prove that it has not
             // run.
-            Err(Unusable::TooLate) => Reader::function(properties, routing_key)
+            Err(InvalidMessage::TooLate) => Reader::function(properties, routing_key)
                 .ok()
                 .and_then(|name| FunctionProperties::configured(&self.config, &name)),
             _ => configured,
@@ -227,11 +227,11 @@
     ) -> Option<Answer> {
         let request = match &received.request {
             Ok(request) => request,
-            Err(unusable) => {
-                let reason = unusable.reason();
+            Err(invalid) => {
+                let reason = invalid.reason();
                 if !may_have_run {
-                    self.counters.answered_unusable += 1;
-                    tracing::info!(correlation, reason, wrong = %unusable, "message refused: not a valid call");
+                    self.counters.refused_invalid += 1;
+                    tracing::info!(correlation, reason, wrong = %invalid, "message refused: not a valid call");
                 }
                 return Some(Answer::Refused { reason, retry_after: 0 });
             }
@@ -278,7 +278,7 @@
     body: Bytes,
     /// Size of the body, also if the body was too large to be kept.
     size: u64,
-    request: Result<CallRequest, Unusable>,
+    request: Result<CallRequest, InvalidMessage>,
     /// The configured properties of its function, with the time after which its class's callers time out.
     configured: Option<(FunctionProperties, Micros)>,
     effect: Effect,
--- a/crates/gateway/src/amqp/front/mod.rs
+++ b/crates/gateway/src/amqp/front/mod.rs
@@ -15,7 +15,7 @@
 pub use counters::FrontCounters;
 pub use inquiries::Question;
 
-use super::message::{reply, stamp, with_home, Reader, Unusable};
+use super::message::{reply, stamp, with_home, InvalidMessage, Reader};
 use crate::shards::Places;
 use crate::state::{Answer, Arrival, FunctionProperties, Ticket};
 use queues::Queue;
--- a/crates/gateway/src/amqp/front/queues.rs
+++ b/crates/gateway/src/amqp/front/queues.rs
@@ -3,7 +3,7 @@
 //! consumer tag; the number of queues is bounded by the number of shards in the divisions.
 
 use super::*;
-use crate::shards::{queue, Arrives, OwnedShards};
+use crate::shards::{queue, OwnedShards, QueueOrigin};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueueState {
@@ -41,7 +41,7 @@
     /// The owned shards changed: consumes added queues and cancels removed ones.
     pub fn serve_shards(&mut self, owned: &[OwnedShards], now: Micros) {
         // By queue name: its state, the division and whether its calls are leaving, and its settings.
-        let mut held: BTreeMap<String, (QueueState, Arrives, Consume)> = BTreeMap::new();
+        let mut held: BTreeMap<String, (QueueState, QueueOrigin, Consume)> = BTreeMap::new();
         for (index, division) in owned.iter().enumerate() {
             let is_older = index + 1 < owned.len();
             let current = division.current.iter().map(|s| (s, QueueState::Consumed, is_older));
@@ -121,7 +121,7 @@
 
     /// Returns a message to its queue without processing it; another front end's consumer receives it.
     pub(super) fn return_delivery(&mut self, tag: u64) {
-        self.counters.given_back += 1;
+        self.counters.requeued += 1;
         self.acks.remove(tag);
         self.transaction.1 |= self.config.transactions;
         self.basic(basic::AMQPMethod::Reject(basic::Reject { delivery_tag: tag, requeue: true }));
--- a/crates/gateway/src/amqp/message.rs
+++ b/crates/gateway/src/amqp/message.rs
@@ -37,9 +37,9 @@
     pub generation: Option<u32>,
 }
 
-/// Why a message is not a valid call; [`Unusable::reason`] goes into the reply's header `reason`.
+/// Why a message is not a valid call; [`InvalidMessage::reason`] goes into the reply's header `reason`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unusable {
+pub enum InvalidMessage {
     #[error("header function is not a text")]
     MalformedFunction,
     #[error("header generation is not a whole number of at least 1")]
@@ -58,18 +58,18 @@
     TooLate,
 }
 
-impl Unusable {
+impl InvalidMessage {
     /// Returns the value of the reply's header `reason`.
     pub fn reason(self) -> &'static str {
         match self {
-            Unusable::MalformedFunction => "malformed-function",
-            Unusable::MalformedGeneration => "malformed-generation",
-            Unusable::MalformedTenant => "malformed-tenant",
-            Unusable::UnknownTenant => "unknown-tenant",
-            Unusable::MalformedExpiration => "malformed-expiration",
-            Unusable::NoFunction => "no-function",
-            Unusable::TooLarge => "too-large",
-            Unusable::TooLate => "too-late",
+            InvalidMessage::MalformedFunction => "malformed-function",
+            InvalidMessage::MalformedGeneration => "malformed-generation",
+            InvalidMessage::MalformedTenant => "malformed-tenant",
+            InvalidMessage::UnknownTenant => "unknown-tenant",
+            InvalidMessage::MalformedExpiration => "malformed-expiration",
+            InvalidMessage::NoFunction => "no-function",
+            InvalidMessage::TooLarge => "too-large",
+            InvalidMessage::TooLate => "too-late",
         }
     }
 }
@@ -103,7 +103,7 @@
     }
 
     /// Returns the function that a message names in its header or routing key.
-    pub fn function(properties: &BasicProperties, routing_key: &str) -> Result<String, Unusable> {
+    pub fn function(properties: &BasicProperties, routing_key: &str) -> Result<String, InvalidMessage> {
         let header = properties.headers().as_ref().and_then(|h| h.inner().get("function"));
         let function = match header {
             None | Some(AMQPValue::Void) => routing_key.to_string(),
@@ -111,10 +111,10 @@
                 .headers()
                 .as_ref()
                 .and_then(|h| header_text(h, "function"))
-                .ok_or(Unusable::MalformedFunction)?,
+                .ok_or(InvalidMessage::MalformedFunction)?,
         };
         if function.is_empty() {
-            return Err(Unusable::NoFunction);
+            return Err(InvalidMessage::NoFunction);
         }
         Ok(function)
     }
@@ -126,10 +126,10 @@
         routing_key: &str,
         size: u64,
         waited: Micros,
-    ) -> Result<CallRequest, Unusable> {
+    ) -> Result<CallRequest, InvalidMessage> {
         let no_headers = FieldTable::default();
         let headers = properties.headers().as_ref().unwrap_or(&no_headers);
-        let text = |key: &str, error: Unusable| match headers.inner().get(key) {
+        let text = |key: &str, error: InvalidMessage| match headers.inner().get(key) {
             None | Some(AMQPValue::Void) => Ok(None),
             Some(_) => header_text(headers, key).map(Some).ok_or(error),
         };
@@ -137,23 +137,23 @@
         let is_fleet = self.config.fleet.is_some();
         if is_fleet && ends_numbered(&function) {
             // Names that end in `@N` are reserved: later generations have such internal names.
-            return Err(Unusable::MalformedFunction);
+            return Err(InvalidMessage::MalformedFunction);
         }
-        let generation = match text("generation", Unusable::MalformedGeneration)? {
+        let generation = match text("generation", InvalidMessage::MalformedGeneration)? {
             Some(text) if is_fleet => {
                 let number = text.parse::<u32>().ok().filter(|n| *n > 0);
-                Some(number.ok_or(Unusable::MalformedGeneration)?)
+                Some(number.ok_or(InvalidMessage::MalformedGeneration)?)
             }
             _ => None,
         };
-        let tenant = match text("tenant", Unusable::MalformedTenant)? {
+        let tenant = match text("tenant", InvalidMessage::MalformedTenant)? {
             Some(name) if !self.tenants.is_empty() => {
-                *self.tenants.get(&name).ok_or(Unusable::UnknownTenant)?
+                *self.tenants.get(&name).ok_or(InvalidMessage::UnknownTenant)?
             }
             _ => 0,
         };
         if size > self.config.body_most {
-            return Err(Unusable::TooLarge);
+            return Err(InvalidMessage::TooLarge);
         }
         let give_up = self.config.function(&function).and_then(|f| self.config.class_index(&f.class));
         let give_up = give_up.map_or(i64::MAX / 4, |class| self.config.classes[class].give_up);
@@ -161,12 +161,12 @@
             None => i64::MAX / 4,
             Some(text) => match text.as_str().parse::<u32>() {
                 Ok(ms) => Micros::from(ms) * 1000,
-                Err(_) => return Err(Unusable::MalformedExpiration),
+                Err(_) => return Err(InvalidMessage::MalformedExpiration),
             },
         };
         let budget = give_up.min(expiration) - waited - self.config.answer_margin;
         if budget <= 0 {
-            return Err(Unusable::TooLate);
+            return Err(InvalidMessage::TooLate);
         }
         Ok(CallRequest { function: function.into(), tenant, budget, generation })
     }
--- a/crates/gateway/src/fleet/membership.rs
+++ b/crates/gateway/src/fleet/membership.rs
@@ -89,7 +89,7 @@
     }
 
     /// Records that a worker has a copy, as far as is known.
-    pub fn has_copy(&mut self, inner: &Rc<str>, worker: WorkerId) {
+    pub fn record_copy(&mut self, inner: &Rc<str>, worker: WorkerId) {
         if let Some(workers) = self.copies.get_mut(inner) {
             if workers.contains(&worker) || self.copy_count >= MAX_COPIES {
                 return;
@@ -104,7 +104,7 @@
     }
 
     /// Returns the copies of functions whose retirement is in force, each once.
-    pub fn to_unload(&mut self) -> Vec<(WorkerId, Rc<str>)> {
+    pub fn take_unloads(&mut self) -> Vec<(WorkerId, Rc<str>)> {
         let mut unload = Vec::new();
         let gate = self.egress.gate();
         let view = gate.view();
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -144,8 +144,7 @@
             counter!("stagehoist_shard_changes_total", "front_end" => label()).absolute(changes);
             counter!("stagehoist_shard_list_failures_total", "front_end" => label())
                 .absolute(c.front_end_list_failures);
-            counter!("stagehoist_shard_calls_given_back_total", "front_end" => label())
-                .absolute(f.given_back);
+            counter!("stagehoist_shard_calls_given_back_total", "front_end" => label()).absolute(f.requeued);
         }
         if let Some(stage) = core.recovery_phase() {
             gauge!("stagehoist_recovery_stage", "front_end" => self.label.clone()).set(stage as u8 as f64);
--- a/crates/gateway/src/shards.rs
+++ b/crates/gateway/src/shards.rs
@@ -8,7 +8,7 @@
 
 pub use divided::settings;
 pub use ownership::{OwnedShards, Ownership};
-pub use placement::{Arrives, Places};
+pub use placement::{Places, QueueOrigin};
 
 use fnv::FnvHashSet;
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle, Micros, WorkerId};
--- a/crates/gateway/src/shards/placement.rs
+++ b/crates/gateway/src/shards/placement.rs
@@ -6,11 +6,11 @@
 
 /// For a queue: the index of its division among those served, and whether calls that arrive on it are leaving this
 /// front end.
-pub type Arrives = (usize, bool);
+pub type QueueOrigin = (usize, bool);
 
 /// The home shards and owned shards of the divisions served, the newest last; the kind of each queue; and the
 /// divisions' generations.
-pub struct Places(Vec<(HomeShards, Vec<Shard>)>, Vec<Arrives>, Vec<u32>);
+pub struct Places(Vec<(HomeShards, Vec<Shard>)>, Vec<QueueOrigin>, Vec<u32>);
 
 impl Places {
     /// Creates the placement of functions; returns `None` if the fleet isn't divided.
@@ -55,7 +55,7 @@
     }
 
     /// Applies changed owned shards; `queues` has the kind of each queue, by its index.
-    pub fn set_served(&mut self, owned: &[OwnedShards], queues: Vec<Arrives>) {
+    pub fn set_served(&mut self, owned: &[OwnedShards], queues: Vec<QueueOrigin>) {
         for ((_, owned_shards), shards) in self.0.iter_mut().zip(owned) {
             *owned_shards = shards.served();
         }
--- a/crates/gateway/src/state/core/fleet.rs
+++ b/crates/gateway/src/state/core/fleet.rs
@@ -94,12 +94,12 @@
 
     pub(super) fn has_copy(&mut self, function: FunctionId, worker: WorkerId) {
         if let (Some(membership), Some(name)) = (self.fleet.as_mut(), self.names.name(function)) {
-            membership.has_copy(&name, worker);
+            membership.record_copy(&name, worker);
         }
     }
 
     fn unload_retired(&mut self, commands: &mut Vec<Command>) {
-        let unload = self.fleet.as_mut().map(|p| p.to_unload()).unwrap_or_default();
+        let unload = self.fleet.as_mut().map(|p| p.take_unloads()).unwrap_or_default();
         for (worker, function) in unload {
             let address = self.address(worker);
             if !address.is_empty() {
@@ -208,7 +208,7 @@
         match &mut self.fleet {
             None => Answer::Served { body, content_type },
             Some(membership) => {
-                membership.has_copy(function, worker);
+                membership.record_copy(function, worker);
                 let pass = membership.egress.permit(function);
                 Answer::Gated(Box::new(CheckedAnswer { body, content_type, permit: pass }))
             }
--- a/crates/gateway/tests/fleet_messages.rs
+++ b/crates/gateway/tests/fleet_messages.rs
@@ -5,7 +5,7 @@
 use common::*;
 use stagehoist_amqp::{long, short, AMQPValue, BasicProperties, FieldTable};
 use stagehoist_config::parse;
-use stagehoist_gateway::amqp::message::{reply, Reader, Unusable};
+use stagehoist_gateway::amqp::message::{reply, InvalidMessage, Reader};
 use stagehoist_gateway::state::Command;
 use std::rc::Rc;
 
@@ -21,7 +21,7 @@
     reader: &Reader,
     function: &str,
     generation: Option<AMQPValue>,
-) -> Result<Option<u32>, Unusable> {
+) -> Result<Option<u32>, InvalidMessage> {
     let mut headers = FieldTable::default();
     if let Some(value) = generation {
         headers.insert(short("generation"), value);
@@ -37,9 +37,12 @@
     assert_eq!(requested_generation(&fleet, "f", Some(AMQPValue::LongInt(2))), Ok(Some(2)));
     assert_eq!(requested_generation(&fleet, "f", Some(long("3"))), Ok(Some(3)));
     for malformed in [long("two"), long("0"), AMQPValue::LongInt(-1), AMQPValue::Boolean(true)] {
-        assert_eq!(requested_generation(&fleet, "f", Some(malformed)), Err(Unusable::MalformedGeneration));
+        assert_eq!(
+            requested_generation(&fleet, "f", Some(malformed)),
+            Err(InvalidMessage::MalformedGeneration)
+        );
     }
-    assert_eq!(requested_generation(&fleet, "f@2", None), Err(Unusable::MalformedFunction));
+    assert_eq!(requested_generation(&fleet, "f@2", None), Err(InvalidMessage::MalformedFunction));
     // Without a fleet both are ignored.
     let alone = reader("");
     assert_eq!(requested_generation(&alone, "f@2", Some(long("two"))), Ok(None));
--- a/crates/gateway/tests/shards_queues.rs
+++ b/crates/gateway/tests/shards_queues.rs
@@ -144,7 +144,7 @@
     w.serve(&calls[0]);
     w.settle();
     assert_eq!((w.outcomes(), w.front.unacknowledged()), (vec![("a", "served")], 0));
-    assert_eq!((w.front.counters.given_back, w.front.counters.other_shard), (0, 0));
+    assert_eq!((w.front.counters.requeued, w.front.counters.other_shard), (0, 0));
 }
 
 /// If its workers are no longer known here, the message is requeued without being processed, and the current owner of
@@ -165,7 +165,7 @@
         w.front.serve_shards(&owned(&[1], &[], &[]), w.now);
         w.settle();
         assert_eq!(
-            (w.arrivals().len(), w.front.counters.given_back, w.front.unacknowledged()),
+            (w.arrivals().len(), w.front.counters.requeued, w.front.unacknowledged()),
             (0, 1, 0),
             "{mode}"
         );
