--- a/crates/gateway/src/state/answer.rs
+++ b/crates/gateway/src/state/answer.rs
@@ -11,23 +11,23 @@
         body: Bytes,
         content_type: Option<String>,
     },
-    /// It never ran, or may be repeated without harm.
+    /// The call never ran, or may be repeated safely.
     Refused {
         reason: &'static str,
         retry_after: Micros,
     },
-    /// Nothing is promised about whether it ran.
+    /// The call may or may not have run.
     Failed {
         reason: &'static str,
     },
-    /// Failed, as its function is retired; it did not run, or may be repeated without harm.
+    /// Failed because the function is retired; the call did not run, or may be repeated safely.
     Retired(Box<Retired>),
-    /// Served by a front end of a fleet.
+    /// Served by a front end of a fleet; the answer is checked again before it leaves.
     Gated(Box<CheckedAnswer>),
 }
 
 impl Answer {
-    /// The word for why it was not served; empty where it was.
+    /// Returns the reason why the call was not served; empty if it was served.
     pub fn reason(&self) -> &'static str {
         match self {
             Answer::Served { .. } | Answer::Gated(_) => "",
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The outcome's name, as callers and logs have it.
+    /// Returns the name of the outcome in replies and logs.
     pub fn outcome(&self) -> &'static str {
         match self {
             Answer::Served { .. } | Answer::Gated(_) => "served",
--- a/crates/gateway/src/state/core/answers.rs
+++ b/crates/gateway/src/state/core/answers.rs
@@ -1,22 +1,22 @@
-//! Calls that are rejected or failed, and the end of a front end whose callers will hear from no one else.
+//! Answers to rejected and failed calls, and to the calls remaining when the front end ends and no other process will answer them.
 
 use super::super::{Answer, Command};
 use super::Core;
 use stagehoist::{Micros, Outcome, RequestId};
 
-/// The reason that is reported.
+/// The reason reported for calls remaining when the front end ends.
 const FRONT_END_ENDS: &str = "front-end-ends";
 
-/// The reason where no worker could be confirmed while the endpoint list was old.
+/// The reason reported when no worker could be confirmed while the endpoint list was outdated.
 pub(super) const LIST_OLD: &str = "endpoint-list-old";
 
 impl Core {
-    /// Answers every call of the module's that is left, as the process ends before its time does: refused where nothing of
-    /// it can have run, else failed, which promises nothing.
+    /// Answers every remaining call of the decision module because the process ends before the call's deadline. The answer is
+    /// `Refused` if the call cannot have run, otherwise `Failed`, which leaves open whether it ran.
     pub fn answer_remaining(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        let mut left: Vec<RequestId> = self.by_ticket.values().copied().collect();
-        left.sort_unstable();
-        for request in left {
+        let mut remaining: Vec<RequestId> = self.by_ticket.values().copied().collect();
+        remaining.sort_unstable();
+        for request in remaining {
             let nothing_ran =
                 self.calls.get(&request).is_some_and(|call| call.is_idle() && call.ran_since.is_none());
             let answer = if nothing_ran {
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Why a call is rejected or failed, as far as it shows from outside the module; for people, not for choices.
+    /// Returns why a call is rejected or failed, as far as it can be seen from outside the decision module. It is meant for
+    /// people; no decision depends on it.
     pub(super) fn reason(&self, request: RequestId, now: Micros) -> &'static str {
         let Some(call) = self.calls.get(&request) else { return "over" };
         if call.attempts.iter().any(Option::is_some) {
@@ -59,13 +60,13 @@
         if call.answered {
             return;
         }
-        let (word, reason) = (answer.outcome(), answer.reason());
+        let (outcome, reason) = (answer.outcome(), answer.reason());
         match answer {
             Answer::Failed { .. } | Answer::Retired(_) => self.counters.failed += 1,
             _ => self.counters.refused += 1,
         }
         call.span.in_scope(|| {
-            tracing::debug!(outcome = word, reason, took_us = now - call.taken, "answered");
+            tracing::debug!(outcome = outcome, reason, took_us = now - call.taken, "answered");
         });
         commands.push(Command::Answer { ticket: call.ticket, answer, elapsed: now - call.taken });
         self.record_call_end(request, now, false);
--- a/crates/gateway/src/state/core/endpoints.rs
+++ b/crates/gateway/src/state/core/endpoints.rs
@@ -1,4 +1,4 @@
-//! What is heard of workers: told to the module, and where attempts wait for intents, to those who hold them.
+//! Endpoint updates: passed to the decision module and, if attempts wait for intents, to the intent recorder.
 
 use super::super::Command;
 use super::Core;
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// How long one that is gone is remembered: far longer than an attempt may wait.
+/// How long a departed worker is remembered: far longer than an attempt may wait.
 const GONE_RETENTION: Micros = 30_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     Departed,
 }
 
-/// Which workers drain or are gone, as far as was reported, and what of it is inputs.
+/// Which workers are reported as draining or gone, and the changes that were not emitted yet.
 #[derive(Debug, Default)]
 pub(super) struct WorkerDrains {
     states: BTreeMap<WorkerId, State>,
@@ -49,7 +49,7 @@
 
     fn set(&mut self, worker: WorkerId, state: State) {
         let before = self.states.insert(worker, state);
-        // One that is met as it serves is no inputs.
+        // A new worker that serves is not a change worth reporting.
         if before != Some(state) && !(before.is_none() && state == State::Serving) {
             self.changes.push((worker, state));
         }
@@ -78,18 +78,18 @@
 }
 
 impl Core {
-    /// Attempts may wait for intents: who holds them is informed which workers leave. Before the first list.
+    /// Reports draining and departed workers, because attempts may wait for intents. Must be called before the first list.
     pub fn report_drains(&mut self) {
         self.drains = Some(WorkerDrains::default());
     }
 
     pub(super) fn emit_drains(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        if let Some(leaving) = self.drains.as_mut() {
-            leaving.emit(now, commands);
+        if let Some(drains) = self.drains.as_mut() {
+            drains.emit(now, commands);
         }
     }
 
-    /// A whole list came; what is over the bound is left out, at every front end the same.
+    /// Applies a full endpoint list. Workers beyond the maximum are left out, the same ones at every front end.
     pub(super) fn on_endpoint_list(&mut self, entries: Vec<ListedWorker>, now: Micros) {
         self.counters.endpoint_lists += 1;
         let update = self.endpoints.apply_list(entries, now);
@@ -98,18 +98,19 @@
             tracing::warn!(
                 left_out,
                 most,
-                "the list has more workers than workers-most; the last by name are left out"
+                "endpoint list exceeds workers-most; the last workers by name are left out"
             );
         }
         self.apply_endpoint_change(update, now);
     }
 
-    /// The fleet is divided: the module is notified of the workers of own shards alone. Before the first list.
+    /// Divides the fleet into shards: the decision module learns only of workers of owned shards. Must be called before the first
+    /// list.
     pub fn set_shards(&mut self, shards: Option<Shards>) {
         self.shards = shards.map(Box::new);
     }
 
-    /// In a divided fleet: workers of own shards, and those that drain as they left them.
+    /// In a divided fleet, returns the number of workers in owned shards, and of those draining because they left them.
     pub fn shard_workers(&self) -> Option<(usize, usize)> {
         self.shards.as_ref().map(|s| s.counts())
     }
@@ -118,14 +119,16 @@
         self.shards.as_ref().and_then(|s| s.due())
     }
 
-    /// A whole list of front ends came; workers of own shards are told before calls of them come.
+    /// Applies a full list of front ends. The decision module learns of the workers of newly owned shards before their calls
+    /// are consumed.
     pub(super) fn on_front_end_list(
         &mut self,
         list: Option<Vec<FrontEnd>>,
         now: Micros,
         commands: &mut Vec<Command>,
     ) {
-        // One that names nobody, not even this front end, is a source that lost what it knew: all would take all shards.
+        // An empty list, which lacks even this front end, comes from a source that lost its data. If it were applied, every
+        // front end would take all shards.
         let Some(list) = list.filter(|l| !l.is_empty()) else {
             self.counters.front_end_list_failures += 1;
             return;
@@ -134,7 +137,7 @@
         self.on_owned_shards(changed, now, commands);
     }
 
-    /// Other front ends counted, and lists that changed own shards, where one is followed.
+    /// Returns the number of other front ends listed, and of lists that changed the owned shards; None if no list is watched.
     pub fn listed_front_ends(&self) -> Option<(usize, u64)> {
         self.shards.as_ref()?.listed()
     }
@@ -150,7 +153,7 @@
         commands.push(Command::ServeShards(owned.into()));
     }
 
-    /// Workers that left own shards are gone after a while, as are shards that were handed over.
+    /// Releases shards whose handover is complete, and removes workers that left the owned shards a while ago.
     pub(super) fn expire(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let changed = self.shards.as_mut().and_then(|s| s.handed_over(now));
         self.on_owned_shards(changed, now, commands);
@@ -167,27 +170,31 @@
         self.pass_to_policy(update, now);
     }
 
-    /// Tells the module of workers, and all who have to know of them.
+    /// Passes a worker update to the decision module, recovery, drain reports and pool admission.
     fn pass_to_policy(&mut self, update: Update, now: Micros) {
         if let Some(recovery) = self.recovery.as_mut() {
             recovery.roster(&update);
         }
         if update.kind != EndpointUpdate::Failed {
-            tracing::debug!(rows = update.endpoints.len(), form = ?update.kind, "workers");
+            tracing::debug!(rows = update.endpoints.len(), form = ?update.kind, "endpoint update");
         }
-        if let Some(leaving) = self.drains.as_mut() {
-            leaving.on_change(&update);
+        if let Some(drains) = self.drains.as_mut() {
+            drains.on_change(&update);
         }
-        if let Some(entrance) = self.pool_admission.as_mut() {
-            entrance.on_capacity(self.endpoints.ready_capacity(), now);
+        if let Some(pool_admission) = self.pool_admission.as_mut() {
+            pool_admission.on_capacity(self.endpoints.ready_capacity(), now);
         }
         self.events.push(Event::Endpoints { update: update.kind, endpoints: Rc::from(update.endpoints) });
     }
 
-    /// A worker said of itself whether it drains.
+    /// Applies a worker's own announcement of whether it is draining.
     pub(super) fn on_announcement(&mut self, now: Micros, worker: WorkerId, draining: Option<bool>) {
         if let Some(update) = draining.and_then(|d| self.endpoints.on_announcement(worker, d, now)) {
-            tracing::info!(worker = self.endpoints.name(worker), ?draining, "worker announced");
+            tracing::info!(
+                worker = self.endpoints.name(worker),
+                ?draining,
+                "worker announced its drain state"
+            );
             self.apply_endpoint_change(update, now);
         }
     }
--- a/crates/gateway/src/state/core/mod.rs
+++ b/crates/gateway/src/state/core/mod.rs
@@ -1,5 +1,6 @@
-//! Calls and attempts between sockets and the module. It keeps what the module's interface promises: one `Ended` for
-//! each `Send`, one `Loaded` for each `Load`, attempts cut at their call's deadline, timers in time. It decides nothing.
+//! Calls and attempts between the sockets and the decision module. It fulfils the contract of the decision module's
+//! interface: one `AttemptEnded` for each `Send`, one `Loaded` for each `Load`, attempts aborted at their call's deadline,
+//! timers fired in time. It makes no decisions.
 
 mod answers;
 mod calls;
@@ -32,23 +33,23 @@
     taken: Micros,
     deadline: Micros,
     attempts: Vec<Option<AttemptInFlight>>,
-    /// How the last attempt ended, for the reason told with a refusal or failure.
+    /// Outcome of the last attempt, from which the reason of a refusal or failure is derived.
     last_outcome: Option<Outcome>,
     answered: bool,
-    /// When the first attempt was sent of those that ended and may have run.
+    /// Send time of the first ended attempt that may have run.
     ran_since: Option<Micros>,
-    /// Where its function is in a pool: from its entry into the module until it is removed.
+    /// The permit of a call whose function is in a pool; held from when the decision module gets the call until its removal.
     permit: Option<Permit>,
     span: Span,
 }
 
 impl Call {
-    /// Nothing is out for it.
+    /// Returns whether the call has no attempt in flight.
     fn is_idle(&self) -> bool {
         self.attempts.iter().all(Option::is_none)
     }
 
-    /// Takes note of an attempt's outcome, and since when the call may have run.
+    /// Records an attempt's outcome, and since when the call may have run.
     fn record_outcome(&mut self, outcome: Outcome, sent_at: Micros) {
         self.last_outcome = Some(outcome);
         let never_ran =
@@ -59,10 +60,10 @@
     }
 }
 
-/// A load that was ordered and not answered yet.
+/// A load order without a result yet.
 struct LoadOrder {
     sent_at: Micros,
-    /// When it counts as lost.
+    /// When the order counts as lost.
     expires_at: Micros,
 }
 
@@ -72,56 +73,56 @@
     deadline: Micros,
 }
 
-/// One front end's state.
+/// The state of one front end.
 pub struct Core {
     policy: Box<dyn DecisionPolicy>,
     settings: CoreSettings,
     names: Names,
     endpoints: EndpointSet,
-    /// Until when the source of the list vouches for it.
+    /// Until when the source of the endpoint list guarantees its validity.
     list_valid_until: Micros,
     calls: HashMap<RequestId, Call>,
     by_ticket: HashMap<Ticket, RequestId>,
     next_request: RequestId,
     timers: BTreeSet<(Micros, u32)>,
-    /// When each attempt that is out is cut.
+    /// When each attempt in flight is aborted.
     attempt_deadlines: BTreeSet<(Micros, RequestId, u16)>,
-    /// Loads ordered and not answered yet, and when they count as lost.
+    /// Load orders without a result yet, and when they count as lost.
     load_orders: BTreeMap<(WorkerId, u64), LoadOrder>,
     events: Vec<Event>,
     actions: Vec<Action>,
-    /// Calls taken in this turn, to tell which of them the module holds.
+    /// Calls accepted in this batch, to log which of them the decision module queued.
     new_calls: Vec<RequestId>,
-    /// Where attempts wait for intents: which workers leave.
+    /// Which workers are draining or gone; Some if attempts wait for intents.
     drains: Option<WorkerDrains>,
-    /// None: it shares nothing with other front ends.
+    /// None: not part of a fleet.
     fleet: Option<Box<FleetMembership>>,
-    /// None: no stages are told.
+    /// None: recovery phases are not configured.
     recovery: Option<Box<FleetRecovery>>,
-    /// Calls that wait outside the module.
+    /// Calls waiting outside the decision module.
     waiting: WaitingCalls,
-    /// None: no pools.
+    /// None: no pools are configured.
     pool_admission: Option<Box<PoolAdmission>>,
-    /// None: the fleet isn't divided.
+    /// None: the fleet isn't divided into shards.
     shards: Option<Box<crate::shards::Shards>>,
     pub counters: Counters,
 }
 
 impl Core {
-    /// A front end without workers, as it is before the first list came.
-    pub fn new(figures: CoreSettings, seed: u64, now: Micros) -> Core {
-        Core::with(module, figures, seed, now)
+    /// Creates a front end that knows no workers yet.
+    pub fn new(core_settings: CoreSettings, seed: u64, now: Micros) -> Core {
+        Core::with(module, core_settings, seed, now)
     }
 
-    /// The same, with decisions told.
-    pub fn with(decider: PolicyFactory, figures: CoreSettings, seed: u64, now: Micros) -> Core {
-        let (kinds, zones) = (figures.kinds.clone(), figures.zones.clone());
+    /// Creates a front end as [`Core::new`] does, with the given decision policy.
+    pub fn with(policy_factory: PolicyFactory, core_settings: CoreSettings, seed: u64, now: Micros) -> Core {
+        let (kinds, zones) = (core_settings.kinds.clone(), core_settings.zones.clone());
         Core {
-            policy: decider(figures.settings.clone(), seed, now),
-            names: Names::new(figures.name_limits.0, figures.name_limits.1),
-            endpoints: EndpointSet::new(kinds, zones, figures.announcement_retention)
-                .with_max_workers(figures.max_workers.unwrap_or(MAX_WORKERS)),
-            settings: figures,
+            policy: policy_factory(core_settings.settings.clone(), seed, now),
+            names: Names::new(core_settings.name_limits.0, core_settings.name_limits.1),
+            endpoints: EndpointSet::new(kinds, zones, core_settings.announcement_retention)
+                .with_max_workers(core_settings.max_workers.unwrap_or(MAX_WORKERS)),
+            settings: core_settings,
             list_valid_until: Micros::MAX,
             calls: HashMap::new(),
             by_ticket: HashMap::new(),
@@ -142,55 +143,60 @@
         }
     }
 
-    /// Calls taken and not answered yet.
+    /// Returns the number of accepted calls without an answer yet.
     pub fn unanswered(&self) -> usize {
         self.by_ticket.len() + self.waiting.len()
     }
 
-    /// Attempts that are out, those of answered calls too.
+    /// Returns the number of attempts in flight, including those of answered calls.
     pub fn attempts_in_flight(&self) -> usize {
         self.attempt_deadlines.len()
     }
 
-    /// For how long the source of the endpoint list still vouches for it; negative: for how long it does no more. None: for ever.
+    /// Returns how long the endpoint list is still guaranteed to be valid; negative: how long ago the guarantee ended; None:
+    /// the guarantee has no end.
     pub fn list_valid_for(&self, now: Micros) -> Option<Micros> {
         (self.list_valid_until < Micros::MAX).then(|| self.list_valid_until - now)
     }
 
-    /// What old endpoint lists led to.
+    /// Returns the counters of requests and workers that an outdated endpoint list affected.
     pub fn confirmation_counters(&self) -> stagehoist::ConfirmationCounters {
         self.policy.confirmation_counters()
     }
 
-    /// Functions whose names are kept.
+    /// Returns the number of cached function names.
     pub fn names(&self) -> usize {
         self.names.len()
     }
 
-    /// Workers that are ready as far as is known.
+    /// Returns the number of workers known to be ready.
     pub fn ready_workers(&self) -> usize {
         self.endpoints.ready_count()
     }
 
-    /// When [`Core::process`] is due though nothing came.
+    /// Returns when [`Core::process`] must be called even without inputs.
     pub fn due(&self) -> Option<Micros> {
         if !self.events.is_empty() {
-            // Something ended while the last batch's choices were executed.
+            // Executing the last batch's actions produced further events.
             return Some(Micros::MIN);
         }
         let timer = self.timers.first().map(|t| t.0);
-        let cut = self.attempt_deadlines.first().map(|c| c.0);
+        let attempt = self.attempt_deadlines.first().map(|a| a.0);
         let order = self.load_orders.values().map(|order| order.expires_at).min();
         let membership = self.fleet.as_ref().and_then(|p| p.due());
-        let stage = self.recovery.as_ref().and_then(|s| s.due());
-        let (lane, subset) = (self.pool_admission.as_ref().and_then(|e| e.due()), self.shards_due());
-        [timer, cut, order, membership, stage, self.waiting.due(), lane, subset].into_iter().flatten().min()
+        let phase = self.recovery.as_ref().and_then(|s| s.due());
+        let (permit, shards) = (self.pool_admission.as_ref().and_then(|e| e.due()), self.shards_due());
+        [timer, attempt, order, membership, phase, self.waiting.due(), permit, shards]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    /// One batch: all inputs since the last, the module's choices, and what they mean for sockets.
+    /// Processes one batch: takes all inputs since the previous batch, lets the decision module decide, and appends the
+    /// resulting commands.
     pub fn process(&mut self, now: Micros, inputs: &mut Vec<Input>, commands: &mut Vec<Command>) {
-        for item in inputs.drain(..) {
-            self.on_input(now, item, commands);
+        for input in inputs.drain(..) {
+            self.on_input(now, input, commands);
         }
         self.advance_recovery(now, commands);
         self.expire(now, commands);
@@ -206,7 +212,7 @@
         self.log_queued();
     }
 
-    /// Ends the attempts whose time is over.
+    /// Aborts the attempts whose deadline has passed.
     fn expire_attempts(&mut self, now: Micros, commands: &mut Vec<Command>) {
         while let Some(&(at, request, attempt)) = self.attempt_deadlines.first() {
             if at > now {
@@ -228,7 +234,7 @@
         }
     }
 
-    /// Has the decision module decide once on all events since the last batch.
+    /// Passes all events since the last batch to the decision module, which decides once on them.
     fn decide(&mut self, now: Micros) {
         let start = std::time::Instant::now();
         self.policy.handle(now, &self.events, &mut self.actions);
@@ -245,7 +251,7 @@
         self.actions = actions;
     }
 
-    /// Logs the new calls that the module queued.
+    /// Logs the new calls that the decision module queued.
     fn log_queued(&mut self) {
         for request in std::mem::take(&mut self.new_calls) {
             let Some(call) = self.calls.get(&request).filter(|c| c.attempts.is_empty() && !c.answered) else {
@@ -256,7 +262,7 @@
         }
     }
 
-    /// The client of a call left.
+    /// Handles a caller that left before its call was answered.
     fn on_client_gone(&mut self, now: Micros, ticket: Ticket, commands: &mut Vec<Command>) {
         self.counters.abandoned_calls += u64::from(self.waiting.remove(ticket));
         let Some(request) = self.by_ticket.remove(&ticket) else { return };
@@ -282,7 +288,7 @@
                 self.events.push(Event::HealthChecked { worker, outcome, elapsed: now - sent, report });
             }
             Input::Loaded { worker, function, sent, outcome, copies } => {
-                // What counted as lost is not told twice, nor as the end of the order that came after it.
+                // An order that counted as lost is not reported again, nor as the result of the order that followed it.
                 let key = (worker, function);
                 if self.load_orders.get(&key).is_some_and(|order| order.sent_at <= sent) {
                     self.load_orders.remove(&key);
--- a/crates/gateway/src/state/core/pools.rs
+++ b/crates/gateway/src/state/core/pools.rs
@@ -1,4 +1,5 @@
-//! Calls of pools wait for a permit before they enter the module, and keep it until all their attempts are known to have ended.
+//! Pool admission: a call of a pool waits for a permit before the decision module gets it, and holds the permit until all its
+//! attempts are known to have ended.
 
 use super::super::{Answer, Command};
 use super::Core;
@@ -8,26 +9,26 @@
 use stagehoist_admission::permits::NO_PERMIT;
 
 impl Core {
-    /// Calls of pools ask for permits from here on; before the first call.
+    /// Makes calls of pools ask for permits; must be called before the first call.
     pub fn set_pool_admission(&mut self, pool_admission: PoolAdmission) {
         self.pool_admission = Some(Box::new(pool_admission));
     }
 
-    /// Whether the module does not know of a call yet.
+    /// Returns whether a call still waits for a permit, so that the decision module has not received it.
     pub(super) fn is_waiting(&self, request: RequestId) -> bool {
-        self.pool_admission.as_ref().is_some_and(|e| e.is_waiting(request))
+        self.pool_admission.as_ref().is_some_and(|admission| admission.is_waiting(request))
     }
 
-    /// Lets calls into the module that have a permit now, and refuses those that get none in their time.
+    /// Passes calls that now have a permit to the decision module, and refuses those that got none in time.
     pub(super) fn admit_from_pools(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let Some(pool_admission) = self.pool_admission.as_mut() else { return };
         for decision in pool_admission.take_decisions(now) {
             match decision {
-                PoolDecision::Admitted(request, lane) => {
+                PoolDecision::Admitted(request, permit) => {
                     let Some(call) = self.calls.get_mut(&request.id) else { continue };
-                    call.permit = Some(lane);
+                    call.permit = Some(permit);
                     let waited = now - call.taken;
-                    call.span.in_scope(|| tracing::debug!(waited_us = waited, "has a permit"));
+                    call.span.in_scope(|| tracing::debug!(waited_us = waited, "permit granted"));
                     self.new_calls.push(request.id);
                     self.events.push(Event::Request(request));
                 }
--- a/crates/gateway/src/state/core/recovery.rs
+++ b/crates/gateway/src/state/core/recovery.rs
@@ -1,4 +1,5 @@
-//! A front end after a loss of everything: calls that come are admitted, wait or are rejected as the stages say.
+//! Recovery after the loss of all front ends and workers: the recovery phases decide whether an arriving call is admitted, waits
+//! or is rejected.
 
 use super::super::{Answer, Arrival, Command};
 use super::Core;
@@ -7,21 +8,21 @@
 use stagehoist_recovery::phases::{Admission, RecoveryPhase};
 
 impl Core {
-    /// Goes by stages where this start shows itself as one after a loss; before its first call.
+    /// Follows the recovery phases if this start turns out to follow such a loss; must be called before the first call.
     pub fn set_recovery(&mut self, recovery: FleetRecovery) {
         self.recovery = Some(Box::new(recovery));
     }
 
-    /// The stage; None where none are told.
+    /// Returns the recovery phase; None if recovery phases are not configured.
     pub fn recovery_phase(&self) -> Option<RecoveryPhase> {
-        self.recovery.as_ref().map(|s| s.phase())
+        self.recovery.as_ref().map(|recovery| recovery.phase())
     }
 
-    /// Whether a call may go in now. Its `read` is set.
+    /// Returns whether a call may be admitted now. Its `read_at` is set.
     pub(super) fn recovery_admission(&mut self, now: Micros, arrival: &Arrival) -> Admission {
         let Some(recovery) = self.recovery.as_mut() else { return Admission::Enter };
-        let left = arrival.read_at.min(now) + arrival.budget - now;
-        recovery.admit((arrival.tenant, &arrival.function), left, now)
+        let time_left = arrival.read_at.min(now) + arrival.budget - now;
+        recovery.admit((arrival.tenant, &arrival.function), time_left, now)
     }
 
     pub(super) fn reject_in_recovery(
@@ -36,25 +37,27 @@
         self.reject_waiting(now, arrival, answer, commands);
     }
 
-    /// Answers a call that the module did not see.
+    /// Answers a call that never reached the decision module.
     fn reject_waiting(&mut self, now: Micros, arrival: Arrival, answer: Answer, commands: &mut Vec<Command>) {
         self.counters.rejected_at_intake += 1;
         let (correlation, function) = (&*arrival.correlation, &*arrival.function);
         tracing::debug!(correlation, function, reason = answer.reason(), "rejected");
-        let took = (now - arrival.read_at).max(0);
-        commands.push(Command::Answer { ticket: arrival.ticket, answer, elapsed: took });
+        let elapsed = (now - arrival.read_at).max(0);
+        commands.push(Command::Answer { ticket: arrival.ticket, answer, elapsed });
     }
 
-    /// Shows the stages what is known, and asks again for calls that wait: all where the harness changed, else those due.
+    /// Updates the recovery state and checks waiting calls again: all of them if the admission conditions changed, otherwise those
+    /// that are due.
     pub(super) fn advance_recovery(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        let record = self.fleet.as_ref().is_none_or(|p| p.egress.gate().is_fresh(now));
+        let is_view_fresh =
+            self.fleet.as_ref().is_none_or(|membership| membership.egress.gate().is_fresh(now));
         let Some(recovery) = self.recovery.as_mut() else { return };
-        let waiting = match recovery.update(record, now) {
+        let waiting = match recovery.update(is_view_fresh, now) {
             true => self.waiting.take_if(|_| true),
             false => self.waiting.take_due(now),
         };
         for waiting in waiting {
-            // What was known when it came may hold no more.
+            // The function may have been retired since the call arrived.
             if let Some(closed) = self.closed(&waiting.arrival.function, now) {
                 let answer = self.closed_answer(closed);
                 self.reject_waiting(now, waiting.arrival, answer, commands);
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Answers calls outside whose function is retired by now.
+    /// Rejects waiting calls whose function has been retired.
     pub(super) fn reject_closed_waiting(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let Some(membership) = self.fleet.as_ref() else { return };
         let gate = membership.egress.gate();
@@ -89,11 +92,11 @@
         }
     }
 
-    /// A call that was admitted is answered: evidence for the stages.
+    /// Reports the end of an admitted call to the recovery phases.
     pub(super) fn record_call_end(&mut self, request: RequestId, now: Micros, served: bool) {
         let (Some(recovery), Some(call)) = (self.recovery.as_mut(), self.calls.get(&request)) else { return };
-        let aim =
+        let latency_objective =
             self.settings.settings.classes.get(usize::from(call.class)).map_or(0, |c| c.latency_objective);
-        recovery.ended(served && now - call.taken <= aim, now);
+        recovery.ended(served && now - call.taken <= latency_objective, now);
     }
 }
--- a/crates/gateway/src/state/core/waiting.rs
+++ b/crates/gateway/src/state/core/waiting.rs
@@ -1,43 +1,44 @@
-//! Calls that wait outside the module until their turn to be admitted. Each is looked at again at its time at the latest;
-//! whoever lets them wait chooses that time within the caller's.
+//! Calls that wait for admission outside the decision module. Each is checked again at its `until` time at the latest, matches
+//! the code that queues the call chooses within the caller's time budget.
 
 use super::super::{Arrival, FunctionProperties, Ticket};
 use stagehoist::Micros;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// One that waits.
+/// A waiting call.
 pub(super) struct WaitingCall {
-    /// The place in the order of arrival, kept when it goes on waiting.
+    /// The position in the order of arrival, kept when the call is requeued.
     order: u64,
     until: Micros,
-    /// Its `read` is set: what it waited is taken from its time.
+    /// Its `read_at` is set, so that the waiting time counts against the call's budget.
     pub arrival: Arrival,
     pub properties: FunctionProperties,
 }
 
-/// Those that wait, in their order and by time. Bounded by the caller, with the calls inside.
+/// The waiting calls, by order of arrival and by time of the next_order check. The caller limits their number together with that of
+/// the calls in the decision module.
 #[derive(Default)]
 pub(super) struct WaitingCalls {
-    next: u64,
+    next_order: u64,
     calls: BTreeMap<u64, WaitingCall>,
     by_ticket: HashMap<Ticket, u64>,
     by_time: BTreeSet<(Micros, u64)>,
 }
 
 impl WaitingCalls {
-    /// Calls that wait.
+    /// Returns the number of waiting calls.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Lets a call wait until it is asked about again.
-    pub fn insert(&mut self, until: Micros, arrival: Arrival, figures: FunctionProperties) {
-        let order = self.next;
-        self.next += 1;
-        self.requeue(until, WaitingCall { order, until, arrival, properties: figures });
+    /// Queues a call until its next_order check.
+    pub fn insert(&mut self, until: Micros, arrival: Arrival, properties: FunctionProperties) {
+        let order = self.next_order;
+        self.next_order += 1;
+        self.requeue(until, WaitingCall { order, until, arrival, properties });
     }
 
-    /// Lets one that was taken go on waiting, in its old place.
+    /// Queues a removed call again, in its old position.
     pub fn requeue(&mut self, until: Micros, mut waiting: WaitingCall) {
         waiting.until = until;
         self.by_time.insert((until, waiting.order));
@@ -45,24 +46,24 @@
         self.calls.insert(waiting.order, waiting);
     }
 
-    /// When the next is to be asked about.
+    /// Returns when the next_order call must be checked.
     pub fn due(&self) -> Option<Micros> {
         self.by_time.first().map(|t| t.0)
     }
 
-    /// The caller left. Whether the call was here.
+    /// Removes the call of a caller that left. Returns whether it was waiting here.
     pub fn remove(&mut self, ticket: Ticket) -> bool {
         let order = self.by_ticket.get(&ticket).copied();
         order.and_then(|order| self.take(order)).is_some()
     }
 
-    /// Takes those of which something holds, in the order of arrival.
-    pub fn take_if(&mut self, which: impl Fn(&WaitingCall) -> bool) -> Vec<WaitingCall> {
-        let found: Vec<u64> = self.calls.values().filter(|w| which(w)).map(|w| w.order).collect();
-        found.into_iter().filter_map(|order| self.take(order)).collect()
+    /// Removes and returns the calls that match a predicate, in the order of arrival.
+    pub fn take_if(&mut self, matches: impl Fn(&WaitingCall) -> bool) -> Vec<WaitingCall> {
+        let matching: Vec<u64> = self.calls.values().filter(|w| matches(w)).map(|w| w.order).collect();
+        matching.into_iter().filter_map(|order| self.take(order)).collect()
     }
 
-    /// Takes those whose time has come, in the order of arrival.
+    /// Removes and returns the calls whose next_order check is due, in the order of arrival.
     pub fn take_due(&mut self, now: Micros) -> Vec<WaitingCall> {
         let mut due: Vec<u64> = self.by_time.iter().take_while(|t| t.0 <= now).map(|t| t.1).collect();
         due.sort_unstable();
--- a/crates/gateway/src/state/functions.rs
+++ b/crates/gateway/src/state/functions.rs
@@ -1,5 +1,4 @@
-//! Functions by number: what is known of a function with each call, and the names behind the numbers that the module knows
-//! functions by.
+//! Function IDs: the properties of a call's function, and the names of the function IDs that the decision module uses.
 
 use super::Micros;
 use fnv::FnvHasher;
@@ -12,39 +11,39 @@
 #[cfg(test)]
 mod tests;
 
-/// What is known of a call's function, by the configuration or by the call itself.
+/// The properties of a call's function, from the configuration or from the call itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FunctionProperties {
-    /// The same at every front end.
+    /// Identical at every front end.
     pub id: FunctionId,
     pub class: u16,
     pub memory_mb: f64,
     pub concurrency: f64,
-    /// Usual time of a load; 0 where not told.
+    /// Usual duration of a load; 0 if not specified.
     pub load_time: Micros,
-    /// Work on a standard core, where told.
+    /// Work of a call on a standard core, if specified.
     pub work: Option<Micros>,
 }
 
-/// The number of a function: from its name alone, so that it is the same at every front end.
-fn number(name: &str) -> FunctionId {
+/// Returns the ID of a function. It depends on the name alone, so that it is identical at every front end.
+fn function_id(name: &str) -> FunctionId {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
-    // The module keeps numbers below 2^40.
+    // The decision module uses IDs below 2^40.
     let hash = hasher.finish();
     (hash ^ (hash >> 40)) & ((1 << 40) - 1)
 }
 
 impl FunctionProperties {
-    /// What the configuration tells of a function, with its class's time until callers time out; None where the
-    /// configuration does not take the name.
+    /// Returns the configured properties of a function and the caller timeout of its class; None if the configuration does
+    /// not accept the name.
     pub fn configured(config: &Config, name: &str) -> Option<(FunctionProperties, Micros)> {
         let function = config.function(name)?;
         let class = config.class_index(&function.class)?;
-        let figures = FunctionProperties {
+        let properties = FunctionProperties {
             id: match function.generation {
-                1 => number(name),
-                n => number(&format!("{name}@{n}")),
+                1 => function_id(name),
+                n => function_id(&format!("{name}@{n}")),
             },
             class: class as u16,
             memory_mb: function.memory as f64 / 1e6,
@@ -52,31 +51,31 @@
             load_time: function.load,
             work: (function.work > 0).then_some(function.work),
         };
-        Some((figures, config.classes[class].give_up))
+        Some((properties, config.classes[class].give_up))
     }
 }
 
-/// The names of the functions called of late.
+/// The names of recently called functions.
 #[derive(Debug)]
 pub struct Names {
     max_names: usize,
     retention: Micros,
     names: HashMap<FunctionId, (Rc<str>, Micros)>,
-    purged: Micros,
+    last_purge: Micros,
 }
 
 impl Names {
-    /// At most `most` names; one that was not called for `keep` microseconds is forgotten.
-    pub fn new(most: usize, keep: Micros) -> Names {
-        Names { max_names: most, retention: keep, names: HashMap::new(), purged: Micros::MIN }
+    /// Creates an empty cache of at most `max` names, each removed after `unused_for` microseconds without a call.
+    pub fn new(max: usize, unused_for: Micros) -> Names {
+        Names { max_names: max, retention: unused_for, names: HashMap::new(), last_purge: Micros::MIN }
     }
 
-    /// Notes a call. False where the number belongs to another name, as two names of one number would be one function to
-    /// the module, or where no more names fit.
+    /// Records a call. Returns false if the ID belongs to another name, because the decision module would treat both names
+    /// as one function, or if there is no room for another name.
     pub fn on_call(&mut self, id: FunctionId, name: &Rc<str>, now: Micros) -> bool {
-        if let Some((known, used)) = self.names.get_mut(&id) {
-            *used = now;
-            return known == name;
+        if let Some((cached, last_used)) = self.names.get_mut(&id) {
+            *last_used = now;
+            return cached == name;
         }
         if self.names.len() >= self.max_names {
             self.purge(now);
@@ -88,30 +87,30 @@
         true
     }
 
-    /// Forgets what was not called for long, at most once a sixteenth of that time.
+    /// Removes names whose retention is over; scans at most once per sixteenth of the retention.
     pub fn purge(&mut self, now: Micros) {
-        if self.purged > now - self.retention / 16 {
+        if self.last_purge > now - self.retention / 16 {
             return;
         }
-        self.purged = now;
-        let keep = self.retention;
-        self.names.retain(|_, (_, used)| now - *used < keep);
+        self.last_purge = now;
+        let retention = self.retention;
+        self.names.retain(|_, (_, last_used)| now - *last_used < retention);
         if self.names.capacity() > 4 * self.names.len() + 1024 {
             self.names.shrink_to_fit();
         }
     }
 
-    /// The name behind a number.
+    /// Returns the name of a function ID.
     pub fn name(&self, id: FunctionId) -> Option<Rc<str>> {
         self.names.get(&id).map(|(name, _)| name.clone())
     }
 
-    /// Names that are kept.
+    /// Returns the number of cached names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether no name is kept.
+    /// Returns whether no name is cached.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
--- a/crates/gateway/src/state/functions/tests.rs
+++ b/crates/gateway/src/state/functions/tests.rs
@@ -3,18 +3,18 @@
 use super::*;
 
 #[test]
-fn names_come_and_go_and_a_number_belongs_to_one_name() {
+fn unused_names_expire_and_an_id_belongs_to_one_name() {
     let mut names = Names::new(100, 1000);
     let (a, b): (Rc<str>, Rc<str>) = ("a".into(), "b".into());
     assert!(names.on_call(1, &a, 0) && names.on_call(1, &a, 10) && !names.on_call(1, &b, 10));
     (2..101).for_each(|id| assert!(names.on_call(id, &b, 10)));
-    assert!(!names.on_call(200, &b, 20), "full of names in use");
-    assert!(names.on_call(200, &b, 2000), "those unused for long made way");
+    assert!(!names.on_call(200, &b, 20), "the cache is full of names in use");
+    assert!(names.on_call(200, &b, 2000), "unused names were removed");
     assert_eq!((names.len(), names.name(1), names.name(200)), (1, None, Some(b)));
 }
 
 #[test]
-fn a_million_functions_pass_through_without_a_trace() {
+fn a_million_functions_leave_no_memory_behind() {
     let mut names = Names::new(50_000, 30_000_000);
     let name: Rc<str> = "f".into();
     for id in 0..1_000_000u64 {
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! A front end's state between sockets and the decision module, without I/O: inputs and the time go in, commands come out.
-//! Tests and models drive it as the driver does.
+//! The state of a front end between its sockets and the decision module. It does no I/O: it takes inputs and the current
+//! time, and returns commands. Tests and models call it in the same way as the driver.
 
 mod answer;
 mod core;
@@ -20,12 +20,12 @@
 use stagehoist_recovery::Identity;
 use std::rc::Rc;
 
-/// What chooses for a front end: the module, or a policy to measure it against on the same stack.
+/// Makes the decisions of a front end: the decision module, or another policy to compare it with on the same stack.
 pub trait DecisionPolicy {
-    /// One batch: what happened since the last, and what is to be done.
+    /// Handles one batch: takes the events since the previous batch and appends the resulting actions to `out`.
     fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>);
 
-    /// What old endpoint lists led to, where that is counted.
+    /// Returns the counters of requests and workers that an outdated endpoint list affected; zero if the policy has none.
     fn confirmation_counters(&self) -> ConfirmationCounters {
         ConfirmationCounters::default()
     }
@@ -41,33 +41,33 @@
     }
 }
 
-/// Makes one front end's decisions from its settings, seed and the time.
+/// Creates the decision policy of one front end from its settings, its seed and the current time.
 pub type PolicyFactory = fn(Settings, u64, Micros) -> Box<dyn DecisionPolicy>;
 
-/// The decision module.
+/// Creates the decision module.
 pub fn module(settings: Settings, seed: u64, now: Micros) -> Box<dyn DecisionPolicy> {
     Box::new(FrontEnd::new(settings, seed, now))
 }
 
-/// What a front end's state is given at its start, beside what is in the module's settings.
+/// The settings of a front end's state: those of the decision module, and those of [`Core`] itself.
 #[derive(Clone, Debug, Default)]
 pub struct CoreSettings {
     pub settings: Settings,
-    /// Kinds and zones of workers by name, in the order that the settings have them.
+    /// Names of the worker kinds and zones, in the order of the configuration.
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
-    /// How long a worker's own word that it drains counts against the list.
+    /// How long a worker's own announcement of draining or serving takes precedence over the endpoint list.
     pub announcement_retention: Micros,
-    /// Workers kept of a list; None: [`stagehoist_endpoints::MAX_WORKERS`].
+    /// Maximum number of workers used from a list; None: [`stagehoist_endpoints::MAX_WORKERS`].
     pub max_workers: Option<usize>,
-    /// Calls that may be unanswered at once.
+    /// Maximum number of unanswered calls.
     pub max_calls: u64,
     pub max_retry_after: Micros,
-    /// An order to load counts as lost after this time.
+    /// A load order without a result counts as lost after this time.
     pub load_timeout: Micros,
-    /// Names of functions kept, and for how long one is kept that is not called.
+    /// Maximum number of cached function names, and how long an unused name stays cached.
     pub name_limits: (usize, Micros),
-    /// A caller that leaves has its attempts stopped; else they run to their end.
+    /// Whether the attempts of a call are cancelled when its caller leaves; otherwise they run to completion.
     pub cancel_abandoned: bool,
 }
 
@@ -79,7 +79,7 @@
             settings,
             kinds: config.kinds.iter().map(|k| k.name.clone()).collect(),
             zones: config.zones.clone(),
-            // The list counts again when it contradicts a worker's word for longer than it may lag.
+            // The list takes precedence again once it has contradicted a worker's announcement for longer than it may lag.
             announcement_retention: 60_000_000.max(4 * config.list_ask_within),
             max_workers: Some(config.workers_most),
             max_calls: config.held_most,
@@ -91,52 +91,52 @@
     }
 }
 
-/// The number that a front (AMQP, ...) gives to a call of its own; unique within one front end.
+/// The number that a protocol front (AMQP, ...) assigns to each of its calls; unique within one front end.
 pub type Ticket = u64;
 
-/// A call as a front took it.
+/// A call as received by a protocol front.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub ticket: Ticket,
     pub function: Rc<str>,
-    /// What is known of the function; None where it is not known.
+    /// The properties of the function; None if the function is unknown.
     pub properties: Option<FunctionProperties>,
     pub tenant: u32,
-    /// Time until the caller times out, in microseconds, from when the call was read.
+    /// Time until the caller times out, in microseconds, counted from when the call was read.
     pub budget: Micros,
-    /// When the call was read from its socket; 0: just now.
+    /// When the call was read from its socket; 0: now.
     pub read_at: Micros,
-    /// The caller recorded it as a repeat, or the broker delivers it again.
+    /// Whether the caller marked the call as a repeat, or the broker redelivered it.
     pub is_repeat: bool,
-    /// Something speaks for its caller: see [`stagehoist::Request::client_verified`].
+    /// See [`stagehoist::Request::client_verified`].
     pub client_verified: bool,
     pub body: Bytes,
     pub content_type: Option<String>,
-    /// The caller's own number of the call, for logs and for workers.
+    /// The caller's correlation ID of the call, passed to logs and workers.
     pub correlation: Rc<str>,
-    /// The use of the function's name that the call is for; None: the configured one.
+    /// The generation of the function that the call asks for; None: the configured one.
     pub generation: Option<u32>,
-    /// The message's, where attempts are recorded on disk.
+    /// The identity of the call's message, if attempts are recorded on disk.
     pub identity: Option<Identity>,
 }
 
-/// What came of an attempt.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
     pub outcome: Outcome,
     pub copy: CopyReport,
     pub report: LoadReport,
-    /// The worker's answer, where the outcome is `Ok`.
+    /// The body of the worker's answer, if the outcome is `Ok`.
     pub body: Bytes,
     pub content_type: Option<String>,
-    /// The worker said that it drains (`Some(true)`) or serves (`Some(false)`).
+    /// Whether the worker announced that it is draining (`Some(true)`) or serving (`Some(false)`).
     pub draining: Option<bool>,
-    /// When the ending came to the socket; 0: just now.
+    /// When the end of the attempt was read from the socket; 0: now.
     pub read_at: Micros,
 }
 
 impl AttemptResult {
-    /// An ending without an answer.
+    /// Returns the result of an attempt that ended without an answer of the worker.
     pub fn without_answer(outcome: Outcome) -> AttemptResult {
         AttemptResult {
             outcome,
@@ -150,11 +150,11 @@
     }
 }
 
-/// What sockets bring.
+/// An input from the sockets.
 #[derive(Debug)]
 pub enum Input {
     Call(Arrival),
-    /// The caller left; nothing more is owed.
+    /// The caller left; the call needs no answer.
     ClientGone(Ticket),
     AttemptEnded {
         request: RequestId,
@@ -177,7 +177,7 @@
     },
     EndpointList(Vec<stagehoist_endpoints::ListedWorker>),
     EndpointListFailed,
-    /// The source of the list vouches for it up to this time: [`stagehoist::Event::EndpointListValid`].
+    /// The source of the list guarantees its validity until this time: see [`stagehoist::Event::EndpointListValid`].
     EndpointListValid {
         until: Micros,
     },
@@ -186,28 +186,28 @@
         worker: WorkerId,
         is_open: bool,
     },
-    /// A whole list of front ends, where the fleet is divided by it; None: it could not be had.
+    /// A full list of front ends, if it determines the division of the fleet; None: fetching it failed.
     FrontEndList(Option<Vec<crate::discovery::front_ends::Entry>>),
-    /// Workers with numbers of their own: the whole list, or what changed.
+    /// Workers that already have numbers: a full list or the changes to it.
     EndpointUpdate {
         kind: EndpointUpdate,
         endpoints: Vec<NumberedEndpoint>,
     },
-    /// Word of the replicas.
+    /// A cluster status from the replicas.
     ClusterStatus(ClusterStatus),
 }
 
-/// What is to be done on sockets.
+/// A command to the sockets.
 #[derive(Debug)]
 pub enum Command {
-    /// `took` is the time since the call was taken, in microseconds.
+    /// `elapsed` is the time since the call was accepted, in microseconds.
     Answer {
         ticket: Ticket,
         answer: Answer,
         elapsed: Micros,
     },
     Attempt(Attempt),
-    /// End an attempt by closing its connection; nothing more is heard of it.
+    /// Ends an attempt by closing its connection; its result is not reported.
     Abort {
         request: RequestId,
         attempt: u16,
@@ -222,7 +222,7 @@
         function: FunctionId,
         name: Rc<str>,
         copies: u8,
-        /// No byte of it is written after this time.
+        /// The latest time at which writing it may begin.
         start_by: Micros,
     },
     Unload {
@@ -233,20 +233,21 @@
     CloseIdle {
         worker: WorkerId,
     },
-    /// Only where attempts wait for intents: a worker drains since then, is gone (`Micros::MIN`), or serves.
+    /// Sent only if attempts wait for intents: the worker has been draining since this time, is gone (`Micros::MIN`), or is
+    /// serving (None).
     WorkerDraining {
         worker: WorkerId,
         since: Option<Micros>,
     },
-    /// Own shards changed: queues to consume and to leave.
+    /// The owned shards changed, and with them the queues to consume.
     ServeShards(Rc<[crate::shards::OwnedShards]>),
-    /// Follow the list, or stop.
+    /// Starts or stops watching the endpoint list.
     SubscribeEndpoints(bool),
-    /// Get the list once.
+    /// Fetches the endpoint list once.
     FetchEndpoints,
 }
 
-/// One attempt to have a call run.
+/// One attempt of a call at a worker.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub request: RequestId,
@@ -255,15 +256,15 @@
     pub address: Rc<str>,
     pub class: u16,
     pub function: Rc<str>,
-    /// When the attempt is cut.
+    /// When the attempt is aborted.
     pub deadline: Micros,
     pub body: Bytes,
     pub content_type: Option<String>,
     pub correlation: Rc<str>,
-    /// Which call it is for: a correlation may be used again.
+    /// The call that the attempt belongs to; correlation IDs are not unique.
     pub ticket: Ticket,
-    /// No byte of it is written from then on: where repeats are dropped by their key, the workers may forget it.
+    /// The latest time at which writing it may begin: later, a worker that drops repeats by their key may have forgotten the key.
     pub start_by: Micros,
-    /// What its call's intent is written under, where attempts are recorded on disk.
+    /// The key of the call's intent record, if attempts are recorded on disk.
     pub intent: Option<(Identity, Ticket)>,
 }
