--- a/crates/gateway/src/state/core/calls.rs
+++ b/crates/gateway/src/state/core/calls.rs
@@ -1,4 +1,4 @@
-//! A call from its arrival to its answer, and the ends of its attempts.
+//! Calls from their arrival to their answer, and the ends of their attempts.
 
 use super::super::{Answer, Arrival, AttemptResult, Command, FunctionProperties};
 use super::{Call, Core};
@@ -14,7 +14,8 @@
             return;
         }
         let ticket = arrival.ticket;
-        let known = arrival.properties.filter(|f| self.names.on_call(f.id, &arrival.function, now));
+        let known =
+            arrival.properties.filter(|function| self.names.on_call(function.id, &arrival.function, now));
         let reason = if (self.calls.len() + self.waiting.len()) as u64 >= self.settings.max_calls {
             Some("too-many-held")
         } else if known.is_none() {
@@ -24,7 +25,7 @@
         };
         if let Some(reason) = reason {
             self.counters.rejected_at_intake += 1;
-            // Coming back later helps against a crowd, not against a name that nobody knows.
+            // A later retry can succeed when too many calls are held, but not when the function is unknown.
             let retry_after = if reason == "too-many-held" { self.settings.max_retry_after } else { 0 };
             let answer = Answer::Refused { reason, retry_after };
             tracing::info!(
@@ -35,29 +36,29 @@
             );
             return commands.push(Command::Answer { ticket, answer, elapsed: 0 });
         }
-        let Some(f) = known else { return };
+        let Some(function) = known else { return };
         if arrival.read_at == 0 {
             arrival.read_at = now;
         }
         match self.recovery_admission(now, &arrival) {
-            Admission::Enter => self.enter(now, arrival, f, commands),
-            Admission::Wait { until } => self.waiting.insert(until, arrival, f),
+            Admission::Enter => self.enter(now, arrival, function, commands),
+            Admission::Wait { until } => self.waiting.insert(until, arrival, function),
             Admission::Refuse { retry_after, .. } => {
                 self.reject_in_recovery(now, arrival, retry_after, commands)
             }
         }
     }
 
-    /// A call goes to the module, or waits for a permit; `f` is known under its name.
+    /// Passes a call to the decision module or lets it wait for a permit. The name of `function` is cached.
     pub(super) fn enter(
         &mut self,
         now: Micros,
         arrival: Arrival,
-        f: FunctionProperties,
+        function: FunctionProperties,
         commands: &mut Vec<Command>,
     ) {
         let ticket = arrival.ticket;
-        let request = self.request(&arrival, f, now);
+        let request = self.request(&arrival, function, now);
         let (id, taken, deadline) = (request.id, request.accepted_at, now + request.budget);
         let mut entry = Entry::Free;
         if let Some(pool_admission) = self.pool_admission.as_mut() {
@@ -77,7 +78,7 @@
             request = id,
             function = &*arrival.function,
             budget_ms = request.budget / 1000,
-            work_ms = f.work.map(|w| w / 1000)
+            work_ms = function.work.map(|w| w / 1000)
         );
         span.in_scope(|| tracing::debug!(repeat = arrival.is_repeat, "accepted"));
         self.counters.taken += 1;
@@ -90,7 +91,7 @@
         let call = Call {
             ticket,
             arrival,
-            class: f.class,
+            class: function.class,
             taken,
             deadline,
             attempts: Vec::new(),
@@ -103,9 +104,9 @@
         self.calls.insert(id, call);
     }
 
-    /// The request that the module sees of a call.
+    /// Creates the decision module's request for a call.
     fn request(&self, arrival: &Arrival, function: FunctionProperties, now: Micros) -> Request {
-        // What the call waited between its socket and this turn is gone from its time.
+        // The time that the call waited between its socket and this batch counts against its budget.
         let accepted_at = if arrival.read_at > 0 { arrival.read_at.min(now) } else { now };
         Request {
             id: self.next_request,
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Numbers of calls still open are passed over when the count begins anew after 2^32 calls.
+    /// Advances to the next request ID. IDs of open calls are skipped when the counter wraps around after 2^32 calls.
     fn advance_next_request(&mut self) {
         loop {
             self.next_request = self.next_request.wrapping_add(1);
@@ -133,7 +134,8 @@
         }
     }
 
-    /// Notes that a call is answered; it stays while attempts are out, as each owes the module its end.
+    /// Marks a call as answered. It is removed once it has no attempts in flight, because the end of each attempt must be
+    /// reported to the decision module.
     pub(super) fn close_call(&mut self, request: RequestId) {
         let Some(call) = self.calls.get_mut(&request) else { return };
         call.answered = true;
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Stops one attempt, if it is out; its end is reported as cancelled.
+    /// Aborts an attempt if it is in flight, and reports its end as cancelled.
     pub(super) fn cancel_attempt(
         &mut self,
         now: Micros,
@@ -172,10 +174,10 @@
         }
     }
 
-    /// Stops the attempts of a call whose caller left: no one waits for them.
+    /// Cancels the attempts of a call whose caller left, as nobody waits for their results.
     pub(super) fn cancel_attempts(&mut self, now: Micros, request: RequestId, commands: &mut Vec<Command>) {
-        let many = self.calls.get(&request).map_or(0, |c| c.attempts.len());
-        (0..many as u16).for_each(|attempt| self.cancel_attempt(now, request, attempt, commands));
+        let count = self.calls.get(&request).map_or(0, |c| c.attempts.len());
+        (0..count as u16).for_each(|attempt| self.cancel_attempt(now, request, attempt, commands));
     }
 
     pub(super) fn on_attempt_ended(
@@ -192,9 +194,9 @@
             recovery.attempt(flight.worker, result.outcome, result.copy.state, now);
         }
         self.attempt_deadlines.remove(&(flight.deadline, request, attempt));
-        // Not what the answer waited for this process.
-        let ended = if result.read_at > 0 { result.read_at.clamp(flight.sent_at, now) } else { now };
-        let took = ended - flight.sent_at;
+        // The time that the answer waited in this process is not part of the attempt's duration.
+        let ended_at = if result.read_at > 0 { result.read_at.clamp(flight.sent_at, now) } else { now };
+        let took = ended_at - flight.sent_at;
         let name = self.endpoints.name(flight.worker).unwrap_or("?");
         log_attempt_end(call, attempt, name, &result, took);
         call.record_outcome(result.outcome, flight.sent_at);
@@ -215,12 +217,12 @@
         if ended.concluded {
             self.close_call(request);
         }
-        // What a worker says of itself comes before what its answer means, so that nothing new goes there.
+        // The worker's announcement is applied before the attempt's end, so that a draining worker gets no new request.
         self.on_announcement(now, flight.worker, result.draining);
         self.events.push(Event::AttemptEnded(ended));
     }
 
-    /// Answers a call by the end of an attempt, where that decides it. Whether it did.
+    /// Answers a call if the end of an attempt decides it. Returns whether it did.
     fn conclude(
         &mut self,
         now: Micros,
@@ -239,7 +241,7 @@
         false
     }
 
-    /// Answers a call with what a worker answered.
+    /// Answers a call with a worker's response.
     fn answer_served(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/state/core/endpoints.rs
+++ b/crates/gateway/src/state/core/endpoints.rs
@@ -176,7 +176,7 @@
             recovery.roster(&update);
         }
         if update.kind != EndpointUpdate::Failed {
-            tracing::debug!(rows = update.endpoints.len(), form = ?update.kind, "endpoint update");
+            tracing::debug!(rows = update.endpoints.len(), form = ?update.kind, "workers");
         }
         if let Some(drains) = self.drains.as_mut() {
             drains.on_change(&update);
--- a/crates/gateway/src/state/core/execute.rs
+++ b/crates/gateway/src/state/core/execute.rs
@@ -1,4 +1,4 @@
-//! The module's choices executed.
+//! Execution of the decision module's actions.
 
 use super::super::{Answer, Attempt, Command};
 use super::answers::LIST_OLD;
@@ -6,22 +6,22 @@
 use stagehoist::{Action, AttemptEnd, CopyReport, Effect, Event, Micros, Outcome, RequestId, WorkerId};
 use std::rc::Rc;
 
-/// The module's choice to send a request.
+/// A decision to send a request to a worker.
 pub(super) struct SendOrder {
     pub request: RequestId,
     pub worker: WorkerId,
-    /// Time limit of the attempt; 0: as long as the request has.
+    /// Time limit of the attempt; 0: until the deadline of the request.
     pub timeout: Micros,
-    /// No byte of it is written after this time.
+    /// The latest time at which writing it may begin.
     pub start_by: Micros,
 }
 
-/// The module's choice to load a function.
+/// A decision to load copies of a function at a worker.
 struct LoadCopies {
     worker: WorkerId,
     function: u64,
     copies: u8,
-    /// No byte of it is written after this time.
+    /// The latest time at which writing it may begin.
     start_by: Micros,
 }
 
@@ -82,7 +82,7 @@
             }
             Action::SubscribeEndpoints { on } => commands.push(Command::SubscribeEndpoints(on)),
             Action::FetchEndpoints => commands.push(Command::FetchEndpoints),
-            // Front ends share nothing, so that there is no one to tell; the settings say so to the module.
+            // These front ends don't gossip, so there is no peer to send it to; the settings tell the decision module so.
             Action::Gossip { .. } => {}
             Action::Log { text } => self.log_module(&text),
         }
@@ -91,14 +91,15 @@
     fn order_load(&mut self, now: Micros, order: LoadCopies, commands: &mut Vec<Command>) {
         let LoadCopies { worker, function, copies, start_by } = order;
         let Some(name) = self.names.name(function) else {
-            // No call of it for so long that its name is gone: as if nothing had been heard.
+            // The function was not called for so long that its name was removed. The order is reported as unanswered.
             let lost = Event::Loaded { worker, function, outcome: Outcome::Timeout, elapsed: 0, copies: 0 };
             return self.events.push(lost);
         };
         let order = LoadOrder { sent_at: now, expires_at: now + self.settings.load_timeout };
         self.load_orders.insert((worker, function), order);
         if self.closed(&name, now).is_some() {
-            // It never leaves, and counts as lost when its time is over: an end at once would only bring the next.
+            // The order is not sent, and counts as lost after its timeout. If it ended at once, the decision module would
+            // only order the next load.
             return;
         }
         self.counters.loads += 1;
@@ -107,7 +108,7 @@
         commands.push(Command::Load { worker, address, function, name, copies, start_by });
     }
 
-    /// The module knows workers by their numbers, people by their names.
+    /// Logs a text of the decision module, which has worker numbers, with the name of the worker that an operator knows.
     fn log_module(&self, text: &str) {
         let number = text.split("worker ").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
         let worker = number.and_then(|number| self.endpoints.name(number));
@@ -120,17 +121,17 @@
         let address = self.address(worker);
         let Some(call) = self.calls.get_mut(&request) else { return };
         let attempt = call.attempts.len() as u16;
-        let late = now >= call.deadline || u32::from(attempt) >= self.settings.settings.max_attempts;
-        let over = call.answered || late || closed;
-        if over || address.is_empty() {
-            let outcome = if over { Outcome::Superseded } else { Outcome::ConnectFailed };
+        let exhausted = now >= call.deadline || u32::from(attempt) >= self.settings.settings.max_attempts;
+        let superseded = call.answered || exhausted || closed;
+        if superseded || address.is_empty() {
+            let outcome = if superseded { Outcome::Superseded } else { Outcome::ConnectFailed };
             return self.skip_attempt(now, request, worker, outcome, commands);
         }
-        let due = if timeout > 0 { call.deadline.min(now + timeout) } else { call.deadline };
+        let deadline = if timeout > 0 { call.deadline.min(now + timeout) } else { call.deadline };
         let effect = self.settings.settings.classes.get(usize::from(call.class)).map(|class| class.effect);
-        let start_by = start_by.min(begin_by(call, effect));
-        call.attempts.push(Some(AttemptInFlight { worker, sent_at: now, deadline: due }));
-        self.attempt_deadlines.insert((due, request, attempt));
+        let start_by = start_by.min(latest_start(call, effect));
+        call.attempts.push(Some(AttemptInFlight { worker, sent_at: now, deadline: deadline }));
+        self.attempt_deadlines.insert((deadline, request, attempt));
         self.counters.attempts += 1;
         self.counters.retries += u64::from(attempt > 0);
         let name = self.endpoints.name(worker).unwrap_or("?");
@@ -142,7 +143,7 @@
             address,
             class: call.class,
             function: call.arrival.function.clone(),
-            deadline: due,
+            deadline: deadline,
             body: call.arrival.body.clone(),
             content_type: call.arrival.content_type.clone(),
             correlation: call.arrival.correlation.clone(),
@@ -152,7 +153,7 @@
         }));
     }
 
-    /// An attempt is not sent; the module learns so in the next batch.
+    /// Records an attempt that is not sent; the decision module gets its end in the next batch.
     fn skip_attempt(
         &mut self,
         now: Micros,
@@ -170,20 +171,22 @@
             self.reject_closed(now, request, commands);
             concluded = true;
         }
-        self.events.push(Event::AttemptEnded(unsent(request, attempt, worker, concluded, outcome)));
+        self.events
+            .push(Event::AttemptEnded(unsent_attempt_end(request, attempt, worker, concluded, outcome)));
     }
 }
 
-/// By when an attempt must begin, so that workers that drop repeats by their key still know it from the first that may have
-/// run. What is chosen in time may be written late; a quarter of the window is for its way.
-fn begin_by(call: &Call, effect: Option<Effect>) -> Micros {
+/// Returns the latest time at which an attempt may begin, so that a worker which drops repeats by their key still remembers the
+/// key of the first attempt that may have run. An attempt decided in time may be written late; a quarter of the window is
+/// reserved for this delay.
+fn latest_start(call: &Call, effect: Option<Effect>) -> Micros {
     let Some(Effect::IdempotentWithKey { window, .. }) = effect else { return Micros::MAX };
-    let sent = call.attempts.iter().flatten().map(|flight| flight.sent_at);
-    sent.chain(call.ran_since).min().map_or(Micros::MAX, |first| first + window - window / 4)
+    let sent_times = call.attempts.iter().flatten().map(|flight| flight.sent_at);
+    sent_times.chain(call.ran_since).min().map_or(Micros::MAX, |first| first + window - window / 4)
 }
 
-/// The end of an attempt of which nothing was sent.
-fn unsent(
+/// Returns the end of an attempt that was not sent.
+fn unsent_attempt_end(
     request: RequestId,
     attempt: u16,
     worker: WorkerId,
--- a/crates/gateway/src/state/core/fleet.rs
+++ b/crates/gateway/src/state/core/fleet.rs
@@ -1,4 +1,4 @@
-//! A front end as part of a fleet: calls of retired functions end, and nothing of them goes out.
+//! A front end as part of a fleet: calls of retired functions are ended, and nothing more is sent for them.
 
 use super::super::{Answer, Arrival, Command};
 use super::Core;
@@ -9,22 +9,22 @@
 use std::rc::Rc;
 
 impl Core {
-    /// Becomes part of a fleet; before its first call.
+    /// Makes the front end part of a fleet; must be called before its first call.
     pub fn join_fleet(&mut self, egress: EgressCheck) {
         self.fleet = Some(Box::new(FleetMembership::new(egress)));
     }
 
-    /// Told at least four times a second while the front end runs, before what came is looked at.
+    /// Records that the front end runs; called at least four times a second, before inputs are processed.
     pub fn record_activity(&mut self, now: Micros) {
         if let Some(membership) = &self.fleet {
             membership.egress.gate_mut().record_activity(now);
         }
     }
 
-    /// What the replicas are to be told; None where there is no fleet.
+    /// Returns the report for the replicas; None if there is no fleet.
     pub fn session_report(&self) -> Option<SessionReport> {
         let membership = self.fleet.as_ref()?;
-        let demand = self.pool_admission.as_ref().map_or_else(Vec::new, |e| e.demand());
+        let demand = self.pool_admission.as_ref().map_or_else(Vec::new, |admission| admission.demand());
         Some(SessionReport {
             confirmed: membership.confirmed(),
             ready_capacity: self.endpoints.ready_capacity(),
@@ -32,7 +32,8 @@
         })
     }
 
-    /// Version of the view, whether it is known to be the newest, and calls answered as retired.
+    /// Returns the version of the cluster view, whether it is known to be the newest, and the number of calls answered as
+    /// retired.
     pub fn fleet_state(&self) -> Option<(u64, bool, u64)> {
         let membership = self.fleet.as_ref()?;
         let (version, fresh) = membership.egress.view_state();
@@ -46,8 +47,8 @@
         commands: &mut Vec<Command>,
     ) {
         let Some(membership) = self.fleet.as_mut() else { return };
-        if let Some(entrance) = self.pool_admission.as_mut() {
-            entrance.on_cluster_status(&status, now);
+        if let Some(pool_admission) = self.pool_admission.as_mut() {
+            pool_admission.on_cluster_status(&status, now);
         }
         if !membership.egress.gate_mut().update(status) {
             return;
@@ -61,31 +62,37 @@
         self.apply_view();
     }
 
-    /// Calls under tombstones, in their order; answered ones stay while their attempts are out.
-    fn retired_calls(&self, which: impl Fn(&super::Call) -> bool) -> Vec<RequestId> {
+    /// Returns the matching calls of functions with a tombstone, in order of their IDs. Answered calls are included while they
+    /// have attempts in flight.
+    fn retired_calls(&self, matches: impl Fn(&super::Call) -> bool) -> Vec<RequestId> {
         let Some(membership) = self.fleet.as_ref() else { return Vec::new() };
         let gate = membership.egress.gate();
-        let found = self.calls.iter().filter(|(_, call)| which(call));
+        let found = self.calls.iter().filter(|(_, call)| matches(call));
         let found = found.filter(|(_, call)| gate.retired(&call.arrival.function).is_some());
         let mut found: Vec<RequestId> = found.map(|(id, _)| *id).collect();
         found.sort_unstable();
         found
     }
 
-    /// What is in progress under the newest view is what its confirming waits for.
+    /// Applies the newest view. It is confirmed once the calls of its retired functions that are in progress now have ended.
     fn apply_view(&mut self) {
         let named = |id: RequestId| Some((id, self.calls.get(&id)?.arrival.function.clone()));
-        let at_work = self.retired_calls(|_| true).into_iter().filter_map(named).collect();
+        let in_progress = self.retired_calls(|_| true).into_iter().filter_map(named).collect();
         if let Some(membership) = self.fleet.as_mut() {
-            membership.applied(at_work);
+            membership.applied(in_progress);
         }
     }
 
-    /// Confirms the view as soon as nothing under it is in progress or on its way out, and then goes on to the newest.
+    /// Confirms the applied view as soon as no call that it retires is in progress and no answer to one is being sent, then
+    /// applies the newest view.
     pub(super) fn confirm(&mut self, now: Micros) {
         loop {
             let calls = &self.calls;
-            if !self.fleet.as_mut().is_some_and(|p| p.confirm(now, |id| calls.contains_key(&id))) {
+            if !self
+                .fleet
+                .as_mut()
+                .is_some_and(|membership| membership.confirm(now, |id| calls.contains_key(&id)))
+            {
                 return;
             }
             self.apply_view();
@@ -99,7 +106,7 @@
     }
 
     fn unload_retired(&mut self, commands: &mut Vec<Command>) {
-        let unload = self.fleet.as_mut().map(|p| p.to_unload()).unwrap_or_default();
+        let unload = self.fleet.as_mut().map(|membership| membership.to_unload()).unwrap_or_default();
         for (worker, function) in unload {
             let address = self.address(worker);
             if !address.is_empty() {
@@ -109,13 +116,14 @@
         }
     }
 
-    /// Whether a call may be taken; its function is named by the generation from here on. What may not is answered.
+    /// Returns whether a call may be admitted, and if so replaces its function name by that of the generation. A call that may
+    /// not be admitted is answered.
     pub(super) fn admit(&mut self, now: Micros, arrival: &mut Arrival, commands: &mut Vec<Command>) -> bool {
         let Some(membership) = self.fleet.as_ref() else { return true };
         let admitted = membership.egress.gate().admit(&arrival.function, arrival.generation, now);
         let closed = match admitted {
-            Ok(inner) => {
-                arrival.function = inner;
+            Ok(generation_name) => {
+                arrival.function = generation_name;
                 return true;
             }
             Err(closed) => closed,
@@ -128,7 +136,7 @@
         false
     }
 
-    /// The answer to a call that never ran.
+    /// Returns the answer to a call of a closed function that never ran.
     pub(super) fn closed_answer(&mut self, closed: ClosedReason) -> Answer {
         match closed {
             ClosedReason::Retired(retired) => {
@@ -147,19 +155,19 @@
         }
     }
 
-    /// Why nothing of a function may go to a worker now.
-    pub(super) fn closed(&self, inner: &str, now: Micros) -> Option<ClosedReason> {
-        self.fleet.as_ref().and_then(|membership| membership.egress.gate().closed(inner, now))
+    /// Returns why requests for a function may not be sent to a worker now; None if they may.
+    pub(super) fn closed(&self, generation_name: &str, now: Micros) -> Option<ClosedReason> {
+        self.fleet.as_ref().and_then(|membership| membership.egress.gate().closed(generation_name, now))
     }
 
-    /// Whether nothing may be sent for a call now.
+    /// Returns whether the function of a call is closed, so that nothing may be sent for the call.
     pub(super) fn is_closed_call(&self, request: RequestId, now: Micros) -> bool {
         let function = self.fleet.as_ref().and_then(|_| Some(&self.calls.get(&request)?.arrival.function));
         function.is_some_and(|f| self.closed(f, now).is_some())
     }
 
-    /// Whether a call ends with an attempt's end, as its function is closed: a call in progress is served where that is still
-    /// known to be right, and gets no retry.
+    /// Returns whether the end of an attempt ends its call because the function is closed. A successful answer is still served
+    /// unless the view no longer shows that this is correct; other outcomes get no retry.
     pub(super) fn ends_as_closed(&self, request: RequestId, outcome: Outcome, now: Micros) -> bool {
         let (Some(membership), Some(call)) = (self.fleet.as_ref(), self.calls.get(&request)) else {
             return false;
@@ -170,16 +178,16 @@
         }
     }
 
-    /// The answer that a call gets in place of the module's refusal, where its function is closed.
+    /// Returns the answer that replaces the decision module's refusal if the call's function is closed.
     pub(super) fn answer_if_closed(&mut self, request: RequestId, now: Micros) -> Option<Answer> {
         let call = self.calls.get(&request).filter(|c| !c.answered)?;
         let closed = self.closed(&call.arrival.function, now)?;
-        let repeats = self.settings.settings.classes.get(usize::from(call.class));
-        let repeats = repeats.is_none_or(|class| class.effect == Effect::Idempotent);
-        if call.ran_since.is_none() || repeats {
+        let class = self.settings.settings.classes.get(usize::from(call.class));
+        let is_idempotent = class.is_none_or(|class| class.effect == Effect::Idempotent);
+        if call.ran_since.is_none() || is_idempotent {
             return Some(self.closed_answer(closed));
         }
-        // It may have run, and that is what its caller has to know.
+        // The call may have run, so the caller must get `Failed` instead of an answer that allows a repeat.
         let reason = if closed == ClosedReason::ViewNotCurrent {
             "view-not-current"
         } else {
@@ -188,7 +196,7 @@
         Some(Answer::Failed { reason })
     }
 
-    /// Answers a call whose function is closed, and takes it from the module.
+    /// Answers a call whose function is closed, and removes it from the decision module.
     pub(super) fn reject_closed(&mut self, now: Micros, request: RequestId, commands: &mut Vec<Command>) {
         if let Some(answer) = self.answer_if_closed(request, now) {
             if !self.is_waiting(request) {
@@ -198,7 +206,7 @@
         }
     }
 
-    /// A worker's answer, with a pass where there is a fleet.
+    /// Returns the answer with a worker's response; in a fleet it carries a permit that is checked before it leaves.
     pub(super) fn served(
         &mut self,
         (function, worker): (&Rc<str>, WorkerId),
@@ -209,8 +217,8 @@
             None => Answer::Served { body, content_type },
             Some(membership) => {
                 membership.has_copy(function, worker);
-                let pass = membership.egress.permit(function);
-                Answer::Gated(Box::new(CheckedAnswer { body, content_type, permit: pass }))
+                let egress_permit = membership.egress.permit(function);
+                Answer::Gated(Box::new(CheckedAnswer { body, content_type, permit: egress_permit }))
             }
         }
     }
--- a/crates/gateway/src/state/core/recovery.rs
+++ b/crates/gateway/src/state/core/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery after the loss of all front ends and workers: the recovery phases decide whether an arriving call is admitted, waits
-//! or is rejected.
+//! Recovery after a loss of the whole fleet: the recovery phases decide whether an arriving call is admitted, waits or is
+//! rejected.
 
 use super::super::{Answer, Arrival, Command};
 use super::Core;
@@ -42,8 +42,8 @@
         self.counters.rejected_at_intake += 1;
         let (correlation, function) = (&*arrival.correlation, &*arrival.function);
         tracing::debug!(correlation, function, reason = answer.reason(), "rejected");
-        let elapsed = (now - arrival.read_at).max(0);
-        commands.push(Command::Answer { ticket: arrival.ticket, answer, elapsed });
+        let took = (now - arrival.read_at).max(0);
+        commands.push(Command::Answer { ticket: arrival.ticket, answer, elapsed: took });
     }
 
     /// Updates the recovery state and checks waiting calls again: all of them if the admission conditions changed, otherwise those
--- a/crates/gateway/src/state/core/waiting.rs
+++ b/crates/gateway/src/state/core/waiting.rs
@@ -32,10 +32,10 @@
     }
 
     /// Queues a call until its next_order check.
-    pub fn insert(&mut self, until: Micros, arrival: Arrival, properties: FunctionProperties) {
+    pub fn insert(&mut self, until: Micros, arrival: Arrival, function: FunctionProperties) {
         let order = self.next_order;
         self.next_order += 1;
-        self.requeue(until, WaitingCall { order, until, arrival, properties });
+        self.requeue(until, WaitingCall { order, until, arrival, properties: function });
     }
 
     /// Queues a removed call again, in its old position.
--- a/crates/gateway/src/workers/exchange.rs
+++ b/crates/gateway/src/workers/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with a worker at a time on a connection, and connections kept alive.
+//! HTTP exchanges with workers, one at a time on each connection, and reuse of idle connections.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -27,16 +27,16 @@
 }
 
 pub(super) type Pools = Rc<RefCell<HashMap<Rc<str>, Vec<(Connection, Instant)>>>>;
-/// How an exchange ended without an answer.
+/// Why an exchange ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Broken {
+pub(super) enum ExchangeError {
     /// Nothing was written to the worker.
     Unsent,
     /// The connection broke after the request was, or may have been, written.
     Reset,
-    /// What came is no answer.
-    Garbage,
-    /// Its function was closed before anything was written.
+    /// The response was malformed or too large.
+    Malformed,
+    /// The function was closed before anything was written.
     Closed,
 }
 
@@ -67,17 +67,17 @@
     stream.set_nodelay(true).ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     let task = tokio::task::spawn_local(async move {
-        // Its errors reach whoever waits for an answer on it.
+        // Its errors are reported to the pending request.
         let _ = connection.await;
     });
     Some(Connection { sender, task: task.abort_handle() })
 }
 
-pub(super) fn take_idle(pools: &Pools, address: &str, close: Duration) -> Option<Connection> {
+pub(super) fn take_idle(pools: &Pools, address: &str, idle_timeout: Duration) -> Option<Connection> {
     let mut pools = pools.borrow_mut();
     let idle = pools.get_mut(address)?;
     while let Some((connection, since)) = idle.pop() {
-        if connection.sender.is_ready() && since.elapsed() < close {
+        if connection.sender.is_ready() && since.elapsed() < idle_timeout {
             return Some(connection);
         }
     }
@@ -96,42 +96,48 @@
 
 pub(super) type HttpResponse = (StatusCode, hyper::HeaderMap, Bytes, Connection);
 
-/// One request and its whole answer. A kept connection that the worker closed before anything was written is replaced by a
-/// new one; that is no second request, as the first never left.
+/// Sends a request and reads its complete response. If the worker closed a reused connection before anything was written, a new
+/// connection replaces it; this does not repeat the request, because it was not sent before.
 pub(super) async fn exchange(
     (config, pools): (&Config, &Pools),
     address: &str,
     request: Request<Full<Bytes>>,
-    most: u64,
-    may: &dyn Fn() -> bool,
-) -> Result<HttpResponse, Broken> {
-    let close = Duration::from_micros(config.idle_close as u64);
+    max_body: u64,
+    may_send: &dyn Fn() -> bool,
+) -> Result<HttpResponse, ExchangeError> {
+    let idle_timeout = Duration::from_micros(config.idle_close as u64);
     let mut request = request;
     let (response, connection) = loop {
-        let kept = take_idle(pools, address, close);
-        let fresh = kept.is_none();
-        let mut connection = match kept {
+        let idle = take_idle(pools, address, idle_timeout);
+        let is_new = idle.is_none();
+        let mut connection = match idle {
             Some(connection) => connection,
-            None => connect(config, address).await.ok_or(Broken::Unsent)?,
+            None => connect(config, address).await.ok_or(ExchangeError::Unsent)?,
         };
-        if !may() {
-            return Err(Broken::Closed);
+        if !may_send() {
+            return Err(ExchangeError::Closed);
         }
         match connection.sender.try_send_request(request).await {
             Ok(response) => break (response, connection),
             Err(mut e) => match e.take_message() {
-                Some(unsent) if !fresh => request = unsent,
-                Some(_) => return Err(Broken::Unsent),
+                Some(unsent) if !is_new => request = unsent,
+                Some(_) => return Err(ExchangeError::Unsent),
                 None => {
-                    return Err(if e.error().is_parse() { Broken::Garbage } else { Broken::Reset });
+                    return Err(if e.error().is_parse() {
+                        ExchangeError::Malformed
+                    } else {
+                        ExchangeError::Reset
+                    });
                 }
             },
         }
     };
     let (head, body): (_, hyper::body::Incoming) = Response::into_parts(response);
-    match Limited::new(body, most as usize).collect().await {
-        Ok(whole) => Ok((head.status, head.headers, whole.to_bytes(), connection)),
-        Err(e) if e.downcast_ref::<http_body_util::LengthLimitError>().is_some() => Err(Broken::Garbage),
-        Err(_) => Err(Broken::Reset),
+    match Limited::new(body, max_body as usize).collect().await {
+        Ok(complete) => Ok((head.status, head.headers, complete.to_bytes(), connection)),
+        Err(e) if e.downcast_ref::<http_body_util::LengthLimitError>().is_some() => {
+            Err(ExchangeError::Malformed)
+        }
+        Err(_) => Err(ExchangeError::Reset),
     }
 }
--- a/crates/gateway/src/workers/meaning.rs
+++ b/crates/gateway/src/workers/meaning.rs
@@ -1,4 +1,4 @@
-//! What a worker's answer means to the module.
+//! Interpretation of a worker's response: outcome, copy report, load report and drain state.
 
 use bytes::Bytes;
 use hyper::header::{HeaderMap, CONTENT_TYPE};
@@ -12,7 +12,7 @@
 pub const COPY: &str = "stagehoist-copy";
 pub const CROWD: &str = "stagehoist-crowd";
 pub const WORKER: &str = "stagehoist-worker";
-/// Header of ORCA load reports, and of the request that asks for one.
+/// Response header with an ORCA load report; the next constant is the request header that asks for one.
 pub const LOAD_METRICS: &str = "endpoint-load-metrics";
 pub const LOAD_METRICS_FORMAT: &str = "endpoint-load-metrics-format";
 
@@ -20,7 +20,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// The outcome that a status and its headers stand for.
+/// Returns the outcome that a status and its headers express.
 pub fn outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
     if status.is_success() {
         return Outcome::Ok;
@@ -28,14 +28,14 @@
     match text(headers, NOT_RUN) {
         Some("not-loaded") => Outcome::Miss,
         Some("queue-full" | "no-memory" | "draining") => Outcome::Full,
-        // A status alone promises nothing: a 503 may come from a worker that began and broke off.
+        // A status alone does not prove that the call did not run: a worker may send 503 after it began the call.
         _ => Outcome::Error,
     }
 }
 
-/// What the headers tell of the copy that served.
+/// Returns the headers' report on the copy that served the call.
 pub fn note(headers: &HeaderMap) -> CopyReport {
-    let copy = match text(headers, COPY) {
+    let copy_state = match text(headers, COPY) {
         Some("warm") => 1,
         Some("began") => 2,
         Some("waited") => 3,
@@ -43,10 +43,10 @@
         _ => 0,
     };
     let crowd = text(headers, CROWD).and_then(|c| c.parse().ok()).unwrap_or(0);
-    CopyReport { state: copy, concurrency: crowd }
+    CopyReport { state: copy_state, concurrency: crowd }
 }
 
-/// What a worker says of itself.
+/// Returns whether the worker announced that it is draining (true) or serving (false).
 pub fn draining(headers: &HeaderMap) -> Option<bool> {
     match text(headers, WORKER) {
         Some("draining") => Some(true),
@@ -58,29 +58,29 @@
 /// Looks up a value of a report by its name.
 type Lookup = Box<dyn Fn(&str) -> Option<f64>>;
 
-/// An ORCA report in its `JSON` or `TEXT` form, as the values of `fields`. `busy` is `cpu_utilization`; every other name
-/// is looked up in `named_metrics`, then among the report's own fields. A value that is not there is 0.
+/// Parses an ORCA load report in its `JSON` or `TEXT` format_name into the values of `fields`. `busy` is `cpu_utilization`; every other
+/// name is looked up in `named_metrics`, then among the report's own fields. A missing value is 0.
 pub fn report(headers: &HeaderMap, fields: &[String]) -> LoadReport {
     let line = text(headers, LOAD_METRICS)?;
-    let (form, rest) = line.split_once(' ')?;
-    let value: Lookup = match form {
+    let (format_name, payload) = line.split_once(' ')?;
+    let value: Lookup = match format_name {
         "JSON" => {
-            let json: Value = serde_json::from_str(rest).ok()?;
+            let json: Value = serde_json::from_str(payload).ok()?;
             Box::new(move |name: &str| match name {
                 "busy" => json.get("cpu_utilization")?.as_f64(),
                 name => json.get("named_metrics").and_then(|m| m.get(name)).or(json.get(name))?.as_f64(),
             })
         }
         "TEXT" => {
-            let pairs: Vec<(String, f64)> = rest
+            let pairs: Vec<(String, f64)> = payload
                 .split(',')
                 .filter_map(|p| p.split_once('='))
                 .filter_map(|(k, v)| Some((k.trim().to_string(), v.trim().parse().ok()?)))
                 .collect();
             Box::new(move |name: &str| {
-                let long = format!("named_metrics.{name}");
+                let qualified = format!("named_metrics.{name}");
                 let name = if name == "busy" { "cpu_utilization" } else { name };
-                pairs.iter().find(|(k, _)| *k == long || k == name).map(|p| p.1)
+                pairs.iter().find(|(k, _)| *k == qualified || k == name).map(|p| p.1)
             })
         }
         _ => return None,
@@ -92,7 +92,7 @@
     Some(report)
 }
 
-/// The result of an attempt from a whole answer.
+/// Returns the result of an attempt from its complete response.
 pub fn result(status: StatusCode, headers: &HeaderMap, body: Bytes, fields: &[String]) -> AttemptResult {
     AttemptResult {
         read_at: 0,
--- a/crates/gateway/src/workers/mod.rs
+++ b/crates/gateway/src/workers/mod.rs
@@ -1,15 +1,17 @@
-//! Workers over KServe v2 (Open Inference Protocol) on HTTP/1.1: `infer` for calls, the model repository extension's `load`
-//! and `unload` for orders, `health/ready` for health checks, load reports as ORCA in `endpoint-load-metrics`.
+//! The client of workers that speak KServe v2 (Open Inference Protocol) over HTTP/1.1: `infer` for calls, the model repository
+//! extension's `load` and `unload` for load orders, `health/ready` for health checks, and ORCA load reports in
+//! `endpoint-load-metrics`.
 //!
-//! Beyond the protocol a worker may say, in headers of its answers:
-//! - `stagehoist-not-run: queue-full | no-memory | draining | not-loaded`: this call was not begun and will not be;
-//! - `stagehoist-copy: warm | began | waited | load-failed`, `stagehoist-crowd: N`: how the copy was found;
-//! - `stagehoist-worker: draining | serving`: what it says of itself.
+//! A worker may add these response headers to the protocol:
+//! - `stagehoist-not-run: queue-full | no-memory | draining | not-loaded`: the call has not started and will not start;
+//! - `stagehoist-copy: warm | began | waited | load-failed`, `stagehoist-crowd: N`: the state and the load of the copy that
+//!   the call found;
+//! - `stagehoist-worker: draining | serving`: the worker announces its state.
 //!
-//! A later generation of a function is asked for by the protocol's version: `/v2/models/NAME/versions/2/infer`.
+//! A later generation of a function is addressed as a model version of the protocol: `/v2/models/NAME/versions/2/infer`.
 //!
-//! An ending counts as proof that a call did not run only where nothing was written to the worker, or where it says so with
-//! `stagehoist-not-run`. No request is sent twice behind the module's back.
+//! An attempt counts as not run only if nothing was written to the worker, or if the worker sent `stagehoist-not-run`. No
+//! request is resent without a decision of the decision module.
 
 mod exchange;
 pub mod meaning;
--- a/crates/gateway/src/workers/pool.rs
+++ b/crates/gateway/src/workers/pool.rs
@@ -1,7 +1,7 @@
-//! Connections to workers, kept alive by worker; one exchange at a time on each. Calling an attempt off closes its
-//! connection.
+//! Keep-alive connections to workers, pooled by worker address, with one exchange at a time on each. Aborting an attempt
+//! closes its connection.
 
-use super::exchange::{exchange, get, post, put_back, Broken, Pools};
+use super::exchange::{exchange, get, post, put_back, ExchangeError, Pools};
 use super::meaning;
 use super::paths::{model, repository};
 use crate::clock::Clock;
@@ -22,7 +22,7 @@
 
 type Running = Rc<RefCell<HashMap<(RequestId, u16), AbortHandle>>>;
 
-/// One front end's connections to its workers.
+/// The connections of one front end to its workers.
 pub struct Workers {
     config: Rc<Config>,
     clock: Clock,
@@ -34,7 +34,7 @@
 }
 
 impl Workers {
-    /// `desk` is looked at at the moment when something goes to a worker.
+    /// Creates an empty pool. `egress` is checked at the moment a request is sent to a worker.
     pub fn new(
         config: Rc<Config>,
         clock: Clock,
@@ -45,7 +45,7 @@
         Workers { config, clock, pools, addresses, running, egress, inputs }
     }
 
-    /// Begins an attempt; its end comes as [`Input::AttemptEnded`].
+    /// Starts an attempt; its end is reported as [`Input::AttemptEnded`].
     pub fn attempt(&self, attempt: Attempt) {
         self.addresses.borrow_mut().insert(attempt.worker, attempt.address.clone());
         let key = (attempt.request, attempt.attempt);
@@ -61,7 +61,7 @@
         if !attempt.correlation.is_empty() {
             request = request.header("stagehoist-correlation", &*attempt.correlation);
         }
-        // A caller's text that can't stand in a header is left out; the call goes on.
+        // If a caller's text is not a valid header value, the request is sent without headers.
         let request = request.body(Full::new(attempt.body.clone())).unwrap_or_else(|_| {
             let mut plain = Request::new(Full::new(attempt.body.clone()));
             *plain.method_mut() = Method::POST;
@@ -71,28 +71,28 @@
             plain
         });
         let (config, pools, inputs) = (self.config.clone(), self.pools.clone(), self.inputs.clone());
-        let (running, may) = (self.running.clone(), self.may(&attempt.function));
+        let (running, may_send) = (self.running.clone(), self.send_check(&attempt.function));
         let task = tokio::task::spawn_local(async move {
             let exchanged =
-                exchange((&config, &pools), &attempt.address, request, config.body_most, &may).await;
-            let (result, back) = match exchanged {
+                exchange((&config, &pools), &attempt.address, request, config.body_most, &may_send).await;
+            let (result, reusable) = match exchanged {
                 Ok((status, headers, body, connection)) => {
                     (meaning::result(status, &headers, body, &config.report_fields), Some(connection))
                 }
-                Err(broken) => {
-                    let outcome = match broken {
-                        Broken::Unsent => Outcome::ConnectFailed,
-                        Broken::Reset => Outcome::Reset,
-                        Broken::Garbage => Outcome::Error,
-                        Broken::Closed => Outcome::Superseded,
+                Err(error) => {
+                    let outcome = match error {
+                        ExchangeError::Unsent => Outcome::ConnectFailed,
+                        ExchangeError::Reset => Outcome::Reset,
+                        ExchangeError::Malformed => Outcome::Error,
+                        ExchangeError::Closed => Outcome::Superseded,
                     };
                     (AttemptResult::without_answer(outcome), None)
                 }
             };
             running.borrow_mut().remove(&key);
-            // A driver that is gone needs no inputs.
+            // Sending fails only if the driver has ended.
             let _ = inputs.send(Input::AttemptEnded { request: key.0, attempt: key.1, result }).await;
-            if let Some(connection) = back {
+            if let Some(connection) = reusable {
                 put_back(&config, &pools, &attempt.address, connection).await;
             }
         });
@@ -101,64 +101,72 @@
         }
     }
 
-    /// Whether something may go to a worker for a function, asked when it goes.
-    fn may(&self, function: &Rc<str>) -> impl Fn() -> bool + 'static {
+    /// Returns a check of whether requests for a function may be sent, to be called right before sending.
+    fn send_check(&self, function: &Rc<str>) -> impl Fn() -> bool + 'static {
         let egress = self.egress.clone().map(|egress| (egress, function.clone()));
         move || egress.as_ref().is_none_or(|(egress, function)| !egress.is_closed(function))
     }
 
-    /// Ends an attempt by closing its connection.
+    /// Aborts an attempt by closing its connection.
     pub fn abort(&self, request: RequestId, attempt: u16) {
         if let Some(task) = self.running.borrow_mut().remove(&(request, attempt)) {
             task.abort();
         }
     }
 
-    fn order<F, M>(&self, address: Rc<str>, request: Request<Full<Bytes>>, limit: Duration, may: M, tell: F)
-    where
+    fn spawn_exchange<F, M>(
+        &self,
+        address: Rc<str>,
+        request: Request<Full<Bytes>>,
+        timeout: Duration,
+        may_send: M,
+        to_input: F,
+    ) where
         M: Fn() -> bool + 'static,
         F: FnOnce(Result<(StatusCode, hyper::HeaderMap, Bytes), Outcome>) -> Option<Input> + 'static,
     {
         let (config, pools, inputs) = (self.config.clone(), self.pools.clone(), self.inputs.clone());
         tokio::task::spawn_local(async move {
-            let exchanged =
-                tokio::time::timeout(limit, exchange((&config, &pools), &address, request, 1 << 16, &may))
-                    .await;
-            let (told, back) = match exchanged {
+            let exchanged = tokio::time::timeout(
+                timeout,
+                exchange((&config, &pools), &address, request, 1 << 16, &may_send),
+            )
+            .await;
+            let (response, reusable) = match exchanged {
                 Err(_) => (Err(Outcome::Timeout), None),
                 Ok(Ok((status, headers, body, connection))) => {
                     (Ok((status, headers, body)), Some(connection))
                 }
-                Ok(Err(Broken::Unsent)) => (Err(Outcome::ConnectFailed), None),
-                Ok(Err(Broken::Reset)) => (Err(Outcome::Reset), None),
-                Ok(Err(Broken::Garbage)) => (Err(Outcome::Error), None),
-                // As if nothing had been heard.
-                Ok(Err(Broken::Closed)) => (Err(Outcome::Timeout), None),
+                Ok(Err(ExchangeError::Unsent)) => (Err(Outcome::ConnectFailed), None),
+                Ok(Err(ExchangeError::Reset)) => (Err(Outcome::Reset), None),
+                Ok(Err(ExchangeError::Malformed)) => (Err(Outcome::Error), None),
+                // Reported like a missing response.
+                Ok(Err(ExchangeError::Closed)) => (Err(Outcome::Timeout), None),
             };
-            if let Some(item) = tell(told) {
-                let _ = inputs.send(item).await;
+            if let Some(input) = to_input(response) {
+                let _ = inputs.send(input).await;
             }
-            if let Some(connection) = back {
+            if let Some(connection) = reusable {
                 put_back(&config, &pools, &address, connection).await;
             }
         });
     }
 
-    /// Asks a worker for its load; the answer comes as [`Input::HealthChecked`].
+    /// Sends a health check that also asks for a load report; the response is reported as [`Input::HealthChecked`].
     pub fn probe(&self, worker: WorkerId, address: Rc<str>) {
         let sent = self.clock.now();
         let mut request = get("/v2/health/ready".into(), &address);
         let json = hyper::header::HeaderValue::from_static("JSON");
         request.headers_mut().insert(meaning::LOAD_METRICS_FORMAT, json);
         let fields = self.config.report_fields.clone();
-        let limit = Duration::from_micros(self.config.connect_timeout as u64) + Duration::from_secs(1);
-        self.order(
+        let timeout = Duration::from_micros(self.config.connect_timeout as u64) + Duration::from_secs(1);
+        self.spawn_exchange(
             address,
             request,
-            limit,
+            timeout,
             || true,
-            move |told| {
-                Some(match told {
+            move |response| {
+                Some(match response {
                     Ok((status, headers, _)) => Input::HealthChecked {
                         worker,
                         sent,
@@ -174,7 +182,7 @@
         );
     }
 
-    /// Orders copies of a function, or with none asks how many stand; the answer comes as [`Input::Loaded`].
+    /// Orders copies of a function; with `copies` 0 asks how many are loaded. The response is reported as [`Input::Loaded`].
     pub fn load(
         &self,
         (worker, address): (WorkerId, Rc<str>),
@@ -190,19 +198,19 @@
             let body = format!("{{\"parameters\":{{\"copies\":{copies}{version}}}}}");
             post(format!("{path}/load"), &address, body)
         };
-        let may = self.may(&Rc::from(name));
-        let limit = Duration::from_micros(self.config.load_timeout as u64);
-        self.order(address, request, limit, may, move |told| {
-            let (outcome, copies) = match told {
+        let may_send = self.send_check(&Rc::from(name));
+        let timeout = Duration::from_micros(self.config.load_timeout as u64);
+        self.spawn_exchange(address, request, timeout, may_send, move |response| {
+            let (outcome, copies) = match response {
                 Ok((status, headers, body)) => {
                     let json: Option<serde_json::Value> = serde_json::from_slice(&body).ok();
-                    let stand = json.and_then(|j| j.get("copies")?.as_u64());
+                    let loaded = json.and_then(|j| j.get("copies")?.as_u64());
                     let outcome = match meaning::outcome(status, &headers) {
                         Outcome::Miss if copies == 0 => Outcome::Ok,
                         other => other,
                     };
-                    let usual = if outcome == Outcome::Ok { u64::from(copies) } else { 0 };
-                    (outcome, stand.unwrap_or(usual).min(255) as u8)
+                    let assumed = if outcome == Outcome::Ok { u64::from(copies) } else { 0 };
+                    (outcome, loaded.unwrap_or(assumed).min(255) as u8)
                 }
                 Err(outcome) => (outcome, 0),
             };
@@ -210,13 +218,13 @@
         });
     }
 
-    /// Has idle copies unloaded; nothing is heard of it.
+    /// Orders the unloading of idle copies; the response is ignored.
     pub fn unload(&self, address: Rc<str>, function: &str) {
         let (path, version) = repository(function, self.egress.is_some());
         let body = version.map_or("{}".into(), |n| format!("{{\"parameters\":{{\"version\":\"{n}\"}}}}"));
         let request = post(format!("{path}/unload"), &address, body);
-        let limit = Duration::from_micros(self.config.load_timeout as u64);
-        self.order(address, request, limit, || true, |_| None);
+        let timeout = Duration::from_micros(self.config.load_timeout as u64);
+        self.spawn_exchange(address, request, timeout, || true, |_| None);
     }
 
     /// Closes idle connections to a worker.
@@ -226,12 +234,12 @@
         }
     }
 
-    /// Closes connections that were idle for long or that the worker closed.
+    /// Drops connections that exceeded the idle timeout or that the worker closed.
     pub fn sweep(&self) {
-        let most = Duration::from_micros(self.config.idle_close as u64);
+        let idle_timeout = Duration::from_micros(self.config.idle_close as u64);
         let mut pools = self.pools.borrow_mut();
         for idle in pools.values_mut() {
-            idle.retain(|(c, since)| since.elapsed() < most && !c.sender.is_closed());
+            idle.retain(|(c, since)| since.elapsed() < idle_timeout && !c.sender.is_closed());
         }
         pools.retain(|_, idle| !idle.is_empty());
         let mut addresses = self.addresses.borrow_mut();
