--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,12 +1,12 @@
-//! One monotonic clock, read once a batch. It counts microseconds since 1970 as the system's clock had them at the start,
-//! so that workers' start times can be compared with it, and never goes backwards after that.
+//! A monotonic clock, read once per batch. It counts microseconds since 1970, starting from the system time at process start, so
+//! that it can be compared with the start times of workers, and it never goes backwards.
 
 use stagehoist::Micros;
 use std::pin::Pin;
 use std::time::{Duration, Instant, SystemTime};
 use tokio::time::Sleep;
 
-/// A clock that begins at the system's time and goes on monotonically.
+/// A monotonic clock that starts at the system time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -14,18 +14,18 @@
 }
 
 impl Clock {
-    /// Reads the system's time once.
+    /// Creates a clock that starts at the current system time, which is read only here.
     pub fn new() -> Clock {
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), offset: since.as_micros() as Micros }
     }
 
-    /// Microseconds since 1970.
+    /// Returns the current time in microseconds since 1970.
     pub fn now(&self) -> Micros {
         self.offset + self.start.elapsed().as_micros() as Micros
     }
 
-    /// The runtime's instant of a moment on this clock.
+    /// Converts a time of this clock to an instant of the runtime.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         let since = Duration::from_micros((at - self.offset).max(0) as u64);
         tokio::time::Instant::from_std(self.start + since)
@@ -38,7 +38,7 @@
     }
 }
 
-/// A timer that a loop keeps over its turns, so that a turn which does not change it costs nothing.
+/// A timer that a loop reuses across its iterations, so that an iteration that does not change it costs nothing.
 pub struct Alarm {
     clock: Clock,
     at: Micros,
@@ -46,13 +46,13 @@
 }
 
 impl Alarm {
-    /// A timer that is far away.
+    /// Creates an alarm that is set far in the future.
     pub fn new(clock: Clock) -> Alarm {
         let at = clock.now() + 3_600_000_000;
         Alarm { clock, at, sleep: Box::pin(tokio::time::sleep_until(clock.instant(at))) }
     }
 
-    /// Rings at this moment and at no other.
+    /// Sets the alarm to a time, replacing the previous one.
     pub fn set(&mut self, at: Micros) {
         if at != self.at {
             self.at = at;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Waits for the moment that was set; at once where it is over.
+    /// Waits for the time that was set; returns at once if it has passed.
     pub async fn rings(&mut self) {
         self.sleep.as_mut().await;
     }
--- a/crates/gateway/src/discovery/consul.rs
+++ b/crates/gateway/src/discovery/consul.rs
@@ -1,8 +1,8 @@
-//! The worker list from Consul's health API, `GET /v1/health/service/NAME`, by blocking queries. Metadata of a service
-//! instance tells `kind`, `zone`, `cell`, `capacity`, `started` (Unix time in milliseconds) and `state draining`; one in
-//! maintenance mode drains, one with another critical check is left out.
+//! The worker list from Consul's health API, `GET /v1/health/service/NAME`, by blocking queries. The metadata of a service
+//! instance contains `kind`, `zone`, `cell`, `capacity`, `started` (Unix time in milliseconds) and `state draining`. An
+//! instance in maintenance mode is draining; an instance with another critical check is left out.
 
-use super::{DiscoveryCommand, Kind, LIST_MOST, WORKERS};
+use super::{DiscoveryCommand, ListKind, MAX_LIST_BYTES, WORKERS};
 use crate::clock::Clock;
 use crate::state::Input;
 use bytes::Bytes;
@@ -66,7 +66,7 @@
     }
 }
 
-/// Reads the body of an answer.
+/// Parses the body of a response.
 pub fn parse(body: &[u8]) -> Result<Vec<ListedWorker>, serde_json::Error> {
     let rows: Vec<Row> = serde_json::from_slice(body)?;
     let entry = |row: Row| {
@@ -77,10 +77,10 @@
         let meta = row.service.meta.unwrap_or_default();
         let text = |key: &str| meta.get(key).cloned().unwrap_or_default();
         let number = |key: &str| meta.get(key).and_then(|v| v.parse::<f64>().ok());
-        let maintained = row.checks.iter().any(|c| c.is_critical() && c.is_maintenance());
+        let in_maintenance = row.checks.iter().any(|c| c.is_critical() && c.is_maintenance());
         Some(ListedWorker {
             address: format!("{address}:{}", row.service.port),
-            draining: maintained || text("state") == "draining",
+            draining: in_maintenance || text("state") == "draining",
             kind: text("kind"),
             zone: text("zone"),
             cell: number("cell").unwrap_or(0.0) as u16,
@@ -92,100 +92,100 @@
     Ok(rows.into_iter().filter_map(entry).collect())
 }
 
-pub(super) struct Follower {
+pub(super) struct ListWatcher {
     address: String,
     service: String,
     wait: Micros,
     blocking: BlockingQuery,
-    spread: Backoff,
+    jitter: Backoff,
     watching: bool,
-    kind: Kind,
-    /// Least time from an answer to the next query.
-    pause: Micros,
-    /// What narrows the query.
+    kind: ListKind,
+    /// Minimum time from a response to the next query.
+    min_interval: Micros,
+    /// Filter parameter of the query; may be empty.
     filter: String,
-    /// A query failed since the last answer: the source may have lost its place, and its numbers tell nothing.
-    lost: bool,
+    /// Whether the last query failed. The source may have restarted since, so that its index can't be compared with ours.
+    failed: bool,
 }
 
-impl Follower {
-    /// A follower of a service's health list at Consul's API.
-    pub fn new(address: &str, service: &str, wait: Micros, seed: u64, watching: bool) -> Follower {
-        Follower {
+impl ListWatcher {
+    /// Creates a watcher of a service's health list at Consul's API.
+    pub fn new(address: &str, service: &str, wait: Micros, seed: u64, watching: bool) -> ListWatcher {
+        ListWatcher {
             address: address.into(),
             service: service.into(),
             wait,
             blocking: BlockingQuery::new(100_000, 5_000_000),
-            spread: Backoff::new(1, 1, seed),
+            jitter: Backoff::new(1, 1, seed),
             watching,
             kind: WORKERS,
-            pause: 0,
+            min_interval: 0,
             filter: String::new(),
-            lost: false,
+            failed: false,
         }
     }
 
-    /// Follows another list than that of workers.
-    pub fn of(self, kind: Kind) -> Follower {
-        Follower { kind, ..self }
+    /// Watches a list of another kind than workers.
+    pub fn with_kind(self, kind: ListKind) -> ListWatcher {
+        ListWatcher { kind, ..self }
     }
 
-    /// Asks again so long after a change at the earliest.
-    pub fn paced(self, pause: Micros) -> Follower {
-        Follower { pause, ..self }
+    /// Sets the minimum time from a change to the next query.
+    pub fn with_min_interval(self, min_interval: Micros) -> ListWatcher {
+        ListWatcher { min_interval, ..self }
     }
 
-    /// Asks for rows of one zone alone. What a source that knows no filters gives beyond is left out later.
-    pub fn only_zone(self, zone: &str) -> Follower {
+    /// Queries rows of one zone only. If the source ignores the filter, rows of other zones are left out later.
+    pub fn with_zone_filter(self, zone: &str) -> ListWatcher {
         let quoted = zone.replace('\\', "\\\\").replace('"', "\\\"");
         let expression = format!("Service.Meta.zone == \"{quoted}\"");
         let encoded = utf8_percent_encode(&expression, NON_ALPHANUMERIC);
-        Follower { filter: format!("&filter={encoded}"), ..self }
+        ListWatcher { filter: format!("&filter={encoded}"), ..self }
     }
 
-    /// Follows the list until the sender of commands is dropped.
+    /// Watches the list until the sender of commands is dropped.
     pub async fn run(
         mut self,
         clock: Clock,
         inputs: mpsc::Sender<Input>,
-        mut asks: mpsc::UnboundedReceiver<DiscoveryCommand>,
+        mut commands: mpsc::UnboundedReceiver<DiscoveryCommand>,
     ) {
         loop {
             let mut once = false;
             while !self.watching && !once {
-                match asks.recv().await {
+                match commands.recv().await {
                     None => return,
                     Some(DiscoveryCommand::Subscribe(on)) => self.watching = on,
                     Some(DiscoveryCommand::Fetch) => once = true,
                 }
             }
-            let index = if once || self.lost { 0 } else { self.blocking.index() };
-            // Consul adds up to a sixteenth of the wait; two seconds more are for the way.
-            let limit = Duration::from_micros((self.wait + self.wait / 16) as u64 + 2_000_000);
-            let got = tokio::select! {
-                got = tokio::time::timeout(limit, self.query(index)) => got,
-                asked = asks.recv() => match asked {
+            let index = if once || self.failed { 0 } else { self.blocking.index() };
+            // Consul adds up to a sixteenth of the wait; two more seconds are for the network.
+            let timeout = Duration::from_micros((self.wait + self.wait / 16) as u64 + 2_000_000);
+            let response = tokio::select! {
+                response = tokio::time::timeout(timeout, self.query(index)) => response,
+                command = commands.recv() => match command {
                     None => return,
                     Some(DiscoveryCommand::Subscribe(on)) => {
                         self.watching = on;
                         continue;
                     }
                     Some(DiscoveryCommand::Fetch) => {
-                        // The whole list at once: the next query must not block.
+                        // Fetches the full list at once: the next query must not block.
                         self.blocking.on_answer(None);
                         continue;
                     }
                 },
             };
-            let told = match got {
-                Ok(Ok((index, told))) => {
-                    // One after a failure is used whatever its number is.
-                    let lost = std::mem::take(&mut self.lost);
+            let input = match response {
+                Ok(Ok((index, input))) => {
+                    // The first response after a failure is used whatever its index is.
+                    let had_failed = std::mem::take(&mut self.failed);
                     let changed = if once { QueryOutcome::Changed } else { self.blocking.on_answer(index) };
-                    (changed == QueryOutcome::Changed || lost).then_some(told)
+                    (changed == QueryOutcome::Changed || had_failed).then_some(input)
                 }
-                failed => {
-                    let why = match failed {
+                error => {
+                    let why = match error {
                         Ok(Err(e)) => e,
                         _ => "no answer in time".into(),
                     };
@@ -193,33 +193,33 @@
                         address = self.address,
                         why,
                         list = self.kind.what,
-                        "the list can't be had; the old one stands"
+                        "list query failed; the last list stays in use"
                     );
-                    self.lost = true;
-                    let _ = inputs.send((self.kind.failed)()).await;
-                    let part = self.spread.next_fraction();
-                    let pause = self.blocking.on_failure(part);
+                    self.failed = true;
+                    let _ = inputs.send((self.kind.failure)()).await;
+                    let fraction = self.jitter.next_fraction();
+                    let pause = self.blocking.on_failure(fraction);
                     tokio::time::sleep_until(clock.instant(clock.now() + pause)).await;
                     None
                 }
             };
-            if let Some(told) = told {
-                if inputs.send(told).await.is_err() {
+            if let Some(input) = input {
+                if inputs.send(input).await.is_err() {
                     return;
                 }
-                if self.pause > 0 {
-                    tokio::time::sleep_until(clock.instant(clock.now() + self.pause)).await;
+                if self.min_interval > 0 {
+                    tokio::time::sleep_until(clock.instant(clock.now() + self.min_interval)).await;
                 }
             }
         }
     }
 
     async fn query(&self, index: u64) -> Result<(Option<u64>, Input), String> {
-        let text = |e: &dyn std::fmt::Display| e.to_string();
-        let stream = TcpStream::connect(&self.address).await.map_err(|e| text(&e))?;
+        let to_text = |e: &dyn std::fmt::Display| e.to_string();
+        let stream = TcpStream::connect(&self.address).await.map_err(|e| to_text(&e))?;
         let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(|e| text(&e))?;
-        let driving = tokio::task::spawn_local(async move {
+            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(|e| to_text(&e))?;
+        let connection_task = tokio::task::spawn_local(async move {
             let _ = connection.await;
         });
         let uri = format!(
@@ -229,20 +229,23 @@
             self.filter
         );
         let request = Request::get(uri).header("host", &self.address).body(Empty::<Bytes>::new());
-        let asked = async {
-            let request = request.map_err(|e| text(&e))?;
-            let response = sender.send_request(request).await.map_err(|e| text(&e))?;
+        let send = async {
+            let request = request.map_err(|e| to_text(&e))?;
+            let response = sender.send_request(request).await.map_err(|e| to_text(&e))?;
             if !response.status().is_success() {
                 return Err(format!("status {}", response.status()));
             }
             let index = response.headers().get("x-consul-index");
             let index = index.and_then(|v| v.to_str().ok()).and_then(|v| v.parse().ok());
-            let body = Limited::new(response.into_body(), LIST_MOST).collect().await.map_err(|e| text(&e))?;
-            let told = (self.kind.body)(&body.to_bytes()).map_err(|e| text(&e))?;
-            Ok((index, told))
+            let body = Limited::new(response.into_body(), MAX_LIST_BYTES)
+                .collect()
+                .await
+                .map_err(|e| to_text(&e))?;
+            let input = (self.kind.parse_body)(&body.to_bytes()).map_err(|e| to_text(&e))?;
+            Ok((index, input))
         };
-        let result = asked.await;
-        driving.abort();
+        let result = send.await;
+        connection_task.abort();
         result
     }
 }
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! The endpoint list, followed by Consul's health API or read from a file. Late, failing and flapping lists are told to
-//! the module as they come.
+//! The endpoint list, watched through Consul's health API or polled from a file. Late, failing and flapping lists are passed to
+//! the decision module as they are received.
 
 pub mod consul;
 pub mod file;
@@ -11,46 +11,47 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// What the module asks of the list.
+/// A command to the task that watches a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryCommand {
     Subscribe(bool),
     Fetch,
 }
 
-/// Largest list read, in bytes.
-const LIST_MOST: usize = 64 << 20;
+/// Maximum size of a list, in bytes.
+const MAX_LIST_BYTES: usize = 64 << 20;
 
-/// Which list is followed: its name in the log, how a body or a file of it is read, and what is known of one that fails.
+/// A kind of list: its name in the log, the parsers of a response body and of a file, and the input that reports a failure.
 #[derive(Clone, Copy)]
-struct Kind {
+struct ListKind {
     what: &'static str,
-    body: fn(&[u8]) -> Result<Input, serde_json::Error>,
-    text: fn(&str) -> Result<Input, (usize, String)>,
-    failed: fn() -> Input,
+    parse_body: fn(&[u8]) -> Result<Input, serde_json::Error>,
+    parse_text: fn(&str) -> Result<Input, (usize, String)>,
+    failure: fn() -> Input,
 }
 
-const WORKERS: Kind = Kind {
+const WORKERS: ListKind = ListKind {
     what: "workers",
-    body: |body| consul::parse(body).map(Input::EndpointList),
-    text: |text| file::parse(text).map(Input::EndpointList),
-    failed: || Input::EndpointListFailed,
+    parse_body: |body| consul::parse(body).map(Input::EndpointList),
+    parse_text: |text| file::parse(text).map(Input::EndpointList),
+    failure: || Input::EndpointListFailed,
 };
 
-/// Follows the list until the driver is gone. Where the configuration has `list-subscribe no`, following begins at once.
+/// Watches the endpoint list until the driver ends. With `list-subscribe no` in the configuration, the watch begins at once;
+/// otherwise it begins with [`DiscoveryCommand::Subscribe`].
 pub async fn follow(
     config: Rc<Config>,
     seed: u64,
     clock: Clock,
     inputs: mpsc::Sender<Input>,
-    asks: mpsc::UnboundedReceiver<DiscoveryCommand>,
+    commands: mpsc::UnboundedReceiver<DiscoveryCommand>,
 ) {
     match &config.list {
         ListSource::Consul { address, service, wait } => {
             let watching = !config.list_subscribe;
-            let follower = consul::Follower::new(address, service, *wait, seed, watching);
-            follower.run(clock, inputs, asks).await;
+            let watcher = consul::ListWatcher::new(address, service, *wait, seed, watching);
+            watcher.run(clock, inputs, commands).await;
         }
-        ListSource::File { path, poll } => file::follow(path, *poll, WORKERS, inputs, asks).await,
+        ListSource::File { path, poll } => file::watch(path, *poll, WORKERS, inputs, commands).await,
     }
 }
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,8 +1,8 @@
-//! What can keep a gateway from starting or running.
+//! Errors that prevent a gateway from starting or running.
 
 use std::io;
 
-/// An error that ends the gateway; trouble with one connection or one call never does.
+/// An error that ends the gateway. Errors of a single connection or call never do.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
     #[error("can't listen on {address}: {source}")]
@@ -11,8 +11,8 @@
     Start(#[source] io::Error),
     #[error("can't install the metrics recorder: {0}")]
     Metrics(String),
-    #[error("can't keep marks in {folder}: {source}")]
+    #[error("can't open the intent log in {folder}: {source}")]
     Marks { folder: String, source: stagehoist_intent_log::IntentLogError },
-    #[error("front end {0} ended by a fault of its own; its messages go back to the broker")]
+    #[error("the thread of front end {0} panicked; the broker redelivers its messages")]
     FrontEnd(u32),
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,16 +1,17 @@
-//! The running gateway. Each front end is one thread with one decision module, one AMQP connection, its own pool of
-//! connections to workers and its own follower of the worker list; front ends share nothing.
+//! The gateway. Each front end is one thread with one decision module, one AMQP connection, its own pool of connections to
+//! workers and its own watch of the worker list; front ends share no state.
 //!
-//! - [`state`]: calls, attempts, timers and names between sockets and the module, without I/O.
-//! - [`transport`]: AMQP, KServe workers and lists as what the driver carries its choices out with.
-//! - [`driver`]: the loop that gathers what sockets bring, lets the module choose once a batch, and executes its choices.
+//! - [`state`]: calls, attempts, timers and names between the sockets and the decision module, without I/O.
+//! - [`transport`]: AMQP, KServe workers and lists, through which the driver executes commands.
+//! - [`driver`]: the loop that batches inputs from sockets, lets the decision module decide once per batch, and executes the
+//!   resulting commands.
 //! - [`amqp`], [`workers`], [`discovery`]: the protocols to callers, to workers and to the worker list.
-//! - [`fleet`]: what a front end knows of retired functions, where its configuration has a fleet.
-//! - [`intent_recorder`]: attempts that wait for their call's intent on disk.
-//! - [`shards`]: one front end's part of a divided fleet.
-//! - [`serve()`]: front ends started, watched and drained.
+//! - [`fleet`]: retired functions, pool admission and recovery, if a fleet is configured.
+//! - [`intent_recorder`]: attempts that wait until their call's intent is on disk.
+//! - [`shards`]: the shards that one front end of a divided fleet owns.
+//! - [`serve()`]: starts, monitors and drains the front ends.
 //!
-//! Nothing here decides about a call: that is the module's, in the `stagehoist` package.
+//! This package makes no decisions about calls; the decision module in the `stagehoist` package does.
 #![forbid(unsafe_code)]
 
 pub mod amqp;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and histograms of the front ends, and the page that shows them in Prometheus' text format.
+//! Counters, gauges and histograms of the front ends, and the HTTP endpoint that serves them in Prometheus' text format.
 
 use crate::amqp::link::LinkState;
 use crate::error::GatewayError;
@@ -15,11 +15,11 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Buckets of answer times, in seconds.
+/// Histogram buckets of answer times, in seconds.
 const BUCKETS: [f64; 14] =
     [0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.8, 1.0, 2.5, 5.0];
 
-/// Installs the recorder for this process.
+/// Installs the metrics recorder of this process.
 pub fn install() -> Result<PrometheusHandle, GatewayError> {
     PrometheusBuilder::new()
         .set_buckets(&BUCKETS)
@@ -28,12 +28,12 @@
         .map_err(|e| GatewayError::Metrics(e.to_string()))
 }
 
-/// Serves the page until the future is dropped.
+/// Serves the metrics until the future is dropped.
 pub async fn serve(listener: TcpListener, handle: PrometheusHandle) {
     let mut tasks = tokio::task::JoinSet::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of descriptors, as it were: the next accept may go through.
+            // Accepting fails, for example, when no file descriptors are left; a later accept may succeed.
             tokio::time::sleep(Duration::from_millis(100)).await;
             continue;
         };
@@ -53,13 +53,13 @@
             let mut server = hyper::server::conn::http1::Builder::new();
             server.timer(TokioTimer::new()).header_read_timeout(Duration::from_secs(5));
             let serving = server.serve_connection(TokioIo::new(stream), page);
-            // A scraper that hangs or breaks off needs no answer.
+            // A scraper that hangs or disconnects is ignored.
             let _ = tokio::time::timeout(Duration::from_secs(30), serving).await;
         });
     }
 }
 
-/// One front end's instruments; the handles are looked up once.
+/// The metrics of one front end. The histograms' handles are looked up once.
 pub struct Gauges {
     label: String,
     served: Histogram,
@@ -68,25 +68,26 @@
 }
 
 impl Gauges {
-    /// The instruments of a front end.
+    /// Creates the metrics of a front end.
     pub fn new(front_end: u32) -> Gauges {
         let label = front_end.to_string();
-        let answered = |outcome: &'static str| histogram!("stagehoist_answer_seconds", "front_end" => label.clone(), "outcome" => outcome);
-        let (served, refused, failed) = (answered("served"), answered("refused"), answered("failed"));
+        let answer_seconds = |outcome: &'static str| histogram!("stagehoist_answer_seconds", "front_end" => label.clone(), "outcome" => outcome);
+        let (served, refused, failed) =
+            (answer_seconds("served"), answer_seconds("refused"), answer_seconds("failed"));
         Gauges { served, refused, failed, label }
     }
 
-    /// Notes an answer and the time since its call was taken.
-    pub fn answered(&self, answer: &Answer, took: Micros) {
+    /// Records an answer and the time since its call was accepted.
+    pub fn record_answer(&self, answer: &Answer, elapsed: Micros) {
         let histogram = match answer {
             Answer::Served { .. } | Answer::Gated(_) => &self.served,
             Answer::Refused { .. } => &self.refused,
             Answer::Failed { .. } | Answer::Retired(_) => &self.failed,
         };
-        histogram.record(took as f64 / 1e6);
+        histogram.record(elapsed as f64 / 1e6);
     }
 
-    /// Brings counters and gauges up to date.
+    /// Updates the counters and gauges.
     pub fn publish(&self, core: &Core, link: &LinkState) {
         let c = &core.counters;
         let f = &link.counters;
@@ -130,9 +131,9 @@
         ] {
             gauge!(name, "front_end" => self.label.clone()).set(value);
         }
-        if let Some((own, leaving)) = core.shard_workers() {
+        if let Some((owned, leaving)) = core.shard_workers() {
             let label = || self.label.clone();
-            gauge!("stagehoist_shard_workers", "front_end" => label()).set(own as f64);
+            gauge!("stagehoist_shard_workers", "front_end" => label()).set(owned as f64);
             gauge!("stagehoist_shard_workers_leaving", "front_end" => label()).set(leaving as f64);
             counter!("stagehoist_shard_calls_leaving_total", "front_end" => label())
                 .absolute(f.leaving_shard);
@@ -147,8 +148,8 @@
             counter!("stagehoist_shard_calls_given_back_total", "front_end" => label())
                 .absolute(f.given_back);
         }
-        if let Some(stage) = core.recovery_phase() {
-            gauge!("stagehoist_recovery_stage", "front_end" => self.label.clone()).set(stage as u8 as f64);
+        if let Some(phase) = core.recovery_phase() {
+            gauge!("stagehoist_recovery_stage", "front_end" => self.label.clone()).set(phase as u8 as f64);
         }
         if let Some((version, fresh, retired)) = core.fleet_state() {
             let label = || self.label.clone();
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Front ends started on threads of their own, watched, and drained.
+//! Starts, monitors and drains front ends, each on its own thread.
 
 use crate::amqp::InquirySettings;
 use crate::clock::Clock;
@@ -21,27 +21,27 @@
 use std::thread::JoinHandle;
 use tokio::sync::{mpsc, watch};
 
-/// Distance between the seeds of two front ends.
+/// Difference between the seeds of consecutive front ends.
 const SEED_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// A gateway that runs.
+/// A running gateway.
 pub struct Running {
     drain: watch::Sender<bool>,
     threads: Vec<JoinHandle<()>>,
-    /// Of the front ends' intents; each ends after its front end.
+    /// The threads of the front ends' intent logs; each ends after its front end.
     stores: Vec<JoinHandle<()>>,
     states: Vec<watch::Receiver<FrontEndState>>,
-    /// Where the metrics page stands.
+    /// The address of the metrics endpoint.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Starts all front ends of a configuration. `metrics` is the recorder's handle where the process has one.
+/// Starts all front ends of a configuration. `metrics` is the handle of the process's metrics recorder, if it has one.
 pub fn serve(config: &Config, metrics: Option<PrometheusHandle>) -> Result<Running, GatewayError> {
     serve_with(module, config, metrics, Clock::new(), Vec::new())
 }
 
-/// The same with another policy than the module, to measure against, and with each front end's session with the replicas,
-/// whose times are on `clock`; without a session, one that is part of a fleet knows nothing of the cluster state.
+/// Starts all front ends as [`serve`] does, with the given decision policy and one session with the replicas per front end,
+/// whose times are on `clock`. A front end of a fleet without a session does not learn the cluster state.
 pub fn serve_with(
     policy: PolicyFactory,
     config: &Config,
@@ -62,12 +62,12 @@
             log
         });
         let inquiries = log.map(|intent_log| InquirySettings { intent_log, peers });
-        let (state, seen) = watch::channel(FrontEndState::default());
+        let (state, state_receiver) = watch::channel(FrontEndState::default());
         let drain = drained.clone();
         let start = FrontEndStart { policy, config, number, clock, session, inquiries, drain, state };
         let name = format!("front-end-{number}");
         running.threads.push(spawn_runtime(name, move || start.run())?);
-        running.states.push(seen);
+        running.states.push(state_receiver);
     }
     if let (Some(listen), Some(handle)) = (config.listen.first(), metrics) {
         let (address, thread) = serve_metrics(&listen.address, handle, drained)?;
@@ -77,7 +77,7 @@
     Ok(running)
 }
 
-/// Runs a future on a runtime of its own, on a thread with this name.
+/// Runs a future on a new runtime, on a new thread with this name.
 fn spawn_runtime<F: Future<Output = ()>>(
     name: String,
     make: impl FnOnce() -> F + Send + 'static,
@@ -91,21 +91,21 @@
     spawned.map_err(GatewayError::Start)
 }
 
-/// What a front end's thread starts with.
+/// The arguments of a front end's thread.
 struct FrontEndStart {
     policy: PolicyFactory,
     config: Config,
     number: u32,
     clock: Clock,
     session: Option<SessionHandle>,
-    /// Where attempts are recorded.
+    /// Some if attempts are recorded.
     inquiries: Option<InquirySettings>,
     drain: watch::Receiver<bool>,
     state: watch::Sender<FrontEndState>,
 }
 
 impl FrontEndStart {
-    /// Runs the front end until it is drained.
+    /// Runs the front end until it has drained.
     async fn run(self) {
         let FrontEndStart { policy, config, number, clock, session, inquiries, drain, state } = self;
         let seed = config.seed.wrapping_add(u64::from(number).wrapping_mul(SEED_STEP));
@@ -140,7 +140,7 @@
     }
 }
 
-/// Serves the page of the metrics until the front ends are drained; its address, and its thread.
+/// Serves the metrics until draining begins. Returns the listening address and the thread.
 fn serve_metrics(
     address: &str,
     handle: PrometheusHandle,
@@ -160,37 +160,38 @@
     Ok((bound, spawn_runtime("metrics".into(), serve)?))
 }
 
-/// Opens a front end's intents, where attempts are to be recorded. With replicas the run's number comes from its session.
+/// Opens a front end's intent log if attempts are to be recorded. In a fleet the incarnation comes from the session with the
+/// replicas.
 fn open_intent_log(
     config: &Config,
     number: u32,
 ) -> Result<Option<(IntentLog, JoinHandle<()>)>, GatewayError> {
-    let Some(told) = &config.marks else { return Ok(None) };
+    let Some(marks) = &config.marks else { return Ok(None) };
     let fleet = config.fleet.as_ref();
     let name = fleet.map_or(format!("front-end-{number}"), |f| format!("{}/{number}", f.member));
-    let place = LogLocation { folder: PathBuf::from(&told.folder), name, standalone: fleet.is_none() };
-    let options = Options { retention: told.keep, most: told.most, ..Options::default() };
-    let opened = stagehoist_intent_log::start(&place, options);
-    opened.map(Some).map_err(|source| GatewayError::Marks { folder: told.folder.clone(), source })
+    let location = LogLocation { folder: PathBuf::from(&marks.folder), name, standalone: fleet.is_none() };
+    let options = Options { retention: marks.keep, most: marks.most, ..Options::default() };
+    let opened = stagehoist_intent_log::start(&location, options);
+    opened.map(Some).map_err(|source| GatewayError::Marks { folder: marks.folder.clone(), source })
 }
 
 impl Running {
-    /// The present state of each front end.
+    /// Returns the current state of each front end.
     pub fn states(&self) -> Vec<FrontEndState> {
         self.states.iter().map(|s| *s.borrow()).collect()
     }
 
-    /// Whether every front end consumes and knows a worker.
+    /// Returns whether every front end consumes calls and knows a ready worker.
     pub fn is_ready(&self) -> bool {
         self.states().iter().all(|s| s.consuming && s.ready_workers > 0)
     }
 
-    /// Whether a front end ended though it was not told to.
+    /// Returns whether a thread ended although no drain was ordered.
     pub fn is_broken(&self) -> bool {
         !*self.drain.borrow() && self.threads.iter().any(JoinHandle::is_finished)
     }
 
-    /// Takes no more calls; what is held is answered.
+    /// Begins the drain: no more calls are accepted, and held calls are answered.
     pub fn drain(&self) {
         self.drain.send_replace(true);
     }
@@ -202,7 +203,7 @@
         }
         for store in self.stores {
             if store.join().is_err() {
-                tracing::error!("the thread of a front end's marks failed");
+                tracing::error!("the thread of a front end's intent log panicked");
             }
         }
         Ok(())
--- a/crates/gateway/src/transport.rs
+++ b/crates/gateway/src/transport.rs
@@ -1,4 +1,4 @@
-//! Callers over AMQP, workers over KServe v2 and a followed list, as one front end's [`Transport`].
+//! The [`Transport`] of one front end with callers over AMQP, workers over KServe v2 and a watched endpoint list.
 
 use crate::amqp::link::{self, LinkCommand, LinkState};
 use crate::amqp::InquirySettings;
@@ -20,11 +20,11 @@
 /// The sockets of one front end and the tasks that own them.
 pub struct AmqpTransport {
     workers: Rc<Workers>,
-    /// Where attempts are recorded on disk; its task ends with it.
+    /// Some if attempts are recorded on disk; its task ends when it is dropped.
     recorder: Option<IntentRecorder>,
     to_link: mpsc::UnboundedSender<LinkCommand>,
     to_list: mpsc::UnboundedSender<DiscoveryCommand>,
-    /// Held for as long as the list of front ends is followed.
+    /// Held for as long as the list of front ends is watched.
     _to_front_ends: mpsc::UnboundedSender<DiscoveryCommand>,
     link_state: watch::Receiver<LinkState>,
     gauges: Gauges,
@@ -40,41 +40,51 @@
         clock: Clock,
         inputs: mpsc::Sender<Input>,
         fleet: Option<(EgressCheck, Option<watch::Receiver<ClusterStatus>>)>,
-        marking: Option<InquirySettings>,
+        inquiries: Option<InquirySettings>,
     ) -> AmqpTransport {
         let (to_link, from_driver) = mpsc::unbounded_channel();
-        let (link_state, link_seen) = watch::channel(LinkState::default());
-        let (to_list, asks) = mpsc::unbounded_channel();
+        let (link_state, link_state_receiver) = watch::channel(LinkState::default());
+        let (to_list, list_commands) = mpsc::unbounded_channel();
         let egress = fleet.as_ref().map(|(egress, _)| egress.clone());
         let workers = Rc::new(Workers::new(config.clone(), clock, inputs.clone(), egress));
         let mut tasks = JoinSet::new();
-        // Attempts wait for intents where messages are asked about, and only there: one without the other proves nothing.
-        let marker = marking.as_ref().map(|marking| {
-            let (marks, workers, inputs) = (marking.intent_log.clone(), workers.clone(), inputs.clone());
+        // Attempts wait for intents if and only if a front end can answer inquiries about redelivered messages: neither proves
+        // anything without the other.
+        let intent_recorder = inquiries.as_ref().map(|inquiries| {
+            let (intent_log, workers, inputs) =
+                (inquiries.intent_log.clone(), workers.clone(), inputs.clone());
             let limits = Limits::default();
-            let (marker, task) = IntentRecorder::start(config.clone(), clock, marks, workers, inputs, limits);
+            let (recorder, task) =
+                IntentRecorder::start(config.clone(), clock, intent_log, workers, inputs, limits);
             tasks.spawn_local(async move { drop(task.await) });
-            marker
+            recorder
         });
-        let link = link::run(config.clone(), (seed, clock), marking, inputs.clone(), from_driver, link_state);
-        let asking_most = config.fleet.as_ref().map_or(0, |f| f.asking_most);
+        let link =
+            link::run(config.clone(), (seed, clock), inquiries, inputs.clone(), from_driver, link_state);
+        let max_status_wait = config.fleet.as_ref().map_or(0, |f| f.asking_most);
         tasks.spawn_local(async move {
             if let Some((_, status)) = fleet {
-                await_first_status(status, clock, asking_most).await;
+                await_first_status(status, clock, max_status_wait).await;
             }
             link.await;
         });
-        let (_to_front_ends, ends) = mpsc::unbounded_channel();
-        tasks.spawn_local(discovery::front_ends::follow(config.clone(), seed, clock, inputs.clone(), ends));
-        tasks.spawn_local(discovery::follow(config.clone(), seed, clock, inputs, asks));
+        let (_to_front_ends, front_end_list_commands) = mpsc::unbounded_channel();
+        tasks.spawn_local(discovery::front_ends::follow(
+            config.clone(),
+            seed,
+            clock,
+            inputs.clone(),
+            front_end_list_commands,
+        ));
+        tasks.spawn_local(discovery::follow(config.clone(), seed, clock, inputs, list_commands));
         let gauges = Gauges::new(number);
         AmqpTransport {
             workers,
-            recorder: marker,
+            recorder: intent_recorder,
             to_link,
             to_list,
             _to_front_ends,
-            link_state: link_seen,
+            link_state: link_state_receiver,
             gauges,
             _tasks: tasks,
         }
@@ -83,33 +93,33 @@
 
 impl Transport for AmqpTransport {
     fn execute(&mut self, command: Command) {
-        // Sends fail only once a link or follower ended, which it does after the driver or at the end of a drain.
+        // Sends fail only once the link or the list watcher has ended, which happens after the driver or at the end of a drain.
         match command {
-            Command::Answer { ticket, answer, elapsed: took } => {
-                self.gauges.answered(&answer, took);
-                if let Some(marker) = self.recorder.as_mut() {
-                    marker.call_answered(ticket);
+            Command::Answer { ticket, answer, elapsed: answer_time } => {
+                self.gauges.record_answer(&answer, answer_time);
+                if let Some(recorder) = self.recorder.as_mut() {
+                    recorder.call_answered(ticket);
                 }
                 let _ = self.to_link.send(LinkCommand::Answer(ticket, answer));
             }
             Command::Attempt(attempt) => {
-                let now = match self.recorder.as_mut() {
-                    Some(marker) => marker.attempt(attempt),
+                let ready = match self.recorder.as_mut() {
+                    Some(recorder) => recorder.attempt(attempt),
                     None => Some(attempt),
                 };
-                if let Some(attempt) = now {
+                if let Some(attempt) = ready {
                     self.workers.attempt(attempt);
                 }
             }
             Command::Abort { request, attempt } => {
-                if let Some(marker) = self.recorder.as_mut() {
-                    marker.abort(request, attempt);
+                if let Some(recorder) = self.recorder.as_mut() {
+                    recorder.abort(request, attempt);
                 }
                 self.workers.abort(request, attempt);
             }
             Command::WorkerDraining { worker, since } => {
-                if let Some(marker) = self.recorder.as_mut() {
-                    marker.worker_draining(worker, since);
+                if let Some(recorder) = self.recorder.as_mut() {
+                    recorder.worker_draining(worker, since);
                 }
             }
             Command::HealthCheck { worker, address } => self.workers.probe(worker, address),
@@ -135,7 +145,7 @@
     }
 
     fn drain(&mut self) -> stagehoist::Micros {
-        // A link that ended has nothing left to drain.
+        // Sending fails only if the link has ended; then there is nothing left to drain.
         let _ = self.to_link.send(LinkCommand::Drain);
         0
     }
@@ -154,7 +164,7 @@
 
     async fn changed(&mut self) {
         if self.link_state.changed().await.is_err() {
-            // The link ended; what it last showed stands.
+            // The link ended, so its state does not change any more.
             std::future::pending::<()>().await;
         }
     }
