--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -1,5 +1,5 @@
-//! The driver loop of one front end: it gathers the inputs since the last turn into one batch, has the decision module
-//! decide once, and executes the commands. It holds the only reference to the module; sockets talk to it by channels. The
+//! The driver loop of one front end. Each iteration gathers the pending inputs into a batch, lets the decision module decide once,
+//! and executes the resulting commands. The loop owns the decision module; sockets communicate with it through channels. The
 //! protocols of the sockets are behind [`Transport`].
 
 use crate::clock::{Alarm, Clock};
@@ -12,109 +12,110 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Interval;
 
-/// Inputs that wait for the driver; a full queue holds back reading from sockets.
+/// Capacity of the input queue of the driver; while it is full, sockets are not read.
 pub const INPUT_QUEUE_CAPACITY: usize = 16_384;
-/// Inputs in one batch at most, and at least where they are there.
+/// Upper and lower bound of the batch size limit, which depends on [`BATCH_TIME`].
 const MAX_BATCH: usize = 4096;
 const MIN_BATCH: usize = 8;
-/// A batch is to take no longer than this, in microseconds: its answers are written at its end.
+/// Target duration of a batch, in microseconds. Its answers are written only at its end, so a longer batch delays them.
 const BATCH_TIME: f64 = 20_000.0;
-/// Weight of a batch in the mean time of an input.
+/// Weight of a batch in the exponential moving average of the time per input.
 const INPUT_TIME_GAIN: f64 = 0.2;
-/// A timer that rings later than this means that this process did not run: what lies in the sockets is read first.
-const MAX_OVERSLEEP: Micros = 20_000;
-/// How often [`Transport::on_tick`] is called.
+/// If a timer fires later than this, the process was stalled, and the sockets are read before timers are processed.
+const MAX_TIMER_DELAY: Micros = 20_000;
+/// Interval of calls of [`Transport::on_tick`].
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// The longest time for which the alarm is set.
+/// Maximum time for which the alarm is set.
 const MAX_ALARM: Micros = 60_000_000;
 
-/// The protocols around a front end: its callers, its workers and the source of its endpoint list.
+/// The protocols of a front end: to its callers, its workers and the source of its endpoint list.
 pub trait Transport {
     /// Executes one command.
     fn execute(&mut self, command: Command);
 
-    /// All commands of a turn were executed.
+    /// Called when all commands of an iteration were executed.
     fn flush(&mut self) {}
 
-    /// The first endpoint list came, and the turn that took it is done.
+    /// Called when the first endpoint list was received and its batch was processed.
     fn on_endpoints_ready(&mut self) {}
 
     /// Called four times a second.
     fn on_tick(&mut self, core: &Core);
 
-    /// Takes no more calls as soon as its callers allow; accepted calls are answered. Returns for how long the order to drain
-    /// may have waited because this process did not run: who sent it counts from then.
+    /// Begins the drain: accepts no more calls as soon as the protocol allows; accepted calls are still answered. Returns how long
+    /// the drain order may have waited because this process was stalled. The drain timeout is reduced by it, because the sender
+    /// of the order counts from when it was sent.
     fn drain(&mut self) -> Micros;
 
-    /// Takes no more calls and has passed on all answers.
+    /// Returns whether no more calls are accepted and all answers were sent.
     fn is_drained(&mut self) -> bool;
 
-    /// Whether callers are being served.
+    /// Returns whether calls are accepted.
     fn is_serving(&mut self) -> bool;
 
-    /// Whether no calls are taken as the first endpoint list is awaited.
+    /// Returns whether no calls are accepted because the first endpoint list was not received yet.
     fn awaits_endpoints(&mut self) -> bool {
         false
     }
 
-    /// Whether sockets are read before attempts time out when this process did not run for a while: only where what is read
-    /// carries its age, which a link that dates messages by its queue does not give.
+    /// Returns whether sockets are read before attempts time out after a stall of this process. This requires that received messages
+    /// carry their age, which they do not on a link that dates messages by its queue.
     fn reads_before_timeouts(&self) -> bool {
         false
     }
 
-    /// Whether calls left over when the drain runs out of time are answered all the same, as no one else will: a broker would
-    /// deliver them again.
+    /// Returns whether calls left when the drain times out are answered. This is needed if nobody else will answer them; a broker
+    /// would redeliver them.
     fn answers_remaining(&self) -> bool {
         false
     }
 
-    /// The driver takes no more inputs: the sockets are closed in order, within a time of their own.
+    /// Closes the sockets gracefully, within their own timeout. The driver accepts no more inputs.
     fn finish(&mut self) -> impl Future<Output = ()> {
         std::future::ready(())
     }
 
-    /// Returns when [`Transport::is_drained`] may have changed; may wait for ever, as it is looked at in each turn too.
+    /// Waits until [`Transport::is_drained`] may have changed. It may wait forever, because each iteration checks it as well.
     fn changed(&mut self) -> impl Future<Output = ()>;
 }
 
-/// What a front end shows of itself.
+/// The published state of a front end.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FrontEndState {
-    /// Callers are served.
+    /// Calls are accepted.
     pub consuming: bool,
-    /// All is connected, but nothing is consumed before the first endpoint list.
+    /// The callers' side is connected, but no calls are consumed before the first endpoint list.
     pub awaits_endpoints: bool,
-    /// Workers that take requests.
+    /// Number of workers that accept requests.
     pub ready_workers: usize,
-    /// Calls accepted and not answered.
+    /// Number of accepted calls without an answer.
     pub unanswered: usize,
-    /// It has ended.
+    /// The front end has ended.
     pub drained: bool,
 }
 
-/// What a front end is run with.
+/// The parts of a front end.
 pub struct FrontEndParts<T> {
-    /// Its state.
+    /// The state.
     pub core: Core,
-    /// Its sockets.
+    /// The sockets.
     pub transport: T,
-    /// What its sockets bring.
+    /// Inputs from the sockets.
     pub inputs: mpsc::Receiver<Input>,
-    /// The clock of its decisions.
+    /// The clock that decisions use.
     pub clock: Clock,
-    /// Longest time from the order to drain to the end.
+    /// Drain timeout: the maximum time from the drain order to the end.
     pub max_drain: Micros,
-    /// The order to drain.
+    /// Becomes true when a drain is ordered.
     pub drain: watch::Receiver<bool>,
-    /// What it shows of itself.
+    /// Receives the published state.
     pub state: watch::Sender<FrontEndState>,
-    /// Its session with the replicas; `None` where it shares nothing.
+    /// The session with the replicas; `None` outside a fleet.
     pub session: Option<SessionHandle>,
 }
 
-/// Runs one front end on the current thread until it is ordered to drain and has, or the time for that ran out. Must be
-/// called inside a `LocalSet`.
+/// Runs one front end on the current thread until a drain is ordered and completes or times out. Must be called inside a
+/// `LocalSet`.
 pub async fn run<T: Transport>(parts: FrontEndParts<T>) {
     let mut driver = Driver::new(parts);
     loop {
@@ -143,17 +144,17 @@
     drain: watch::Receiver<bool>,
     state: watch::Sender<FrontEndState>,
     session: Option<SessionHandle>,
-    /// To the session; kept when the session ends.
+    /// Sender of reports to the session; kept when the session ends.
     report: Option<watch::Sender<SessionReport>>,
     ticks: Interval,
     alarm: Alarm,
-    /// When the drain is over at the latest, once it has begun.
+    /// When the drain times out, once it has begun.
     drain_by: Option<Micros>,
-    /// The first endpoint list came.
+    /// The first endpoint list was received.
     endpoints_ready: bool,
     batch: Vec<Input>,
     commands: Vec<Command>,
-    /// Mean time that an input of a batch takes, in microseconds.
+    /// Exponential moving average of the processing time per input, in microseconds.
     input_time: f64,
 }
 
@@ -161,7 +162,7 @@
     fn new(parts: FrontEndParts<T>) -> Driver<T> {
         let mut session = parts.session;
         if let Some(session) = session.as_mut() {
-            // The status that is known already is an input to the front end.
+            // The status received before the start is an input to the front end too.
             session.status.mark_changed();
         }
         Driver {
@@ -184,14 +185,14 @@
         }
     }
 
-    /// Inputs that a batch may have.
+    /// Returns the maximum number of inputs of a batch.
     fn max_batch(&self) -> usize {
         ((BATCH_TIME / self.input_time.max(1.0)) as usize).clamp(MIN_BATCH, MAX_BATCH)
     }
 
-    /// Waits for an input or a time that is due; whether a batch is to be processed.
+    /// Waits for an input or a due time. Returns whether a batch must be processed.
     async fn wait(&mut self) -> bool {
-        // The end of a drain is a time to wake up for like any other.
+        // The loop must also wake up when the drain times out.
         let due = self.core.due().into_iter().chain(self.drain_by).min();
         let latest = self.clock.now() + MAX_ALARM;
         self.alarm.set(due.unwrap_or(latest).max(0).min(latest));
@@ -204,9 +205,9 @@
                 false
             }
             status = next_status(&mut self.session), if self.session.is_some() => {
-                // Before calls that came with it: what is retired is not accepted any more.
+                // Polled before the inputs, so that calls of retired functions received at the same time are not accepted.
                 if status.is_none() {
-                    tracing::warn!("the session with the replicas ended");
+                    tracing::warn!("session with the replicas ended");
                     self.session = None;
                 }
                 self.batch.extend(status.map(Input::ClusterStatus));
@@ -235,10 +236,10 @@
         self.drain_by = Some(self.clock.now() - delay + self.max_drain);
     }
 
-    /// Takes the inputs that are here.
+    /// Adds the pending inputs to the batch, up to its maximum size.
     fn gather(&mut self) {
-        let most = self.max_batch();
-        while self.batch.len() < most {
+        let max_batch = self.max_batch();
+        while self.batch.len() < max_batch {
             match self.inputs.try_recv() {
                 Ok(input) => self.batch.push(input),
                 Err(_) => return,
@@ -246,11 +247,11 @@
         }
     }
 
-    /// Where this process did not run while a time came, the sockets are read first: answers that came meanwhile are no
-    /// time-outs.
+    /// If the process was stalled past a due time, reads the sockets first: attempts whose answers arrived meanwhile must not time
+    /// out.
     async fn gather_after_stall(&mut self, due: Option<Micros>) {
-        let overslept = due.is_some_and(|due| due > 0 && self.clock.now() - due > MAX_OVERSLEEP);
-        if self.transport.reads_before_timeouts() && overslept {
+        let was_stalled = due.is_some_and(|due| due > 0 && self.clock.now() - due > MAX_TIMER_DELAY);
+        if self.transport.reads_before_timeouts() && was_stalled {
             tokio::task::yield_now().await;
             self.gather();
         }
@@ -267,7 +268,7 @@
         });
     }
 
-    /// Processes the batch; whether more inputs wait than it had room for.
+    /// Processes the batch. Returns whether the batch was full, so that more inputs may be pending.
     fn process_batch(&mut self) -> bool {
         let (start, inputs) = (self.clock.now(), self.batch.len());
         let is_full = inputs >= self.max_batch();
@@ -292,13 +293,13 @@
         self.transport.flush();
     }
 
-    /// Whether the front end is to end: it has drained, or the time for that ran out.
+    /// Returns whether the front end must end, because the drain is complete or has timed out.
     fn is_drain_over(&mut self) -> bool {
         let Some(drain_by) = self.drain_by else { return false };
         let is_done = self.transport.is_drained() && self.core.unanswered() == 0;
         let is_late = self.clock.now() >= drain_by;
         if is_late && !is_done {
-            tracing::warn!(unanswered = self.core.unanswered(), "drain ran out of time");
+            tracing::warn!(unanswered = self.core.unanswered(), "drain timed out");
             if self.transport.answers_remaining() {
                 self.core.answer_remaining(self.clock.now(), &mut self.commands);
                 self.execute_commands();
--- a/crates/gateway/src/intent_recorder.rs
+++ b/crates/gateway/src/intent_recorder.rs
@@ -1,7 +1,9 @@
-//! Attempts of calls that is not idempotent, between the module's choice and the socket: each waits until its call's
-//! intent is on disk. One local task holds those that wait; nobody waits for it, and calls of other classes do not pass it.
+//! Recording of intents: an attempt of a call that is not idempotent waits, between the decision and the socket, until its call's
+//! intent is on disk. A local task holds the waiting attempts. The driver does not wait for this task, and attempts of
+//! idempotent calls bypass it.
 //!
-//! An attempt that is not sent ends as [`Outcome::Superseded`]: known not to have run, and no word against its worker.
+//! An attempt that is not sent ends as [`Outcome::Superseded`]: it is known not to have run, and does not count against its
+//! worker.
 
 use crate::clock::{Alarm, Clock};
 use crate::state::{Attempt, AttemptResult, Input, Ticket};
@@ -15,7 +17,7 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// What the driver's side says.
+/// A message from the driver to the recorder's task.
 enum RecorderMessage {
     Attempt(Identity, Ticket, Attempt),
     Abort(RequestId, u16),
@@ -23,73 +25,74 @@
     Worker(WorkerId, Option<Micros>),
 }
 
-/// The driver's end.
+/// The driver's handle of the recorder's task.
 pub struct IntentRecorder {
     config: Rc<Config>,
     messages: mpsc::UnboundedSender<RecorderMessage>,
-    /// Calls that went the way of intents and are not answered; all others cost nothing here.
+    /// Unanswered calls with an attempt passed to the task; no other calls are tracked.
     recorded: HashSet<Ticket>,
 }
 
 impl IntentRecorder {
-    /// Starts the task that holds attempts; must be called inside a `LocalSet`. It ends with the marker.
+    /// Starts the task that holds attempts; must be called inside a `LocalSet`. The task ends when the recorder is dropped.
     pub fn start(
         config: Rc<Config>,
         clock: Clock,
-        marks: IntentLog,
+        intent_log: IntentLog,
         workers: Rc<Workers>,
         inputs: mpsc::Sender<Input>,
         limits: Limits,
     ) -> (IntentRecorder, tokio::task::JoinHandle<()>) {
-        let (words, told) = mpsc::unbounded_channel();
-        let (reply, done) = mpsc::unbounded_channel();
-        let holder = RecorderTask {
+        let (sender, messages) = mpsc::unbounded_channel();
+        let (reply, events) = mpsc::unbounded_channel();
+        let recorder_task = RecorderTask {
             latency: IntentLatency::default(),
             gate: IntentGate::new(limits),
-            log: marks,
+            log: intent_log,
             reply,
         };
-        let task = tokio::task::spawn_local(run(holder, clock, told, done, workers, inputs));
-        (IntentRecorder { config, messages: words, recorded: HashSet::new() }, task)
+        let task = tokio::task::spawn_local(run(recorder_task, clock, messages, events, workers, inputs));
+        (IntentRecorder { config, messages: sender, recorded: HashSet::new() }, task)
     }
 
-    /// An attempt was decided. Some: it needs no intent, or has no identity to intent, and is to be sent now.
+    /// Handles an attempt that the decision module chose. Returns it if it must be sent now, because it needs no intent or has no
+    /// identity to record one for.
     ///
-    /// A call without an identity is never asked about: delivered again it fails.
+    /// Inquiries never ask about a call without an identity: it fails when it is redelivered.
     pub fn attempt(&mut self, attempt: Attempt) -> Option<Attempt> {
         let class = self.config.classes.get(usize::from(attempt.class));
-        let safe = class.is_none_or(|c| c.effect == Effect::Idempotent);
-        let Some((identity, ticket)) = attempt.intent.filter(|_| !safe) else { return Some(attempt) };
+        let idempotent = class.is_none_or(|c| c.effect == Effect::Idempotent);
+        let Some((identity, ticket)) = attempt.intent.filter(|_| !idempotent) else { return Some(attempt) };
         self.recorded.insert(ticket);
-        // The task ends only with this end.
+        // Sending can't fail, as the task ends only after this handle.
         let _ = self.messages.send(RecorderMessage::Attempt(identity, ticket, attempt));
         None
     }
 
-    /// An attempt is taken back; it is to be taken back from the workers too, as it may have left meanwhile.
+    /// Cancels a waiting attempt. The caller must also abort it at the workers, because it may have been sent meanwhile.
     pub fn abort(&mut self, request: RequestId, attempt: u16) {
         if !self.recorded.is_empty() {
             let _ = self.messages.send(RecorderMessage::Abort(request, attempt));
         }
     }
 
-    /// A call is answered.
+    /// Ends the tracking of a call, because it was answered.
     pub fn call_answered(&mut self, ticket: Ticket) {
         if self.recorded.remove(&ticket) {
             let _ = self.messages.send(RecorderMessage::CallEnded(ticket));
         }
     }
 
-    /// What is known of a worker: see [`IntentGate::worker`].
+    /// Reports the drain state of a worker: see [`IntentGate::worker`].
     pub fn worker_draining(&mut self, worker: WorkerId, leaving: Option<Micros>) {
         let _ = self.messages.send(RecorderMessage::Worker(worker, leaving));
     }
 }
 
-/// Waits that are told in one line of the log.
-const TELL: usize = 32;
+/// Number of latency samples summarized in one log line.
+const SAMPLES_PER_LOG: usize = 32;
 
-/// How long intents took to be on disk.
+/// Times from requesting an intent until it is on disk.
 #[derive(Default)]
 struct IntentLatency {
     since: HashMap<Ticket, Micros>,
@@ -97,32 +100,32 @@
 }
 
 impl IntentLatency {
-    fn begin(&mut self, number: Ticket, now: Micros) {
-        // One that is never answered is not measured.
+    fn begin(&mut self, ticket: Ticket, now: Micros) {
+        // Bounded, because entries of intents that are never confirmed remain.
         if self.since.len() < 100_000 {
-            self.since.insert(number, now);
+            self.since.insert(ticket, now);
         }
     }
 
-    fn end(&mut self, number: Ticket, marks: &IntentLog, now: Micros) {
-        self.samples.extend(self.since.remove(&number).map(|since| now - since));
-        if self.samples.len() >= TELL {
-            self.tell(marks);
+    fn end(&mut self, ticket: Ticket, intent_log: &IntentLog, now: Micros) {
+        self.samples.extend(self.since.remove(&ticket).map(|since| now - since));
+        if self.samples.len() >= SAMPLES_PER_LOG {
+            self.log_samples(intent_log);
         }
     }
 
-    fn tell(&mut self, marks: &IntentLog) {
+    fn log_samples(&mut self, intent_log: &IntentLog) {
         self.samples.sort_unstable();
         let Some(longest_us) = self.samples.last().copied() else { return };
-        let at = |part: usize| self.samples[(self.samples.len() - 1) * part / 100];
-        let (half_us, p99_us, marked) = (at(50), at(99), self.samples.len());
-        let commits = marks.commits().map(|c| c.commits);
-        tracing::info!(marked, half_us, p99_us, longest_us, commits, "intents on disk");
+        let percentile = |part: usize| self.samples[(self.samples.len() - 1) * part / 100];
+        let (half_us, p99_us, marked) = (percentile(50), percentile(99), self.samples.len());
+        let commits = intent_log.commits().map(|c| c.commits);
+        tracing::info!(marked, half_us, p99_us, longest_us, commits, "latency of recording intents on disk");
         self.samples.clear();
     }
 }
 
-/// The task's own.
+/// The state of the recorder's task.
 struct RecorderTask {
     latency: IntentLatency,
     gate: IntentGate<Attempt>,
@@ -133,30 +136,30 @@
 impl RecorderTask {
     fn on_message(
         &mut self,
-        word: RecorderMessage,
+        message: RecorderMessage,
         now: Micros,
         out: &mut Vec<(AttemptId, GateDecision<Attempt>)>,
     ) {
-        match word {
+        match message {
             RecorderMessage::Attempt(identity, ticket, attempt) => {
                 let id = (attempt.request, attempt.attempt);
-                let (worker, due) = (attempt.worker, attempt.deadline);
-                let step = self.gate.attempt((ticket, id), worker, due, attempt, now);
-                if matches!(step, GateDecision::Wait { record: true }) {
-                    let mark = Intent { identity, number: ticket };
+                let (worker, deadline) = (attempt.worker, attempt.deadline);
+                let decision = self.gate.attempt((ticket, id), worker, deadline, attempt, now);
+                if matches!(decision, GateDecision::Wait { record: true }) {
+                    let intent = Intent { identity, number: ticket };
                     self.latency.begin(ticket, now);
-                    if !self.log.record(mark, &self.reply) {
+                    if !self.log.record(intent, &self.reply) {
                         out.extend(self.gate.on_recorded(ticket, false, now));
                     }
                 }
-                out.push((id, step));
+                out.push((id, decision));
             }
-            // One that has left is taken back at the workers.
+            // An attempt that was already sent is aborted at the workers.
             RecorderMessage::Abort(request, attempt) => drop(self.gate.abort((request, attempt))),
             RecorderMessage::CallEnded(ticket) => {
-                let over = self.gate.call_ended(ticket).into_iter();
+                let unsent = self.gate.call_ended(ticket).into_iter();
                 out.extend(
-                    over.map(|(id, attempt)| (id, GateDecision::Unsent(attempt, UnsentReason::CallEnded))),
+                    unsent.map(|(id, attempt)| (id, GateDecision::Unsent(attempt, UnsentReason::CallEnded))),
                 );
             }
             RecorderMessage::Worker(worker, leaving) => self.gate.worker(worker, leaving),
@@ -165,49 +168,49 @@
 }
 
 async fn run(
-    mut holder: RecorderTask,
+    mut recorder_task: RecorderTask,
     clock: Clock,
-    mut words: mpsc::UnboundedReceiver<RecorderMessage>,
-    mut done: mpsc::UnboundedReceiver<LogEvent>,
+    mut messages: mpsc::UnboundedReceiver<RecorderMessage>,
+    mut events: mpsc::UnboundedReceiver<LogEvent>,
     workers: Rc<Workers>,
     inputs: mpsc::Sender<Input>,
 ) {
     let mut alarm = Alarm::new(clock);
     let mut out = Vec::new();
     loop {
-        let due = holder.gate.next_deadline();
+        let due = recorder_task.gate.next_deadline();
         alarm.set(due.unwrap_or_else(|| clock.now() + 60_000_000));
         tokio::select! {
-            // What the driver took back is heard before intents that came: nothing leaves against its word.
+            // Aborts of the driver are processed before recorded intents, so that no aborted attempt is sent.
             biased;
-            word = words.recv() => match word {
-                None => return holder.latency.tell(&holder.log),
-                Some(word) => holder.on_message(word, clock.now(), &mut out),
+            message = messages.recv() => match message {
+                None => return recorder_task.latency.log_samples(&recorder_task.log),
+                Some(message) => recorder_task.on_message(message, clock.now(), &mut out),
             },
-            answer = done.recv() => {
-                if let Some(LogEvent::Recorded(mark, on_disk)) = answer {
-                    holder.latency.end(mark.number, &holder.log, clock.now());
-                    out.extend(holder.gate.on_recorded(mark.number, on_disk, clock.now()));
+            event = events.recv() => {
+                if let Some(LogEvent::Recorded(intent, on_disk)) = event {
+                    recorder_task.latency.end(intent.number, &recorder_task.log, clock.now());
+                    out.extend(recorder_task.gate.on_recorded(intent.number, on_disk, clock.now()));
                 }
             }
             () = alarm.rings(), if due.is_some() => {
-                let late = holder.gate.take_late(clock.now()).into_iter();
+                let late = recorder_task.gate.take_late(clock.now()).into_iter();
                 out.extend(late.map(|(id, attempt, why)| (id, GateDecision::Unsent(attempt, why))));
             }
         }
         let mut unsent = Vec::new();
-        for (id, step) in out.drain(..) {
-            match step {
-                GateDecision::Send(what) => workers.attempt(what),
+        for (id, decision) in out.drain(..) {
+            match decision {
+                GateDecision::Send(attempt) => workers.attempt(attempt),
                 GateDecision::Wait { .. } => {}
                 GateDecision::Unsent(what, why) => unsent.push((id, what, why)),
             }
         }
-        // Only now, as a driver that is behind is waited for here, and what is to leave would grow stale.
+        // Reported after all sends, because this waits if the driver's queue is full, and attempts to send must not wait with it.
         for ((request, attempt), what, why) in unsent {
-            tracing::warn!(correlation = &*what.correlation, attempt, ?why, "attempt not sent");
+            tracing::warn!(correlation = &*what.correlation, attempt, ?why, "attempt not sent to its worker");
             let result = AttemptResult::without_answer(Outcome::Superseded);
-            // A driver that is gone needs no inputs.
+            // Sending fails only if the driver has ended.
             let _ = inputs.send(Input::AttemptEnded { request, attempt, result }).await;
         }
     }
