--- a/crates/gateway/tests/caller/mod.rs
+++ b/crates/gateway/tests/caller/mod.rs
@@ -1,4 +1,4 @@
-//! A caller of the function `f` over a socket, with queues for its calls and for its replies.
+//! A test caller of the function `f` over a socket, with a queue for calls and a queue for replies.
 
 use bytes::Bytes;
 use stagehoist_amqp::{basic, header_text, long, queue, short, AMQPClass, BasicProperties, Client};
@@ -12,17 +12,17 @@
 pub struct Caller {
     client: Client,
     socket: TcpStream,
-    begin: Instant,
+    started: Instant,
     channel: u16,
 }
 
 impl Caller {
-    /// With the queue of calls and one for replies.
+    /// Connects, and declares the queue of calls and the queue of replies.
     pub fn new(address: &str) -> Caller {
         let socket = TcpStream::connect(address).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
         let client = Client::new(ClientOptions::default(), 0);
-        let mut caller = Caller { client, socket, begin: Instant::now(), channel: 0 };
+        let mut caller = Caller { client, socket, started: Instant::now(), channel: 0 };
         caller.until(|e| matches!(e, ClientEvent::Open).then_some(()));
         caller.channel = caller.client.open_channel().unwrap();
         caller.declare("calls", false);
@@ -32,14 +32,14 @@
         caller
     }
 
-    /// Carries bytes until an event is the wanted one.
+    /// Transfers bytes until an event matches, and returns what `wanted` made of it.
     pub fn until<T>(&mut self, wanted: impl Fn(ClientEvent) -> Option<T>) -> T {
-        let by = Instant::now() + LONG;
+        let deadline = Instant::now() + LONG;
         let mut bytes = [0; 4096];
         loop {
             let out = self.client.output().split();
             self.socket.write_all(&out).unwrap();
-            let now = self.begin.elapsed().as_micros() as i64;
+            let now = self.started.elapsed().as_micros() as i64;
             self.client.wrote(out.len(), now);
             if let Ok(n) = self.socket.read(&mut bytes) {
                 self.client.receive(&bytes[..n], now);
@@ -49,24 +49,24 @@
                     return found;
                 }
             }
-            assert!(Instant::now() < by, "not heard in time");
+            assert!(Instant::now() < deadline, "expected event not received in time");
         }
     }
 
     /// Waits until the broker closes the connection.
     pub fn ended(&mut self) {
-        let by = Instant::now() + LONG;
+        let deadline = Instant::now() + LONG;
         let mut bytes = [0; 4096];
         loop {
             match self.socket.read(&mut bytes) {
                 Ok(0) => return,
                 Err(e) if !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => return,
-                _ => assert!(Instant::now() < by, "the broker did not restart"),
+                _ => assert!(Instant::now() < deadline, "the broker did not close the connection"),
             }
         }
     }
 
-    /// Messages ready in a queue, and its consumers.
+    /// Declares a queue, and returns the number of its ready messages and of its consumers.
     pub fn declare(&mut self, name: &str, passive: bool) -> (u32, u32) {
         let declare = queue::Declare { passive, ..stagehoist_amqp::declare(name) };
         self.client.send(self.channel, AMQPClass::Queue(queue::AMQPMethod::Declare(declare)));
@@ -94,7 +94,7 @@
         self.client.publish(self.channel, publish, &properties, &Bytes::from_static(b"{}"));
     }
 
-    /// Outcome and reason of the next reply.
+    /// Returns the outcome and the reason of the next reply.
     pub fn reply(&mut self) -> (String, String) {
         self.until(|e| match e {
             ClientEvent::Delivered(_, m) => {
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! A front end of a fleet without sockets: its replicas' word, its calls and its workers' answers are told by the test.
+//! Test harness of one front end of a fleet without sockets: the test supplies the cluster status, the calls and the workers'
+//! answers.
 
-// Each test target takes its part of it.
+// Each test target uses only a part of it.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -26,23 +27,23 @@
     pub core: Core,
     config: Rc<Config>,
     pub now: Micros,
-    /// What the desk reads as the time, where something leaves.
+    /// The time that the egress check reads when something is sent.
     pub clock: Rc<Cell<Micros>>,
-    standing: ClusterStatus,
+    status: ClusterStatus,
 }
 
 impl Stage {
-    /// Part of a fleet, with fresh word for ten seconds.
+    /// Creates a front end of a fleet whose view is known to be the newest for ten seconds.
     pub fn new() -> Stage {
         Stage::deciding(module)
     }
 
-    /// The same with decisions told.
-    pub fn deciding(decider: PolicyFactory) -> Stage {
+    /// Creates the same front end with the given decision policy.
+    pub fn deciding(policy: PolicyFactory) -> Stage {
         let fleet =
             "member a\nkeeper 1 127.0.0.1:1\nfunction later class lookup memory 64MB lanes 4 generation 3\n\
                      function strict class lookup memory 64MB lanes 4 load 200ms retire strict\n";
-        let mut stage = Stage::with(decider, fleet);
+        let mut stage = Stage::with(policy, fleet);
         let clock = stage.clock.clone();
         stage
             .core
@@ -51,33 +52,34 @@
         stage
     }
 
-    /// The same with pools: these lines, for a tenant `clinic` (number 1) beside all others (number 0).
-    pub fn with_pools(decider: PolicyFactory, pools: &str) -> Stage {
+    /// Creates the same front end with the pools of these configuration lines, and with a tenant `clinic` (number 1) beside all
+    /// other tenants (number 0).
+    pub fn with_pools(policy: PolicyFactory, pools: &str) -> Stage {
         let fleet = format!(
             "member a\nkeeper 1 127.0.0.1:1\nfleet-front-ends 2\ntenant other quota 100/s\n\
              tenant clinic quota 100/s\n{pools}"
         );
-        let mut stage = Stage::with(decider, &fleet);
+        let mut stage = Stage::with(policy, &fleet);
         let clock = stage.clock.clone();
         stage
             .core
             .join_fleet(EgressCheck::new(RetirementGate::new(stage.config.clone()), move || clock.get()));
-        if let Some(entrance) = PoolAdmission::new(&stage.config, 3, stage.now) {
-            stage.core.set_pool_admission(entrance);
+        if let Some(pool_admission) = PoolAdmission::new(&stage.config, 3, stage.now) {
+            stage.core.set_pool_admission(pool_admission);
         }
         stage.fresh(10_000 * MS);
         stage
     }
 
-    /// Permits of the pool `p` are allocated: to all others and to the clinic, for so long.
+    /// Allocates permits of the pool `p` to `others` and to `clinic` for the duration `span`.
     pub fn granted(&mut self, number: u64, others: u32, clinic: u32, span: Micros) -> Vec<Command> {
-        let of = |tenant: &str, lanes| (("p".to_string(), tenant.to_string()), lanes);
-        self.standing.permits = Arc::new([of("", others), of("clinic", clinic)].into());
-        (self.standing.permits_grant, self.standing.permits_until) = (number, self.now + span);
-        self.turn(0, vec![Input::ClusterStatus(self.standing.clone())])
+        let permits = |tenant: &str, lanes| (("p".to_string(), tenant.to_string()), lanes);
+        self.status.permits = Arc::new([permits("", others), permits("clinic", clinic)].into());
+        (self.status.permits_grant, self.status.permits_until) = (number, self.now + span);
+        self.turn(0, vec![Input::ClusterStatus(self.status.clone())])
     }
 
-    /// A call of a tenant whose caller waits for so long.
+    /// Sends a call of a tenant with a time budget.
     pub fn call_by(&mut self, ticket: u64, tenant: u32, budget: Micros) -> Vec<Command> {
         let arrival = self.arrival(ticket, "free-times", None);
         self.turn(MS, vec![Input::Call(Arrival { tenant, budget, ..arrival })])
@@ -87,7 +89,7 @@
         Stage::with(module, "")
     }
 
-    fn with(decider: PolicyFactory, more: &str) -> Stage {
+    fn with(policy: PolicyFactory, more: &str) -> Stage {
         let text = format!(
             "class lookup aim 800ms give-up 2500ms\nclass record aim 800ms give-up 2500ms effect unsafe\n\
              function free-times class lookup memory 64MB lanes 4 load 200ms\n\
@@ -96,18 +98,18 @@
         );
         let config = Rc::new(parse("fleet.conf", &text).unwrap());
         let now = 1_700_000_000_000_000;
-        let core = Core::with(decider, CoreSettings::from(&*config), 3, now);
-        let standing = ClusterStatus { fresh_until: Micros::MIN, ..ClusterStatus::default() };
-        let mut stage = Stage { core, config, now, clock: Rc::new(Cell::new(now)), standing };
+        let core = Core::with(policy, CoreSettings::from(&*config), 3, now);
+        let status = ClusterStatus { fresh_until: Micros::MIN, ..ClusterStatus::default() };
+        let mut stage = Stage { core, config, now, clock: Rc::new(Cell::new(now)), status };
         stage.list(&["w1", "w2", "w3"]);
         stage
     }
 
-    pub fn turn(&mut self, after: Micros, mut news: Vec<Input>) -> Vec<Command> {
+    pub fn turn(&mut self, after: Micros, mut inputs: Vec<Input>) -> Vec<Command> {
         self.now += after;
         self.clock.set(self.now);
         let mut out = Vec::new();
-        self.core.process(self.now, &mut news, &mut out);
+        self.core.process(self.now, &mut inputs, &mut out);
         while self.core.due().is_some_and(|d| d <= self.now) {
             self.core.process(self.now, &mut Vec::new(), &mut out);
         }
@@ -145,30 +147,30 @@
         }
     }
 
-    /// The replicas tell the view that these commands come to.
+    /// Delivers the cluster view that results from these commands.
     pub fn view(&mut self, commands: &[registry::Command]) -> Vec<Command> {
-        let mut record = ClusterState::default();
+        let mut state = ClusterState::default();
         for (i, command) in commands.iter().enumerate() {
-            record.apply(i as u64 + 1, command);
+            state.apply(i as u64 + 1, command);
         }
-        self.standing.view = Arc::new(record.view);
-        self.turn(0, vec![Input::ClusterStatus(self.standing.clone())])
+        self.status.view = Arc::new(state.view);
+        self.turn(0, vec![Input::ClusterStatus(self.status.clone())])
     }
 
-    /// Word of a view that was overtaken comes late.
+    /// Delivers an outdated view late.
     pub fn older(&mut self, version: u64) {
         let view = Arc::new(ClusterView { version, ..ClusterView::default() });
-        self.turn(0, vec![Input::ClusterStatus(ClusterStatus { view, ..self.standing.clone() })]);
+        self.turn(0, vec![Input::ClusterStatus(ClusterStatus { view, ..self.status.clone() })]);
     }
 
-    /// The view is known to be the newest for so long from now.
+    /// Makes the view known to be the newest for the duration `span` from now.
     pub fn fresh(&mut self, span: Micros) {
-        self.standing.fresh_until = self.now + span;
-        self.turn(0, vec![Input::ClusterStatus(self.standing.clone())]);
+        self.status.fresh_until = self.now + span;
+        self.turn(0, vec![Input::ClusterStatus(self.status.clone())]);
     }
 
     pub fn fresh_until(&self) -> Micros {
-        self.standing.fresh_until
+        self.status.fresh_until
     }
 
     pub fn confirmed(&self) -> u64 {
@@ -220,12 +222,12 @@
 }
 
 pub fn ended(a: &Attempt, outcome: Outcome) -> Input {
-    let note = CopyReport { state: 1, concurrency: 0 };
-    let result = AttemptResult { copy: note, ..AttemptResult::without_answer(outcome) };
+    let copy_report = CopyReport { state: 1, concurrency: 0 };
+    let result = AttemptResult { copy: copy_report, ..AttemptResult::without_answer(outcome) };
     Input::AttemptEnded { request: a.request, attempt: a.attempt, result }
 }
 
-/// Outcome and reason as a reply's headers have them.
+/// Returns the outcome and the reason in a reply's headers.
 pub fn frame(answer: &Answer) -> String {
     let (properties, _) = reply(answer, "c");
     let headers = properties.headers().clone().unwrap_or_default();
--- a/crates/gateway/tests/crossings_drain.rs
+++ b/crates/gateway/tests/crossings_drain.rs
@@ -1,5 +1,5 @@
-//! The end of a front end on a real socket, whose other end the test holds: a broker without a socket takes
-//! what the gateway writes, and what it answers is handed on when the test says so.
+//! The drain of a front end on a real socket. The test holds the other end of the socket, and forwards bytes between the gateway
+//! and an emulated broker without sockets at chosen moments.
 
 use bytes::Bytes;
 use stagehoist_amqp::{basic, header_text, long, queue, short};
@@ -13,7 +13,7 @@
 
 const LONG: Duration = Duration::from_secs(30);
 
-/// Takes every request and says that it was done.
+/// Starts a worker that answers every request with success, and returns its address.
 fn worker() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -26,13 +26,13 @@
 }
 
 fn serve_requests(mut stream: TcpStream) -> Option<()> {
-    let (mut got, mut byte) = (Vec::new(), [0u8]);
+    let (mut received, mut byte) = (Vec::new(), [0u8]);
     loop {
-        while !got.ends_with(b"\r\n\r\n") {
+        while !received.ends_with(b"\r\n\r\n") {
             stream.read_exact(&mut byte).ok()?;
-            got.push(byte[0]);
+            received.push(byte[0]);
         }
-        let head = String::from_utf8(std::mem::take(&mut got)).ok()?.to_lowercase();
+        let head = String::from_utf8(std::mem::take(&mut received)).ok()?.to_lowercase();
         let length = head.split("content-length:").nth(1).and_then(|l| l.lines().next()?.trim().parse().ok());
         stream.read_exact(&mut vec![0u8; length.unwrap_or(0)]).ok()?;
         stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\n{\"copies\":1}").ok()?;
@@ -53,8 +53,8 @@
         self.started.elapsed().as_micros() as i64
     }
 
-    /// What the caller and the broker have for each other.
-    fn call(&mut self) {
+    /// Transfers the pending bytes between the caller and the broker.
+    fn transfer_caller(&mut self) {
         for _ in 0..20 {
             let now = self.now();
             let (number, client, _) = &mut self.caller;
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Takes what the gateway wrote; false once it closed.
-    fn hear(&mut self) -> bool {
+    /// Forwards what the gateway wrote to the broker; false once the gateway closed the connection.
+    fn receive_from_gateway(&mut self) -> bool {
         let mut buffer = vec![0u8; 64 << 10];
         match self.front.1.read(&mut buffer) {
             Ok(0) => false,
@@ -86,16 +86,16 @@
                 true
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                panic!("the gateway says nothing")
+                panic!("the gateway sent nothing in time")
             }
             Err(_) => false,
         }
     }
 
-    /// Hands on what the broker has for the gateway.
-    fn say(&mut self) {
+    /// Forwards the broker's pending output to the gateway.
+    fn send_to_gateway(&mut self) {
         let out = self.broker.take_output(self.front.0).unwrap_or_default();
-        // One that closed takes nothing; what it did not take shows in the answers.
+        // A gateway that closed receives nothing; missing bytes would show in the answers.
         let _ = self.front.1.write_all(&out);
     }
 
@@ -114,14 +114,14 @@
         };
         let (_, client, channel) = &mut self.caller;
         client.publish(*channel, publish, &properties, &Bytes::from_static(b"{}"));
-        self.call();
+        self.transfer_caller();
     }
 }
 
-/// Deliveries lie in the broker's output, or half of their bytes in the socket, when the gateway is ordered to
-/// end: it has asked its consumer to stop, and takes and answers what comes before the word that it did.
+/// Deliveries are in the broker's output, or partly in the socket, when the drain is ordered. The gateway has sent its
+/// `basic.cancel`, and must accept and answer the deliveries that arrive before the broker's confirmation.
 #[test]
-fn deliveries_under_way_when_the_end_is_told_are_answered_before_it() {
+fn deliveries_in_flight_when_the_drain_is_ordered_are_answered_before_the_end() {
     for mode in ["confirm", "transaction"] {
         for part in [0, 100] {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -143,17 +143,17 @@
             let caller = (caller, Client::new(ClientOptions::default(), 0), 0);
             let (front, started) = ((front, stream), Instant::now());
             let mut w = World { broker, caller, front, started, answers: Vec::new() };
-            w.call();
+            w.transfer_caller();
             let channel = w.caller.1.open_channel().unwrap();
             w.caller.2 = channel;
             let declare = stagehoist_amqp::declare("replies");
             let consume = basic::Consume { no_ack: true, ..stagehoist_amqp::consume("replies", "r") };
             w.caller.1.send(channel, AMQPClass::Queue(queue::AMQPMethod::Declare(declare)));
             w.caller.1.send(channel, AMQPClass::Basic(basic::AMQPMethod::Consume(consume)));
-            w.call();
+            w.transfer_caller();
             while w.broker.consumers_of("calls").is_empty() {
-                assert!(w.hear());
-                w.say();
+                assert!(w.receive_from_gateway());
+                w.send_to_gateway();
             }
             while !running.is_ready() {
                 assert!(w.started.elapsed() < LONG, "{:?}", running.states());
@@ -161,23 +161,23 @@
             }
             w.publish("a");
             w.publish("b");
-            assert_eq!(w.broker.stats.delivered, 2, "they are under way");
-            let held = w.broker.take_output(w.front.0).unwrap();
-            w.front.1.write_all(&held[..part]).unwrap();
+            assert_eq!(w.broker.stats.delivered, 2, "both deliveries are in flight");
+            let pending = w.broker.take_output(w.front.0).unwrap();
+            w.front.1.write_all(&pending[..part]).unwrap();
             running.drain();
             while !w.broker.consumers_of("calls").is_empty() {
-                assert!(w.hear(), "closed before its consumer stopped");
+                assert!(w.receive_from_gateway(), "the gateway closed before its consumer was cancelled");
             }
-            w.front.1.write_all(&held[part..]).unwrap();
-            w.say();
-            while w.hear() {
-                w.call();
-                w.say();
+            w.front.1.write_all(&pending[part..]).unwrap();
+            w.send_to_gateway();
+            while w.receive_from_gateway() {
+                w.transfer_caller();
+                w.send_to_gateway();
             }
             running.join().unwrap();
             let now = w.now();
             w.broker.disconnect(w.front.0, now);
-            w.call();
+            w.transfer_caller();
             w.answers.sort_unstable();
             let served = ["a", "b"].map(|id| (id.to_string(), "served".to_string()));
             assert_eq!(w.answers, served, "{mode} {part}");
--- a/crates/gateway/tests/crossings_sockets.rs
+++ b/crates/gateway/tests/crossings_sockets.rs
@@ -1,5 +1,5 @@
-//! Where two events cross on sockets beside the broker's: connections to workers that close in the instant of
-//! a write, and brokers that take a connection and say nothing.
+//! Races on sockets: connections to workers that close at the moment of a write, and brokers that accept a connection and send
+//! nothing.
 
 use bytes::Bytes;
 use stagehoist::Outcome;
@@ -33,19 +33,19 @@
     (listener, address)
 }
 
-/// Reads one request without a body, or with a body of two bytes, to its end; None where the stream ended.
+/// Reads one request with a body of `body` bytes; None if the stream ended.
 fn request(stream: &mut TcpStream, body: usize) -> Option<Vec<u8>> {
-    let (mut got, mut byte) = (Vec::new(), [0u8]);
-    while !got.ends_with(b"\r\n\r\n") {
+    let (mut received, mut byte) = (Vec::new(), [0u8]);
+    while !received.ends_with(b"\r\n\r\n") {
         if !matches!(stream.read(&mut byte), Ok(1)) {
             return None;
         }
-        got.push(byte[0]);
+        received.push(byte[0]);
     }
     let mut rest = vec![0u8; body];
     stream.read_exact(&mut rest).ok()?;
-    got.extend(rest);
-    Some(got)
+    received.extend(rest);
+    Some(received)
 }
 
 fn attempt(request: u32, address: &Rc<str>) -> Attempt {
@@ -66,26 +66,26 @@
     }
 }
 
-/// How a worker leaves a connection that was kept, in the instant in which the next request is given to it.
+/// How a worker closes an idle connection at the moment when the next request is sent on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Leaves {
-    /// It writes nothing more, and what it reads it runs.
+enum Closing {
+    /// It closes only its sending side, and still runs the requests that it reads.
     Half,
-    /// It closes.
-    Whole,
+    /// It closes both directions.
+    Both,
 }
 
-/// The close lies in the socket when the request is written: it goes over a new connection, or is known to be
-/// in doubt. It is never said not to have left where it did, and never runs twice.
+/// The close is pending in the socket when the request is written. The request must be sent on a new connection or be reported as
+/// in doubt. It must not be reported as unsent if it was sent, and must not run twice.
 #[test]
-fn a_kept_connection_that_closes_in_the_instant_of_a_write_runs_nothing_twice() {
-    for leaves in [Leaves::Half, Leaves::Whole] {
+fn an_idle_connection_that_closes_during_a_write_runs_nothing_twice() {
+    for closing in [Closing::Half, Closing::Both] {
         let (listener, address) = listen();
         let address: Rc<str> = address.into();
         let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         LocalSet::new().block_on(&rt, async {
-            let (news, mut told) = mpsc::channel(8);
-            let workers = Workers::new(config(), Clock::new(), news, None);
+            let (sender, mut inputs) = mpsc::channel(8);
+            let workers = Workers::new(config(), Clock::new(), sender, None);
             let answer = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}";
             workers.attempt(attempt(1, &address));
             let served = listener.try_clone().unwrap();
@@ -95,23 +95,25 @@
                 stream.write_all(answer.as_bytes()).unwrap();
                 stream
             });
-            let Some(Input::AttemptEnded { result, .. }) = within("no end", told.recv()).await else {
-                panic!("something else")
+            let Some(Input::AttemptEnded { result, .. }) =
+                within("the attempt did not end", inputs.recv()).await
+            else {
+                panic!("unexpected input")
             };
             assert_eq!(result.outcome, Outcome::Ok);
-            let kept = first.await.unwrap();
-            // The task puts the connection back.
+            let idle = first.await.unwrap();
+            // Lets the task return the connection to the pool.
             for _ in 0..20 {
                 tokio::task::yield_now().await;
             }
-            // Without a turn of the gateway between: both lie there at once.
-            let old = match leaves {
-                Leaves::Half => {
-                    kept.shutdown(Shutdown::Write).unwrap();
-                    Some(kept)
+            // The gateway does not run in between, so the close and the request are pending at once.
+            let old = match closing {
+                Closing::Half => {
+                    idle.shutdown(Shutdown::Write).unwrap();
+                    Some(idle)
                 }
-                Leaves::Whole => {
-                    drop(kept);
+                Closing::Both => {
+                    drop(idle);
                     None
                 }
             };
@@ -124,32 +126,34 @@
             let served = listener.try_clone().unwrap();
             let new = std::thread::spawn(move || {
                 let (mut stream, _) = served.accept().ok()?;
-                let got = request(&mut stream, 2)?;
+                let received = request(&mut stream, 2)?;
                 stream.write_all(answer.as_bytes()).ok()?;
-                Some(got)
+                Some(received)
             });
-            let Some(Input::AttemptEnded { result, .. }) = within("no end", told.recv()).await else {
-                panic!("something else")
+            let Some(Input::AttemptEnded { result, .. }) =
+                within("the attempt did not end", inputs.recv()).await
+            else {
+                panic!("unexpected input")
             };
             drop(workers);
             let on_old = old.await.unwrap().is_some();
-            // Where nothing came over a new connection its thread is let go by an empty one.
+            // If no new connection was opened, an empty one ends the accepting thread.
             drop(TcpStream::connect(&*address));
             let on_new = new.join().unwrap().is_some();
             match result.outcome {
-                Outcome::Ok => assert_eq!((on_old, on_new), (false, true), "{leaves:?}"),
-                Outcome::Reset => assert!(!on_new, "{leaves:?}: a second request behind the module's back"),
-                Outcome::ConnectFailed => assert_eq!((on_old, on_new), (false, false), "{leaves:?}"),
-                other => panic!("{leaves:?}: {other:?}"),
+                Outcome::Ok => assert_eq!((on_old, on_new), (false, true), "{closing:?}"),
+                Outcome::Reset => assert!(!on_new, "{closing:?}: a second request without a decision"),
+                Outcome::ConnectFailed => assert_eq!((on_old, on_new), (false, false), "{closing:?}"),
+                other => panic!("{closing:?}: {other:?}"),
             }
         });
     }
 }
 
-/// A stopped broker's connections are taken by its system, and nothing is ever said on them: the next one
-/// gets its turn.
+/// The operating system of a stopped broker still accepts connections, but nothing is ever received on them. The front end must
+/// try the next broker.
 #[test]
-fn a_broker_that_takes_the_connection_and_says_nothing_is_passed_over() {
+fn a_broker_that_accepts_the_connection_and_sends_nothing_is_skipped() {
     let (_silent, first) = listen();
     let (next, second) = listen();
     let text = format!(
@@ -159,14 +163,14 @@
     let config = Rc::new(parse("c.conf", &text).unwrap());
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&rt, async {
-        let (news, _told) = mpsc::channel(8);
+        let (sender, _inputs) = mpsc::channel(8);
         let (_to_link, from_driver) = mpsc::unbounded_channel();
         let (state, _seen) = watch::channel(link::LinkState::default());
         let clock = Clock::new();
-        let link = tokio::task::spawn_local(link::run(config, (1, clock), None, news, from_driver, state));
+        let link = tokio::task::spawn_local(link::run(config, (1, clock), None, sender, from_driver, state));
         next.set_nonblocking(true).unwrap();
         let next = tokio::net::TcpListener::from_std(next).unwrap();
-        within("the second broker never got its turn", next.accept()).await.unwrap();
+        within("the second broker was not tried", next.accept()).await.unwrap();
         link.abort();
     });
 }
--- a/crates/gateway/tests/lists.rs
+++ b/crates/gateway/tests/lists.rs
@@ -1,4 +1,4 @@
-//! What lists and workers say, read from their own forms.
+//! Parsing of worker lists and of workers' response headers.
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::StatusCode;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_consul_answer_gives_ready_draining_and_leaves_the_dead_out() {
+fn a_consul_response_lists_ready_and_draining_workers_and_omits_critical_ones() {
     let body = r#"[
       {"Node":{"Address":"10.0.0.1"},"Service":{"ID":"w1","Address":"","Port":80,"Meta":{"zone":"hall-a","kind":"large",
         "cell":"3","capacity":"4","started":"1700000000123"}},"Checks":[{"CheckID":"a","Status":"passing"}]},
@@ -23,9 +23,9 @@
       {"Node":{"Address":"10.0.0.1"},"Service":{"ID":"w4","Port":83},"Checks":[{"CheckID":"a","Status":"critical"}]}
     ]"#;
     let entries = consul::parse(body.as_bytes()).unwrap();
-    let told: Vec<_> = entries.iter().map(|e| (e.name.as_str(), e.address.as_str(), e.draining)).collect();
+    let listed: Vec<_> = entries.iter().map(|e| (e.name.as_str(), e.address.as_str(), e.draining)).collect();
     assert_eq!(
-        told,
+        listed,
         [("w1", "10.0.0.1:80", false), ("w2", "10.0.0.2:81", true), ("w3", "10.0.0.1:82", true)]
     );
     let w1 = &entries[0];
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_list_file_is_read_whole_or_not_at_all() {
+fn a_list_file_with_a_malformed_line_is_rejected_as_a_whole() {
     let text = "# workers\nw1 127.0.0.1:9001 kind large zone hall-a capacity 4 started 1700000000000\n\n\
                 w2 127.0.0.1:9002 state draining # for now\n";
     let entries = file::parse(text).unwrap();
@@ -51,8 +51,8 @@
 }
 
 #[test]
-fn only_a_workers_own_word_proves_that_a_call_did_not_run() {
-    for (status, word, outcome) in [
+fn only_a_workers_header_proves_that_a_call_did_not_run() {
+    for (status, header, outcome) in [
         (200, None, Outcome::Ok),
         (500, None, Outcome::Error),
         (503, None, Outcome::Error),
@@ -63,23 +63,23 @@
         (404, Some("not-loaded"), Outcome::Miss),
         (503, Some("something-else"), Outcome::Error),
     ] {
-        let headers = word.map_or(HeaderMap::new(), |w| headers(&[(meaning::NOT_RUN, w)]));
+        let headers = header.map_or(HeaderMap::new(), |value| headers(&[(meaning::NOT_RUN, value)]));
         assert_eq!(
             meaning::outcome(StatusCode::from_u16(status).unwrap(), &headers),
             outcome,
-            "{status} {word:?}"
+            "{status} {header:?}"
         );
     }
 }
 
 #[test]
-fn load_reports_come_as_json_or_text() {
+fn load_reports_are_parsed_from_json_and_text() {
     let fields = ["busy", "inflight", "memory", "none"].map(str::to_string);
     let json = "JSON {\"cpu_utilization\": 0.25, \"named_metrics\": {\"inflight\": 7, \"memory\": 0.5}}";
     let text = "TEXT cpu_utilization=0.25, named_metrics.inflight=7,named_metrics.memory=0.5";
-    for form in [json, text] {
-        let report = meaning::report(&headers(&[(meaning::LOAD_METRICS, form)]), &fields);
-        assert_eq!(report, Some([0.25, 7.0, 0.5, 0.0]), "{form}");
+    for line in [json, text] {
+        let report = meaning::report(&headers(&[(meaning::LOAD_METRICS, line)]), &fields);
+        assert_eq!(report, Some([0.25, 7.0, 0.5, 0.0]), "{line}");
     }
     for bad in ["JSON {", "BIN AAAA", "TEXT"] {
         assert_eq!(meaning::report(&headers(&[(meaning::LOAD_METRICS, bad)]), &fields), None, "{bad}");
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! The gateway as a library over sockets: brokers tried in turn, each mechanism, a list in a file, and an orderly end.
+//! The gateway as a library over sockets: failover between brokers, each login mechanism, a list in a file, and a graceful
+//! shutdown.
 
 use stagehoist_config::parse;
 use stagehoist_emulator::broker::{self, Broker, BrokerOptions, Faults, Handle};
@@ -22,17 +23,17 @@
     (address, handle)
 }
 
-fn wait(running: &Running, ready: bool) {
-    let by = Instant::now() + Duration::from_secs(20);
+fn wait_ready(running: &Running, ready: bool) {
+    let deadline = Instant::now() + Duration::from_secs(20);
     while running.is_ready() != ready {
-        assert!(Instant::now() < by, "not {ready} in time: {:?}", running.states());
+        assert!(Instant::now() < deadline, "not {ready} in time: {:?}", running.states());
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
 #[test]
-fn a_dead_broker_and_one_that_refuses_the_login_are_passed_over() {
-    // A port that nothing listens on any more.
+fn an_unreachable_broker_and_one_that_refuses_the_login_are_skipped() {
+    // A port without a listener.
     let dead = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let (good, handle) = start_broker("AMQPLAIN");
     let folder = tempfile::tempdir().unwrap();
@@ -50,18 +51,18 @@
     )
     .unwrap();
     let running = serve(&config, None).unwrap();
-    wait(&running, true);
+    wait_ready(&running, true);
     assert!(!running.is_broken());
-    // All connections end; the front ends come back by themselves.
+    // All connections are closed; the front ends reconnect by themselves.
     handle.fault(Faults::Drop { queue: "calls".into() });
     std::thread::sleep(Duration::from_millis(400));
-    wait(&running, true);
-    // A malformed list changes nothing; an empty one does.
+    wait_ready(&running, true);
+    // A malformed list has no effect; an empty one does.
     std::fs::write(&list, "w1\n").unwrap();
     std::thread::sleep(Duration::from_millis(400));
     assert!(running.is_ready());
     std::fs::write(&list, "# none\n").unwrap();
-    wait(&running, false);
+    wait_ready(&running, false);
     running.drain();
     running.join().unwrap();
 }
--- a/crates/gateway/tests/starting.rs
+++ b/crates/gateway/tests/starting.rs
@@ -1,4 +1,5 @@
-//! The way back after a loss of everything, without sockets: who waits, who goes in, and that all are answered in time.
+//! Recovery after a loss of the whole fleet, without sockets: which calls wait, which are admitted, and that all are answered in
+//! time.
 
 mod common;
 
@@ -17,7 +18,7 @@
 const S: Micros = 1_000_000;
 const START: Micros = 1_700_000_000 * S;
 const OLD: Micros = START - 3600 * S;
-/// Tenants by their places; calls that name none are the first's.
+/// Tenants by their index; calls without a tenant belong to the first.
 const OTHER: u32 = 0;
 const CLINIC: u32 = 1;
 
@@ -40,37 +41,37 @@
 }
 
 impl Front {
-    /// Without word of the replicas; `unordered`: the last run fell; None: no stages are told.
-    fn new(unordered: Option<bool>) -> Front {
+    /// Creates a front end without a cluster status. `is_unclean`: the last run ended uncleanly; None: no recovery phases.
+    fn new(is_unclean: Option<bool>) -> Front {
         let config = Rc::new(config("recover share 0.01"));
         let mut core = Core::new(CoreSettings::from(&*config), 3, START);
         core.join_fleet(EgressCheck::new(RetirementGate::new(config.clone()), || START));
-        if let Some(unordered) = unordered {
-            let told = config.fleet.as_ref().unwrap().recover.unwrap();
-            core.set_recovery(FleetRecovery::new(&config, &told, unordered, 3, START));
+        if let Some(is_unclean) = is_unclean {
+            let recover = config.fleet.as_ref().unwrap().recover.unwrap();
+            core.set_recovery(FleetRecovery::new(&config, &recover, is_unclean, 3, START));
         }
         Front { core, config, now: START, next: 0 }
     }
 
-    /// After a loss, with workers just started and the replicas' word here.
-    fn lost() -> Front {
+    /// Creates a front end after a loss, with newly started workers and a cluster status.
+    fn after_loss() -> Front {
         let mut front = Front::new(Some(true));
-        front.fresh(ClusterState::default());
+        front.set_cluster_state(ClusterState::default());
         front.list(START - S);
         assert_eq!(front.core.recovery_phase(), Some(RecoveryPhase::Ramping));
         front
     }
 
-    fn turn(&mut self, after: Micros, mut news: Vec<Input>) -> Vec<Command> {
+    fn turn(&mut self, after: Micros, mut inputs: Vec<Input>) -> Vec<Command> {
         let until = self.now + after;
         let mut out = Vec::new();
-        // What is due before then is done at its time.
+        // Timers due before then are processed at their time.
         while let Some(due) = self.core.due().filter(|due| *due < until) {
             self.now = self.now.max(due);
             self.core.process(self.now, &mut Vec::new(), &mut out);
         }
         self.now = until;
-        self.core.process(self.now, &mut news, &mut out);
+        self.core.process(self.now, &mut inputs, &mut out);
         out
     }
 
@@ -80,8 +81,8 @@
         self.turn(0, vec![Input::EndpointList(["w1", "w2", "w3"].map(entry).into())])
     }
 
-    fn fresh(&mut self, record: ClusterState) -> Vec<Command> {
-        let view = Arc::new(record.view);
+    fn set_cluster_state(&mut self, state: ClusterState) -> Vec<Command> {
+        let view = Arc::new(state.view);
         self.turn(
             0,
             vec![Input::ClusterStatus(ClusterStatus {
@@ -112,8 +113,8 @@
         self.turn(0, vec![Input::Call(arrival)])
     }
 
-    /// As many calls of nobody with a reservation as wait at once.
-    fn waiting(&mut self) -> u64 {
+    /// Sends calls of a tenant without a reservation, and returns how many are unanswered.
+    fn fill_waiting(&mut self) -> u64 {
         let before = self.next;
         while self.next < before + 20 {
             assert!(answers(&self.call(OTHER, "rare")).is_empty());
@@ -123,11 +124,11 @@
 }
 
 #[test]
-fn a_single_front_end_that_fell_holds_nobody_up_in_a_warm_fleet() {
-    for heard in [true, false] {
+fn a_single_front_end_that_crashed_delays_no_calls_in_a_warm_fleet() {
+    for has_status in [true, false] {
         let mut front = Front::new(Some(true));
-        if heard {
-            front.fresh(ClusterState::default());
+        if has_status {
+            front.set_cluster_state(ClusterState::default());
         }
         front.list(OLD);
         assert_eq!(front.core.recovery_phase(), Some(RecoveryPhase::Serving));
@@ -135,14 +136,14 @@
             assert_eq!(attempts(&front.call(tenant, "free")).len(), 1);
         }
     }
-    // One old worker among new ones is a fleet that still stands, also where it is listed later.
-    let mut front = Front::lost();
+    // One old worker among new ones shows that the fleet was not lost, even if it is listed later.
+    let mut front = Front::after_loss();
     front.list(OLD);
     assert_eq!(front.core.recovery_phase(), Some(RecoveryPhase::Serving));
 }
 
 #[test]
-fn without_stages_after_an_orderly_end_and_in_a_warm_fleet_the_same_is_done() {
+fn no_phases_a_clean_shutdown_and_a_warm_fleet_give_the_same_result() {
     let script = |mut front: Front, started: Micros| {
         let mut all = front.list(started);
         for n in 0..40 {
@@ -154,39 +155,39 @@
         all.extend(front.turn(5 * S, Vec::new()));
         (format!("{all:?}"), front.core.counters.served)
     };
-    let off = script(Front::new(None), START);
-    assert!(off.1 > 5);
-    assert_eq!(script(Front::new(Some(false)), START).0, off.0);
+    let without_phases = script(Front::new(None), START);
+    assert!(without_phases.1 > 5);
+    assert_eq!(script(Front::new(Some(false)), START).0, without_phases.0);
     assert_eq!(script(Front::new(Some(true)), OLD).0, script(Front::new(None), OLD).0);
-    // After a loss it is not the same.
-    assert_ne!(script(Front::new(Some(true)), START).0, off.0);
+    // After a loss the result differs.
+    assert_ne!(script(Front::new(Some(true)), START).0, without_phases.0);
 }
 
 #[test]
-fn after_a_loss_reservations_go_in_and_others_wait_and_are_answered_in_time() {
-    let mut front = Front::lost();
-    // Cold workers are sent little or nothing at once, but the call is in the module's hands.
+fn after_a_loss_reserved_calls_are_admitted_and_others_wait_and_are_answered_in_time() {
+    let mut front = Front::after_loss();
+    // Cold workers get few or no attempts at once, but the call was passed to the decision module.
     front.call(CLINIC, "free");
     let taken = front.core.counters.taken;
     assert_eq!(taken, 1);
-    // Of another function than the pool's, the same tenant has no reservation.
+    // The same tenant has no reservation for a function outside the pool.
     front.call(CLINIC, "rare");
-    front.waiting();
+    front.fill_waiting();
     let waiting = front.core.unanswered() as u64;
     assert!(front.core.counters.taken < 6, "{:?}", front.core.counters);
-    let mut told = Vec::new();
+    let mut answered = Vec::new();
     let begin = front.now;
     while front.core.unanswered() > 0 && front.now < begin + 10 * S {
-        told.extend(answers(&front.turn(10 * MS, Vec::new())));
+        answered.extend(answers(&front.turn(10 * MS, Vec::new())));
     }
     assert!(front.now <= begin + 2500 * MS, "answered after {} ms", (front.now - begin) / MS);
-    assert_eq!(told.len() as u64, waiting);
-    assert!(told.iter().filter(|a| a.2 == "fleet-starting").count() > 5, "{told:?}");
+    assert_eq!(answered.len() as u64, waiting);
+    assert!(answered.iter().filter(|a| a.2 == "fleet-starting").count() > 5, "{answered:?}");
 }
 
 #[test]
-fn warm_answers_open_it_before_any_limit() {
-    let mut front = Front::lost();
+fn warm_answers_end_recovery_before_any_limit() {
+    let mut front = Front::after_loss();
     let mut served = 0;
     for step in 0..100 {
         if front.core.recovery_phase() == Some(RecoveryPhase::Serving) {
@@ -196,18 +197,18 @@
         for _ in 0..5 {
             let mut out = front.call(CLINIC, "free");
             out.extend(front.turn(20 * MS, Vec::new()));
-            let news: Vec<Input> = attempts(&out).iter().map(|a| ended(a, Outcome::Ok)).collect();
-            served += news.len();
-            front.turn(20 * MS, news);
+            let inputs: Vec<Input> = attempts(&out).iter().map(|a| ended(a, Outcome::Ok)).collect();
+            served += inputs.len();
+            front.turn(20 * MS, inputs);
         }
     }
-    panic!("not open after 20 s with {served} served");
+    panic!("recovery not over after 20 s with {served} served");
 }
 
 #[test]
-fn who_waits_may_leave_and_is_told_of_a_tombstone() {
-    let mut front = Front::lost();
-    let waiting = front.waiting();
+fn waiting_callers_may_leave_and_waiting_calls_are_rejected_by_a_tombstone() {
+    let mut front = Front::after_loss();
+    let waiting = front.fill_waiting();
     let taken = front.core.counters.taken;
     let gone: Vec<Input> = (1..=front.next / 2).map(Input::ClientGone).collect();
     let left = gone.len() as u64;
@@ -216,35 +217,35 @@
     let mut record = ClusterState::default();
     record.apply(1, &retire("rare", 1));
     record.apply(2, &in_force("rare", 1));
-    let told = answers(&front.fresh(record));
-    assert_eq!((told.len() as u64, front.core.unanswered()), (waiting - left, 0));
-    assert!(told.iter().all(|a| a.2 == "retired") && taken < 5, "{told:?}");
+    let answered = answers(&front.set_cluster_state(record));
+    assert_eq!((answered.len() as u64, front.core.unanswered()), (waiting - left, 0));
+    assert!(answered.iter().all(|a| a.2 == "retired") && taken < 5, "{answered:?}");
     assert_eq!(front.core.session_report().unwrap().confirmed, 2);
 }
 
 #[test]
-fn a_lone_survivor_without_workers_or_keepers_is_open_after_the_limits() {
+fn a_single_front_end_without_workers_or_replicas_ends_recovery_after_the_limits() {
     let mut front = Front::new(Some(true));
     front.turn(0, vec![Input::EndpointList(Vec::new())]);
     assert_eq!(front.core.recovery_phase(), Some(RecoveryPhase::ResolvingInDoubt));
-    let mut stages = Vec::new();
+    let mut phases = Vec::new();
     for tenth in 1..600 {
         front.turn(100 * MS, Vec::new());
-        if stages.last() != Some(&front.core.recovery_phase()) {
-            stages.push(front.core.recovery_phase());
-            if stages.len() == 3 {
-                assert!((400..=440).contains(&tenth), "open after {tenth} tenths of a second");
+        if phases.last() != Some(&front.core.recovery_phase()) {
+            phases.push(front.core.recovery_phase());
+            if phases.len() == 3 {
+                assert!((400..=440).contains(&tenth), "recovery over after {tenth} tenths of a second");
             }
         }
     }
     assert_eq!(
-        stages,
+        phases,
         [RecoveryPhase::ResolvingInDoubt, RecoveryPhase::Ramping, RecoveryPhase::Serving].map(Some)
     );
 }
 
 #[test]
-fn a_run_that_does_not_end_in_order_is_known_by_the_next() {
+fn an_unclean_shutdown_is_detected_by_the_next_run() {
     let folder = tempfile::tempdir().unwrap();
     let mut config = config("recover");
     config.fleet.as_mut().unwrap().folder = Some(folder.path().join("of").display().to_string());
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -1,4 +1,5 @@
-//! A front, the emulator broker and a caller without sockets: bytes are carried by the test, which cuts them where it likes.
+//! Test harness of an AMQP front, the emulator broker and a caller without sockets. The test transfers the bytes between them and
+//! can cut the connection at any point.
 #![allow(dead_code, unused_imports)]
 
 pub use bytes::Bytes;
@@ -29,7 +30,7 @@
     pub number: u64,
     pub channel: u16,
     pub answers: Vec<(String, String, String)>,
-    /// Of each answer.
+    /// The headers of each answer.
     pub headers: Vec<FieldTable>,
 }
 
@@ -77,7 +78,7 @@
         assert!(self.front.is_ready());
     }
 
-    /// The front's socket breaks with all that is under way.
+    /// Breaks the front's connection and drops everything in flight on it.
     pub fn cut(&mut self) {
         if let Some(number) = self.front_at.take() {
             self.broker.disconnect(number, self.now);
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Carries bytes until nothing moves.
+    /// Transfers bytes until nothing is pending.
     pub fn settle(&mut self) {
         for _ in 0..50 {
             self.now += 1000;
@@ -123,7 +124,7 @@
                 return;
             }
         }
-        panic!("bytes go on moving");
+        panic!("bytes are still pending after 50 rounds");
     }
 
     pub fn push_front(&mut self) -> bool {
@@ -156,7 +157,7 @@
         self.settle();
     }
 
-    /// The caller publishes; no byte is carried yet.
+    /// Publishes a call without transferring any bytes yet.
     pub fn send(
         &mut self,
         id: &str,
