--- a/crates/gateway/src/state/core/answers.rs
+++ b/crates/gateway/src/state/core/answers.rs
@@ -44,7 +44,7 @@
             Some(Outcome::Miss) => "not-loaded-in-time",
             _ if self.endpoints.ready_count() == 0 => "no-workers",
             _ if now > self.list_valid_until => LIST_OLD,
-            _ if now >= call.deadline - (call.deadline - call.taken) / 4 => "held-until-too-late",
+            _ if now >= call.deadline - (call.deadline - call.accepted_at) / 4 => "held-until-too-late",
             _ => "can-not-finish-in-time",
         }
     }
@@ -66,9 +66,9 @@
             _ => self.counters.refused += 1,
         }
         call.span.in_scope(|| {
-            tracing::debug!(outcome = outcome, reason, took_us = now - call.taken, "answered");
+            tracing::debug!(outcome = outcome, reason, took_us = now - call.accepted_at, "answered");
         });
-        commands.push(Command::Answer { ticket: call.ticket, answer, elapsed: now - call.taken });
+        commands.push(Command::Answer { ticket: call.ticket, answer, elapsed: now - call.accepted_at });
         self.record_call_end(request, now, false);
         self.close_call(request);
     }
--- a/crates/gateway/src/state/core/calls.rs
+++ b/crates/gateway/src/state/core/calls.rs
@@ -59,7 +59,7 @@
     ) {
         let ticket = arrival.ticket;
         let request = self.request(&arrival, function, now);
-        let (id, taken, deadline) = (request.id, request.accepted_at, now + request.budget);
+        let (id, accepted_at, deadline) = (request.id, request.accepted_at, now + request.budget);
         let mut entry = Entry::Free;
         if let Some(pool_admission) = self.pool_admission.as_mut() {
             entry = pool_admission.enter(&request, &arrival.function, deadline, now);
@@ -92,7 +92,7 @@
             ticket,
             arrival,
             class: function.class,
-            taken,
+            accepted_at,
             deadline,
             attempts: Vec::new(),
             last_outcome: None,
@@ -251,7 +251,8 @@
         commands: &mut Vec<Command>,
     ) {
         let Some(call) = self.calls.get(&request) else { return };
-        let (ticket, elapsed, function) = (call.ticket, now - call.taken, call.arrival.function.clone());
+        let (ticket, elapsed, function) =
+            (call.ticket, now - call.accepted_at, call.arrival.function.clone());
         call.span.in_scope(|| tracing::debug!(outcome = "served", took_us = elapsed, "answered"));
         self.counters.served += 1;
         self.record_call_end(request, now, true);
--- a/crates/gateway/src/state/core/execute.rs
+++ b/crates/gateway/src/state/core/execute.rs
@@ -135,7 +135,9 @@
         self.counters.attempts += 1;
         self.counters.retries += u64::from(attempt > 0);
         let name = self.endpoints.name(worker).unwrap_or("?");
-        call.span.in_scope(|| tracing::debug!(attempt, worker = name, held_us = now - call.taken, "attempt"));
+        call.span.in_scope(|| {
+            tracing::debug!(attempt, worker = name, held_us = now - call.accepted_at, "attempt")
+        });
         commands.push(Command::Attempt(Attempt {
             request,
             attempt,
--- a/crates/gateway/src/state/core/mod.rs
+++ b/crates/gateway/src/state/core/mod.rs
@@ -30,7 +30,7 @@
     ticket: Ticket,
     arrival: Arrival,
     class: u16,
-    taken: Micros,
+    accepted_at: Micros,
     deadline: Micros,
     attempts: Vec<Option<AttemptInFlight>>,
     /// Outcome of the last attempt, from which the reason of a refusal or failure is derived.
--- a/crates/gateway/src/state/core/pools.rs
+++ b/crates/gateway/src/state/core/pools.rs
@@ -27,7 +27,7 @@
                 PoolDecision::Admitted(request, permit) => {
                     let Some(call) = self.calls.get_mut(&request.id) else { continue };
                     call.permit = Some(permit);
-                    let waited = now - call.taken;
+                    let waited = now - call.accepted_at;
                     call.span.in_scope(|| tracing::debug!(waited_us = waited, "permit granted"));
                     self.new_calls.push(request.id);
                     self.events.push(Event::Request(request));
--- a/crates/gateway/src/state/core/recovery.rs
+++ b/crates/gateway/src/state/core/recovery.rs
@@ -97,6 +97,6 @@
         let (Some(recovery), Some(call)) = (self.recovery.as_mut(), self.calls.get(&request)) else { return };
         let latency_objective =
             self.settings.settings.classes.get(usize::from(call.class)).map_or(0, |c| c.latency_objective);
-        recovery.ended(served && now - call.taken <= latency_objective, now);
+        recovery.ended(served && now - call.accepted_at <= latency_objective, now);
     }
 }
--- a/crates/gateway/src/transport.rs
+++ b/crates/gateway/src/transport.rs
@@ -122,7 +122,7 @@
                     recorder.worker_draining(worker, since);
                 }
             }
-            Command::HealthCheck { worker, address } => self.workers.probe(worker, address),
+            Command::HealthCheck { worker, address } => self.workers.health_check(worker, address),
             Command::Load { worker, address, function, name, copies, .. } => {
                 self.workers.load((worker, address), (function, &name), copies)
             }
--- a/crates/gateway/src/workers/meaning.rs
+++ b/crates/gateway/src/workers/http_response.rs
@@ -34,7 +34,7 @@
 }
 
 /// Returns the headers' report on the copy that served the call.
-pub fn note(headers: &HeaderMap) -> CopyReport {
+pub fn copy_report(headers: &HeaderMap) -> CopyReport {
     let copy_state = match text(headers, COPY) {
         Some("warm") => 1,
         Some("began") => 2,
@@ -47,7 +47,7 @@
 }
 
 /// Returns whether the worker announced that it is draining (true) or serving (false).
-pub fn draining(headers: &HeaderMap) -> Option<bool> {
+pub fn announced_draining(headers: &HeaderMap) -> Option<bool> {
     match text(headers, WORKER) {
         Some("draining") => Some(true),
         Some("serving") => Some(false),
@@ -60,7 +60,7 @@
 
 /// Parses an ORCA load report in its `JSON` or `TEXT` format_name into the values of `fields`. `busy` is `cpu_utilization`; every other
 /// name is looked up in `named_metrics`, then among the report's own fields. A missing value is 0.
-pub fn report(headers: &HeaderMap, fields: &[String]) -> LoadReport {
+pub fn load_report(headers: &HeaderMap, fields: &[String]) -> LoadReport {
     let line = text(headers, LOAD_METRICS)?;
     let (format_name, payload) = line.split_once(' ')?;
     let value: Lookup = match format_name {
@@ -93,14 +93,19 @@
 }
 
 /// Returns the result of an attempt from its complete response.
-pub fn result(status: StatusCode, headers: &HeaderMap, body: Bytes, fields: &[String]) -> AttemptResult {
+pub fn attempt_result(
+    status: StatusCode,
+    headers: &HeaderMap,
+    body: Bytes,
+    fields: &[String],
+) -> AttemptResult {
     AttemptResult {
         read_at: 0,
         outcome: outcome(status, headers),
-        copy: note(headers),
-        report: report(headers, fields),
+        copy: copy_report(headers),
+        report: load_report(headers, fields),
         body,
         content_type: headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok()).map(str::to_string),
-        draining: draining(headers),
+        draining: announced_draining(headers),
     }
 }
--- a/crates/gateway/src/workers/mod.rs
+++ b/crates/gateway/src/workers/mod.rs
@@ -14,7 +14,7 @@
 //! request is resent without a decision of the decision module.
 
 mod exchange;
-pub mod meaning;
+pub mod http_response;
 mod paths;
 mod pool;
 
--- a/crates/gateway/src/workers/pool.rs
+++ b/crates/gateway/src/workers/pool.rs
@@ -2,7 +2,7 @@
 //! closes its connection.
 
 use super::exchange::{exchange, get, post, put_back, ExchangeError, Pools};
-use super::meaning;
+use super::http_response;
 use super::paths::{model, repository};
 use crate::clock::Clock;
 use crate::fleet::EgressCheck;
@@ -20,7 +20,7 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-type Running = Rc<RefCell<HashMap<(RequestId, u16), AbortHandle>>>;
+type RunningAttempts = Rc<RefCell<HashMap<(RequestId, u16), AbortHandle>>>;
 
 /// The connections of one front end to its workers.
 pub struct Workers {
@@ -28,7 +28,7 @@
     clock: Clock,
     pools: Pools,
     addresses: RefCell<HashMap<WorkerId, Rc<str>>>,
-    running: Running,
+    running: RunningAttempts,
     egress: Option<EgressCheck>,
     inputs: mpsc::Sender<Input>,
 }
@@ -54,7 +54,7 @@
             .method(Method::POST)
             .uri(&*path)
             .header(HOST, &*attempt.address)
-            .header(meaning::LOAD_METRICS_FORMAT, "TEXT");
+            .header(http_response::LOAD_METRICS_FORMAT, "TEXT");
         if let Some(kind) = &attempt.content_type {
             request = request.header(CONTENT_TYPE, kind);
         }
@@ -76,9 +76,10 @@
             let exchanged =
                 exchange((&config, &pools), &attempt.address, request, config.body_most, &may_send).await;
             let (result, reusable) = match exchanged {
-                Ok((status, headers, body, connection)) => {
-                    (meaning::result(status, &headers, body, &config.report_fields), Some(connection))
-                }
+                Ok((status, headers, body, connection)) => (
+                    http_response::attempt_result(status, &headers, body, &config.report_fields),
+                    Some(connection),
+                ),
                 Err(error) => {
                     let outcome = match error {
                         ExchangeError::Unsent => Outcome::ConnectFailed,
@@ -153,11 +154,11 @@
     }
 
     /// Sends a health check that also asks for a load report; the response is reported as [`Input::HealthChecked`].
-    pub fn probe(&self, worker: WorkerId, address: Rc<str>) {
+    pub fn health_check(&self, worker: WorkerId, address: Rc<str>) {
         let sent = self.clock.now();
         let mut request = get("/v2/health/ready".into(), &address);
         let json = hyper::header::HeaderValue::from_static("JSON");
-        request.headers_mut().insert(meaning::LOAD_METRICS_FORMAT, json);
+        request.headers_mut().insert(http_response::LOAD_METRICS_FORMAT, json);
         let fields = self.config.report_fields.clone();
         let timeout = Duration::from_micros(self.config.connect_timeout as u64) + Duration::from_secs(1);
         self.spawn_exchange(
@@ -170,9 +171,9 @@
                     Ok((status, headers, _)) => Input::HealthChecked {
                         worker,
                         sent,
-                        outcome: meaning::outcome(status, &headers),
-                        report: meaning::report(&headers, &fields),
-                        draining: meaning::draining(&headers),
+                        outcome: http_response::outcome(status, &headers),
+                        report: http_response::load_report(&headers, &fields),
+                        draining: http_response::announced_draining(&headers),
                     },
                     Err(outcome) => {
                         Input::HealthChecked { worker, sent, outcome, report: None, draining: None }
@@ -205,7 +206,7 @@
                 Ok((status, headers, body)) => {
                     let json: Option<serde_json::Value> = serde_json::from_slice(&body).ok();
                     let loaded = json.and_then(|j| j.get("copies")?.as_u64());
-                    let outcome = match meaning::outcome(status, &headers) {
+                    let outcome = match http_response::outcome(status, &headers) {
                         Outcome::Miss if copies == 0 => Outcome::Ok,
                         other => other,
                     };
--- a/crates/gateway/tests/lists.rs
+++ b/crates/gateway/tests/lists.rs
@@ -4,7 +4,7 @@
 use hyper::StatusCode;
 use stagehoist::Outcome;
 use stagehoist_gateway::discovery::{consul, file};
-use stagehoist_gateway::workers::meaning;
+use stagehoist_gateway::workers::http_response;
 
 fn headers(pairs: &[(&'static str, &'static str)]) -> HeaderMap {
     let pair =
@@ -63,9 +63,9 @@
         (404, Some("not-loaded"), Outcome::Miss),
         (503, Some("something-else"), Outcome::Error),
     ] {
-        let headers = header.map_or(HeaderMap::new(), |value| headers(&[(meaning::NOT_RUN, value)]));
+        let headers = header.map_or(HeaderMap::new(), |value| headers(&[(http_response::NOT_RUN, value)]));
         assert_eq!(
-            meaning::outcome(StatusCode::from_u16(status).unwrap(), &headers),
+            http_response::outcome(StatusCode::from_u16(status).unwrap(), &headers),
             outcome,
             "{status} {header:?}"
         );
@@ -78,13 +78,21 @@
     let json = "JSON {\"cpu_utilization\": 0.25, \"named_metrics\": {\"inflight\": 7, \"memory\": 0.5}}";
     let text = "TEXT cpu_utilization=0.25, named_metrics.inflight=7,named_metrics.memory=0.5";
     for line in [json, text] {
-        let report = meaning::report(&headers(&[(meaning::LOAD_METRICS, line)]), &fields);
+        let report = http_response::load_report(&headers(&[(http_response::LOAD_METRICS, line)]), &fields);
         assert_eq!(report, Some([0.25, 7.0, 0.5, 0.0]), "{line}");
     }
     for bad in ["JSON {", "BIN AAAA", "TEXT"] {
-        assert_eq!(meaning::report(&headers(&[(meaning::LOAD_METRICS, bad)]), &fields), None, "{bad}");
+        assert_eq!(
+            http_response::load_report(&headers(&[(http_response::LOAD_METRICS, bad)]), &fields),
+            None,
+            "{bad}"
+        );
     }
-    let note = meaning::note(&headers(&[(meaning::COPY, "began"), (meaning::CROWD, "4")]));
-    assert_eq!((note.state, note.concurrency), (2, 4));
-    assert_eq!(meaning::draining(&headers(&[(meaning::WORKER, "draining")])), Some(true));
+    let copy =
+        http_response::copy_report(&headers(&[(http_response::COPY, "began"), (http_response::CROWD, "4")]));
+    assert_eq!((copy.state, copy.concurrency), (2, 4));
+    assert_eq!(
+        http_response::announced_draining(&headers(&[(http_response::WORKER, "draining")])),
+        Some(true)
+    );
 }
