--- a/crates/gateway/src/discovery/front_ends.rs
+++ b/crates/gateway/src/discovery/front_ends.rs
@@ -45,7 +45,7 @@
 
 /// Parses the body of a response. A front end with a critical check or in maintenance mode is left out, because it should get no
 /// more calls. A front end without a generation tag is left out too, because others can't rely on it to serve a division.
-pub fn of_body(body: &[u8]) -> Result<Vec<Entry>, serde_json::Error> {
+pub fn parse_body(body: &[u8]) -> Result<Vec<Entry>, serde_json::Error> {
     let rows: Vec<Row> = serde_json::from_slice(body)?;
     let entry = |row: Row| {
         if row.checks.iter().any(consul::Check::is_critical) {
@@ -63,7 +63,7 @@
 }
 
 /// Parses a file. The error contains the number of the first malformed line and what is wrong with it.
-pub fn of_text(text: &str) -> Result<Vec<Entry>, (usize, String)> {
+pub fn parse_text(text: &str) -> Result<Vec<Entry>, (usize, String)> {
     let mut entries = Vec::new();
     for (number, line) in text.lines().enumerate() {
         let words: Vec<&str> = line.split('#').next().unwrap_or("").split_whitespace().collect();
@@ -94,8 +94,8 @@
 
 const FRONT_ENDS: ListKind = ListKind {
     what: "front ends",
-    parse_body: |body| of_body(body).map(|list| Input::FrontEndList(Some(list))),
-    parse_text: |text| of_text(text).map(|list| Input::FrontEndList(Some(list))),
+    parse_body: |body| parse_body(body).map(|list| Input::FrontEndList(Some(list))),
+    parse_text: |text| parse_text(text).map(|list| Input::FrontEndList(Some(list))),
     failure: || Input::FrontEndList(None),
 };
 
--- a/crates/gateway/tests/shards_list.rs
+++ b/crates/gateway/tests/shards_list.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use stagehoist_gateway::discovery::front_ends::{of_body, of_text, Entry};
+use stagehoist_gateway::discovery::front_ends::{parse_body, parse_text, Entry};
 use stagehoist_gateway::shards::{own, OwnedShards, Ownership};
 use stagehoist_sharding::{ranked, Shard, MAX_MEMBERS};
 use std::collections::{BTreeMap, BTreeSet};
@@ -200,10 +200,10 @@
       {"Service":{"ID":"e","Tags":["generation-7"]}}
     ]"#;
     let e = |name: &str, zone: &str, serves| Entry { name: name.into(), zone: zone.into(), serves };
-    assert_eq!(of_body(body.as_bytes()).unwrap(), [e("a", "north", (7, 8)), e("e", "", (7, 7))]);
-    assert!(of_body(b"{}").is_err());
+    assert_eq!(parse_body(body.as_bytes()).unwrap(), [e("a", "north", (7, 8)), e("e", "", (7, 7))]);
+    assert!(parse_body(b"{}").is_err());
     let text = "# all\na generations 7-8 zone north # one\n\nb zone south generations 7\n";
-    assert_eq!(of_text(text).unwrap(), [e("a", "north", (7, 8)), e("b", "south", (7, 7))]);
+    assert_eq!(parse_text(text).unwrap(), [e("a", "north", (7, 8)), e("b", "south", (7, 7))]);
     for (bad, line) in [
         ("a", 1),
         ("a zone north", 1),
@@ -212,6 +212,6 @@
         ("a generations x", 1),
         ("a generations 7 port 3", 1),
     ] {
-        assert_eq!(of_text(bad).unwrap_err().0, line, "{bad}");
+        assert_eq!(parse_text(bad).unwrap_err().0, line, "{bad}");
     }
 }
