--- a/crates/gateway/src/discovery/front_ends.rs
+++ b/crates/gateway/src/discovery/front_ends.rs
@@ -100,7 +100,7 @@
 };
 
 /// Watches the list of front ends until `commands` is closed; returns at once if no list is configured.
-pub async fn follow(
+pub async fn watch(
     config: Rc<Config>,
     seed: u64,
     clock: Clock,
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -39,7 +39,7 @@
 
 /// Watches the endpoint list until the driver ends. With `list-subscribe no` in the configuration, the watch begins at once;
 /// otherwise it begins with [`DiscoveryCommand::Subscribe`].
-pub async fn follow(
+pub async fn watch(
     config: Rc<Config>,
     seed: u64,
     clock: Clock,
--- a/crates/gateway/src/transport.rs
+++ b/crates/gateway/src/transport.rs
@@ -69,14 +69,14 @@
             link.await;
         });
         let (_to_front_ends, front_end_list_commands) = mpsc::unbounded_channel();
-        tasks.spawn_local(discovery::front_ends::follow(
+        tasks.spawn_local(discovery::front_ends::watch(
             config.clone(),
             seed,
             clock,
             inputs.clone(),
             front_end_list_commands,
         ));
-        tasks.spawn_local(discovery::follow(config.clone(), seed, clock, inputs, list_commands));
+        tasks.spawn_local(discovery::watch(config.clone(), seed, clock, inputs, list_commands));
         let gauges = Gauges::new(number);
         AmqpTransport {
             workers,
--- a/crates/gateway/tests/crossings_lists.rs
+++ b/crates/gateway/tests/crossings_lists.rs
@@ -84,7 +84,7 @@
         let (sender, mut inputs) = mpsc::channel(8);
         let (_command_sender, commands) = mpsc::unbounded_channel();
         let config = config(&format!("consul {address} service s wait 1s"));
-        let watch = tokio::task::spawn_local(discovery::follow(config, 1, Clock::new(), sender, commands));
+        let watch = tokio::task::spawn_local(discovery::watch(config, 1, Clock::new(), sender, commands));
         assert_eq!(names(&mut inputs).await, Some(vec!["w1".to_string()]));
         assert_eq!(names(&mut inputs).await, None, "cut off");
         assert_eq!(names(&mut inputs).await, Some(vec!["w2".to_string()]));
@@ -115,7 +115,7 @@
         let (sender, mut inputs) = mpsc::channel(8);
         let (_command_sender, commands) = mpsc::unbounded_channel();
         let config = config(&format!("file {} poll 20ms", path.display()));
-        let watch = tokio::task::spawn_local(discovery::follow(config, 1, Clock::new(), sender, commands));
+        let watch = tokio::task::spawn_local(discovery::watch(config, 1, Clock::new(), sender, commands));
         for _ in 0..2 {
             assert_eq!(names(&mut inputs).await, Some(vec!["w1".to_string()]));
             put("w1\n");
--- a/crates/gateway/tests/shards_follow.rs
+++ b/crates/gateway/tests/shards_follow.rs
@@ -3,7 +3,7 @@
 use stagehoist_config::{parse, Config};
 use stagehoist_emulator::list::{Listed, Registry};
 use stagehoist_gateway::clock::Clock;
-use stagehoist_gateway::discovery::front_ends::follow;
+use stagehoist_gateway::discovery::front_ends::watch;
 use stagehoist_gateway::state::Input;
 use std::rc::Rc;
 use std::time::Duration;
@@ -43,7 +43,7 @@
         let (news, mut told) = mpsc::channel(64);
         let (_asks, asked) = mpsc::unbounded_channel();
         let config = config(&format!("file {} poll 10ms", path.display()));
-        tokio::task::spawn_local(follow(config, 1, Clock::new(), news, asked));
+        tokio::task::spawn_local(watch(config, 1, Clock::new(), news, asked));
         assert_eq!(next(&mut told).await, Some(vec!["a".to_string()]));
         std::fs::write(&path, "a generations\n").unwrap();
         assert_eq!(next(&mut told).await, None);
@@ -70,7 +70,7 @@
         let (news, mut told) = mpsc::channel(64);
         let (_asks, asked) = mpsc::unbounded_channel();
         let config = config(&format!("consul http://{address} wait 30s pause 10ms"));
-        tokio::task::spawn_local(follow(config, 1, Clock::new(), news, asked));
+        tokio::task::spawn_local(watch(config, 1, Clock::new(), news, asked));
         assert_eq!(next(&mut told).await, Some(vec!["a".to_string()]));
         registry.set_failing(true);
         assert_eq!(next(&mut told).await, None);
