--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -181,7 +181,7 @@
                 input = self.inquiries.next(), if self.inquiries.are_on() => {
                     self.inquiries.take(input, &mut self.front, self.clock);
                 }
-                () = socket.alarm.rings() => {
+                () = socket.alarm.wait() => {
                     let now = self.clock.now();
                     socket.observe(now);
                     self.front.tick(now);
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -61,7 +61,7 @@
     }
 
     /// Waits for the time that was set; returns at once if it has passed.
-    pub async fn rings(&mut self) {
+    pub async fn wait(&mut self) {
         self.sleep.as_mut().await;
     }
 }
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -218,7 +218,7 @@
                 self.gather();
                 true
             }
-            () = self.alarm.rings(), if due.is_some() => {
+            () = self.alarm.wait(), if due.is_some() => {
                 self.gather_after_stall(due).await;
                 true
             }
--- a/crates/gateway/src/intent_recorder.rs
+++ b/crates/gateway/src/intent_recorder.rs
@@ -193,7 +193,7 @@
                     out.extend(recorder_task.gate.on_recorded(intent.number, on_disk, clock.now()));
                 }
             }
-            () = alarm.rings(), if due.is_some() => {
+            () = alarm.wait(), if due.is_some() => {
                 let late = recorder_task.gate.take_late(clock.now()).into_iter();
                 out.extend(late.map(|(id, attempt, why)| (id, GateDecision::Unsent(attempt, why))));
             }
