--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -89,7 +89,7 @@
             tokio::select! {
                 _ = terminate.recv() => return false,
                 _ = interrupt.recv() => return false,
-                _ = look.tick() => if running.is_broken() {
+                _ = look.tick() => if running.has_unexpected_exit() {
                     return true;
                 },
             }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -187,7 +187,7 @@
     }
 
     /// Returns whether a thread ended although no drain was ordered.
-    pub fn is_broken(&self) -> bool {
+    pub fn has_unexpected_exit(&self) -> bool {
         !*self.drain.borrow() && self.threads.iter().any(JoinHandle::is_finished)
     }
 
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -52,7 +52,7 @@
     .unwrap();
     let running = serve(&config, None).unwrap();
     wait_ready(&running, true);
-    assert!(!running.is_broken());
+    assert!(!running.has_unexpected_exit());
     // All connections are closed; the front ends reconnect by themselves.
     handle.fault(Faults::Drop { queue: "calls".into() });
     std::thread::sleep(Duration::from_millis(400));
