--- a/crates/scale-tests/src/traces/core.rs
+++ b/crates/scale-tests/src/traces/core.rs
@@ -96,7 +96,7 @@
         let gauges = Gauges::new(0);
         let core = run(n, |_, command| {
             if let Command::Answer { answer, elapsed: took, .. } = command {
-                gauges.answered(answer, *took);
+                gauges.record_answer(answer, *took);
             }
         });
         gauges.publish(&core, &LinkState::default());
