--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -54,7 +54,7 @@
         Running { drain, threads: Vec::new(), stores: Vec::new(), states: Vec::new(), metrics: None };
     let mut sessions = sessions.into_iter();
     for number in 0..config.front_ends {
-        let config = shards::own(config.clone(), number);
+        let config = shards::front_end_config(config.clone(), number);
         let mut session = sessions.next().flatten();
         let peers = session.as_mut().and_then(|session| session.inquiry.take());
         let log = open_intent_log(&config, number)?.map(|(log, store)| {
--- a/crates/gateway/src/shards.rs
+++ b/crates/gateway/src/shards.rs
@@ -29,7 +29,7 @@
 }
 
 /// Returns the configuration of one front end of the process, with the queues of its shards and its number within the fleet.
-pub fn own(mut config: Config, number: u32) -> Config {
+pub fn front_end_config(mut config: Config, number: u32) -> Config {
     let Some(sharding) = config.sharding.as_mut() else { return config };
     sharding.first += number;
     if config.front_ends_list.is_some() {
--- a/crates/gateway/tests/shards.rs
+++ b/crates/gateway/tests/shards.rs
@@ -7,7 +7,7 @@
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle, WorkerId};
 use stagehoist_config::Consume;
 use stagehoist_endpoints::Update;
-use stagehoist_gateway::shards::{own, queue, Places, Shards};
+use stagehoist_gateway::shards::{front_end_config, queue, Places, Shards};
 use stagehoist_gateway::state::{AttemptResult, Core, CoreSettings, FunctionProperties, Input};
 use stagehoist_sharding::{FunctionPlacement, HomeShards, Key, Shard};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
 
 /// The configuration of the front end with this number.
 fn of(more: &str, number: u32) -> Config {
-    own(Config::clone(&config(more)), number)
+    front_end_config(Config::clone(&config(more)), number)
 }
 
 /// A function of the test's class whose place at the first front end is as wanted.
@@ -41,7 +41,7 @@
     assert_eq!(consumers.into_iter().collect::<Vec<_>>(), all);
     assert_eq!(queue("calls", 7, 3), "calls.division-7.shard-3");
     let alone = config("fleet-front-ends 4\n");
-    assert_eq!(own(Config::clone(&alone), 3), *alone);
+    assert_eq!(front_end_config(Config::clone(&alone), 3), *alone);
     assert!(Shards::new(&alone).is_none() && Places::new(&alone).is_none());
     assert_eq!(CoreSettings::from(&*alone).settings, alone.settings());
 }
--- a/crates/gateway/tests/shards_home.rs
+++ b/crates/gateway/tests/shards_home.rs
@@ -4,7 +4,7 @@
 
 use stagehoist_amqp::header_int;
 use stagehoist_config::Consume;
-use stagehoist_gateway::shards::{own, queue, Places};
+use stagehoist_gateway::shards::{front_end_config, queue, Places};
 use stagehoist_sharding::{FunctionPlacement, HomeShards, Key};
 use std::collections::{BTreeMap, BTreeSet};
 use world::{config, Config, FieldTable, World};
@@ -12,7 +12,7 @@
 const FOUR: &str = "fleet-front-ends 4\nshards 4 generation 7\nfunction f* class record memory 64MB\n";
 
 fn of(more: &str, number: u32) -> Config {
-    own(Config::clone(&config(more)), number)
+    front_end_config(Config::clone(&config(more)), number)
 }
 
 /// A function whose place at the first front end is as wanted.
--- a/crates/gateway/tests/shards_list.rs
+++ b/crates/gateway/tests/shards_list.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use stagehoist_gateway::discovery::front_ends::{parse_body, parse_text, Entry};
-use stagehoist_gateway::shards::{own, OwnedShards, Ownership};
+use stagehoist_gateway::shards::{front_end_config, OwnedShards, Ownership};
 use stagehoist_sharding::{ranked, Shard, MAX_MEMBERS};
 use std::collections::{BTreeMap, BTreeSet};
 use world::*;
@@ -31,7 +31,7 @@
          shard-front-ends-list file front-ends.list\n",
         zone(number)
     );
-    own(Config::clone(&config(&text)), number)
+    front_end_config(Config::clone(&config(&text)), number)
 }
 
 fn ownership(number: u32, fleet: u32, shards: u32) -> Ownership {
--- a/crates/gateway/tests/shards_queues.rs
+++ b/crates/gateway/tests/shards_queues.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use stagehoist_gateway::shards::{own, queue, OwnedShards, Places};
+use stagehoist_gateway::shards::{front_end_config, queue, OwnedShards, Places};
 use stagehoist_sharding::{FunctionPlacement, Shard};
 use world::*;
 
@@ -15,7 +15,7 @@
 ";
 
 fn of(number: u32) -> Rc<Config> {
-    Rc::new(own(Config::clone(&config(LISTED)), number))
+    Rc::new(front_end_config(Config::clone(&config(LISTED)), number))
 }
 
 fn owned(own: &[Shard], leaving: &[Shard], kept: &[Shard]) -> [OwnedShards; 1] {
@@ -153,7 +153,11 @@
     for by in ["", "replies transaction\n"] {
         let mut w = world();
         w.cut();
-        w.front = Front::new(Rc::new(own(Config::clone(&config(&format!("{LISTED}{by}"))), 0)), 2, w.now);
+        w.front = Front::new(
+            Rc::new(front_end_config(Config::clone(&config(&format!("{LISTED}{by}"))), 0)),
+            2,
+            w.now,
+        );
         w.front_at = Some(w.broker.connect(w.now));
         w.front.connected(&of(0).brokers[0], w.now);
         w.front.serve_shards(&owned(&[0, 1], &[], &[]), w.now);
--- a/crates/gateway/tests/shards_sockets.rs
+++ b/crates/gateway/tests/shards_sockets.rs
@@ -7,7 +7,7 @@
 use stagehoist_config::parse;
 use stagehoist_emulator::broker::{self, Broker, BrokerOptions, Handle};
 use stagehoist_gateway::serve;
-use stagehoist_gateway::shards::{own, queue as queue_of, Places};
+use stagehoist_gateway::shards::{front_end_config, queue as queue_of, Places};
 use stagehoist_sharding::FunctionPlacement;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -100,7 +100,7 @@
     }
 
     // Own shards of the first front end, and a function that is none of theirs.
-    let first = own(config.clone(), 0);
+    let first = front_end_config(config.clone(), 0);
     let places = Places::new(&first).unwrap();
     let other = (0..)
         .map(|i| format!("f{i}"))
--- a/crates/gateway/tests/shards_sums.rs
+++ b/crates/gateway/tests/shards_sums.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use stagehoist_gateway::discovery::front_ends::Entry;
-use stagehoist_gateway::shards::{own, OwnedShards, Ownership};
+use stagehoist_gateway::shards::{front_end_config, OwnedShards, Ownership};
 use stagehoist_gateway::state::CoreSettings;
 use stagehoist_sharding::{HomeShards, Key, Shard};
 use std::collections::BTreeSet;
@@ -27,7 +27,7 @@
          shard-front-ends-list file front-ends.list\n{TENANTS}",
         zone(number)
     );
-    own(Config::clone(&config(&text)), number)
+    front_end_config(Config::clone(&config(&text)), number)
 }
 
 struct Fleet {
--- a/crates/gateway/tests/shards_turns.rs
+++ b/crates/gateway/tests/shards_turns.rs
@@ -5,7 +5,7 @@
 
 use common::entries;
 use stagehoist_gateway::discovery::front_ends::Entry;
-use stagehoist_gateway::shards::{own, OwnedShards, Shards};
+use stagehoist_gateway::shards::{front_end_config, OwnedShards, Shards};
 use stagehoist_gateway::state::{Command, Core, CoreSettings, Input};
 use std::collections::BTreeSet;
 use world::*;
@@ -19,7 +19,7 @@
 ";
 
 fn of(number: u32) -> Rc<Config> {
-    Rc::new(own(Config::clone(&config(LISTED)), number))
+    Rc::new(front_end_config(Config::clone(&config(LISTED)), number))
 }
 
 fn entry(number: u32) -> Entry {
--- a/crates/gateway/tests/shards_whole.rs
+++ b/crates/gateway/tests/shards_whole.rs
@@ -4,7 +4,7 @@
 
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle, WorkerId};
 use stagehoist_endpoints::Update;
-use stagehoist_gateway::shards::{own, Shards};
+use stagehoist_gateway::shards::{front_end_config, Shards};
 use std::collections::BTreeMap;
 use world::*;
 
@@ -34,7 +34,7 @@
     for more in ["", "next 7 stage both"] {
         let config = config(&format!("fleet-front-ends 8\nshards 6 generation 1 {more}\n"));
         for number in 0..8 {
-            let config = own(Config::clone(&config), number);
+            let config = front_end_config(Config::clone(&config), number);
             let new = || Shards::new(&config).unwrap();
             let whole = Update { kind: EndpointUpdate::Full, endpoints: (1..=WORKERS).map(row).collect() };
             let (mut at_once, mut by_one) = (new(), new());
