--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,5 +1,5 @@
-//! A monotonic clock, read once per batch. It counts microseconds since 1970, starting from the system time at process start, so
-//! that it can be compared with the start times of workers, and it never goes backwards.
+//! A monotonic clock, read once per batch. It counts microseconds since 1970, starting from the system time at process
+//! start, so that it can be compared with the start times of workers, and it never goes backwards.
 
 use stagehoist::Micros;
 use std::pin::Pin;
--- a/crates/gateway/src/discovery/front_ends.rs
+++ b/crates/gateway/src/discovery/front_ends.rs
@@ -1,6 +1,6 @@
-//! The list of front ends, from the same kinds of sources as that of workers: Consul's health API, where an instance's ID is the
-//! name, its metadata contain `zone` and its tags `generation-N` name the divisions that it serves; or a file, one front end
-//! a line:
+//! The list of front ends, from the same kinds of sources as that of workers: Consul's health API, where an instance's ID
+//! is the name, its metadata contain `zone` and its tags `generation-N` name the divisions that it serves; or a file, one
+//! front end a line:
 //!
 //! ```text
 //! # NAME generations G|G-G [zone Z]
@@ -43,8 +43,9 @@
     meta: Option<BTreeMap<String, String>>,
 }
 
-/// Parses the body of a response. A front end with a critical check or in maintenance mode is left out, because it should get no
-/// more calls. A front end without a generation tag is left out too, because others can't rely on it to serve a division.
+/// Parses the body of a response. A front end with a critical check or in maintenance mode is left out, because it should
+/// get no more calls. A front end without a generation tag is left out too, because others can't rely on it to serve a
+/// division.
 pub fn parse_body(body: &[u8]) -> Result<Vec<Entry>, serde_json::Error> {
     let rows: Vec<Row> = serde_json::from_slice(body)?;
     let entry = |row: Row| {
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! The endpoint list, watched through Consul's health API or polled from a file. Late, failing and flapping lists are passed to
-//! the decision module as they are received.
+//! The endpoint list, watched through Consul's health API or polled from a file. Late, failing and flapping lists are
+//! passed to the decision module as they are received.
 
 pub mod consul;
 pub mod file;
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -1,6 +1,6 @@
-//! The driver loop of one front end. Each iteration gathers the pending inputs into a batch, lets the decision module decide once,
-//! and executes the resulting commands. The loop owns the decision module; sockets communicate with it through channels. The
-//! protocols of the sockets are behind [`Transport`].
+//! The driver loop of one front end. Each iteration gathers the pending inputs into a batch, lets the decision module
+//! decide once, and executes the resulting commands. The loop owns the decision module; sockets communicate with it
+//! through channels. The protocols of the sockets are behind [`Transport`].
 
 use crate::clock::{Alarm, Clock};
 use crate::fleet::{publish_report, SessionHandle, SessionReport};
@@ -42,9 +42,9 @@
     /// Called four times a second.
     fn on_tick(&mut self, core: &Core);
 
-    /// Begins the drain: accepts no more calls as soon as the protocol allows; accepted calls are still answered. Returns how long
-    /// the drain order may have waited because this process was stalled. The drain timeout is reduced by it, because the sender
-    /// of the order counts from when it was sent.
+    /// Begins the drain: accepts no more calls as soon as the protocol allows; accepted calls are still answered. Returns
+    /// how long the drain order may have waited because this process was stalled. The drain timeout is reduced by it,
+    /// because the sender of the order counts from when it was sent.
     fn drain(&mut self) -> Micros;
 
     /// Returns whether no more calls are accepted and all answers were sent.
@@ -58,14 +58,14 @@
         false
     }
 
-    /// Returns whether sockets are read before attempts time out after a stall of this process. This requires that received messages
-    /// carry their age, which they do not on a link that dates messages by its queue.
+    /// Returns whether sockets are read before attempts time out after a stall of this process. This requires that
+    /// received messages carry their age, which they do not on a link that dates messages by its queue.
     fn reads_before_timeouts(&self) -> bool {
         false
     }
 
-    /// Returns whether calls left when the drain times out are answered. This is needed if nobody else will answer them; a broker
-    /// would redeliver them.
+    /// Returns whether calls left when the drain times out are answered. This is needed if nobody else will answer them;
+    /// a broker would redeliver them.
     fn answers_remaining(&self) -> bool {
         false
     }
@@ -75,7 +75,8 @@
         std::future::ready(())
     }
 
-    /// Waits until [`Transport::is_drained`] may have changed. It may wait forever, because each iteration checks it as well.
+    /// Waits until [`Transport::is_drained`] may have changed. It may wait forever, because each iteration checks it as
+    /// well.
     fn changed(&mut self) -> impl Future<Output = ()>;
 }
 
@@ -247,8 +248,8 @@
         }
     }
 
-    /// If the process was stalled past a due time, reads the sockets first: attempts whose answers arrived meanwhile must not time
-    /// out.
+    /// If the process was stalled past a due time, reads the sockets first: attempts whose answers arrived meanwhile must
+    /// not time out.
     async fn gather_after_stall(&mut self, due: Option<Micros>) {
         let was_stalled = due.is_some_and(|due| due > 0 && self.clock.now() - due > MAX_TIMER_DELAY);
         if self.transport.reads_before_timeouts() && was_stalled {
--- a/crates/gateway/src/intent_recorder.rs
+++ b/crates/gateway/src/intent_recorder.rs
@@ -1,6 +1,6 @@
-//! Recording of intents: an attempt of a call that is not idempotent waits, between the decision and the socket, until its call's
-//! intent is on disk. A local task holds the waiting attempts. The driver does not wait for this task, and attempts of
-//! idempotent calls bypass it.
+//! Recording of intents: an attempt of a call that is not idempotent waits, between the decision and the socket, until
+//! its call's intent is on disk. A local task holds the waiting attempts. The driver does not wait for this task, and
+//! attempts of idempotent calls bypass it.
 //!
 //! An attempt that is not sent ends as [`Outcome::Superseded`]: it is known not to have run, and does not count against its
 //! worker.
@@ -55,8 +55,8 @@
         (IntentRecorder { config, messages: sender, recorded: HashSet::new() }, task)
     }
 
-    /// Handles an attempt that the decision module chose. Returns it if it must be sent now, because it needs no intent or has no
-    /// identity to record one for.
+    /// Handles an attempt that the decision module chose. Returns it if it must be sent now, because it needs no intent
+    /// or has no identity to record one for.
     ///
     /// Inquiries never ask about a call without an identity: it fails when it is redelivered.
     pub fn attempt(&mut self, attempt: Attempt) -> Option<Attempt> {
@@ -206,7 +206,8 @@
                 GateDecision::Unsent(what, why) => unsent.push((id, what, why)),
             }
         }
-        // Reported after all sends, because this waits if the driver's queue is full, and attempts to send must not wait with it.
+        // Reported after all sends, because this waits if the driver's queue is full, and attempts to send must not wait
+        // with it.
         for ((request, attempt), what, why) in unsent {
             tracing::warn!(correlation = &*what.correlation, attempt, ?why, "attempt not sent to its worker");
             let result = AttemptResult::without_answer(Outcome::Superseded);
--- a/crates/gateway/src/shards.rs
+++ b/crates/gateway/src/shards.rs
@@ -1,5 +1,5 @@
-//! The shards of one front end in a divided fleet, without I/O: the queues that it consumes, the workers that its decision module
-//! learns of, and the placement of functions. None of this is used if the configuration has no `shards`.
+//! The shards of one front end in a divided fleet, without I/O: the queues that it consumes, the workers that its
+//! decision module learns of, and the placement of functions. None of this is used if the configuration has no `shards`.
 
 mod by_list;
 mod divided;
@@ -19,11 +19,12 @@
 };
 use std::collections::BTreeMap;
 
-/// Added to the maximum duration of an attempt or a load; after this total, a worker that left the subset is reported as gone.
+/// Added to the maximum duration of an attempt or a load; after this total, a worker that left the subset is reported as
+/// gone.
 const MARGIN: Micros = 1_000_000;
 
-/// Returns the queue of a shard of one division. The name contains the generation, because a shard number has different owners in
-/// the next division; on a shared queue they would consume each other's calls.
+/// Returns the queue of a shard of one division. The name contains the generation, because a shard number has different
+/// owners in the next division; on a shared queue they would consume each other's calls.
 pub fn queue(name: &str, generation: u32, shard: Shard) -> String {
     format!("{name}.division-{generation}.shard-{shard}")
 }
@@ -48,8 +49,8 @@
     config
 }
 
-/// Returns the shards that a front end owns by its number: each shard has at least two owners, and a failed owner is not replaced.
-/// If a list of front ends is watched, nothing is owned before the first list.
+/// Returns the shards that a front end owns by its number: each shard has at least two owners, and a failed owner is not
+/// replaced. If a list of front ends is watched, nothing is owned before the first list.
 fn owned(config: &Config, sharding: &Sharding, division: &Division) -> Vec<Shard> {
     if config.front_ends_list.is_some() {
         return Vec::new();
@@ -140,8 +141,8 @@
         Update { kind: update.kind, endpoints: rows }
     }
 
-    /// Returns the workers that entered or left the subset because other workers or the owned shards changed, except those in
-    /// the current update.
+    /// Returns the workers that entered or left the subset because other workers or the owned shards changed, except
+    /// those in the current update.
     fn moved(
         &mut self,
         before: &BTreeMap<WorkerId, usize>,
@@ -190,8 +191,8 @@
         subset
     }
 
-    /// Applies all changes at once. One by one, those of a full list or a whole zone would take many times as long, and no call is
-    /// decided meanwhile.
+    /// Applies all changes at once. One by one, those of a full list or a whole zone would take many times as long, and
+    /// no call is decided meanwhile.
     fn divide(&mut self, changes: &Changes) {
         let omitted =
             self.served.iter_mut().map(|(_, assignment)| assignment.apply(changes)).max().unwrap_or(0);
--- a/crates/gateway/src/state/core/answers.rs
+++ b/crates/gateway/src/state/core/answers.rs
@@ -1,4 +1,5 @@
-//! Answers to rejected and failed calls, and to the calls remaining when the front end ends and no other process will answer them.
+//! Answers to rejected and failed calls, and to the calls remaining when the front end ends and no other process will
+//! answer them.
 
 use super::super::{Answer, Command};
 use super::Core;
@@ -11,8 +12,8 @@
 pub(super) const LIST_OLD: &str = "endpoint-list-old";
 
 impl Core {
-    /// Answers every remaining call of the decision module because the process ends before the call's deadline. The answer is
-    /// `Refused` if the call cannot have run, otherwise `Failed`, which leaves open whether it ran.
+    /// Answers every remaining call of the decision module because the process ends before the call's deadline. The
+    /// answer is `Refused` if the call cannot have run, otherwise `Failed`, which leaves open whether it ran.
     pub fn answer_remaining(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let mut remaining: Vec<RequestId> = self.by_ticket.values().copied().collect();
         remaining.sort_unstable();
--- a/crates/gateway/src/state/core/endpoints.rs
+++ b/crates/gateway/src/state/core/endpoints.rs
@@ -104,8 +104,8 @@
         self.apply_endpoint_change(update, now);
     }
 
-    /// Divides the fleet into shards: the decision module learns only of workers of owned shards. Must be called before the first
-    /// list.
+    /// Divides the fleet into shards: the decision module learns only of workers of owned shards. Must be called before
+    /// the first list.
     pub fn set_shards(&mut self, shards: Option<Shards>) {
         self.shards = shards.map(Box::new);
     }
@@ -137,7 +137,8 @@
         self.on_owned_shards(changed, now, commands);
     }
 
-    /// Returns the number of other front ends listed, and of lists that changed the owned shards; None if no list is watched.
+    /// Returns the number of other front ends listed, and of lists that changed the owned shards; None if no list is
+    /// watched.
     pub fn listed_front_ends(&self) -> Option<(usize, u64)> {
         self.shards.as_ref()?.listed()
     }
--- a/crates/gateway/src/state/core/execute.rs
+++ b/crates/gateway/src/state/core/execute.rs
@@ -12,7 +12,7 @@
     pub worker: WorkerId,
     /// Time limit of the attempt; 0: until the deadline of the request.
     pub timeout: Micros,
-    /// The latest time at which writing it may begin.
+    /// Nothing may be sent after this time.
     pub start_by: Micros,
 }
 
@@ -21,7 +21,7 @@
     worker: WorkerId,
     function: u64,
     copies: u8,
-    /// The latest time at which writing it may begin.
+    /// Nothing may be sent after this time.
     start_by: Micros,
 }
 
@@ -127,11 +127,11 @@
             let outcome = if superseded { Outcome::Superseded } else { Outcome::ConnectFailed };
             return self.skip_attempt(now, request, worker, outcome, commands);
         }
-        let deadline = if timeout > 0 { call.deadline.min(now + timeout) } else { call.deadline };
+        let abort_at = if timeout > 0 { call.deadline.min(now + timeout) } else { call.deadline };
         let effect = self.settings.settings.classes.get(usize::from(call.class)).map(|class| class.effect);
         let start_by = start_by.min(latest_start(call, effect));
-        call.attempts.push(Some(AttemptInFlight { worker, sent_at: now, deadline: deadline }));
-        self.attempt_deadlines.insert((deadline, request, attempt));
+        call.attempts.push(Some(AttemptInFlight { worker, sent_at: now, deadline: abort_at }));
+        self.attempt_deadlines.insert((abort_at, request, attempt));
         self.counters.attempts += 1;
         self.counters.retries += u64::from(attempt > 0);
         let name = self.endpoints.name(worker).unwrap_or("?");
@@ -145,7 +145,7 @@
             address,
             class: call.class,
             function: call.arrival.function.clone(),
-            deadline: deadline,
+            deadline: abort_at,
             body: call.arrival.body.clone(),
             content_type: call.arrival.content_type.clone(),
             correlation: call.arrival.correlation.clone(),
@@ -178,9 +178,9 @@
     }
 }
 
-/// Returns the latest time at which an attempt may begin, so that a worker which drops repeats by their key still remembers the
-/// key of the first attempt that may have run. An attempt decided in time may be written late; a quarter of the window is
-/// reserved for this delay.
+/// Returns the latest time at which an attempt may begin, so that a worker which drops repeats by their key still
+/// remembers the key of the first attempt that may have run. An attempt decided in time may be written late; a quarter of
+/// the window is reserved for this delay.
 fn latest_start(call: &Call, effect: Option<Effect>) -> Micros {
     let Some(Effect::IdempotentWithKey { window, .. }) = effect else { return Micros::MAX };
     let sent_times = call.attempts.iter().flatten().map(|flight| flight.sent_at);
--- a/crates/gateway/src/state/core/fleet.rs
+++ b/crates/gateway/src/state/core/fleet.rs
@@ -62,8 +62,8 @@
         self.apply_view();
     }
 
-    /// Returns the matching calls of functions with a tombstone, in order of their IDs. Answered calls are included while they
-    /// have attempts in flight.
+    /// Returns the matching calls of functions with a tombstone, in order of their IDs. Answered calls are included while
+    /// they have attempts in flight.
     fn retired_calls(&self, matches: impl Fn(&super::Call) -> bool) -> Vec<RequestId> {
         let Some(membership) = self.fleet.as_ref() else { return Vec::new() };
         let gate = membership.egress.gate();
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Returns whether a call may be admitted, and if so replaces its function name by that of the generation. A call that may
-    /// not be admitted is answered.
+    /// Returns whether a call may be admitted, and if so replaces its function name by that of the generation. A call
+    /// that may not be admitted is answered.
     pub(super) fn admit(&mut self, now: Micros, arrival: &mut Arrival, commands: &mut Vec<Command>) -> bool {
         let Some(membership) = self.fleet.as_ref() else { return true };
         let admitted = membership.egress.gate().admit(&arrival.function, arrival.generation, now);
@@ -166,8 +166,8 @@
         function.is_some_and(|f| self.closed(f, now).is_some())
     }
 
-    /// Returns whether the end of an attempt ends its call because the function is closed. A successful answer is still served
-    /// unless the view no longer shows that this is correct; other outcomes get no retry.
+    /// Returns whether the end of an attempt ends its call because the function is closed. A successful answer is still
+    /// served, unless it must be known whether the function is retired and currently is not. Other outcomes get no retry.
     pub(super) fn ends_as_closed(&self, request: RequestId, outcome: Outcome, now: Micros) -> bool {
         let (Some(membership), Some(call)) = (self.fleet.as_ref(), self.calls.get(&request)) else {
             return false;
--- a/crates/gateway/src/state/core/pools.rs
+++ b/crates/gateway/src/state/core/pools.rs
@@ -1,5 +1,5 @@
-//! Pool admission: a call of a pool waits for a permit before the decision module gets it, and holds the permit until all its
-//! attempts are known to have ended.
+//! Pool admission: a call of a pool waits for a permit before the decision module gets it, and holds the permit until all
+//! its attempts are known to have ended.
 
 use super::super::{Answer, Command};
 use super::Core;
--- a/crates/gateway/src/state/core/recovery.rs
+++ b/crates/gateway/src/state/core/recovery.rs
@@ -46,8 +46,8 @@
         commands.push(Command::Answer { ticket: arrival.ticket, answer, elapsed: took });
     }
 
-    /// Updates the recovery state and checks waiting calls again: all of them if the admission conditions changed, otherwise those
-    /// that are due.
+    /// Updates the recovery state and checks waiting calls again: all of them if the admission conditions changed,
+    /// otherwise those that are due.
     pub(super) fn advance_recovery(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let is_view_fresh =
             self.fleet.as_ref().is_none_or(|membership| membership.egress.gate().is_fresh(now));
--- a/crates/gateway/src/state/core/waiting.rs
+++ b/crates/gateway/src/state/core/waiting.rs
@@ -1,5 +1,5 @@
-//! Calls that wait for admission outside the decision module. Each is checked again at its `until` time at the latest, matches
-//! the code that queues the call chooses within the caller's time budget.
+//! Calls that wait for admission outside the decision module. Each is checked again at its `until` time at the latest,
+//! which the code that queues the call chooses within the caller's time budget.
 
 use super::super::{Arrival, FunctionProperties, Ticket};
 use stagehoist::Micros;
@@ -15,8 +15,8 @@
     pub properties: FunctionProperties,
 }
 
-/// The waiting calls, by order of arrival and by time of the next_order check. The caller limits their number together with that of
-/// the calls in the decision module.
+/// The waiting calls, by order of arrival and by time of the next check. The caller limits their number together
+/// with that of the calls in the decision module.
 #[derive(Default)]
 pub(super) struct WaitingCalls {
     next_order: u64,
@@ -31,7 +31,7 @@
         self.calls.len()
     }
 
-    /// Queues a call until its next_order check.
+    /// Queues a call until its next check.
     pub fn insert(&mut self, until: Micros, arrival: Arrival, function: FunctionProperties) {
         let order = self.next_order;
         self.next_order += 1;
@@ -46,7 +46,7 @@
         self.calls.insert(waiting.order, waiting);
     }
 
-    /// Returns when the next_order call must be checked.
+    /// Returns when the next call must be checked.
     pub fn due(&self) -> Option<Micros> {
         self.by_time.first().map(|t| t.0)
     }
@@ -63,7 +63,7 @@
         matching.into_iter().filter_map(|order| self.take(order)).collect()
     }
 
-    /// Removes and returns the calls whose next_order check is due, in the order of arrival.
+    /// Removes and returns the calls whose next check is due, in the order of arrival.
     pub fn take_due(&mut self, now: Micros) -> Vec<WaitingCall> {
         let mut due: Vec<u64> = self.by_time.iter().take_while(|t| t.0 <= now).map(|t| t.1).collect();
         due.sort_unstable();
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -222,7 +222,7 @@
         function: FunctionId,
         name: Rc<str>,
         copies: u8,
-        /// The latest time at which writing it may begin.
+        /// Nothing may be sent after this time.
         start_by: Micros,
     },
     Unload {
@@ -263,7 +263,7 @@
     pub correlation: Rc<str>,
     /// The call that the attempt belongs to; correlation IDs are not unique.
     pub ticket: Ticket,
-    /// The latest time at which writing it may begin: later, a worker that drops repeats by their key may have forgotten the key.
+    /// Nothing may be sent from this time on, because a worker that drops repeats by their key may have forgotten the key.
     pub start_by: Micros,
     /// The key of the call's intent record, if attempts are recorded on disk.
     pub intent: Option<(Identity, Ticket)>,
--- a/crates/gateway/src/transport.rs
+++ b/crates/gateway/src/transport.rs
@@ -48,8 +48,8 @@
         let egress = fleet.as_ref().map(|(egress, _)| egress.clone());
         let workers = Rc::new(Workers::new(config.clone(), clock, inputs.clone(), egress));
         let mut tasks = JoinSet::new();
-        // Attempts wait for intents if and only if a front end can answer inquiries about redelivered messages: neither proves
-        // anything without the other.
+        // Attempts wait for intents if and only if a front end can answer inquiries about redelivered messages: neither
+        // proves anything without the other.
         let intent_recorder = inquiries.as_ref().map(|inquiries| {
             let (intent_log, workers, inputs) =
                 (inquiries.intent_log.clone(), workers.clone(), inputs.clone());
@@ -93,7 +93,8 @@
 
 impl Transport for AmqpTransport {
     fn execute(&mut self, command: Command) {
-        // Sends fail only once the link or the list watcher has ended, which happens after the driver or at the end of a drain.
+        // Sends fail only once the link or the list watcher has ended, which happens after the driver or at the end of a
+        // drain.
         match command {
             Command::Answer { ticket, answer, elapsed: answer_time } => {
                 self.gauges.record_answer(&answer, answer_time);
--- a/crates/gateway/src/workers/http_response.rs
+++ b/crates/gateway/src/workers/http_response.rs
@@ -58,8 +58,8 @@
 /// Looks up a value of a report by its name.
 type Lookup = Box<dyn Fn(&str) -> Option<f64>>;
 
-/// Parses an ORCA load report in its `JSON` or `TEXT` format_name into the values of `fields`. `busy` is `cpu_utilization`; every other
-/// name is looked up in `named_metrics`, then among the report's own fields. A missing value is 0.
+/// Parses an ORCA load report in its `JSON` or `TEXT` form into the values of `fields`. `busy` is `cpu_utilization`;
+/// every other name is looked up in `named_metrics`, then among the report's own fields. A missing value is 0.
 pub fn load_report(headers: &HeaderMap, fields: &[String]) -> LoadReport {
     let line = text(headers, LOAD_METRICS)?;
     let (format_name, payload) = line.split_once(' ')?;
--- a/crates/gateway/src/workers/mod.rs
+++ b/crates/gateway/src/workers/mod.rs
@@ -1,5 +1,5 @@
-//! The client of workers that speak KServe v2 (Open Inference Protocol) over HTTP/1.1: `infer` for calls, the model repository
-//! extension's `load` and `unload` for load orders, `health/ready` for health checks, and ORCA load reports in
+//! The client of workers that speak KServe v2 (Open Inference Protocol) over HTTP/1.1: `infer` for calls, the model
+//! repository extension's `load` and `unload` for load orders, `health/ready` for health checks, and ORCA load reports in
 //! `endpoint-load-metrics`.
 //!
 //! A worker may add these response headers to the protocol:
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Test harness of one front end of a fleet without sockets: the test supplies the cluster status, the calls and the workers'
-//! answers.
+//! Test harness of one front end of a fleet without sockets: the test supplies the cluster status, the calls and the
+//! workers' answers.
 
 // Each test target uses only a part of it.
 #![allow(dead_code)]
@@ -52,8 +52,8 @@
         stage
     }
 
-    /// Creates the same front end with the pools of these configuration lines, and with a tenant `clinic` (number 1) beside all
-    /// other tenants (number 0).
+    /// Creates the same front end with the pools of these configuration lines, and with a tenant `clinic` (number 1)
+    /// beside all other tenants (number 0).
     pub fn with_pools(policy: PolicyFactory, pools: &str) -> Stage {
         let fleet = format!(
             "member a\nkeeper 1 127.0.0.1:1\nfleet-front-ends 2\ntenant other quota 100/s\n\
--- a/crates/gateway/tests/crossings_drain.rs
+++ b/crates/gateway/tests/crossings_drain.rs
@@ -1,5 +1,5 @@
-//! The drain of a front end on a real socket. The test holds the other end of the socket, and forwards bytes between the gateway
-//! and an emulated broker without sockets at chosen moments.
+//! The drain of a front end on a real socket. The test holds the other end of the socket, and forwards bytes between the
+//! gateway and an emulated broker without sockets at chosen moments.
 
 use bytes::Bytes;
 use stagehoist_amqp::{basic, header_text, long, queue, short};
--- a/crates/gateway/tests/crossings_lists.rs
+++ b/crates/gateway/tests/crossings_lists.rs
@@ -56,8 +56,8 @@
     }
 }
 
-/// The source restarts without its state, and its index reaches again the one that the query contains. Its list must still be
-/// applied.
+/// The source restarts without its state, and its index reaches again the one that the query contains. Its list must
+/// still be applied.
 #[test]
 fn the_list_after_a_truncated_response_is_applied_even_with_an_unchanged_index() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/gateway/tests/crossings_sockets.rs
+++ b/crates/gateway/tests/crossings_sockets.rs
@@ -1,5 +1,5 @@
-//! Races on sockets: connections to workers that close at the moment of a write, and brokers that accept a connection and send
-//! nothing.
+//! Races on sockets: connections to workers that close at the moment of a write, and brokers that accept a connection and
+//! send nothing.
 
 use bytes::Bytes;
 use stagehoist::Outcome;
@@ -75,8 +75,8 @@
     Both,
 }
 
-/// The close is pending in the socket when the request is written. The request must be sent on a new connection or be reported as
-/// in doubt. It must not be reported as unsent if it was sent, and must not run twice.
+/// The close is pending in the socket when the request is written. The request must be sent on a new connection or be
+/// reported as in doubt. It must not be reported as unsent if it was sent, and must not run twice.
 #[test]
 fn an_idle_connection_that_closes_during_a_write_runs_nothing_twice() {
     for closing in [Closing::Half, Closing::Both] {
@@ -150,8 +150,8 @@
     }
 }
 
-/// The operating system of a stopped broker still accepts connections, but nothing is ever received on them. The front end must
-/// try the next broker.
+/// The operating system of a stopped broker still accepts connections, but nothing is ever received on them. The front
+/// end must try the next broker.
 #[test]
 fn a_broker_that_accepts_the_connection_and_sends_nothing_is_skipped() {
     let (_silent, first) = listen();
--- a/crates/gateway/tests/first_list.rs
+++ b/crates/gateway/tests/first_list.rs
@@ -1,5 +1,5 @@
-//! The front consumes nothing before the first endpoint list, for at most the configured time. The tests use the front without
-//! sockets and force each order of events.
+//! The front consumes nothing before the first endpoint list, for at most the configured time. The tests use the front
+//! without sockets and force each order of events.
 
 mod common;
 mod world;
--- a/crates/gateway/tests/first_list_sockets.rs
+++ b/crates/gateway/tests/first_list_sockets.rs
@@ -1,5 +1,5 @@
-//! A front end consumes nothing before the first endpoint list, over sockets: an emulator broker, a list that fails while the
-//! front end starts, and a worker that answers every request.
+//! A front end consumes nothing before the first endpoint list, over sockets: an emulator broker, a list that fails while
+//! the front end starts, and a worker that answers every request.
 
 mod caller;
 
@@ -131,7 +131,8 @@
     line.rsplit(' ').next()?.parse().ok()
 }
 
-/// A call published before the first list must be served by a worker of that list, and not refused because no worker is known.
+/// A call published before the first list must be served by a worker of that list, and not refused because no worker is
+/// known.
 #[test]
 fn a_call_published_before_the_first_list_is_served_by_a_worker_of_it() {
     let mut w = World::new(PATIENT, "list-initial-wait 5m\nlisten metrics 127.0.0.1:0\n", true);
@@ -172,8 +173,8 @@
     w.running.join().unwrap();
 }
 
-/// Without a list, calls are refused if no wait is configured, after a configured wait, and if the decision module subscribes to
-/// the list itself.
+/// Without a list, calls are refused if no wait is configured, after a configured wait, and if the decision module
+/// subscribes to the list itself.
 #[test]
 fn without_a_list_calls_are_refused_after_the_wait() {
     for setting in ["list-initial-wait 0s\n", "list-initial-wait 700ms\n", "list-subscribe yes\n"] {
--- a/crates/gateway/tests/starting.rs
+++ b/crates/gateway/tests/starting.rs
@@ -1,5 +1,5 @@
-//! Recovery after a loss of the whole fleet, without sockets: which calls wait, which are admitted, and that all are answered in
-//! time.
+//! Recovery after a loss of the whole fleet, without sockets: which calls wait, which are admitted, and that all are
+//! answered in time.
 
 mod common;
 
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! Test harness of an AMQP front, the emulator broker and a caller without sockets. The test transfers the bytes between them and
-//! can cut the connection at any point.
+//! Test harness of an AMQP front, the emulator broker and a caller without sockets. The test transfers the bytes between
+//! them and can cut the connection at any point.
 #![allow(dead_code, unused_imports)]
 
 pub use bytes::Bytes;
