--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -188,7 +188,7 @@
                 input = self.inquiries.next(), if self.inquiries.are_on() => {
                     self.inquiries.on_input(input, &mut self.front, self.clock);
                 }
-                () = socket.alarm.rings() => {
+                () = socket.alarm.wait() => {
                     let now = self.clock.now();
                     socket.record_tick(now);
                     self.front.tick(now);
--- a/crates/gateway/tests/shards_queues.rs
+++ b/crates/gateway/tests/shards_queues.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use stagehoist_gateway::shards::{own, queue, OwnedShards, Places};
+use stagehoist_gateway::shards::{front_end_config, queue, OwnedShards, Places};
 use stagehoist_sharding::{FunctionPlacement, Shard};
 use world::*;
 
@@ -15,7 +15,7 @@
 ";
 
 fn of(number: u32) -> Rc<Config> {
-    Rc::new(own(Config::clone(&config(LISTED)), number))
+    Rc::new(front_end_config(Config::clone(&config(LISTED)), number))
 }
 
 fn owned(current: &[Shard], leaving: &[Shard], retained: &[Shard]) -> [OwnedShards; 1] {
@@ -154,7 +154,11 @@
     for mode in ["", "replies transaction\n"] {
         let mut w = world();
         w.cut();
-        w.front = Front::new(Rc::new(own(Config::clone(&config(&format!("{LISTED}{mode}"))), 0)), 2, w.now);
+        w.front = Front::new(
+            Rc::new(front_end_config(Config::clone(&config(&format!("{LISTED}{mode}"))), 0)),
+            2,
+            w.now,
+        );
         w.front_at = Some(w.broker.connect(w.now));
         w.front.on_connected(&of(0).brokers[0], w.now);
         w.front.serve_shards(&owned(&[0, 1], &[], &[]), w.now);
