--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -176,7 +176,7 @@
     }
 
     /// Answers all open and later attempts successfully and lets the rest time out, then checks that every attempt ended
-    /// once and every call was answered once.
+    /// once and every call was answered once, or not at all if its caller left.
     fn end(mut self, calls: &[Ticket]) {
         for _ in 0..300 {
             let open: Vec<_> = self
