--- a/crates/gateway/src/shards/ownership.rs
+++ b/crates/gateway/src/shards/ownership.rs
@@ -150,14 +150,17 @@
         let mut listed: BTreeMap<Key, FrontEnd> = list.iter().filter(is_own_zone).map(member).collect();
         let is_listed = listed.remove(&self.member.key).is_some();
         if self.is_listed && !is_listed {
-            tracing::warn!(name = self.name, "the list of front ends leaves this one out; it counts itself");
+            tracing::warn!(
+                name = self.name,
+                "this front end is missing from the list of front ends; counting it anyway"
+            );
         }
         let excess = listed.len().saturating_sub(MAX_MEMBERS - 1);
         if excess > 0 && excess != self.omitted {
             tracing::warn!(
                 left_out = excess,
                 most = MAX_MEMBERS,
-                "the list of front ends is too long; the last by key are left out"
+                "list of front ends is too long; ignoring the last entries by key"
             );
         }
         (self.is_listed, self.omitted) = (is_listed, excess);
