--- a/crates/harness/src/stack/front_ends.rs
+++ b/crates/harness/src/stack/front_ends.rs
@@ -114,7 +114,7 @@
 
     /// How often a front end's own shards changed by that list, the first time counted.
     pub fn times_owning(&self, front_end: u32) -> usize {
-        self.whole_log(front_end).matches("own shards by the list of front ends").count()
+        self.whole_log(front_end).matches("owned shards changed").count()
     }
 
     /// Tells the callers where to send by the division that front ends are notified of.
