--- a/crates/admission/tests/lanes.rs
+++ b/crates/admission/tests/lanes.rs
@@ -5,8 +5,8 @@
 const S: i64 = 1_000_000;
 const OWNER: u32 = 7;
 
-fn rules(guaranteed: u32) -> PoolRules {
-    PoolRules { name: "p".into(), guaranteed: guaranteed, reserved: vec![(OWNER, "owner".into())] }
+fn rules(minimum: u32) -> PoolRules {
+    PoolRules { name: "p".into(), guaranteed: minimum, reserved: vec![(OWNER, "owner".into())] }
 }
 
 fn pools_with_minimum(guaranteed: u32) -> PermitPools {
