--- a/crates/platform/src/connection/mod.rs
+++ b/crates/platform/src/connection/mod.rs
@@ -181,8 +181,8 @@
         self.is_silent
     }
 
-    /// Whether something under this id is open here, still partly written, or abandoned and perhaps answered yet: that
-    /// answer would be taken for another request's under the same id.
+    /// Whether this id is in use: its request is open, partly written, or abandoned with an answer that may still
+    /// arrive. That answer would be attributed to a new request under the same id.
     pub fn has(&self, id: u64) -> bool {
         let tag = Tag::Call(id);
         let written = || self.queue.front().is_some_and(|item| item.tag == Some(tag));
--- a/crates/platform/tests/descriptors/limit.rs
+++ b/crates/platform/tests/descriptors/limit.rs
@@ -176,7 +176,7 @@
 }
 
 /// Idle clients and idle connections to executors together hold all descriptors: calls at one executor after another
-/// and new clients are served in turn, and the side that holds more is evicted from.
+/// and new clients are served alternately, and connections are evicted from the side that holds more.
 #[test]
 fn calls_and_new_clients_are_served_when_both_sides_hold_all_descriptors() {
     at_the_limit(|mut full| async move {
