--- a/crates/cluster-state/src/allocation/guards.rs
+++ b/crates/cluster-state/src/allocation/guards.rs
@@ -1,16 +1,16 @@
-//! The guards of the allocation, which tests take out one at a time to show that each matters.
+//! The safety rules of the allocation. Tests disable them one at a time to show that each is necessary.
 
-/// Rules that a test takes out one at a time; all stand in use.
+/// Safety rules that a test can disable one at a time; production code enables all.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// Promises of earlier leaders are waited for.
+    /// Allocates nothing until permits granted by earlier leaders can no longer be in use.
     pub takeover_wait: bool,
-    /// Runs count after the lease that they began under.
+    /// Counts runs that continue after the lease under which they started.
     pub runs: bool,
-    /// Guaranteed minimums are never allocated.
+    /// Excludes the guaranteed minimums from allocation.
     pub guarantees: bool,
-    /// A grant stands until the member says that it goes by a later one.
+    /// Counts a grant until the member reports that it has applied a later one.
     pub applied: bool,
 }
 
--- a/crates/cluster-state/src/allocation/mod.rs
+++ b/crates/cluster-state/src/allocation/mod.rs
@@ -1,11 +1,12 @@
-//! Permits allocated by lease beside the guaranteed minimums, at the leader.
+//! Allocation of leased permits by the leader, in addition to the guaranteed minimums.
 //!
-//! A front end starts a run in a pool only while its runs there are fewer than its guaranteed minimum and the permits it
-//! holds together. Runs go on after the lease that they began under. So from any account of itself on
-//! (`in_use`, and `applied`: the grant that it went by then) it never has more runs than the greater of
-//! `in_use` and its guaranteed minimum with the largest grant numbered `applied` or later. That is what the allocator counts
-//! as out, until a later account tells less, or until the lease and the longest run have passed. A member is
-//! given only what is left of the pool after all guaranteed minimums and what the others have out.
+//! A front end starts a run in a pool only while it has fewer runs there than the sum of its guaranteed minimum and the
+//! permits it holds. Runs may continue after the lease under which they started has expired. Consider a report with
+//! `in_use` and `applied` (the grant that the front end had applied when it sent the report). From that report on, the
+//! front end never has more runs than the greater of two values: `in_use`, and its guaranteed minimum plus the largest grant
+//! numbered `applied` or later. The allocator counts that many permits, less the guaranteed minimum, as outstanding, until a
+//! later report lowers the value, or until the lease and the longest run have passed. A member is granted only what remains
+//! of the pool after all guaranteed minimums and the outstanding permits of the other members.
 
 mod account;
 mod guards;
@@ -20,22 +21,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use targets::Targets;
 
-/// Allocates the permits of every pool; forgotten with the leadership.
+/// Allocates the permits of every pool. Its state is lost when the leadership ends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PermitAllocator {
     terms: LeaseTerms,
     limits: AllocationLimits,
     guards: Guards,
     began: Micros,
-    /// Members that an earlier leader may have promised something.
+    /// Members that may hold permits from an earlier leader.
     earlier_members: BTreeSet<Member>,
     accounts: BTreeMap<Member, Account>,
     pools: Vec<Pool>,
-    /// Guaranteed minimums by pool of earlier editions, and the change that ended each, until every member has applied
-    /// that.
+    /// Guaranteed minimums of earlier editions, each kept until every member has applied the change that ended it.
     earlier_guarantees: Vec<EditionGuarantees>,
     has_observed: bool,
-    /// No promise of an earlier leader stands any more.
+    /// Whether permits granted by earlier leaders can no longer be in use.
     may_allocate_all: bool,
     round: Option<AllocationRound>,
 }
@@ -49,14 +49,14 @@
     guaranteed: BTreeMap<String, u32>,
 }
 
-/// What was computed of all pools at a time; within a round only the member that reports is counted anew.
+/// The allocation of all pools, computed at one time. Within a round only the reporting member is recounted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct AllocationRound {
     computed_at: Micros,
     pools: BTreeMap<String, PoolAllocation>,
 }
 
-/// What was computed of a pool.
+/// The computed allocation of a pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct PoolAllocation {
     permits: u32,
@@ -66,7 +66,7 @@
 }
 
 impl PermitAllocator {
-    /// A leadership begins.
+    /// Creates the allocator of a newly elected leader.
     pub fn new(terms: LeaseTerms, limits: AllocationLimits, now: Micros) -> PermitAllocator {
         PermitAllocator {
             terms,
@@ -83,25 +83,26 @@
         }
     }
 
-    /// For tests: an allocator without some of its guards.
+    /// Replaces the guards; for tests that disable some of them.
     #[doc(hidden)]
-    pub fn with(self, guards: Guards) -> PermitAllocator {
+    pub fn with_guards(self, guards: Guards) -> PermitAllocator {
         PermitAllocator { guards, ..self }
     }
 
-    /// Whether a front end of this name may join. One beyond the told number would have no guaranteed minimum, and could
-    /// not know it while it is cut off; so it is rejected at its hello.
+    /// Returns whether a front end with this name may join. A front end beyond [`AllocationLimits::front_ends`] would have
+    /// no guaranteed minimum, and could not learn that while it is disconnected; so its hello is rejected.
     pub fn admits(&self, state: &ClusterState, name: &str) -> bool {
         self.admits_with(state, name, 0)
     }
 
-    /// The same where so many others, not yet in the cluster state, were admitted before.
+    /// Same as [`PermitAllocator::admits`], with a number of other front ends that were admitted but have not yet joined
+    /// the cluster state.
     pub fn admits_with(&self, state: &ClusterState, name: &str, others: usize) -> bool {
         state.present().filter(|m| m.name != name).count() + others < self.limits.front_ends as usize
     }
 
-    /// A present member reported, and promises may be given: the permits of the grant that answers, by pool and
-    /// tenant. A report that is late or came twice changes nothing and gets none.
+    /// Handles the report of a present member while the leader may grant leases. Returns the permits of the grant, by pool
+    /// and tenant. An outdated or duplicate report changes nothing and gets none.
     pub fn report(
         &mut self,
         state: &ClusterState,
@@ -125,26 +126,27 @@
         permits
     }
 
-    /// Whether no permits that this leader does not know of can be in use: promises of earlier ones have run
-    /// out, and every member of before was heard since, or the runs that they began have ended.
+    /// Returns whether all permits granted by earlier leaders can no longer be in use: their leases have expired, and
+    /// either every earlier member has applied a grant of this leader or the runs started under them have ended.
     pub fn may_allocate(&self, now: Micros) -> bool {
-        let quiet = self.began + self.terms.takeover_wait();
-        let known = |m: &Member| self.accounts.get(m).is_some_and(Account::is_known);
+        let leases_end = self.began + self.terms.takeover_wait();
+        let is_known = |m: &Member| self.accounts.get(m).is_some_and(Account::is_known);
         !self.guards.takeover_wait
-            || now >= quiet && (now >= quiet + self.longest() || self.earlier_members.iter().all(known))
+            || now >= leases_end
+                && (now >= leases_end + self.max_run_duration() || self.earlier_members.iter().all(is_known))
     }
 
-    /// Permits of a pool that are counted as out beyond the guaranteed minimums, as last reckoned; and those that may be
-    /// allocated.
+    /// Returns the outstanding permits of a pool beyond the guaranteed minimums, as last computed, and the number that may
+    /// be allocated.
     pub fn outstanding(&self, pool: &str) -> (u32, u32) {
         let round = self.round.as_ref().and_then(|round| round.pools.get(pool));
         round.map_or((0, 0), |r| (r.outstanding, r.permits))
     }
 
-    /// Follows members and pools.
+    /// Updates the earlier members and the pools from the cluster state.
     fn observe(&mut self, state: &ClusterState, now: Micros) {
-        // The first look may come late: who is there then may have been given permits by an earlier leader, and
-        // so may a run in whose place another joined.
+        // The first observation may be late: members present then may hold permits from an earlier leader, and so may
+        // replaced runs.
         if !self.has_observed || now < self.began + self.terms.takeover_wait() {
             self.has_observed = true;
             self.earlier_members.extend(state.present());
@@ -160,18 +162,18 @@
         }
     }
 
-    /// Counts and shares out anew, at most once in [`AllocationLimits::interval`].
+    /// Recounts outstanding permits and recomputes targets, at most once per [`AllocationLimits::interval`].
     fn recompute(&mut self, state: &ClusterState, now: Micros) {
         if self.round.as_ref().is_some_and(|round| now - round.computed_at < self.limits.interval) {
             return;
         }
-        let span = self.terms.grantor_span() + self.longest();
+        let span = self.terms.grantor_span() + self.max_run_duration();
         self.accounts.retain(|m, a| {
             a.forget(now - span);
-            // Runs of one that is gone may go on at workers.
+            // Runs of a member that has left may continue at workers.
             state.is_present(m) || now < a.reported_at() + span
         });
-        // Guaranteed minimums of earlier editions end once all have applied a later one.
+        // Guaranteed minimums of an earlier edition are dropped once all members have applied a later edition.
         let accounts = &self.accounts;
         let applied =
             |v: Version| state.present().all(|m| accounts.get(&m).is_some_and(|a| a.confirmed() >= v));
@@ -179,14 +181,14 @@
         let mut pools = BTreeMap::new();
         for pool in &self.pools {
             let guaranteed = self.guaranteed(&pool.name, now);
-            let all =
+            let total_guaranteed =
                 if self.guards.guarantees { self.limits.front_ends.saturating_mul(guaranteed) } else { 0 };
-            let permits = self.size(pool, now, false).saturating_sub(all);
-            let members: Vec<_> = self.fresh(now).map(|(m, a)| (m, a.wanted(&pool.name))).collect();
-            let targets = Targets::reckon(permits, &pool.reservations, &members);
+            let permits = self.size(pool, now, false).saturating_sub(total_guaranteed);
+            let members: Vec<_> = self.recent_accounts(now).map(|(m, a)| (m, a.wanted(&pool.name))).collect();
+            let targets = Targets::compute(permits, &pool.reservations, &members);
             pools.insert(pool.name.clone(), PoolAllocation { permits, guaranteed, outstanding: 0, targets });
         }
-        let (lease, longest) = (self.terms.grantor_span(), self.longest());
+        let (lease, longest) = (self.terms.grantor_span(), self.max_run_duration());
         for account in self.accounts.values_mut() {
             for (pool, round) in &mut pools {
                 round.outstanding = round
@@ -197,9 +199,9 @@
         self.round = Some(AllocationRound { computed_at: now, pools });
     }
 
-    /// Counts one member anew.
+    /// Recounts one member.
     fn count(&mut self, member: &Member, now: Micros) {
-        let (lease, longest) = (self.terms.grantor_span(), self.longest());
+        let (lease, longest) = (self.terms.grantor_span(), self.max_run_duration());
         let Some((account, round)) = self.accounts.get_mut(member).zip(self.round.as_mut()) else {
             return;
         };
@@ -216,13 +218,17 @@
         let mut permits = Vec::new();
         for (pool, round) in &round.pools {
             let others = round.outstanding.saturating_sub(account.counted(pool));
-            let of = round.targets.of(member, round.permits.saturating_sub(others)).into_iter();
-            permits.extend(of.map(|(tenant, permits)| PermitGrant { pool: pool.clone(), tenant, permits }));
+            let granted = round.targets.of(member, round.permits.saturating_sub(others)).into_iter();
+            permits.extend(granted.map(|(tenant, permits)| PermitGrant {
+                pool: pool.clone(),
+                tenant,
+                permits,
+            }));
         }
         permits
     }
 
-    fn longest(&self) -> Micros {
+    fn max_run_duration(&self) -> Micros {
         if self.guards.runs {
             self.limits.longest_run + self.terms.drift(self.limits.longest_run)
         } else {
@@ -230,29 +236,30 @@
         }
     }
 
-    /// Accounts that are not old.
-    fn fresh(&self, now: Micros) -> impl Iterator<Item = (&Member, &Account)> {
-        let late = now - self.terms.grantor_span();
-        self.accounts.iter().filter(move |(_, a)| a.reported_at() > late)
+    /// Returns the accounts with a report within the last lease.
+    fn recent_accounts(&self, now: Micros) -> impl Iterator<Item = (&Member, &Account)> {
+        let cutoff = now - self.terms.grantor_span();
+        self.accounts.iter().filter(move |(_, a)| a.reported_at() > cutoff)
     }
 
-    /// A pool's size. Where it goes by workers, for allocation the lower median of what members told of late:
-    /// one front end that sees no workers does not empty the pool, and one that still counts workers that are
-    /// gone does not widen it. For guaranteed minimums the greatest, as each member reckons its own by its own count.
-    fn size(&self, pool: &Pool, now: Micros, for_floors: bool) -> u32 {
+    /// Returns a pool's size. For allocation, the size of a pool sized by workers is the lower median of the recently
+    /// reported capacities: one front end that sees no workers does not empty the pool, and one that still counts workers
+    /// that are gone does not enlarge it. For guaranteed minimums it is the maximum, as each member computes its own
+    /// minimum from its own count.
+    fn size(&self, pool: &Pool, now: Micros, for_guarantees: bool) -> u32 {
         if let PoolSize::Permits(permits) = pool.size {
             return permits;
         }
-        let mut ready: Vec<u32> = self.fresh(now).map(|(_, a)| a.ready_capacity()).collect();
+        let mut ready: Vec<u32> = self.recent_accounts(now).map(|(_, a)| a.ready_capacity()).collect();
         ready.sort_unstable();
-        let place = ready.len().saturating_sub(1) / if for_floors { 1 } else { 2 };
-        ready.get(place).copied().unwrap_or(0)
+        let index = ready.len().saturating_sub(1) / if for_guarantees { 1 } else { 2 };
+        ready.get(index).copied().unwrap_or(0)
     }
 
-    /// The greatest guaranteed minimum in a pool that any member may go by.
+    /// Returns the highest guaranteed minimum that any member may currently use in a pool.
     fn guaranteed(&self, pool: &str, now: Micros) -> u32 {
-        let of = self.pools.iter().find(|p| p.name == pool);
-        let new = of.map_or(0, |p| guaranteed_permits(self.size(p, now, true), &self.limits));
+        let pool_config = self.pools.iter().find(|p| p.name == pool);
+        let new = pool_config.map_or(0, |p| guaranteed_permits(self.size(p, now, true), &self.limits));
         let old = self.earlier_guarantees.iter().filter_map(|edition| edition.guaranteed.get(pool)).copied();
         old.fold(new, u32::max)
     }
--- a/crates/cluster-state/src/allocation/targets/tests.rs
+++ b/crates/cluster-state/src/allocation/targets/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `targets`.
+//! Tests of max-min fair shares.
 
 use super::max_min;
 
--- a/crates/cluster-state/src/apply.rs
+++ b/crates/cluster-state/src/apply.rs
@@ -1,19 +1,19 @@
-//! What a command changes in the cluster state.
+//! Applies commands to the cluster state.
 
 use crate::bounds::{MAX_MEMBERS, MAX_REPLACED};
 use crate::{ClusterState, Command, CommandOutcome, Member, MemberRun, Tombstone, TombstoneState, Version};
 
 impl ClusterState {
-    /// Applies the change with this number.
+    /// Applies a command as the change with this version.
     pub fn apply(&mut self, version: Version, command: &Command) -> CommandOutcome {
-        let done = match self.refusal(command) {
+        let outcome = match self.rejection(command) {
             Some(why) => CommandOutcome::Rejected { reason: why },
             None => self.change(version, command),
         };
-        if matches!(done, CommandOutcome::Joined(_) | CommandOutcome::Changed) {
+        if matches!(outcome, CommandOutcome::Joined(_) | CommandOutcome::Changed) {
             self.version = version;
         }
-        done
+        outcome
     }
 
     fn change(&mut self, version: Version, command: &Command) -> CommandOutcome {
@@ -64,19 +64,17 @@
     }
 
     fn join(&mut self, version: Version, name: &str, at_least: u64) -> CommandOutcome {
-        let refused = |why: String| CommandOutcome::Rejected { reason: why };
+        let rejected = |why: String| CommandOutcome::Rejected { reason: why };
         let last = match self.members.get(name).copied() {
             Some(run) => run,
-            None if self.make_place() => {
+            None if self.ensure_name_slot() => {
                 MemberRun { incarnation: self.forgotten, joined: 0, left: Some(version) }
             }
-            None => return refused(format!("{MAX_MEMBERS} members are present already")),
+            None => return rejected(format!("{MAX_MEMBERS} members are present already")),
         };
         if last.left.is_none() {
             if self.replaced.len() >= MAX_REPLACED {
-                return refused(format!(
-                    "{MAX_REPLACED} runs that ended without leaving may still be at work"
-                ));
+                return rejected(format!("{MAX_REPLACED} replaced runs may still be in progress"));
             }
             let member = Member { name: name.into(), incarnation: last.incarnation };
             self.replaced.insert(member, last.joined);
--- a/crates/cluster-state/src/inquiry.rs
+++ b/crates/cluster-state/src/inquiry.rs
@@ -1,25 +1,26 @@
-//! What front ends ask each other about messages that are delivered again, by way of the leader.
+//! Inquiries between front ends, by way of the leader, about redelivered messages.
 
 use crate::{Member, Micros, SessionRequest};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Messages in one question, and questions of one front end that are open at a time.
+/// Maximum messages in one inquiry.
 pub const MAX_KEYS: usize = 256;
-/// Inquiries of one front end that wait for answers.
+/// Maximum open inquiries of one front end.
 pub const MAX_OPEN_INQUIRIES: usize = 64;
-/// How often those who have not answered are asked again: they may be about to join.
+/// How often an inquiry is sent again to the front ends that have not answered: they may be about to join.
 const RETRY_INTERVAL: Micros = 100_000;
-/// A leader's word of who is to be asked counts if it comes so soon after the question. With the time that a leader trusts
-/// its majority ([`crate::LeaseTerms::quorum`], 250 ms at least) it ends before another leader can be elected (400 ms).
+/// How soon after the request a leader's list of members must arrive to be accepted. Added to the time for which a leader
+/// trusts its majority ([`crate::LeaseTerms::quorum`], 250 ms at least), it ends before another leader can be elected
+/// (400 ms).
 const MEMBERS_VALID_FOR: Micros = 100_000;
-/// Whoever asks has abandoned by then.
+/// When an open inquiry is discarded; its sender has given up by then.
 const INQUIRY_TIMEOUT: Micros = 5_000_000;
 
-/// What a message is known by, as its caller wrote it.
+/// Identifies a message, by the properties that its caller set.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MessageKey {
-    /// The queue that the caller takes its answers from.
+    /// The queue from which the caller consumes its replies.
     pub reply_to: String,
     /// The caller's correlation id.
     pub correlation: String,
@@ -27,49 +28,49 @@
     pub message: String,
 }
 
-/// What a front end knows of a message.
+/// What a front end knows about attempts of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MessageKnowledge {
-    /// No attempt left, and none will.
+    /// No attempt was sent, and none will be.
     None,
-    /// An attempt may have left, or may leave.
+    /// An attempt may have been sent, or may still be sent.
     MayHaveRun,
-    /// It can't tell.
+    /// The front end cannot determine whether an attempt was sent.
     NotKnown,
 }
 
-/// From a front end to its session.
+/// Messages from a front end to its session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InquiryMessage {
-    /// Numbers count up in a run.
+    /// Asks all other front ends about messages.
     Inquire {
-        /// Number of the inquiry, counted by the run that asks.
+        /// Number of the inquiry; increases within the run that asks.
         number: u64,
         /// The messages.
         keys: Vec<MessageKey>,
     },
-    /// What this front end knows of messages that another asked about.
+    /// Answers another front end's inquiry.
     Answer {
         /// The run that asked.
         to: Member,
-        /// Number of the inquiry, counted by the run that asks.
+        /// Number of the inquiry, assigned by the run that asks.
         number: u64,
-        /// One for each message, in order.
+        /// One entry for each message, in order.
         known: Vec<MessageKnowledge>,
     },
 }
 
-/// From a session to its front end.
+/// Events from a session to its front end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InquiryEvent {
     /// This run has joined.
     Joined {
-        /// The number of this run.
+        /// The incarnation of this run.
         run: u64,
-        /// The number of the last run under its name, where the cluster state knew one.
+        /// The incarnation of the last run under its name, if the cluster state knew one.
         before: Option<u64>,
     },
-    /// Another front end asks.
+    /// Another front end asks about messages.
     Inquired {
         /// The run that asks.
         from: Member,
@@ -78,11 +79,11 @@
         /// The messages.
         keys: Vec<MessageKey>,
     },
-    /// What all others together know of each message.
+    /// The combined knowledge of all other front ends about each message.
     Answered {
         /// Number of the inquiry.
         number: u64,
-        /// One for each message; None: some are still to answer.
+        /// One entry for each message; `None`: answers are still missing.
         known: Vec<Option<MessageKnowledge>>,
     },
 }
@@ -92,66 +93,74 @@
     since: Micros,
     sent_at: Micros,
     round: u32,
-    /// Who is to say, once the leader told it.
+    /// Names of the members that have to answer, once received from the leader.
     members: Option<BTreeSet<String>>,
     answered: BTreeSet<String>,
     known: Vec<MessageKnowledge>,
 }
 
-/// A front end's open questions. Nobody is left out: each name that the cluster state holds has to say, so that one which is not
-/// connected leaves the question open until whoever asked times out.
+/// A front end's open inquiries. Every name in the cluster state has to answer: a front end that is not connected keeps
+/// the inquiry open until it times out.
 #[derive(Default)]
 pub struct InquiryRounds {
     open: BTreeMap<u64, OpenInquiry>,
 }
 
 impl InquiryRounds {
-    /// False: too many are open, or it asks for too much.
+    /// Opens an inquiry. Returns false if too many inquiries are open, or if it has no messages or too many.
     pub fn start(&mut self, number: u64, keys: Vec<MessageKey>, now: Micros) -> bool {
-        self.open.retain(|_, o| now - o.since < INQUIRY_TIMEOUT);
+        self.open.retain(|_, open| now - open.since < INQUIRY_TIMEOUT);
         if self.open.len() >= MAX_OPEN_INQUIRIES || keys.is_empty() || keys.len() > MAX_KEYS {
             return false;
         }
         let known = vec![MessageKnowledge::None; keys.len()];
-        let (of, heard, asked) = (None, BTreeSet::new(), Micros::MIN / 2);
+        let (no_members, no_answers, never_sent) = (None, BTreeSet::new(), Micros::MIN / 2);
         self.open.insert(
             number,
-            OpenInquiry { keys, since: now, sent_at: asked, round: 0, members: of, answered: heard, known },
+            OpenInquiry {
+                keys,
+                since: now,
+                sent_at: never_sent,
+                round: 0,
+                members: no_members,
+                answered: no_answers,
+                known,
+            },
         );
         true
     }
 
-    /// When [`InquiryRounds::next_request`] has something.
+    /// Returns when [`InquiryRounds::next_request`] next has a request.
     pub fn next_due(&self) -> Option<Micros> {
         self.open.values().map(|o| o.sent_at + RETRY_INTERVAL).min()
     }
 
-    /// The next question to send.
+    /// Returns the next request to send, if one is due.
     pub fn next_request(&mut self, now: Micros) -> Option<SessionRequest> {
-        self.open.retain(|_, o| now - o.since < INQUIRY_TIMEOUT);
+        self.open.retain(|_, open| now - open.since < INQUIRY_TIMEOUT);
         let (number, open) = self.open.iter_mut().find(|(_, o)| now >= o.sent_at + RETRY_INTERVAL)?;
         (open.sent_at, open.round) = (now, open.round + 1);
-        let told = open.members.iter().flatten().filter(|name| !open.answered.contains(*name));
-        let to = told.cloned().collect();
+        let unanswered = open.members.iter().flatten().filter(|name| !open.answered.contains(*name));
+        let to = unanswered.cloned().collect();
         Some(SessionRequest::Inquire { number: *number, round: open.round, to, keys: open.keys.clone() })
     }
 
-    /// The leader tells who has to say.
+    /// Handles the leader's list of the members that have to answer.
     pub fn on_members(
         &mut self,
         number: u64,
-        turn: u32,
+        round: u32,
         names: Vec<String>,
         now: Micros,
     ) -> Option<InquiryEvent> {
         let open = self.open.get_mut(&number)?;
-        if turn == open.round && now - open.sent_at <= MEMBERS_VALID_FOR {
+        if round == open.round && now - open.sent_at <= MEMBERS_VALID_FOR {
             open.members.get_or_insert_with(|| names.into_iter().collect());
         }
         self.conclude(number)
     }
 
-    /// One of them said.
+    /// Handles the answer of one member.
     pub fn on_answer(
         &mut self,
         number: u64,
@@ -159,11 +168,11 @@
         known: &[MessageKnowledge],
     ) -> Option<InquiryEvent> {
         let open = self.open.get_mut(&number)?;
-        for (at, mine) in open.known.iter_mut().enumerate() {
-            match known.get(at) {
+        for (index, merged) in open.known.iter_mut().enumerate() {
+            match known.get(index) {
                 Some(MessageKnowledge::None) => {}
-                other if *mine == MessageKnowledge::None => {
-                    *mine = other.copied().unwrap_or(MessageKnowledge::NotKnown)
+                other if *merged == MessageKnowledge::None => {
+                    *merged = other.copied().unwrap_or(MessageKnowledge::NotKnown)
                 }
                 _ => {}
             }
@@ -174,10 +183,10 @@
 
     fn conclude(&mut self, number: u64) -> Option<InquiryEvent> {
         let open = self.open.get(&number)?;
-        let whole = open.members.as_ref().is_some_and(|of| of.is_subset(&open.answered));
-        let told = |k: &MessageKnowledge| (whole || *k != MessageKnowledge::None).then_some(*k);
-        let known: Vec<Option<MessageKnowledge>> = open.known.iter().map(told).collect();
-        if whole || known.iter().all(Option::is_some) {
+        let is_complete = open.members.as_ref().is_some_and(|members| members.is_subset(&open.answered));
+        let conclusive = |k: &MessageKnowledge| (is_complete || *k != MessageKnowledge::None).then_some(*k);
+        let known: Vec<Option<MessageKnowledge>> = open.known.iter().map(conclusive).collect();
+        if is_complete || known.iter().all(Option::is_some) {
             self.open.remove(&number);
         }
         known.iter().any(Option::is_some).then_some(InquiryEvent::Answered { number, known })
--- a/crates/cluster-state/src/leader.rs
+++ b/crates/cluster-state/src/leader.rs
@@ -1,6 +1,6 @@
-//! What the leader knows beside the cluster state: who confirmed what, which promises stand. It is forgotten
-//! with the leadership; a new leader counts every promise that it does not know of as standing for
-//! [`LeaseTerms::takeover_wait`].
+//! The leader's unreplicated state: which view each member confirmed, and which leases are valid. It is lost when the
+//! leadership ends. A new leader therefore assumes for [`LeaseTerms::takeover_wait`] that leases of earlier leaders are
+//! still valid.
 
 mod commands;
 
@@ -12,55 +12,56 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Session {
     confirmed: Version,
-    /// Until when a promise given to it may be relied on.
+    /// When the last lease granted to the member expires.
     promised_until: Micros,
 }
 
-/// A command for a tombstone that was handed out.
+/// The last command for a tombstone that was returned for proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Proposal {
     at: Micros,
-    /// Members that it excepted.
+    /// Number of members that it excepted.
     excepted: usize,
 }
 
-/// How far a tombstone has come with this leader; by the change that proposed it.
+/// Progress of a tombstone under this leader; keyed by the change that proposed it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct RetirementProgress {
     observed_at: Micros,
-    /// Since when it is in force at every member.
+    /// Since when the retirement is in force at every member.
     confirmed_since: Option<Micros>,
-    /// When the last command for it was handed out, and how many members that excepted.
+    /// The last command returned for the tombstone.
     proposed: Option<Proposal>,
 }
 
-/// The state of a leadership.
+/// Unreplicated state of a leader, from its election until it is replaced.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leader {
     terms: LeaseTerms,
     began: Micros,
     sessions: BTreeMap<Member, Session>,
     progress: BTreeMap<Version, RetirementProgress>,
-    /// When runs in whose place another joined were last let leave.
-    last_leave_check: Option<Micros>,
-    /// The change up to which the cluster state was judged, and when time alone may bring something.
+    /// When [`crate::Command::Leave`] was last returned for replaced runs.
+    last_leave_commands: Option<Micros>,
+    /// The version of the cluster state that was last evaluated.
     evaluated: Option<Version>,
+    /// When commands may become due without a report or a change of the cluster state.
     wake: Option<Micros>,
-    /// A tombstone waits for the end of promises.
+    /// Whether a tombstone waits for leases to expire.
     is_waiting: bool,
     allocator: Option<PermitAllocator>,
 }
 
 impl Leader {
-    /// A leadership begins. To be called once this replica's record has come as far as the first entry of its
-    /// own term: before, a promise could vouch for a view that was overtaken under an earlier leader.
+    /// Creates the state of a newly elected leader. Call it only after this replica has applied the first entry of its
+    /// own term: before that, a grant could confirm a view that was already superseded under an earlier leader.
     pub fn new(terms: LeaseTerms, now: Micros) -> Leader {
         Leader {
             terms,
             began: now,
             sessions: BTreeMap::new(),
             progress: BTreeMap::new(),
-            last_leave_check: None,
+            last_leave_commands: None,
             evaluated: None,
             wake: None,
             is_waiting: false,
@@ -68,20 +69,20 @@
         }
     }
 
-    /// Allocates permits of the cluster state's pools too; without it none are allocated.
+    /// Enables the allocation of permits from the cluster state's pools. Without it, none are allocated.
     pub fn with_allocation(mut self, limits: AllocationLimits) -> Leader {
         self.allocator = Some(PermitAllocator::new(self.terms, limits, self.began));
         self
     }
 
-    /// Who allocates the permits.
+    /// Returns the permit allocator, if allocation is enabled.
     pub fn allocator(&self) -> Option<&PermitAllocator> {
         self.allocator.as_ref()
     }
 
-    /// A member reported. `acked` is when a majority is known to have followed this leader, by this replica's
-    /// clock: the time at which the oldest of the newest answers of a majority was asked for. No promise
-    /// where that is too long ago, or where the member is not a present one.
+    /// Handles a member's report and returns the grant. `acked` is the time, by this replica's clock, at which a majority
+    /// is known to have followed this leader: of the latest acknowledged request to each replica of that majority, the
+    /// earliest send time. Returns `None` if `acked` is more than [`LeaseTerms::quorum`] ago, or if the member is not present.
     pub fn report(
         &mut self,
         state: &ClusterState,
@@ -93,20 +94,20 @@
         if !state.is_present(member) || now.saturating_sub(acked) > self.terms.quorum {
             return None;
         }
-        let given = self.terms.grantor_span();
+        let span = self.terms.grantor_span();
         let session = self.sessions.entry(member.clone()).or_default();
-        // Nobody can have seen more than there is.
+        // No member can have received a later view than the current one.
         let confirmed = report.confirmed.min(state.view.version);
         if confirmed > session.confirmed {
             session.confirmed = confirmed;
             self.evaluated = None;
         }
-        session.promised_until = session.promised_until.max(now + given);
+        session.promised_until = session.promised_until.max(now + span);
         Some(Grant {
             number: report.number,
             version: state.view.version,
             lease: self.terms.lease,
-            permits: self.allocator.as_mut().map_or_else(Vec::new, |d| d.report(state, member, report, now)),
+            permits: self.allocator.as_mut().map_or_else(Vec::new, |a| a.report(state, member, report, now)),
         })
     }
 }
--- a/crates/cluster-state/src/leader/commands.rs
+++ b/crates/cluster-state/src/leader/commands.rs
@@ -1,29 +1,30 @@
-//! When retirements come in force and are forgotten, and when runs that ended without a word leave.
+//! Decides when retirements take effect and when their tombstones are forgotten, and when replaced runs leave.
 
 use super::{Leader, Proposal, RetirementProgress};
 use crate::{ClusterState, Command, Member, Micros, RetirementMode, Tombstone, TombstoneState, Version};
 use std::collections::BTreeSet;
 
-/// A run that may be in progress, and has not confirmed all that is retired.
+/// A run that may be in progress and has not confirmed all retirements.
 struct LaggingRun {
     confirmed: Version,
     joined: Version,
     member: Member,
-    /// Until when it may rely on a promise.
+    /// When its last lease, from this leader or an earlier one, expires.
     relies_until: Micros,
 }
 
-/// What a tombstone is judged by: the late runs that have not confirmed it, whether one of them joined before
-/// it, and whether such a one may rely on a promise.
+/// The runs that have not confirmed a tombstone, from which the next command for the tombstone is decided.
 struct TombstoneEvidence<'a> {
     lagging: &'a [LaggingRun],
+    /// Whether a lagging run joined before the tombstone was proposed.
     has_earlier_run: bool,
+    /// Whether a lagging run that joined before the tombstone was proposed may hold a valid lease.
     has_relying_run: bool,
 }
 
 impl Leader {
-    /// When [`Leader::due_commands`] may next have something: `now` where something changed since it was last asked,
-    /// else by time alone. None: only a report or a change of the cluster state can bring something.
+    /// Returns when [`Leader::due_commands`] may next return commands: `now` if the state changed since the last call,
+    /// else the time of the next expiry. `None`: only a report or a change of the cluster state can make a command due.
     pub fn next_due(&self, state: &ClusterState, now: Micros) -> Option<Micros> {
         if self.evaluated == Some(state.version) {
             self.wake.map(|wake| wake.max(now))
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Changes of the cluster state that are due. Nothing is looked at before [`Leader::next_due`]; then every run and
+    /// Returns the commands that are due. Evaluates nothing before [`Leader::next_due`], and after it every run and
     /// tombstone once.
     pub fn due_commands(&mut self, state: &ClusterState, now: Micros) -> Vec<Command> {
         if self.next_due(state, now).is_none_or(|next| next > now) {
@@ -41,31 +42,32 @@
         self.evaluated = Some(state.version);
         (self.wake, self.is_waiting) = (None, false);
         self.sessions.retain(|m, _| state.is_present(m) || state.replaced.contains_key(m));
-        let mut commands = self.last_leave_check(state, now);
+        let mut commands = self.due_leaves(state, now);
         let lagging = self.lagging_runs(state, now);
-        // Of the first so many late runs: the oldest joining of all, and of those that may rely on a promise.
+        // Entry n covers the first n lagging runs: the earliest join version of all of them, and the earliest join version
+        // of those that may hold a valid lease.
         let mut oldest = vec![(Version::MAX, Version::MAX)];
         for run in &lagging {
             let (all, relying) = oldest[oldest.len() - 1];
             let relying = if now < run.relies_until { relying.min(run.joined) } else { relying };
             oldest.push((all.min(run.joined), relying));
         }
-        let mut before = std::mem::take(&mut self.progress);
+        let mut earlier = std::mem::take(&mut self.progress);
         for (function, tombstone) in &state.view.tombstones {
             let proposed = tombstone.proposed;
-            let mut progress = before.remove(&proposed).unwrap_or(RetirementProgress {
+            let mut progress = earlier.remove(&proposed).unwrap_or(RetirementProgress {
                 observed_at: now,
                 confirmed_since: None,
                 proposed: None,
             });
             let behind = lagging.partition_point(|run| run.confirmed < proposed);
-            // Who joined later was never told less than that it is retired.
-            let found = TombstoneEvidence {
+            // A run that joined later than the proposal never received a view without the tombstone.
+            let evidence = TombstoneEvidence {
                 has_earlier_run: oldest[behind].0 < proposed,
                 has_relying_run: oldest[behind].1 < proposed,
                 lagging: &lagging[..behind],
             };
-            commands.extend(self.evaluate(state, function, tombstone, &mut progress, &found, now));
+            commands.extend(self.evaluate(state, function, tombstone, &mut progress, &evidence, now));
             self.progress.insert(proposed, progress);
         }
         if self.is_waiting {
@@ -75,7 +77,7 @@
         commands
     }
 
-    /// The command that is due for one tombstone: it comes into force, excepts fewer members, or is forgotten.
+    /// Returns the command that is due for one tombstone: to put it in force, to except fewer members, or to forget it.
     fn evaluate(
         &mut self,
         state: &ClusterState,
@@ -104,7 +106,7 @@
         })
     }
 
-    /// The members at which a tombstone is not in force yet, where it is at all others; `None` where it has to wait.
+    /// Returns the members to except when the tombstone is put or kept in force; `None` if it has to wait.
     fn excepted_members(
         &mut self,
         state: &ClusterState,
@@ -115,15 +117,15 @@
     ) -> Option<BTreeSet<Member>> {
         let lease_end = progress.observed_at + self.terms.grantor_span();
         match (&tombstone.state, tombstone.retirement.mode) {
-            // A strict front end stops by itself once its lease has run out.
+            // A front end in strict mode stops serving the function by itself once its lease has expired.
             (TombstoneState::Proposed, RetirementMode::Strict) if evidence.has_relying_run => {
                 self.is_waiting = true;
                 None
             }
             (TombstoneState::Proposed, RetirementMode::Strict) => Some(BTreeSet::new()),
-            // An available one goes on until it confirmed. Whoever can be reached is informed within a lease,
-            // several reports long; who has not confirmed by then is named, so that one long call in progress
-            // holds up nobody's state.
+            // In available mode a front end serves the function until it has confirmed. Every reachable front end receives
+            // the view within one lease, which spans several reports. Members that have not confirmed by then are
+            // excepted, so that one long call in progress does not delay the retirement at all others.
             (TombstoneState::Proposed, RetirementMode::Available)
                 if evidence.has_relying_run && now < lease_end =>
             {
@@ -135,7 +137,7 @@
                 let earlier = evidence.lagging.iter().filter(|run| run.joined < tombstone.proposed);
                 Some(earlier.map(|run| run.member.clone()).collect())
             }
-            // It only shrinks: a run that confirmed to an earlier leader has confirmed for good.
+            // The set only shrinks: a confirmation that an earlier leader received stays valid.
             (TombstoneState::InForce { but_for }, _) => {
                 let is_excepted = |member: &&Member| {
                     !self.has_confirmed(member, tombstone.proposed)
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Whether a tombstone that is in force everywhere has been retained for long enough.
+    /// Returns whether a tombstone has been in force at every member for the retention time.
     fn may_forget(
         &mut self,
         progress: &mut RetirementProgress,
@@ -164,8 +166,9 @@
         now >= due
     }
 
-    /// Whether the last command for a tombstone has had its time to be agreed on. Each change sends the view to all, so
-    /// names go from it together.
+    /// Returns whether a new command for a tombstone may be proposed: after the retry interval, or at once when the last
+    /// exception is removed. Each change sends the view to every front end, so the interval also batches the removal of
+    /// several exceptions into one change.
     fn may_propose(&mut self, progress: &RetirementProgress, excepted: usize, now: Micros) -> bool {
         let Some(last) = progress.proposed else { return true };
         let again_at = last.at + self.retry_interval();
@@ -176,26 +179,26 @@
         true
     }
 
-    /// Runs in whose place another joined and to which no promise stands any more leave.
-    fn last_leave_check(&mut self, state: &ClusterState, now: Micros) -> Vec<Command> {
-        let (gone, at_work): (Vec<_>, Vec<_>) =
+    /// Returns [`Command::Leave`] for replaced runs whose leases have all expired.
+    fn due_leaves(&mut self, state: &ClusterState, now: Micros) -> Vec<Command> {
+        let (expired, in_progress): (Vec<_>, Vec<_>) =
             state.replaced.keys().partition(|m| self.relies_until(m) <= now);
-        let next = at_work.into_iter().map(|m| self.relies_until(m)).min();
+        let next = in_progress.into_iter().map(|m| self.relies_until(m)).min();
         next.into_iter().for_each(|end| self.wake_at(end));
-        if gone.is_empty() {
+        if expired.is_empty() {
             return Vec::new();
         }
-        let again = self.last_leave_check.map_or(now, |at| at + self.retry_interval());
-        if now < again {
-            self.wake_at(again);
+        let again_at = self.last_leave_commands.map_or(now, |at| at + self.retry_interval());
+        if now < again_at {
+            self.wake_at(again_at);
             return Vec::new();
         }
-        self.last_leave_check = Some(now);
+        self.last_leave_commands = Some(now);
         self.wake_at(now + self.retry_interval());
-        gone.into_iter().cloned().map(Command::Leave).collect()
+        expired.into_iter().cloned().map(Command::Leave).collect()
     }
 
-    /// Runs that may be in progress and have not confirmed all, those that confirmed least first.
+    /// Returns the runs that may be in progress and have not confirmed all retirements, ordered by confirmed version.
     fn lagging_runs(&self, state: &ClusterState, now: Micros) -> Vec<LaggingRun> {
         let newest = state.view.tombstones.values().map(|t| t.proposed).max().unwrap_or(0);
         let present = state.members.iter().filter(|(_, run)| run.left.is_none());
@@ -221,13 +224,13 @@
         self.sessions.get(member).is_some_and(|s| s.confirmed >= version)
     }
 
-    /// Until when a promise to a member, of this leader or of one before, may stand.
+    /// Returns when the last lease of a member, granted by this or an earlier leader, expires.
     fn relies_until(&self, member: &Member) -> Micros {
-        let own = self.sessions.get(member).map_or(Micros::MIN, |s| s.promised_until);
-        own.max(self.began + self.terms.takeover_wait())
+        let promised = self.sessions.get(member).map_or(Micros::MIN, |s| s.promised_until);
+        promised.max(self.began + self.terms.takeover_wait())
     }
 
-    /// Between two commands for the same thing, while the first may still be on its way.
+    /// Returns the minimum time between two commands for the same item, as the first may still be uncommitted.
     fn retry_interval(&self) -> Micros {
         self.terms.lease / 4
     }
--- a/crates/cluster-state/src/lease.rs
+++ b/crates/cluster-state/src/lease.rs
@@ -1,42 +1,42 @@
-//! A front end's side of its session: what it was given, and until when it may rely on it by its own clock.
+//! The front end's side of a session: the view and permits it received, and when they expire by its own clock.
 
 use crate::{ClusterView, Grant, LeaseTerms, Micros, Version};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Reports whose answers are still waited for.
+/// Maximum reports awaiting a grant; the oldest is dropped beyond it.
 const MAX_OPEN_REPORTS: usize = 64;
 
-/// What the driver of a front end reads; it never waits for it.
+/// Snapshot of the cluster status that a front end's driver reads without blocking.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ClusterStatus {
-    /// The newest view that came.
+    /// The newest view received.
     pub view: Arc<ClusterView>,
-    /// Until then the view is known to be the newest in force; [`Micros::MIN`] before the first word.
+    /// When the lease of the view expires; [`Micros::MIN`] before the first grant.
     pub fresh_until: Micros,
-    /// Permits beside the guaranteed minimums, by pool and tenant, and until when.
+    /// Permits in addition to the guaranteed minimums, by pool and tenant.
     pub permits: Arc<BTreeMap<(String, String), u32>>,
-    /// When those permits end, by this process's clock; [`Micros::MIN`] where none came.
+    /// When those permits expire, by this process's clock; [`Micros::MIN`] before the first grant.
     pub permits_until: Micros,
-    /// Number of the grant that they came with; 0: none came.
+    /// The number of the grant that contained the permits; 0 before the first grant.
     pub permits_grant: u64,
 }
 
 impl ClusterStatus {
-    /// Whether a function may still be retired without this front end's knowledge.
+    /// Returns whether the view's lease has expired, so that a function may be retired without this front end's knowledge.
     pub fn is_stale(&self, now: Micros) -> bool {
         now >= self.fresh_until
     }
 }
 
-/// A report whose answer is waited for.
+/// A report awaiting its grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct SentReport {
     number: u64,
     sent_at: Micros,
 }
 
-/// Counts leases from when they were requested.
+/// Tracks the leases of a front end, each counted from when it was requested.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     terms: LeaseTerms,
@@ -46,23 +46,23 @@
 }
 
 impl LeaseHolder {
-    /// A holder that has no lease yet.
+    /// Creates a holder without a lease.
     pub fn new(terms: LeaseTerms) -> LeaseHolder {
-        let standing = ClusterStatus {
+        let initial_status = ClusterStatus {
             fresh_until: Micros::MIN,
             permits_until: Micros::MIN,
             ..ClusterStatus::default()
         };
-        LeaseHolder { terms, sent: VecDeque::new(), next: 1, status: standing }
+        LeaseHolder { terms, sent: VecDeque::new(), next: 1, status: initial_status }
     }
 
-    /// A connection was lost: answers to what was sent on it will not come. A lease lasts until it
+    /// Handles a lost connection: reports sent on it will not be answered. An existing lease stays valid until it
     /// expires.
     pub fn on_connection_lost(&mut self) {
         self.sent.clear();
     }
 
-    /// A report is being sent; its number.
+    /// Registers a report that is about to be sent and returns its number.
     pub fn begin_report(&mut self, now: Micros) -> u64 {
         if self.sent.len() >= MAX_OPEN_REPORTS {
             self.sent.pop_front();
@@ -73,7 +73,7 @@
         number
     }
 
-    /// A view came; an older one than is known changes nothing.
+    /// Handles a received view, and returns whether it is newer than the present one. An older view is ignored.
     pub fn on_view(&mut self, view: ClusterView) -> bool {
         let newer = view.version > self.status.view.version;
         if newer {
@@ -82,13 +82,13 @@
         newer
     }
 
-    /// An answer came to a report.
+    /// Handles a grant, and returns whether it answers a pending report. Any other grant is ignored.
     pub fn on_grant(&mut self, grant: Grant) -> bool {
-        let Some(place) = self.sent.iter().position(|report| report.number == grant.number) else {
+        let Some(index) = self.sent.iter().position(|report| report.number == grant.number) else {
             return false;
         };
-        let sent_at = self.sent[place].sent_at;
-        self.sent.drain(..=place);
+        let sent_at = self.sent[index].sent_at;
+        self.sent.drain(..=index);
         let lease = self.terms.lease.min(grant.lease);
         let until = sent_at + LeaseTerms { lease, ..self.terms }.holder_span();
         if grant.version == self.status.view.version {
@@ -103,12 +103,12 @@
         true
     }
 
-    /// Version of the newest view that came.
+    /// Returns the version of the newest view received.
     pub fn version(&self) -> Version {
         self.status.view.version
     }
 
-    /// What the front end may rely on.
+    /// Returns the current view and permits with their expiry times.
     pub fn status(&self) -> &ClusterStatus {
         &self.status
     }
--- a/crates/cluster-state/src/lib.rs
+++ b/crates/cluster-state/src/lib.rs
@@ -1,18 +1,19 @@
-//! The cluster state that the processes of one fleet share, and the decisions around it, without I/O.
+//! The cluster state that the processes of one fleet share, and the decisions based on it, without I/O.
 //!
-//! - [`state`]: what replicas agree on ([`Command`]) and what it comes to ([`ClusterState`]): members with
+//! - [`state`]: the commands that replicas agree on ([`Command`]) and the resulting [`ClusterState`]: members with
 //!   incarnations, tombstones of retired functions, pools with reservations.
-//! - [`bounds`]: how much of each.
-//! - [`leader`]: what only the leader knows and decides: sessions, leases, when a retirement is in
+//! - [`bounds`]: maximum sizes of the cluster state.
+//! - [`leader`]: the leader's unreplicated state and decisions: sessions, leases, when a retirement is in
 //!   force.
-//! - [`inquiry`]: what front ends ask each other about messages that are delivered again.
-//! - [`wire`]: what a front end and the leader say to each other.
-//! - [`allocation`]: permits allocated from reported demand, beside the guaranteed minimums.
-//! - [`lease`]: a front end's side of its session: what it holds, and until when by its own clock.
+//! - [`inquiry`]: inquiries between front ends about redelivered messages.
+//! - [`wire`]: the messages between a front end and the leader.
+//! - [`allocation`]: permits allocated from reported demand, in addition to the guaranteed minimums.
+//! - [`lease`]: the front end's side of a session: the view and permits it holds, and when they expire by its own clock.
 //!
-//! Times are microseconds of the monotonic clock of whoever is called. Two processes' clocks never agree: a
-//! promise is counted by its holder from when it asked, and by its giver from when it gave, with
-//! the drift of [`LeaseTerms::drift_ppm`] between. The clock must go on while its process is stopped.
+//! Times are microseconds of the local monotonic clock of the process that makes the call. Clocks of two processes are not
+//! synchronized: the holder of a lease counts it from when it sent the request, the leader counts it from when it granted
+//! it, and [`LeaseTerms::drift_ppm`] bounds the difference in clock rate. The clock must keep running while its process is
+//! stopped.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -35,38 +36,38 @@
 };
 pub use wire::{Demand, Grant, PermitGrant, Report, SessionRequest, SessionResponse, PROTOCOL};
 
-/// Microseconds of somebody's monotonic clock, or of a span.
+/// A time on a process's monotonic clock, or a duration, in microseconds.
 pub type Micros = i64;
 
-/// A position in the cluster state: the number of the change that was last applied.
+/// A version of the cluster state: the number of the last applied change.
 pub type Version = u64;
 
-/// What all processes of a fleet are told alike about promises.
+/// Lease settings, identical in all processes of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct LeaseTerms {
-    /// How long a view and the permits allocated with it may be relied on without word from the leader.
+    /// How long a view and the permits allocated with it are valid without another grant from the leader.
     pub lease: Micros,
-    /// Most that two clocks differ in rate, in parts of a million.
+    /// Maximum difference in rate between two clocks, in parts per million.
     pub drift_ppm: u32,
-    /// Longest time since a majority last answered a leader in which it still gives promises.
+    /// Maximum time since the last responses of a majority during which a leader still grants leases.
     pub quorum: Micros,
-    /// How long a tombstone is kept once every member confirmed it: no message may be older.
+    /// How long a tombstone is retained after every member confirmed it. No message may be older than this.
     pub tombstone_retention: Micros,
 }
 
 impl LeaseTerms {
-    /// How long the holder relies on a promise, from when it asked for it.
+    /// Returns how long the holder relies on a lease, counted from when it sent the request.
     pub fn holder_span(&self) -> Micros {
         self.lease - self.drift(self.lease)
     }
 
-    /// How long the giver counts a promise as standing, from when it gave it.
+    /// Returns how long the leader counts a lease as valid, counted from when it granted the lease.
     pub fn grantor_span(&self) -> Micros {
         self.lease + self.drift(self.lease)
     }
 
-    /// How long a new leader counts promises of earlier leaders as standing: the last one gave none later
-    /// than `quorum` after a majority answered it, and that majority elected the new one after that answer.
+    /// Returns how long a new leader counts leases of earlier leaders as valid. The previous leader granted no lease
+    /// later than `quorum` after a majority responded to it, and that majority elected the new leader after that response.
     pub fn takeover_wait(&self) -> Micros {
         self.grantor_span() + self.quorum + self.drift(self.quorum)
     }
--- a/crates/cluster-state/src/state.rs
+++ b/crates/cluster-state/src/state.rs
@@ -1,5 +1,5 @@
-//! What replicas agree on. Applying the same commands in the same order gives the same record everywhere: no
-//! clock, no chance.
+//! The replicated state. Applying the same commands in the same order gives the same state at every replica: it reads no
+//! clock and draws no random numbers.
 
 use crate::Version;
 use serde::{Deserialize, Serialize};
@@ -8,102 +8,102 @@
 /// One run of a process's front end.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Name in the configuration.
+    /// The front end's configured name.
     pub name: String,
-    /// Counts the runs under that name.
+    /// Increases with each run under that name.
     pub incarnation: u64,
 }
 
-/// What a retirement does where a front end can't know whether it still holds.
+/// How a front end treats a retirable function when its view is stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RetirementMode {
-    /// Calls are refused once the view's lease has run out.
+    /// Rejects calls once the view's lease has expired.
     Strict,
-    /// Calls go on; the state file names those that have not confirmed.
+    /// Continues to serve calls; the state file lists the front ends that have not confirmed the retirement.
     Available,
 }
 
-/// A function taken out of service for good.
+/// The permanent removal of a function from service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Retirement {
-    /// Its function.
+    /// The retired function.
     pub function: String,
-    /// Of the uses of a name; the first is 1. Retiring one retires all before it.
+    /// Counts the uses of a function name from 1. Retiring a generation retires all earlier ones too.
     pub generation: u32,
-    /// For information: no call is passed on to it.
+    /// The function that replaces it, for information only: no call is forwarded to it.
     pub successor: Option<String>,
-    /// Why, for logs and answers.
+    /// The reason, for logs and responses.
     pub reason: String,
-    /// What becomes of calls in progress.
+    /// Whether a front end with a stale view continues to serve the function.
     pub mode: RetirementMode,
-    /// When it was asked for, in milliseconds since 1970, for people.
+    /// When the retirement was requested, in milliseconds since 1970; for information only.
     pub requested_ms: i64,
 }
 
-/// How far a retirement has come.
+/// The progress of a retirement.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TombstoneState {
-    /// Front ends are being informed.
+    /// The view with the retirement is being sent to the front ends.
     Proposed,
-    /// No front end can serve it any more, but for those named.
+    /// No front end can serve the function any more, except those in `but_for`.
     InForce {
-        /// Runs that may still serve it: cut off, with leases that have not run out.
+        /// Runs that have not confirmed the retirement and may still serve the function.
         but_for: BTreeSet<Member>,
     },
 }
 
-/// A retired function, kept until no message for it can be delivered any more.
+/// A retired function, retained until no message for it can be delivered any more.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Tombstone {
-    /// What was retired.
+    /// The retirement that created this tombstone.
     pub retirement: Retirement,
-    /// How far it has come.
+    /// The progress of the retirement.
     pub state: TombstoneState,
-    /// The change that brought it, and the one that put it in force.
+    /// The change that added the tombstone.
     pub proposed: Version,
-    /// The change by which it came into force; None before.
+    /// The change that put it in force; `None` before that.
     pub in_force: Option<Version>,
 }
 
-/// Permits that some functions share.
+/// A set of permits that several functions share.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Pool {
-    /// Name in the configuration.
+    /// The pool's configured name.
     pub name: String,
-    /// Names, or beginnings of names with a closing `*`.
+    /// Function names, or name prefixes followed by `*`.
     pub functions: Vec<String>,
-    /// How many permits it has.
+    /// The number of permits.
     pub size: PoolSize,
-    /// Permits kept for single tenants.
+    /// Permits reserved for individual tenants.
     pub reservations: Vec<Reservation>,
 }
 
-/// How many permits a pool has.
+/// The number of permits in a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PoolSize {
-    /// So many permits.
+    /// A fixed number of permits.
     Permits(u32),
-    /// As many as the members report of their ready workers.
+    /// The capacity of ready workers, as reported by the members.
     ByWorkers,
 }
 
 /// Permits of a pool that are reserved for a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Reservation {
-    /// The tenant.
+    /// The tenant that owns the reservation.
     pub tenant: String,
-    /// Permits that it has at least.
+    /// The number of reserved permits.
     pub permits: u32,
 }
 
-/// What a front end is notified of the cluster state.
+/// The part of the cluster state that front ends receive.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClusterView {
-    /// The change that made it.
+    /// The last change of the view.
     pub version: Version,
-    /// By function; the highest generation retired of each.
+    /// Tombstones by function, each for the highest retired generation.
     pub tombstones: BTreeMap<String, Tombstone>,
-    /// Which edition of the pools holds; the highest told wins.
+    /// The edition of the pool configuration; a higher edition replaces a lower one.
     pub edition: u64,
     /// All pools.
     pub pools: Vec<Pool>,
@@ -112,94 +112,95 @@
 /// A change of the cluster state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// A run of a front end begins; `at_least` is the incarnation that it remembers.
+    /// A run of a front end joins.
     Join {
         /// The front end's name.
         name: String,
-        /// The incarnation that it remembers.
+        /// The last incarnation that the front end remembers; the new run gets a higher one.
         at_least: u64,
     },
-    /// A run ended: in order, or it is known that its process is gone.
+    /// A run ended: it shut down gracefully, or all leases of a replaced run have expired.
     Leave(Member),
-    /// A function is retired.
+    /// Retires a function.
     Retire(Retirement),
-    /// A retirement holds at all members but those named.
+    /// Marks a retirement as in force at all members except those in `but_for`.
     InForce {
         /// The retired function.
         function: String,
-        /// Which retirement of that function.
+        /// The retired generation of that function.
         generation: u32,
-        /// Runs that may still serve it: cut off, with leases that have not run out.
+        /// Runs that have not confirmed the retirement and may still serve the function.
         but_for: BTreeSet<Member>,
     },
-    /// A tombstone is no longer needed.
+    /// Removes a tombstone that is no longer needed.
     Forget {
         /// The retired function.
         function: String,
-        /// Which retirement of that function.
+        /// The retired generation of that function.
         generation: u32,
     },
-    /// The pools as configured.
+    /// Sets the configured pools.
     Pools {
-        /// Edition of that configuration; the highest counts.
+        /// The edition of the configuration; ignored unless higher than the present one.
         edition: u64,
         /// All pools.
         pools: Vec<Pool>,
     },
 }
 
-/// What came of a command.
+/// The result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CommandOutcome {
-    /// The run joined under this number.
+    /// The run joined with this incarnation.
     Joined(Member),
     /// The state changed.
     Changed,
-    /// It held already, or something later overtook it.
+    /// The command was already applied or has been superseded.
     Unchanged,
-    /// It is out of bounds; another try would end the same way, but for a retirement without a
+    /// The command exceeds a bound. A retry would be rejected again, except for a retirement without a
     /// [`Retirement::fault`].
     Rejected {
-        /// Why, for logs.
+        /// The reason, for logs.
         reason: String,
     },
 }
 
-/// The last run under a name. Numbers of changes compare with a tombstone's.
+/// The last run under a name. Its versions are comparable with those of a tombstone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberRun {
-    /// Counts the runs under the name.
+    /// Increases with each run under the name.
     pub incarnation: u64,
-    /// The change by which it joined, and the one by which it left.
+    /// The change with which the run joined.
     pub joined: Version,
-    /// The change by which it left; None while it is a member.
+    /// The change with which the run left; `None` while it is a member.
     pub left: Option<Version>,
 }
 
 /// The cluster state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClusterState {
-    /// The last command that changed anything.
+    /// The last command that changed the state.
     pub version: Version,
     /// The present or last run under each name.
     pub members: BTreeMap<String, MemberRun>,
-    /// Runs in whose place another joined, and when they had joined. A stopped process may wake: such a run
-    /// counts as in progress until every promise to it has run out, when the leader lets it leave.
+    /// Replaced runs (a newer run joined under the same name) with the version at which each had joined. The process of
+    /// such a run may be stopped and resume later, so the run counts as in progress until every lease granted to it has
+    /// expired. Then the leader removes it with [`Command::Leave`].
     pub replaced: BTreeMap<Member, Version>,
     /// The highest incarnation of all names that were forgotten.
     pub forgotten: u64,
-    /// What front ends are given.
+    /// The view that is sent to front ends.
     pub view: ClusterView,
 }
 
 impl ClusterState {
-    /// The last run under each name, where it has not left.
+    /// Returns the present members: the last run under each name, unless it has left.
     pub fn present(&self) -> impl Iterator<Item = Member> + '_ {
         let present = self.members.iter().filter(|(_, run)| run.left.is_none());
         present.map(|(name, run)| Member { name: name.clone(), incarnation: run.incarnation })
     }
 
-    /// Whether this run is the last under its name and has not left.
+    /// Returns whether this run is the last under its name and has not left.
     pub fn is_present(&self, member: &Member) -> bool {
         let run = self.members.get(&member.name);
         run.is_some_and(|run| run.incarnation == member.incarnation && run.left.is_none())
@@ -207,14 +208,14 @@
 }
 
 impl ClusterView {
-    /// The tombstone that a call for this generation of a function falls under.
+    /// Returns the tombstone that covers this generation of a function, if it is retired.
     pub fn retired(&self, function: &str, generation: u32) -> Option<&Tombstone> {
         self.tombstones.get(function).filter(|t| generation <= t.retirement.generation)
     }
 }
 
 impl Tombstone {
-    /// The runs at which it is not in force yet, where it is at all others.
+    /// Returns the runs excepted from an in-force retirement; none while it is only proposed.
     pub fn excepted(&self) -> impl Iterator<Item = &Member> {
         let but_for = match &self.state {
             TombstoneState::InForce { but_for } => Some(but_for),
--- a/crates/cluster-state/src/wire.rs
+++ b/crates/cluster-state/src/wire.rs
@@ -1,174 +1,174 @@
-//! What a front end and the leader say to each other, one message a frame.
+//! Messages between a front end and the leader, one per frame.
 
 use crate::{
     ClusterView, LeaseTerms, Member, MessageKey, MessageKnowledge, Micros, Pool, Retirement, Version,
 };
 use serde::{Deserialize, Serialize};
 
-/// Of the messages below; a process that speaks another is rejected.
+/// Protocol version of the messages below. A process with another version is rejected.
 pub const PROTOCOL: u16 = 2;
 
-/// From a front end.
+/// Requests from a front end to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum SessionRequest {
-    /// First on a connection. `member` is set where this run has joined before.
+    /// First message on a connection.
     Hello {
         /// [`PROTOCOL`] of the sender.
         protocol: u16,
         /// The front end's name.
         name: String,
-        /// This run, where it has joined before.
+        /// This run, if it has joined before.
         member: Option<Member>,
-        /// The incarnation that the front end remembers.
+        /// The last incarnation that the front end remembers.
         at_least: u64,
-        /// Edition of its configuration of pools.
+        /// Edition of its pool configuration.
         edition: u64,
-        /// Its configuration of pools.
+        /// Its pool configuration.
         pools: Vec<Pool>,
     },
     /// Heartbeat with demand.
     Report(Report),
-    /// Asks for a function to be retired.
+    /// Requests the retirement of a function.
     Retire(Retirement),
-    /// This run ends in order; it serves nothing any more.
+    /// Announces a graceful shutdown: this run serves nothing any more.
     Leave,
-    /// What do others know of these messages? `to`: those who have not said yet; empty: all. `turn` counts askings.
+    /// Asks what other front ends know about messages.
     Inquire {
-        /// Number of the inquiry, counted by the run that asks.
+        /// Number of the inquiry, assigned by the run that asks.
         number: u64,
-        /// Counts its rounds.
+        /// Number of the round; increases each time the inquiry is sent.
         round: u32,
-        /// Names of those who have not answered yet; empty: all.
+        /// Names of the front ends that have not answered yet; empty: all.
         to: Vec<String>,
         /// The messages.
         keys: Vec<MessageKey>,
     },
-    /// What is known of messages that were asked about.
+    /// Answers another front end's inquiry.
     Answer {
         /// The run that asked.
         to: Member,
-        /// Number of the inquiry, counted by the run that asks.
+        /// Number of the inquiry, assigned by the run that asks.
         number: u64,
-        /// One for each message, in order.
+        /// One entry for each message, in order.
         known: Vec<MessageKnowledge>,
     },
 }
 
-/// Sent a few times in each lease, and at once when something changed.
+/// Heartbeat of a front end, sent several times per lease and immediately after a change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Report {
-    /// Counts up on a connection; the answer names it.
+    /// Increases with each report on a connection; the grant repeats it.
     pub number: u64,
-    /// The view that this front end has applied: it serves nothing that the view's tombstones name, nor is
-    /// such a call in progress here.
+    /// The version of the view that this front end has applied: it serves no call to a function retired by that view,
+    /// and has no such call in progress.
     pub confirmed: Version,
-    /// Ready permits of workers that it knows, for pools sized by workers.
+    /// Capacity of the ready workers that it knows, for pools sized by workers.
     pub ready_capacity: u32,
-    /// Permits in use and asked for, by pool and tenant.
+    /// Permits in use and requested, by pool and tenant.
     pub demand: Vec<Demand>,
 }
 
-/// Permits asked for.
+/// Demand for permits in a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Demand {
     /// The pool's name.
     pub pool: String,
-    /// Empty: all who have no reservation there.
+    /// The tenant; empty: all tenants without a reservation in the pool.
     pub tenant: String,
-    /// Permits in use now, of whatever lease.
+    /// Permits in use now, regardless of the lease under which they were acquired.
     pub in_use: u32,
-    /// Calls that wait for a permit.
+    /// Calls waiting for a permit.
     pub waiting: u32,
-    /// The grant that the front end went by when it counted these ([`crate::ClusterStatus::permits_grant`]); 0: none
-    /// yet, or runs of an earlier run under its name may go on.
+    /// The grant that the front end applied when it counted these ([`crate::ClusterStatus::permits_grant`]); 0: none
+    /// yet, or calls of an earlier run under its name may still be in progress.
     pub applied: u64,
 }
 
-/// From the leader, or from one that does not lead.
+/// Responses from the leader, or from a replica that is not the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum SessionResponse {
-    /// The number of the leader, where it is known.
+    /// This replica is not the leader.
     Elsewhere {
-        /// The leader's number.
+        /// The leader's replica number, if known.
         leader: Option<u64>,
     },
     /// The session is open.
     Welcome {
         /// This run.
         member: Member,
-        /// Times that both sides go by.
+        /// Lease settings for both sides.
         terms: LeaseTerms,
-        /// The last run under the name as the cluster state knew it before this one joined.
+        /// The incarnation of the last run under the name before this run joined, if the cluster state knew one.
         before: Option<u64>,
     },
-    /// The whole view, whenever it changed.
+    /// The full view, sent after each change.
     View(ClusterView),
     /// Answers a report.
     Grant(Grant),
-    /// The session is refused; another try would end the same way.
+    /// Rejects the session; a retry would be rejected again.
     Rejected {
-        /// Why, for logs.
+        /// The reason, for logs.
         reason: String,
     },
-    /// A retirement that was asked for can't be taken; another try would end the same way. Nothing is said where only
-    /// room is wanting: it is asked for again.
+    /// Rejects a requested retirement permanently. Not sent if the cluster state is only full: the front end requests the
+    /// retirement again.
     RetirementRejected {
         /// The function.
         function: String,
-        /// Which retirement of that function.
+        /// The generation of that function.
         generation: u32,
-        /// Why, for logs.
+        /// The reason, for logs.
         reason: String,
     },
-    /// Who has to say, at this asking.
+    /// Lists the members that have to answer an inquiry.
     InquiryMembers {
-        /// Number of the inquiry, counted by the run that asks.
+        /// Number of the inquiry, assigned by the run that asks.
         number: u64,
-        /// Counts its rounds.
+        /// Number of the round to which this list responds.
         round: u32,
-        /// Names of the members that are to answer.
+        /// Names of the members that have to answer.
         members: Vec<String>,
     },
-    /// Another front end asks what this one knows of messages.
+    /// Another front end's inquiry about messages.
     Inquire {
         /// The run that asks.
         from: Member,
-        /// Number of the inquiry, counted by the run that asks.
+        /// Number of the inquiry, assigned by the run that asks.
         number: u64,
         /// The messages.
         keys: Vec<MessageKey>,
     },
-    /// What is known of messages that were asked about.
+    /// Another front end's answer to this front end's inquiry.
     Answer {
         /// Name of the front end that answers.
         from: String,
-        /// Number of the inquiry, counted by the run that asks.
+        /// Number of the inquiry, assigned by the run that asks.
         number: u64,
-        /// One for each message, in order.
+        /// One entry for each message, in order.
         known: Vec<MessageKnowledge>,
     },
 }
 
-/// Answers a report: the view's lease, and permits for as long.
+/// Answers a report: a lease for the view, and permits that expire with it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    /// Of the report that it answers; the lease counts from when that was sent.
+    /// The number of the answered report. The lease starts when that report was sent.
     pub number: u64,
-    /// The newest view; the lease vouches for no older one.
+    /// The version of the newest view; the lease does not apply to an older one.
     pub version: Version,
-    /// How long the view is vouched for and the permits last, in microseconds from when the report was sent.
+    /// How long the view and the permits are valid, in microseconds from when the report was sent.
     pub lease: Micros,
-    /// Beside the guaranteed minimum.
+    /// Permits in addition to the guaranteed minimums.
     pub permits: Vec<PermitGrant>,
 }
 
-/// Permits of a pool for one tenant. On the wire as a tuple of its fields in their order.
+/// Permits of a pool for one tenant. Encoded as a tuple of its fields in declaration order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PermitGrant {
     /// The pool.
     pub pool: String,
-    /// The tenant; empty: those without a reservation.
+    /// The tenant; empty: all tenants without a reservation.
     pub tenant: String,
-    /// Permits.
+    /// The number of permits.
     pub permits: u32,
 }
--- a/crates/cluster-state/tests/allocation_model/world.rs
+++ b/crates/cluster-state/tests/allocation_model/world.rs
@@ -194,7 +194,7 @@
 
     fn lead(&self, state: &mut State) {
         let began = clock(state.slow_leader, state.tick);
-        let dealer = PermitAllocator::new(self.terms, LIMITS, began).with(self.guards);
+        let dealer = PermitAllocator::new(self.terms, LIMITS, began).with_guards(self.guards);
         state.leaders.push((dealer, state.tick));
     }
 }
@@ -224,7 +224,8 @@
         for state in &mut states {
             self.lead(state);
             // The first leader knows that none was before it.
-            state.leaders[0].0 = PermitAllocator::new(self.terms, LIMITS, -100 * TICK).with(self.guards);
+            state.leaders[0].0 =
+                PermitAllocator::new(self.terms, LIMITS, -100 * TICK).with_guards(self.guards);
         }
         states
     }
