--- a/crates/intent-log/src/commit.rs
+++ b/crates/intent-log/src/commit.rs
@@ -1,17 +1,17 @@
-//! One commit: intents that come, and intents that go.
+//! Commits: each writes new intents and drops old ones.
 
 use crate::store::{
-    write, Batch, Expiring, Intent, IntentRow, IntentStore, Micros, BLIND, INTENTS, RUNS, STATE,
+    write, Batch, Expiring, Intent, IntentRow, IntentStore, Micros, INCOMPLETE, INTENTS, RUNS, STATE,
 };
 use crate::IntentLogError;
 use redb::{ReadableTable, ReadableTableMetadata};
 use std::collections::VecDeque;
 
-/// Intents dropped in one commit at most, so that no commit takes long.
-const DROPPED_MOST: usize = 4096;
+/// Maximum intents dropped from each source in one commit, to bound its duration.
+const MAX_DROPPED_PER_COMMIT: usize = 4096;
 
 impl IntentStore {
-    /// One transaction: new intents go in, those no longer needed and those over the bound go out.
+    /// Writes new intents and drops expired ones and those over the bound, in one transaction.
     pub(crate) fn write(&mut self, batch: &Batch, now: Micros) -> Result<(), IntentLogError> {
         let (Some(run), Some(database)) = (self.run, &self.database) else {
             return Err(IntentLogError::NotStarted);
@@ -27,11 +27,11 @@
             let is_over = self.drop_over_bound(&mut intents, &mut plan, run)?;
             let mut state = transaction.open_table(STATE)?;
             if is_over {
-                // In one commit with what is dropped: a file that lacks something says so.
-                state.insert(BLIND, 1)?;
+                // Set in the same transaction as the drop, so that a file with missing intents always has this flag.
+                state.insert(INCOMPLETE, 1)?;
                 plan.unproven_until = Some(now + self.options.retention);
             } else if plan.unproven_until.is_some_and(|at| at <= now) {
-                state.remove(BLIND)?;
+                state.remove(INCOMPLETE)?;
                 plan.unproven_until = None;
             }
             transaction.open_table(RUNS)?.insert(self.current_number, self.commits + 1)?;
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    /// Intents whose time has come, of this run and of former ones.
+    /// Drops expired intents of this run and of former ones.
     fn drop_expired(
         &self,
         intents: &mut IntentTable<'_>,
@@ -55,12 +55,12 @@
             intents.remove((intent.identity, run, intent.number))?;
         }
         if plan.former.is_some_and(|former| former.due <= now) {
-            plan.drop_former(intents, run, DROPPED_MOST as u64)?;
+            plan.drop_former(intents, run, MAX_DROPPED_PER_COMMIT as u64)?;
         }
         Ok(())
     }
 
-    /// Intents over the bound, those of former runs first, then the oldest of this one. Whether there were any.
+    /// Drops intents over the bound: those of former runs first, then the oldest of this run. Returns whether there were any.
     fn drop_over_bound(
         &self,
         intents: &mut IntentTable<'_>,
@@ -71,15 +71,15 @@
         if over == 0 {
             return Ok(false);
         }
-        let own = (over - plan.drop_former(intents, run, over)?) as usize;
-        for Expiring { intent, .. } in self.expiring.iter().skip(plan.expired).take(own) {
+        let from_this_run = (over - plan.drop_former(intents, run, over)?) as usize;
+        for Expiring { intent, .. } in self.expiring.iter().skip(plan.expired).take(from_this_run) {
             intents.remove((intent.identity, run, intent.number))?;
         }
-        plan.expired = self.expiring.len().min(plan.expired + own);
+        plan.expired = self.expiring.len().min(plan.expired + from_this_run);
         Ok(true)
     }
 
-    /// What is on disk now, in memory.
+    /// Updates the in-memory state after a successful transaction.
     fn apply_committed(&mut self, plan: &Plan, batch: &Batch, now: Micros) {
         self.commits += 1;
         self.former = plan.former;
@@ -94,46 +94,46 @@
 
 type IntentTable<'t> = redb::Table<'t, IntentRow, ()>;
 
-/// Intents of runs before the present one.
+/// Progress of dropping the intents of former runs.
 #[derive(Clone, Copy)]
-pub(crate) struct Former {
-    /// When they are no longer needed.
+pub(crate) struct FormerRuns {
+    /// When the intents of former runs expire.
     pub(crate) due: Micros,
-    /// Rows before this one were looked at; new rows are of the present run.
+    /// The first row not scanned yet. Rows added before it belong to the present run.
     pub(crate) from: IntentRow,
 }
 
-/// What a commit will have changed.
+/// In-memory changes to apply if the transaction succeeds.
 struct Plan {
     expired: usize,
     ended_expired: usize,
-    former: Option<Former>,
+    former: Option<FormerRuns>,
     unproven_until: Option<Micros>,
 }
 
 impl Plan {
     fn new(store: &IntentStore, now: Micros) -> Plan {
         Plan {
-            expired: due(&store.expiring, now),
-            ended_expired: due(&store.ended_expiring, now),
+            expired: count_expired(&store.expiring, now),
+            ended_expired: count_expired(&store.ended_expiring, now),
             former: store.former,
             unproven_until: store.unproven_until,
         }
     }
 
-    /// Drops up to `most` intents of former runs; how many went.
+    /// Drops up to `max` intents of former runs and returns how many were dropped.
     fn drop_former(
         &mut self,
         intents: &mut IntentTable<'_>,
         run: u64,
-        most: u64,
+        max: u64,
     ) -> Result<u64, IntentLogError> {
         let Some(former) = self.former.as_mut() else { return Ok(0) };
         let mut found = Vec::new();
         let mut more = false;
         for row in intents.range(former.from..)? {
             let key = row?.0.value();
-            if found.len() as u64 >= most {
+            if found.len() as u64 >= max {
                 former.from = key;
                 more = true;
                 break;
@@ -152,7 +152,7 @@
     }
 }
 
-/// Entries of a queue whose time has come, so many as go into one commit.
-fn due(queue: &VecDeque<Expiring>, now: Micros) -> usize {
-    queue.iter().take(DROPPED_MOST).take_while(|expiring| expiring.at <= now).count()
+/// Returns the number of expired entries of a queue, limited to what one commit may drop.
+fn count_expired(queue: &VecDeque<Expiring>, now: Micros) -> usize {
+    queue.iter().take(MAX_DROPPED_PER_COMMIT).take_while(|expiring| expiring.at <= now).count()
 }
--- a/crates/intent-log/src/error.rs
+++ b/crates/intent-log/src/error.rs
@@ -1,29 +1,30 @@
-//! What can go wrong with a store of intents.
+//! Errors of the intent store.
 
 use std::io;
 
-/// Intents that were to be written are then not on disk, as far as is known; intents acknowledged before still are.
+/// Errors of the intent store. After an error, the intents of the failed commit must be assumed not to be on disk;
+/// intents acknowledged earlier are still there.
 #[derive(Debug, thiserror::Error)]
 pub enum IntentLogError {
     /// [`crate::IntentStore::begin`] was not called yet.
-    #[error("no run of this store has begun")]
+    #[error("no run of the intent store has begun")]
     NotStarted,
-    /// The store has seen a later run than the one that is to begin.
-    #[error("run {requested} is not after run {last}, which is in the store")]
+    /// The store contains the requested run or a later one.
+    #[error("run {requested} is not later than run {last}, which is in the intent store")]
     RunSuperseded {
-        /// The run that was to begin.
+        /// The run that was requested to begin.
         requested: u64,
         /// The last run in the store.
         last: u64,
     },
-    /// The file can't be what was written.
-    #[error("the store is damaged: {0}")]
+    /// The contents of the file are invalid.
+    #[error("intent store is damaged: {0}")]
     Damaged(String),
-    /// The database refuses a read or a write.
-    #[error("the store can't be read or written: {0}")]
+    /// The database failed to read or write.
+    #[error("intent store cannot be read or written: {0}")]
     Unavailable(String),
-    /// The folder can't be made or written.
-    #[error("can't use the folder of the marks: {0}")]
+    /// The folder cannot be created or written.
+    #[error("cannot use the intent log folder: {0}")]
     Folder(#[from] io::Error),
 }
 
@@ -63,7 +64,7 @@
     fn from(e: redb::TableError) -> IntentLogError {
         match e {
             redb::TableError::Storage(e) => e.into(),
-            // A table of another shape under our name is not a store of ours.
+            // A table with the expected name but other types means that the file is not a valid intent store.
             other => IntentLogError::Damaged(other.to_string()),
         }
     }
--- a/crates/intent-log/src/lib.rs
+++ b/crates/intent-log/src/lib.rs
@@ -1,19 +1,21 @@
-//! Intents of attempts on disk: before the first attempt of a call that is not idempotent, that it may have run.
-//! After a restart a message that is delivered again and has no intent is known not to have run here.
+//! Write-ahead log of attempt intents. Before the first attempt of a non-idempotent call is sent, an intent is written to disk.
+//! After a restart, a redelivered message without an intent is known not to have run here.
 //!
-//! - [`IntentStore`]: one member's intents in redb; each commit is on disk when it returns. No thread, no clock.
-//! - [`IntentLog`]: a store on a thread of its own, asked and known by channels; what came while a commit ran goes into the next.
+//! - [`IntentStore`]: one member's intents in redb; each commit is on disk when it returns. Has no thread and no clock.
+//! - [`IntentLog`]: a store on its own thread, accessed through channels. Requests that arrive during a commit go into the
+//!   next one.
 //!
-//! A store answers [`Told::None`](stagehoist_recovery::AttemptKnowledge) only if it can show that it lacks nothing:
-//! - a run has begun, and that is on disk;
-//! - the last run before it is the one that a [`LastRun`] from elsewhere names, with no fewer commits than it names: else the
-//!   file is older than what was, set back by a copy, or another one;
-//! - nothing was dropped early, and the file was not new, within the last `keep`. A new file (the first start, or after a
-//!   damaged one was quarantined) knows nothing of what its forerunner sent.
+//! A store answers [`AttemptKnowledge::None`](stagehoist_recovery::AttemptKnowledge) only if its data is provably complete:
+//! - a run has begun, and its start is on disk;
+//! - the previous run in the file is the one that an externally stored [`LastRun`] names, with at least as many commits.
+//!   Otherwise the file is an older state restored from a copy, or a different file;
+//! - within the last [`Options::retention`], no intent was dropped early and the file was not new. A new file (at the first
+//!   start, or after a damaged file was quarantined) has no intents of attempts sent earlier.
 //!
-//! What that leaves open: a copy taken in the midst of the last run, after the commit that the witness names, is not told from
-//! the store itself. A witness is as good as it is new. And a message that is delivered again later than `keep` after its
-//! intent may run twice: `keep` is to exceed the age of any message that a broker may still deliver.
+//! Two gaps remain. A copy of the file that was taken during the last run, after the commit that the [`LastRun`] names, cannot
+//! be distinguished from the current file; so the check is only as strict as the [`LastRun`] is recent. And a message that is
+//! redelivered later than [`Options::retention`] after its intent may run twice: the retention must exceed the age of any
+//! message that a broker may still deliver.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/intent-log/src/store.rs
+++ b/crates/intent-log/src/store.rs
@@ -1,7 +1,7 @@
-//! One member's intents: written, asked for, and dropped once they are no longer needed.
+//! The store of one member's intents: writes them, queries them, and drops them after their retention.
 
-use crate::commit::Former;
-use crate::file::checked;
+use crate::commit::FormerRuns;
+use crate::file::open_checked;
 use crate::IntentLogError;
 use redb::{Database, Durability, ReadableTable, ReadableTableMetadata, TableDefinition, WriteTransaction};
 use stagehoist_recovery::{AttemptKnowledge, Identity};
@@ -11,46 +11,47 @@
 
 /// Identity, run and number: the key of an intent on disk.
 pub(crate) type IntentRow = (Identity, u64, u64);
-/// Before every row.
+/// Lower bound of all rows.
 const FIRST_ROW: IntentRow = (0, 0, 0);
 
-/// By identity, run and number: a message whose id is used twice has two intents.
+/// Intents by identity, run and number, so that two calls with the same message id have separate intents.
 pub(crate) const INTENTS: TableDefinition<IntentRow, ()> = TableDefinition::new("marks");
-/// Runs that began, with the commits of each.
+/// Runs that began, with the number of commits of each.
 pub(crate) const RUNS: TableDefinition<u64, u64> = TableDefinition::new("runs");
-/// [`BLIND`]: intents are missing that may be asked for, until [`Options::retention`] has passed in one run.
+/// Flags of the file. [`INCOMPLETE`]: intents that may still be queried are missing from the file; removed once
+/// [`Options::retention`] has passed within one run.
 pub(crate) const STATE: TableDefinition<&str, u64> = TableDefinition::new("state");
-pub(crate) const BLIND: &str = "blind";
-/// Runs that are remembered.
-const RUNS_MOST: u64 = 1024;
+pub(crate) const INCOMPLETE: &str = "blind";
+/// Maximum runs kept in the table of runs.
+const MAX_RUNS: u64 = 1024;
 
-/// An intent: the message, and the number of its call, unique within the run.
+/// The intent to attempt a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Intent {
-    /// The message.
+    /// The identity of the call's message.
     pub identity: Identity,
-    /// The call, unique within the run.
+    /// The number of the call, unique within the run.
     pub number: u64,
 }
 
-/// What is known elsewhere of the run before the present one.
+/// The number and commits of a run, stored outside the intent store to verify that the store was not set back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LastRun {
-    /// Its number.
+    /// The number of the run.
     pub run: u64,
-    /// Commits that it is known to have made at least.
+    /// The minimum number of commits that the run made.
     pub commits: u64,
 }
 
-/// Limits of a store.
+/// Limits and retention times of a store.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// How long an intent is kept, in microseconds; to exceed the age of any message that may still be delivered again.
+    /// How long an intent is kept, in microseconds. Must exceed the age of any message that may still be redelivered.
     pub retention: Micros,
-    /// How long an intent is kept once its message is known to have ended.
+    /// How long an intent is kept after its message has ended, in microseconds.
     pub ended_retention: Micros,
-    /// Intents held; the oldest go before their time where there are more, and nothing is proven for `retention` after that. An
-    /// intent takes some 70 bytes on disk.
+    /// Maximum number of intents. Beyond it the oldest are dropped early, and for `retention` after that the store no
+    /// longer answers that a message has not run. An intent takes about 70 bytes on disk.
     pub most: u64,
 }
 
@@ -60,23 +61,23 @@
     }
 }
 
-/// What goes into one commit.
+/// The changes of one commit.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     /// Intents to write.
     pub intents: Vec<Intent>,
-    /// Intents of this run whose message can't come again.
+    /// Intents of this run whose message cannot be redelivered.
     pub ended: Vec<Intent>,
 }
 
-/// An intent on disk, and when it is dropped.
+/// An intent on disk and when it expires.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Expiring {
     pub(crate) at: Micros,
     pub(crate) intent: Intent,
 }
 
-/// Opens the database; called anew after an error that it does not recover from.
+/// Opens the database; called again after an error from which the open database cannot recover.
 pub type Opener = Box<dyn FnMut() -> Result<Database, IntentLogError> + Send>;
 
 /// A store of intents.
@@ -85,25 +86,27 @@
     pub(crate) database: Option<Database>,
     pub(crate) options: Options,
     pub(crate) run: Option<u64>,
-    /// The number that this run last began under; its intents go by the first one.
+    /// The latest number of this run. Its intents are stored under the first one (`run`).
     pub(crate) current_number: u64,
     pub(crate) commits: u64,
-    /// The last run before this one in the file, and its commits.
-    before: Option<LastRun>,
-    /// The run before is whole in the file.
+    /// The previous run in the file, with its commits.
+    previous_run: Option<LastRun>,
+    /// Whether the file contains all commits of the previous run.
     is_complete: bool,
-    /// None: they are gone.
-    pub(crate) former: Option<Former>,
+    /// Intents of former runs; `None` once all are dropped.
+    pub(crate) former: Option<FormerRuns>,
+    /// Until when a missing intent proves nothing; `None`: no such restriction.
     pub(crate) unproven_until: Option<Micros>,
-    /// Intents of this run by when they go. What ended goes by a shorter line and is then missing in the longer one.
+    /// Intents of this run in order of expiry. Intents of ended messages are also in `ended_expiring` and are dropped from
+    /// there first; their removal by the entry in `expiring` then has no effect.
     pub(crate) expiring: VecDeque<Expiring>,
     pub(crate) ended_expiring: VecDeque<Expiring>,
 }
 
 impl IntentStore {
-    /// Opens a store. No intent is taken before [`IntentStore::begin`].
+    /// Opens a store. It accepts intents only after [`IntentStore::begin`].
     pub fn open(mut opener: Opener, options: Options, now: Micros) -> Result<IntentStore, IntentLogError> {
-        let database = checked(&mut opener)?;
+        let database = open_checked(&mut opener)?;
         let mut store = IntentStore {
             opener,
             database: None,
@@ -111,9 +114,9 @@
             run: None,
             current_number: 0,
             commits: 0,
-            before: None,
+            previous_run: None,
             is_complete: false,
-            former: Some(Former { due: now + options.retention, from: FIRST_ROW }),
+            former: Some(FormerRuns { due: now + options.retention, from: FIRST_ROW }),
             unproven_until: None,
             expiring: VecDeque::new(),
             ended_expiring: VecDeque::new(),
@@ -122,21 +125,21 @@
         Ok(store)
     }
 
-    /// Takes a database that was just opened. One without our tables is new: what came before it is not known.
+    /// Uses a newly opened database. A database without runs is new: nothing is known about earlier attempts.
     fn adopt(&mut self, database: Database, now: Micros) -> Result<(), IntentLogError> {
         let transaction = write(&database)?;
-        let new = {
+        let is_incomplete = {
             transaction.open_table(INTENTS)?;
             let runs = transaction.open_table(RUNS)?;
             let mut state = transaction.open_table(STATE)?;
-            let new = runs.is_empty()?;
-            if new {
-                state.insert(BLIND, 1)?;
+            let is_new = runs.is_empty()?;
+            if is_new {
+                state.insert(INCOMPLETE, 1)?;
             }
-            new || state.get(BLIND)?.is_some()
+            is_new || state.get(INCOMPLETE)?.is_some()
         };
         transaction.commit()?;
-        if new {
+        if is_incomplete {
             self.is_complete = false;
             self.unproven_until = Some(now + self.options.retention);
         }
@@ -144,7 +147,7 @@
         Ok(())
     }
 
-    /// The last run in the file.
+    /// Returns the last run in the file.
     pub fn last_run(&self) -> Result<Option<u64>, IntentLogError> {
         let Some(database) = &self.database else { return Ok(None) };
         let runs = database.begin_read()?.open_table(RUNS)?;
@@ -152,16 +155,17 @@
         Ok(last)
     }
 
-    /// A run begins under this number, which is on disk when this returns; it may be given a higher one later.
-    /// `last_run` is what is known from elsewhere of the run before; without one nothing of former runs is proven.
+    /// Begins a run under this number, which is on disk when this returns. A later call may give the same run a higher
+    /// number. `last_run` is the externally stored state of the previous run; without it the store never answers that a
+    /// message has not run.
     ///
     /// # Errors
-    /// [`IntentLogError::RunSuperseded`] where the file knows this run or a later one: an older count than the store's.
+    /// [`IntentLogError::RunSuperseded`] if the file contains this run or a later one.
     pub fn begin(&mut self, run: u64, last_run: Option<LastRun>, now: Micros) -> Result<(), IntentLogError> {
         self.reopen(now)?;
         let database = self.database.as_ref().ok_or(IntentLogError::NotStarted)?;
         let transaction = write(database)?;
-        let before = {
+        let previous = {
             let mut runs = transaction.open_table(RUNS)?;
             let last = runs.last()?;
             let last = last.map(|(run, commits)| LastRun { run: run.value(), commits: commits.value() });
@@ -169,66 +173,66 @@
                 return Err(IntentLogError::RunSuperseded { requested: run, last: last.run });
             }
             runs.insert(run, self.commits)?;
-            while runs.len()? > RUNS_MOST {
+            while runs.len()? > MAX_RUNS {
                 runs.pop_first()?;
             }
-            // What this run began under before is no run before it.
-            self.run.map_or(last, |_| self.before)
+            // An earlier number of the same run does not count as a previous run.
+            self.run.map_or(last, |_| self.previous_run)
         };
         transaction.commit()?;
-        self.is_complete = before.zip(last_run).is_some_and(|(before, expected)| {
-            before.run == expected.run && before.commits >= expected.commits
-        });
-        self.before = before;
+        self.is_complete = previous
+            .zip(last_run)
+            .is_some_and(|(found, expected)| found.run == expected.run && found.commits >= expected.commits);
+        self.previous_run = previous;
         self.current_number = run;
         self.run.get_or_insert(run);
         Ok(())
     }
 
-    /// Commits of this run so far, for a last_run.
+    /// Returns the number and commits of this run so far, to be stored externally as the next run's `last_run`.
     pub fn commits(&self) -> Option<LastRun> {
         self.run.map(|_| LastRun { run: self.current_number, commits: self.commits })
     }
 
-    /// Whether a commit would only drop what is no longer needed.
+    /// Returns whether an empty commit would have work: expired intents to drop, or a failed database to reopen.
     pub fn is_due(&self, now: Micros) -> bool {
         let is_first_due =
             |queue: &VecDeque<Expiring>| queue.front().is_some_and(|expiring| expiring.at <= now);
         self.database.is_none()
             || is_first_due(&self.expiring)
             || is_first_due(&self.ended_expiring)
-            || self.former.is_some_and(|f| f.due <= now)
+            || self.former.is_some_and(|former| former.due <= now)
             || self.unproven_until.is_some_and(|at| at <= now)
     }
 
     /// Writes intents; all of them are on disk when this returns.
     ///
     /// # Errors
-    /// None of them counts as written, though some may be. The database is opened anew with the next call.
+    /// None of the intents counts as written, though some may be on disk. The next call reopens the database.
     pub fn commit(&mut self, batch: &Batch, now: Micros) -> Result<(), IntentLogError> {
         self.reopen(now)?;
         let written = self.write(batch, now);
         if written.is_err() && !matches!(written, Err(IntentLogError::NotStarted)) {
-            // After a failed write redb takes no more.
+            // After a failed write, redb accepts no further writes.
             self.database = None;
         }
         written
     }
 
-    /// Opens the database anew if it failed.
+    /// Reopens the database if it failed.
     fn reopen(&mut self, now: Micros) -> Result<(), IntentLogError> {
         if self.database.is_some() {
             return Ok(());
         }
-        let database = checked(&mut self.opener)?;
-        let fresh = self.adopt(database, now).and_then(|()| self.resume());
-        if fresh.is_err() {
+        let database = open_checked(&mut self.opener)?;
+        let reopened = self.adopt(database, now).and_then(|()| self.resume());
+        if reopened.is_err() {
             self.database = None;
         }
-        fresh
+        reopened
     }
 
-    /// The same run goes on in a database that was opened anew. In a new file it is the first.
+    /// Continues the same run in a reopened database. In a new file it becomes the first run.
     fn resume(&mut self) -> Result<(), IntentLogError> {
         let (Some(_), Some(database)) = (self.run, &self.database) else { return Ok(()) };
         let transaction = write(database)?;
@@ -243,7 +247,7 @@
         Ok(())
     }
 
-    /// What this member can say about a message: that an attempt may have left it, that none did, or that it can't tell.
+    /// Returns whether this member may have sent an attempt of a message, has sent none, or cannot determine it.
     pub fn query(&self, identity: Identity, now: Micros) -> AttemptKnowledge {
         match self.contains(identity) {
             Ok(true) => AttemptKnowledge::MayHaveRun,
@@ -252,7 +256,7 @@
         }
     }
 
-    /// Whether a missing intent means that no attempt left, in this run or the one before or any earlier one.
+    /// Returns whether a missing intent proves that no attempt was sent in this run or any earlier one.
     pub fn is_proof(&self, now: Micros) -> bool {
         self.run.is_some() && self.is_complete && self.unproven_until.is_none_or(|at| at <= now)
     }
--- a/crates/intent-log/src/thread.rs
+++ b/crates/intent-log/src/thread.rs
@@ -1,5 +1,5 @@
-//! A store on a thread of its own. Nobody waits for it: requests go into a bounded queue, answers come back
-//! by the asker's channel. A queue that is full, and a store that can't write, count as "not recorded".
+//! A store on its own thread. Callers never block on it: requests go into a bounded queue, and answers are sent to the
+//! caller's channel. If the queue is full or the store cannot write, an intent counts as "not recorded".
 
 use crate::{file, Batch, Intent, IntentLogError, IntentStore, LastRun, Options};
 use stagehoist_recovery::{AttemptKnowledge, Identity};
@@ -9,35 +9,36 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// Requests to a store that wait for it.
+/// Maximum requests queued for a store.
 const QUEUE_CAPACITY: usize = 65_536;
-/// Requests in one commit at most.
+/// Maximum requests in one commit.
 const MAX_BATCH: usize = 8192;
-/// How often a store without work drops what is no longer needed, and reopens a database that failed.
+/// How often an idle store drops expired intents and reopens a failed database.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where a member's intents are kept.
+/// Location of a member's intent log.
 #[derive(Clone, Debug)]
 pub struct LogLocation {
-    /// The folder; made where it is missing.
+    /// The folder; created if missing.
     pub folder: PathBuf,
-    /// The member's; letters, digits, `-` and `_`, others become `_`.
+    /// The member's name. Characters other than ASCII letters, digits, `-` and `_` are replaced by `_` in file names.
     pub name: String,
-    /// Counts its runs by itself, with the small file beside the store as the last_run of the last: for a member without
-    /// replicas. Else [`IntentLog::begin`] tells the run, and until then nothing is recorded or proven.
+    /// For a member without replicas: the log numbers its runs itself and uses the file beside the store as the external
+    /// [`LastRun`]. If false, [`IntentLog::begin`] sets the run, and until then nothing is recorded and queries cannot
+    /// prove that a message has not run.
     pub standalone: bool,
 }
 
-/// An answer of the store.
+/// A response of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// The intent is on disk, or (false) not as far as is known.
+    /// The result of [`IntentLog::record`]: true if the intent is on disk, false if the write failed.
     Recorded(Intent, bool),
-    /// To [`IntentLog::query`] under this number.
+    /// The answer to the [`IntentLog::query`] with this number.
     Answered(u64, AttemptKnowledge),
 }
 
-/// Where answers go. One comes for each request that asks for one, so that what waits there is bounded by what was asked.
+/// Channel for events. The store sends exactly one event per `record` or `query`, so open requests bound its length.
 pub type EventSender = mpsc::UnboundedSender<LogEvent>;
 
 enum LogRequest {
@@ -47,7 +48,7 @@
     Begin(u64, Option<LastRun>),
 }
 
-/// Talks to a store; it ends with the last of its kind.
+/// Handle of a store's thread. The thread ends when the last handle is dropped.
 #[derive(Clone, Debug)]
 pub struct IntentLog {
     requests: SyncSender<LogRequest>,
@@ -55,97 +56,104 @@
 }
 
 impl IntentLog {
-    /// Asks for an intent. False: the queue is full or the store gone, and nothing will be answered.
-    pub fn record(&self, mark: Intent, reply: &EventSender) -> bool {
-        self.requests.try_send(LogRequest::Record(mark, reply.clone())).is_ok()
+    /// Requests that an intent is written. Returns false if the queue is full or the thread has ended; then no event
+    /// follows.
+    pub fn record(&self, intent: Intent, reply: &EventSender) -> bool {
+        self.requests.try_send(LogRequest::Record(intent, reply.clone())).is_ok()
     }
 
-    /// The message of an intent can't come again. Where it is lost, the intent goes by its age.
-    pub fn ended(&self, mark: Intent) {
-        let _ = self.requests.try_send(LogRequest::Ended(mark));
+    /// Reports that the message of an intent cannot be redelivered. If this request is lost, the intent expires by its age.
+    pub fn ended(&self, intent: Intent) {
+        let _ = self.requests.try_send(LogRequest::Ended(intent));
     }
 
-    /// Asks what is known of a message; all intents asked for before are looked at. False as with [`IntentLog::record`].
+    /// Queries what is known of a message, including all intents requested before. Returns false as [`IntentLog::record`]
+    /// does.
     pub fn query(&self, number: u64, identity: Identity, reply: &EventSender) -> bool {
         self.requests.try_send(LogRequest::Query(number, identity, reply.clone())).is_ok()
     }
 
-    /// This run's number is known, with what is known of the run before.
+    /// Sets the number of this run and the externally stored state of the previous run. Returns false as
+    /// [`IntentLog::record`] does.
     pub fn begin(&self, run: u64, last_run: Option<LastRun>) -> bool {
         self.requests.try_send(LogRequest::Begin(run, last_run)).is_ok()
     }
 
-    /// The run that is in progress and its commits so far; for the cluster state's replicas, as the next run's last_run.
+    /// Returns the present run and its commits so far, which the replicas store as the next run's `last_run`.
     pub fn commits(&self) -> Option<LastRun> {
         *self.state.borrow()
     }
 }
 
-/// Opens a member's store, sets a damaged one aside, and starts its thread, which ends once all of [`IntentLog`] are dropped.
+/// Opens a member's store, quarantining a damaged one, and starts its thread, which ends once all [`IntentLog`] handles are
+/// dropped.
 ///
 /// # Errors
-/// The folder or the file can't be used at all, or another process has it.
-pub fn start(place: &LogLocation, options: Options) -> Result<(IntentLog, JoinHandle<()>), IntentLogError> {
-    std::fs::create_dir_all(&place.folder)?;
-    let keep = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
-    let name: String = place.name.chars().map(keep).collect();
-    let path = file::store(&place.folder, &name);
+/// If the folder or the file cannot be used, or another process has the file open.
+pub fn start(
+    location: &LogLocation,
+    options: Options,
+) -> Result<(IntentLog, JoinHandle<()>), IntentLogError> {
+    std::fs::create_dir_all(&location.folder)?;
+    let sanitize = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
+    let name: String = location.name.chars().map(sanitize).collect();
+    let path = file::store_path(&location.folder, &name);
     let clock = Instant::now();
     let open = || IntentStore::open(file::opener(path.clone()), options, 0);
     let mut store = match open() {
         Err(IntentLogError::Damaged(why)) => {
-            let aside = file::set_aside(&path)?;
-            tracing::error!(file = %aside.display(), why, "the intent log is damaged and quarantined; what it held is unknown now");
+            let aside = file::quarantine_file(&path)?;
+            tracing::error!(file = %aside.display(), why, "intent log is damaged and was quarantined; its intents are lost");
             open()?
         }
         other => other?,
     };
-    if place.standalone {
-        let last_run = file::read_last_run(&place.folder, &name)?;
-        let last = store.last_run()?.max(last_run.map(|w| w.run));
+    if location.standalone {
+        let last_run = file::read_last_run(&location.folder, &name)?;
+        let last = store.last_run()?.max(last_run.map(|previous| previous.run));
         let run = last.unwrap_or(0) + 1;
-        // The number beside the store first: a store that has begun and is then set back is recognized by it.
-        file::note_run(&place.folder, &name, run)?;
+        // Written before the store begins the run, so that a store that is set back later is detected by this number.
+        file::write_last_run(&location.folder, &name, run)?;
         store.begin(run, last_run, 0)?;
-        tracing::info!(run, proves = store.is_proof(0), "intent log open");
+        tracing::info!(run, proves = store.is_proof(0), "intent log opened");
     }
     let (requests, queue) = sync_channel(QUEUE_CAPACITY);
-    let (state, seen) = watch::channel(store.commits());
+    let (state, state_receiver) = watch::channel(store.commits());
     let thread = std::thread::Builder::new().name(format!("marks-{name}"));
     let worker = StoreThread { store, clock, path, pending_begin: None };
     let thread = thread.spawn(move || worker.run(&queue, &state))?;
-    Ok((IntentLog { requests, state: seen }, thread))
+    Ok((IntentLog { requests, state: state_receiver }, thread))
 }
 
-/// The store and what its thread keeps between two rounds.
+/// The store's thread and its state between two rounds.
 struct StoreThread {
     store: IntentStore,
     clock: Instant,
     path: PathBuf,
-    /// A run that is to begin as soon as the disk takes it.
+    /// A run that is not begun yet; retried until the store writes it.
     pending_begin: Option<RunStart>,
 }
 
-/// A run's number, and what is known elsewhere of the run before.
+/// A run's number and the externally stored state of the previous run.
 struct RunStart {
     run: u64,
     last_run: Option<LastRun>,
 }
 
-/// An intent that was asked for, and who waits for it.
+/// An intent to be written, and the channel for its result.
 struct PendingIntent {
     intent: Intent,
     reply: EventSender,
 }
 
-/// A question that waits for the commit before it.
+/// A query to be answered after the commit of the same round.
 struct PendingQuery {
     number: u64,
     identity: Identity,
     reply: EventSender,
 }
 
-/// What is done in one round of the thread.
+/// The requests of one round of the thread.
 #[derive(Default)]
 struct Round {
     batch: Batch,
@@ -154,7 +162,7 @@
 }
 
 impl StoreThread {
-    /// Serves requests until all who could send one are gone.
+    /// Serves requests until all handles are dropped.
     fn run(mut self, queue: &Receiver<LogRequest>, state: &watch::Sender<Option<LastRun>>) {
         loop {
             let first = match queue.recv_timeout(IDLE_INTERVAL) {
@@ -162,7 +170,7 @@
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            // All that came while the last commit ran.
+            // The requests that arrived during the last commit.
             let more = std::iter::from_fn(|| queue.try_recv().ok());
             let mut round = Round::default();
             for request in first.into_iter().chain(more).take(MAX_BATCH) {
@@ -200,14 +208,14 @@
         let Some(RunStart { run, last_run }) = self.pending_begin.take() else { return };
         let now = self.now();
         let Err(fault) = self.store.begin(run, last_run, now) else { return };
-        tracing::error!(run, %fault, "the intent log can't begin this run");
-        // A disk may come back; a number that is too low stays so.
+        tracing::error!(run, %fault, "intent log failed to begin the run");
+        // A disk error may be temporary, so the run is retried. A run number that is too low fails permanently.
         if !matches!(fault, IntentLogError::RunSuperseded { .. }) {
             self.pending_begin = Some(RunStart { run, last_run });
         }
     }
 
-    /// Writes what came, and drops what is no longer needed.
+    /// Writes the intents of a round and drops expired ones.
     fn commit(&mut self, batch: Batch, intents: Vec<PendingIntent>) {
         let has_begun = self.store.commits().is_some();
         let is_idle = batch.intents.is_empty() && batch.ended.is_empty();
@@ -217,21 +225,21 @@
         let now = self.now();
         let written = self.store.commit(&batch, now);
         if let Err(fault) = &written {
-            tracing::error!(%fault, marks = intents.len(), "intents not written; their attempts are not sent");
+            tracing::error!(%fault, marks = intents.len(), "intents not written to the intent log; their attempts are not sent");
             if let IntentLogError::Damaged(why) = fault {
                 self.quarantine(why);
             }
         }
-        // An asker that is gone needs no answer.
+        // A send error means that the caller no longer exists; it is ignored.
         for PendingIntent { intent, reply } in intents {
             let _ = reply.send(LogEvent::Recorded(intent, written.is_ok()));
         }
     }
 
     fn quarantine(&self, why: &str) {
-        match file::set_aside(&self.path) {
-            Ok(aside) => tracing::error!(file = %aside.display(), why, "intent log quarantined"),
-            Err(error) => tracing::error!(%error, "the intent log can't be quarantined"),
+        match file::quarantine_file(&self.path) {
+            Ok(aside) => tracing::error!(file = %aside.display(), why, "damaged intent log quarantined"),
+            Err(error) => tracing::error!(%error, "damaged intent log could not be quarantined"),
         }
     }
 }
--- a/crates/intent-log/tests/store.rs
+++ b/crates/intent-log/tests/store.rs
@@ -1,4 +1,5 @@
-//! What was acknowledged is there after any loss of power, and a store that may lack something proves nothing.
+//! Acknowledged intents survive any power loss, and a store with possibly missing intents never answers that a message has
+//! not run.
 
 use redb::Database;
 use stagehoist_faulty_disk::{Disk, Draw};
@@ -7,8 +8,8 @@
 };
 use stagehoist_recovery::AttemptKnowledge;
 
-const KEEP: i64 = 1_000_000;
-const OPTIONS: Options = Options { retention: KEEP, ended_retention: KEEP / 10, most: 1000 };
+const RETENTION: i64 = 1_000_000;
+const OPTIONS: Options = Options { retention: RETENTION, ended_retention: RETENTION / 10, most: 1000 };
 
 fn open(disk: &Disk, now: i64) -> Result<IntentStore, IntentLogError> {
     open_with(disk, OPTIONS, now)
@@ -23,28 +24,29 @@
     )
 }
 
-fn mark(n: u64) -> Intent {
+fn intent(n: u64) -> Intent {
     Intent { identity: u128::from(n) << 64 | 7, number: n }
 }
 
-fn marks(numbers: impl IntoIterator<Item = u64>) -> Batch {
-    Batch { intents: numbers.into_iter().map(mark).collect(), ended: Vec::new() }
+fn batch_of(numbers: impl IntoIterator<Item = u64>) -> Batch {
+    Batch { intents: numbers.into_iter().map(intent).collect(), ended: Vec::new() }
 }
 
-/// A store whose first run has seen its time of knowing nothing pass, and which is then in progress in its second.
-fn grown(disk: &Disk) -> IntentStore {
+/// Creates a store whose first run lasted longer than the retention, so that the store is no longer new, and begins its
+/// second run.
+fn begin_second_run(disk: &Disk) -> IntentStore {
     let mut first = open(disk, 0).unwrap();
     first.begin(1, None, 0).unwrap();
-    first.commit(&marks([1]), KEEP + 1).unwrap();
-    let read_last_run = first.commits();
+    first.commit(&batch_of([1]), RETENTION + 1).unwrap();
+    let last_run = first.commits();
     drop(first);
     let mut store = open(disk, 0).unwrap();
-    store.begin(2, read_last_run, 0).unwrap();
+    store.begin(2, last_run, 0).unwrap();
     store
 }
 
-/// Commits until the disk dies; the numbers that were acknowledged.
-fn work(disk: &Disk, draw: &mut Draw) -> Vec<u64> {
+/// Commits intents until the disk fails, and returns the numbers that were acknowledged.
+fn commit_until_failure(disk: &Disk, draw: &mut Draw) -> Vec<u64> {
     let mut acknowledged = Vec::new();
     let Ok(mut store) = open(disk, 0) else { return acknowledged };
     if store.begin(1, None, 0).is_err() {
@@ -54,21 +56,21 @@
     for _ in 0..20 {
         let batch: Vec<u64> = (next..next + 1 + draw.below(40)).collect();
         next += batch.len() as u64;
-        if store.commit(&marks(batch.iter().copied()), 0).is_err() {
+        if store.commit(&batch_of(batch.iter().copied()), 0).is_err() {
             break;
         }
         acknowledged.extend(batch);
     }
-    // The process is killed: nothing is closed in order.
+    // The process is killed, so the store is not closed properly.
     disk.state().left = Some(0);
     acknowledged
 }
 
-/// Intents lost, and kept, over drawn moments of death.
-fn lost(lies: bool, seeds: u64) -> (u64, u64) {
-    let whole = Disk::default();
-    work(&whole, &mut Draw(0));
-    let operations = whole.state().done;
+/// Returns the numbers of intents lost and kept over random moments of power loss.
+fn count_lost_and_kept(lies: bool, seeds: u64) -> (u64, u64) {
+    let healthy = Disk::default();
+    commit_until_failure(&healthy, &mut Draw(0));
+    let operations = healthy.state().done;
     assert!(operations > 100, "{operations}");
     let (mut lost, mut kept) = (0, 0);
     for seed in 0..seeds {
@@ -76,187 +78,194 @@
         let disk = Disk::default();
         disk.state().left = Some(draw.below(operations));
         disk.state().lies = lies;
-        let acknowledged = work(&disk, &mut draw);
+        let acknowledged = commit_until_failure(&disk, &mut draw);
         let after = disk.after_power_loss(&mut draw);
         let Ok(mut store) = open(&after, 0) else {
             lost += acknowledged.len() as u64;
             continue;
         };
         for n in acknowledged {
-            match store.query(mark(n).identity, 0) {
+            match store.query(intent(n).identity, 0) {
                 AttemptKnowledge::MayHaveRun => kept += 1,
                 _ => lost += 1,
             }
         }
         store.begin(9, None, 0).unwrap();
-        store.commit(&marks([100_000]), 0).unwrap();
+        store.commit(&batch_of([100_000]), 0).unwrap();
     }
     (lost, kept)
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_wherever_the_power_goes() {
-    let (lost, kept) = lost(false, 200);
+fn acknowledged_intents_survive_power_loss_at_any_moment() {
+    let (lost, kept) = count_lost_and_kept(false, 200);
     assert_eq!(lost, 0);
     assert!(kept > 3000, "{kept}");
 }
 
 #[test]
-fn a_disk_that_lies_about_syncs_is_seen_to_lose_marks() {
-    assert!(lost(true, 20).0 > 0);
+fn a_disk_that_ignores_syncs_loses_intents() {
+    assert!(count_lost_and_kept(true, 20).0 > 0);
 }
 
 #[test]
-fn a_missing_mark_proves_something_only_in_a_store_that_is_whole() {
+fn a_missing_intent_is_proof_only_in_a_complete_store() {
     let disk = Disk::default();
-    let store = grown(&disk);
-    assert_eq!(store.query(mark(1).identity, 0), AttemptKnowledge::MayHaveRun);
-    assert_eq!(store.query(mark(2).identity, 0), AttemptKnowledge::None);
+    let store = begin_second_run(&disk);
+    assert_eq!(store.query(intent(1).identity, 0), AttemptKnowledge::MayHaveRun);
+    assert_eq!(store.query(intent(2).identity, 0), AttemptKnowledge::None);
     let last = store.commits();
     drop(store);
-    let told = |before: Option<LastRun>| {
+    let answer = |before: Option<LastRun>| {
         let mut store = open(&disk.set_back(), 0).unwrap();
-        assert_eq!(store.query(mark(2).identity, 0), AttemptKnowledge::NotKnown, "no run has begun");
+        assert_eq!(store.query(intent(2).identity, 0), AttemptKnowledge::NotKnown, "no run has begun yet");
         store.begin(9, before, 0).unwrap();
-        store.query(mark(2).identity, 0)
+        store.query(intent(2).identity, 0)
     };
-    assert_eq!(told(last), AttemptKnowledge::None);
-    assert_eq!(told(None), AttemptKnowledge::NotKnown);
-    // The cluster state knows a later run, or later commits, than the file does: it was set back.
-    assert_eq!(told(Some(LastRun { run: 3, commits: 0 })), AttemptKnowledge::NotKnown);
-    assert_eq!(told(last.map(|w| LastRun { commits: w.commits + 1, ..w })), AttemptKnowledge::NotKnown);
+    assert_eq!(answer(last), AttemptKnowledge::None);
+    assert_eq!(answer(None), AttemptKnowledge::NotKnown);
+    // The cluster state knows a later run, or more commits, than the file contains: the file was set back.
+    assert_eq!(answer(Some(LastRun { run: 3, commits: 0 })), AttemptKnowledge::NotKnown);
+    assert_eq!(
+        answer(last.map(|last| LastRun { commits: last.commits + 1, ..last })),
+        AttemptKnowledge::NotKnown
+    );
 }
 
 #[test]
-fn a_new_file_proves_nothing_until_its_time_has_passed() {
+fn a_new_file_proves_nothing_until_the_retention_has_passed() {
     let disk = Disk::default();
     let mut store = open(&disk, 0).unwrap();
     store.begin(1, None, 0).unwrap();
-    store.commit(&marks([1]), KEEP / 2).unwrap();
+    store.commit(&batch_of([1]), RETENTION / 2).unwrap();
     let last = store.commits();
     drop(store);
     let mut store = open(&disk, 0).unwrap();
     store.begin(2, last, 0).unwrap();
-    assert_eq!(store.query(mark(2).identity, KEEP / 2), AttemptKnowledge::NotKnown);
-    store.commit(&marks([3]), KEEP).unwrap();
-    assert_eq!(store.query(mark(2).identity, KEEP), AttemptKnowledge::None);
+    assert_eq!(store.query(intent(2).identity, RETENTION / 2), AttemptKnowledge::NotKnown);
+    store.commit(&batch_of([3]), RETENTION).unwrap();
+    assert_eq!(store.query(intent(2).identity, RETENTION), AttemptKnowledge::None);
 }
 
 #[test]
-fn a_run_that_is_told_a_higher_number_goes_on_with_its_marks() {
+fn a_run_that_gets_a_higher_number_keeps_its_intents() {
     let disk = Disk::default();
-    let mut store = grown(&disk);
-    store.commit(&marks([5]), 0).unwrap();
+    let mut store = begin_second_run(&disk);
+    store.commit(&batch_of([5]), 0).unwrap();
     store.begin(7, Some(LastRun { run: 1, commits: 1 }), 0).unwrap();
-    assert_eq!(store.query(mark(2).identity, 0), AttemptKnowledge::None);
+    assert_eq!(store.query(intent(2).identity, 0), AttemptKnowledge::None);
     assert_eq!(store.commits(), Some(LastRun { run: 7, commits: 1 }));
     assert!(matches!(store.begin(7, None, 0), Err(IntentLogError::RunSuperseded { requested: 7, last: 7 })));
-    store.commit(&marks([6]), KEEP).unwrap();
+    store.commit(&batch_of([6]), RETENTION).unwrap();
     assert_eq!(
-        store.query(mark(5).identity, KEEP),
+        store.query(intent(5).identity, RETENTION),
         AttemptKnowledge::None,
-        "dropped by its age, under the number it had"
+        "expired, although stored under the run's first number"
     );
 }
 
 #[test]
-fn marks_go_by_age_once_ended_sooner_and_of_former_runs_too() {
+fn intents_expire_by_age_earlier_once_ended_and_also_those_of_former_runs() {
     let disk = Disk::default();
-    let mut store = grown(&disk);
-    store.commit(&marks([5, 6]), 10).unwrap();
-    store.commit(&Batch { intents: Vec::new(), ended: vec![mark(5)] }, 20).unwrap();
-    assert!(!store.is_due(KEEP / 10));
-    store.commit(&Batch::default(), 20 + KEEP / 10).unwrap();
-    assert_eq!(store.query(mark(5).identity, KEEP / 5), AttemptKnowledge::None);
-    assert_eq!(store.query(mark(6).identity, KEEP / 5), AttemptKnowledge::MayHaveRun);
-    assert_eq!(store.query(mark(1).identity, KEEP / 5), AttemptKnowledge::MayHaveRun, "of the run before");
-    store.commit(&Batch::default(), KEEP + 10).unwrap();
-    assert_eq!(store.query(mark(6).identity, KEEP + 10), AttemptKnowledge::None);
-    assert_eq!(store.query(mark(1).identity, KEEP + 10), AttemptKnowledge::None);
+    let mut store = begin_second_run(&disk);
+    store.commit(&batch_of([5, 6]), 10).unwrap();
+    store.commit(&Batch { intents: Vec::new(), ended: vec![intent(5)] }, 20).unwrap();
+    assert!(!store.is_due(RETENTION / 10));
+    store.commit(&Batch::default(), 20 + RETENTION / 10).unwrap();
+    assert_eq!(store.query(intent(5).identity, RETENTION / 5), AttemptKnowledge::None);
+    assert_eq!(store.query(intent(6).identity, RETENTION / 5), AttemptKnowledge::MayHaveRun);
+    assert_eq!(
+        store.query(intent(1).identity, RETENTION / 5),
+        AttemptKnowledge::MayHaveRun,
+        "from the previous run"
+    );
+    store.commit(&Batch::default(), RETENTION + 10).unwrap();
+    assert_eq!(store.query(intent(6).identity, RETENTION + 10), AttemptKnowledge::None);
+    assert_eq!(store.query(intent(1).identity, RETENTION + 10), AttemptKnowledge::None);
 }
 
 #[test]
-fn one_id_used_twice_keeps_the_mark_of_the_second_when_the_first_ends() {
+fn a_message_id_used_twice_keeps_the_second_intent_when_the_first_ends() {
     let disk = Disk::default();
-    let mut store = grown(&disk);
+    let mut store = begin_second_run(&disk);
     let [first, second] = [1, 2].map(|number| Intent { identity: 77, number });
     store.commit(&Batch { intents: vec![first, second], ended: vec![first] }, 0).unwrap();
-    store.commit(&Batch::default(), KEEP / 2).unwrap();
-    assert_eq!(store.query(77, KEEP / 2), AttemptKnowledge::MayHaveRun);
+    store.commit(&Batch::default(), RETENTION / 2).unwrap();
+    assert_eq!(store.query(77, RETENTION / 2), AttemptKnowledge::MayHaveRun);
 }
 
 #[test]
-fn more_marks_than_fit_push_out_old_ones_and_then_nothing_is_proven() {
+fn intents_over_the_bound_drop_the_oldest_and_suspend_proofs() {
     let disk = Disk::default();
-    let mut store = grown(&disk);
+    let mut store = begin_second_run(&disk);
     for n in 0..30 {
-        store.commit(&marks(10 + n * 100..110 + n * 100), 5).unwrap();
+        store.commit(&batch_of(10 + n * 100..110 + n * 100), 5).unwrap();
     }
-    assert_eq!(store.query(mark(11).identity, 5), AttemptKnowledge::NotKnown, "pushed out");
-    assert_eq!(store.query(mark(3000).identity, 5), AttemptKnowledge::MayHaveRun);
+    assert_eq!(store.query(intent(11).identity, 5), AttemptKnowledge::NotKnown, "dropped over the bound");
+    assert_eq!(store.query(intent(3000).identity, 5), AttemptKnowledge::MayHaveRun);
     let last = store.commits();
     drop(store);
     let mut store = open(&disk, 0).unwrap();
     store.begin(3, last, 0).unwrap();
     assert_eq!(
-        store.query(mark(11).identity, 0),
+        store.query(intent(11).identity, 0),
         AttemptKnowledge::NotKnown,
-        "the file says that it lacks something"
+        "the file is flagged as incomplete"
     );
-    store.commit(&Batch::default(), KEEP).unwrap();
-    assert_eq!(store.query(mark(11).identity, KEEP), AttemptKnowledge::None);
+    store.commit(&Batch::default(), RETENTION).unwrap();
+    assert_eq!(store.query(intent(11).identity, RETENTION), AttemptKnowledge::None);
 }
 
 #[test]
-fn a_disk_that_fails_for_a_while_loses_nothing_and_goes_on() {
+fn a_temporary_disk_failure_loses_no_acknowledged_intent() {
     let disk = Disk::default();
-    let mut store = grown(&disk);
-    store.commit(&marks([5]), 0).unwrap();
+    let mut store = begin_second_run(&disk);
+    store.commit(&batch_of([5]), 0).unwrap();
     disk.state().left = Some(1);
-    assert!(store.commit(&marks([6]), 0).is_err());
-    assert!(store.commit(&marks([7]), 0).is_err());
-    assert_eq!(store.query(mark(8).identity, 0), AttemptKnowledge::NotKnown);
+    assert!(store.commit(&batch_of([6]), 0).is_err());
+    assert!(store.commit(&batch_of([7]), 0).is_err());
+    assert_eq!(store.query(intent(8).identity, 0), AttemptKnowledge::NotKnown);
     disk.state().left = None;
-    store.commit(&marks([8]), 0).unwrap();
-    assert_eq!(store.query(mark(5).identity, 0), AttemptKnowledge::MayHaveRun);
-    assert_eq!(store.query(mark(8).identity, 0), AttemptKnowledge::MayHaveRun);
+    store.commit(&batch_of([8]), 0).unwrap();
+    assert_eq!(store.query(intent(5).identity, 0), AttemptKnowledge::MayHaveRun);
+    assert_eq!(store.query(intent(8).identity, 0), AttemptKnowledge::MayHaveRun);
 }
 
 #[test]
-fn a_spoiled_file_is_told_as_damaged() {
+fn a_corrupted_file_is_reported_as_damaged() {
     let disk = Disk::default();
-    drop(grown(&disk));
+    drop(begin_second_run(&disk));
     disk.spoil();
     assert!(matches!(open(&disk, 0), Err(IntentLogError::Damaged(_))));
 }
 
-/// Starts, intents, and ends a run; what it could tell of another message.
-fn run(place: &LogLocation, n: u64) -> AttemptKnowledge {
-    let (marks, thread) = start(place, Options { retention: 0, ..OPTIONS }).unwrap();
-    let (reply, mut done) = tokio::sync::mpsc::unbounded_channel();
-    assert!(marks.query(1, 999, &reply));
-    let Some(LogEvent::Answered(1, told)) = done.blocking_recv() else { panic!("no answer") };
-    assert!(marks.record(mark(n), &reply));
-    assert_eq!(done.blocking_recv(), Some(LogEvent::Recorded(mark(n), true)));
-    drop(marks);
+/// Starts a run, records one intent and ends the run; returns the answer about another message.
+fn run(location: &LogLocation, n: u64) -> AttemptKnowledge {
+    let (log, thread) = start(location, Options { retention: 0, ..OPTIONS }).unwrap();
+    let (reply, mut events) = tokio::sync::mpsc::unbounded_channel();
+    assert!(log.query(1, 999, &reply));
+    let Some(LogEvent::Answered(1, answer)) = events.blocking_recv() else { panic!("no answer") };
+    assert!(log.record(intent(n), &reply));
+    assert_eq!(events.blocking_recv(), Some(LogEvent::Recorded(intent(n), true)));
+    drop(log);
     thread.join().unwrap();
-    told
+    answer
 }
 
 #[test]
-fn a_member_alone_counts_its_runs_and_sets_a_damaged_store_aside() {
+fn a_standalone_member_counts_its_runs_and_quarantines_a_damaged_store() {
     let folder = tempfile::tempdir().unwrap();
-    let place = LogLocation { folder: folder.path().into(), name: "front/0".into(), standalone: true };
+    let location = LogLocation { folder: folder.path().into(), name: "front/0".into(), standalone: true };
     let store = folder.path().join("marks-front_0.redb");
-    assert_eq!(run(&place, 1), AttemptKnowledge::NotKnown, "the first");
+    assert_eq!(run(&location, 1), AttemptKnowledge::NotKnown, "first run");
     let old = std::fs::read(&store).unwrap();
-    assert_eq!(run(&place, 2), AttemptKnowledge::None);
-    assert_eq!(read_last_run(folder.path(), "front_0").unwrap().map(|w| w.run), Some(2));
+    assert_eq!(run(&location, 2), AttemptKnowledge::None);
+    assert_eq!(read_last_run(folder.path(), "front_0").unwrap().map(|last| last.run), Some(2));
     std::fs::write(&store, &old).unwrap();
-    assert_eq!(run(&place, 3), AttemptKnowledge::NotKnown, "a store set back");
-    let whole = std::fs::read(&store).unwrap();
-    std::fs::write(&store, &whole[..whole.len() / 3]).unwrap();
-    assert_eq!(run(&place, 4), AttemptKnowledge::NotKnown, "a store torn in the middle");
+    assert_eq!(run(&location, 3), AttemptKnowledge::NotKnown, "store was set back");
+    let complete = std::fs::read(&store).unwrap();
+    std::fs::write(&store, &complete[..complete.len() / 3]).unwrap();
+    assert_eq!(run(&location, 4), AttemptKnowledge::NotKnown, "store was truncated");
     assert!(folder.path().join("marks-front_0.damaged-1").exists());
-    assert_eq!(run(&place, 5), AttemptKnowledge::None);
+    assert_eq!(run(&location, 5), AttemptKnowledge::None);
 }
