--- a/crates/cluster-state/tests/fleet/mod.rs
+++ b/crates/cluster-state/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! A model of one fleet around the code that decides in it: [`Leader`], [`ClusterState`] and [`LeaseHolder`] as they are,
-//! and around them true time, clocks at two rates, a network that delivers late, twice, in any order or
-//! never, and an agreed log with two leaders. A stopped process is one that does nothing while its clock goes on; it may wake at any moment.
+//! A model of one fleet around the production code of [`Leader`], [`ClusterState`] and [`LeaseHolder`]. It simulates true time,
+//! clocks at two rates, a network that delays, duplicates, reorders and drops messages, and a replicated log with two
+//! leaders. A stopped process does nothing while its clock keeps running, and may resume at any time.
 
 mod step;
 
@@ -14,22 +14,22 @@
 
 pub const FUNCTION: &str = "f";
 
-/// What a promise rests on; each can be taken out.
+/// Rules on which the guarantee depends; the model can disable each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
-    /// The told drift between holder and giver.
+    /// The holder and the leader allow for the configured drift.
     Drift,
-    /// A new leader counts promises that it does not know of.
-    Silence,
-    /// A leader promises only while a majority follows it.
+    /// A new leader assumes that leases of earlier leaders are valid.
+    TakeoverWait,
+    /// A leader grants leases only while a majority follows it.
     Quorum,
-    /// A grant vouches for its own version only.
+    /// A grant confirms only the view version that it contains.
     LocalVersion,
-    /// A run serves nothing before its first word.
-    FirstWord,
-    /// A run in whose place another joined still counts.
+    /// A run serves nothing before its first grant.
+    FirstGrant,
+    /// A replaced run still counts as in progress.
     Replaced,
-    /// A new leader promises nothing before its record has come as far as its term.
+    /// A new leader grants no leases before it has applied the first entry of its term.
     CaughtUp,
 }
 
@@ -38,17 +38,17 @@
     pub members: usize,
     pub mode: RetirementMode,
     pub ticks: Micros,
-    /// Reports that all runs together send.
-    pub asks: u8,
-    /// How often each report may come.
-    pub deliveries: u8,
+    /// Maximum reports that all runs together send.
+    pub max_reports: u8,
+    /// Maximum deliveries of each report.
+    pub max_deliveries: u8,
     pub restarts: u8,
     pub elections: usize,
-    /// What is due is agreed on at some later moment, under whichever leader; else at once.
+    /// Whether due commands are committed at any later time, under any leader; else at once.
     pub late_commits: bool,
-    /// The leaders' clocks are the fast ones, so that their promises end soonest; else all are drawn.
-    pub hasty: bool,
-    pub off: Option<Guard>,
+    /// Whether the leaders' clocks are fast, so that they count leases for the shortest time; else all rates are explored.
+    pub fast_leader_clocks: bool,
+    pub disabled_guard: Option<Guard>,
 }
 
 /// One run of a front end.
@@ -63,8 +63,8 @@
 pub struct Replica {
     pub rate: Micros,
     pub acked: Micros,
-    pub lead: Leader,
-    /// How far its record has come.
+    pub leader_state: Leader,
+    /// Index in [`World::history`] of the last change it has applied.
     pub applied: usize,
 }
 
@@ -79,22 +79,22 @@
 pub struct World {
     pub time: Micros,
     pub runs: Vec<Process>,
-    /// The last one leads; one before it does not know that.
+    /// The last one is the leader; the earlier ones do not know that they were replaced.
     pub replicas: Vec<Replica>,
-    /// The cluster state after each agreed change.
+    /// The cluster state after each committed change.
     pub history: Vec<Arc<ClusterState>>,
     pub network: BTreeSet<Message>,
-    /// Handed out by a leader and not agreed on yet.
+    /// Commands returned by a leader and not committed yet.
     pub pending: Vec<Command>,
     pub restarts: u8,
-    pub asks: u8,
+    pub reports_sent: u8,
     pub next_rate: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     Tick,
-    Ask { run: usize, replica: usize },
+    SendReport { run: usize, replica: usize },
     Deliver(Message),
     Retire,
     Restart { run: usize },
@@ -103,20 +103,20 @@
     CatchUp,
 }
 
-/// Clocks run at two rates, 2 and 3 units a tick.
+/// Clock rates: 2 and 3 units per tick.
 pub const RATES: [Micros; 2] = [2, 3];
 
 impl Fleet {
     pub fn terms(&self) -> LeaseTerms {
-        let drift_ppm = if self.off == Some(Guard::Drift) { 0 } else { 500_000 };
+        let drift_ppm = if self.disabled_guard == Some(Guard::Drift) { 0 } else { 500_000 };
         LeaseTerms { lease: 8, drift_ppm, quorum: 2, tombstone_retention: 1000 }
     }
 
     fn world(&self, rates: &[Micros]) -> World {
-        // Its first leader has led for long and has promised nothing.
+        // The first leader was elected long ago and has granted no leases.
         let terms = self.terms();
-        let lead = Leader::new(terms, -terms.takeover_wait());
-        let first = Replica { rate: rates[0], acked: 0, lead, applied: 0 };
+        let leader_state = Leader::new(terms, -terms.takeover_wait());
+        let first = Replica { rate: rates[0], acked: 0, leader_state, applied: 0 };
         let mut world = World {
             time: 0,
             runs: Vec::new(),
@@ -125,7 +125,7 @@
             network: BTreeSet::new(),
             pending: Vec::new(),
             restarts: 0,
-            asks: 0,
+            reports_sent: 0,
             next_rate: rates[1],
         };
         for (index, rate) in rates[2..].iter().enumerate() {
@@ -138,32 +138,32 @@
         let CommandOutcome::Joined(member) =
             self.commit(world, Command::Join { name: name.into(), at_least: 0 })
         else {
-            panic!("a name joins");
+            panic!("the member could not join");
         };
         let holder = LeaseHolder::new(self.terms());
         world.runs.push(Process { member, rate, holder });
     }
 
     fn commit(&self, world: &mut World, command: Command) -> CommandOutcome {
-        let mut record = ClusterState::clone(world.committed());
-        let done = record.apply(world.history.len() as Version, &command);
-        if self.off == Some(Guard::Replaced) {
-            record.replaced.clear();
+        let mut state = ClusterState::clone(world.committed());
+        let outcome = state.apply(world.history.len() as Version, &command);
+        if self.disabled_guard == Some(Guard::Replaced) {
+            state.replaced.clear();
         }
-        world.history.push(Arc::new(record));
+        world.history.push(Arc::new(state));
         let applied = world.history.len() - 1;
         world.leader().applied = applied;
-        done
+        outcome
     }
 
-    /// Whether a run, woken now, would answer a call for the retired function, by its own clock and view.
+    /// Returns whether a run, resumed now, would serve a call to the retired function, by its own clock and view.
     pub fn may_serve(&self, world: &World, run: &Process) -> bool {
-        let standing = run.holder.status();
-        let told = standing.fresh_until != Micros::MIN || self.off == Some(Guard::FirstWord);
-        let fresh = !standing.is_stale(run.now(world)) || standing.fresh_until == Micros::MIN;
+        let status = run.holder.status();
+        let has_lease = status.fresh_until != Micros::MIN || self.disabled_guard == Some(Guard::FirstGrant);
+        let is_fresh = !status.is_stale(run.now(world)) || status.fresh_until == Micros::MIN;
         let replaced = world.committed().members[&run.member.name].incarnation != run.member.incarnation;
-        let goes_on = fresh || (self.mode == RetirementMode::Available && !replaced);
-        standing.view.retired(FUNCTION, 1).is_none() && told && goes_on
+        let serves_unretired = is_fresh || (self.mode == RetirementMode::Available && !replaced);
+        status.view.retired(FUNCTION, 1).is_none() && has_lease && serves_unretired
     }
 
     fn holds(&self, world: &World) -> bool {
@@ -185,7 +185,7 @@
     }
 
     pub fn leader(&mut self) -> &mut Replica {
-        self.replicas.last_mut().expect("one leads")
+        self.replicas.last_mut().expect("there is a leader")
     }
 
     pub fn tombstone(&self) -> Option<&TombstoneState> {
@@ -199,10 +199,11 @@
 
     fn init_states(&self) -> Vec<World> {
         let clocks = 2 + self.members;
-        let drawn =
+        let rate_choices =
             (0..1 << clocks).map(|bits| (0..clocks).map(|c| RATES[bits >> c & 1]).collect::<Vec<_>>());
-        let drawn = drawn.filter(|rates| !self.hasty || rates[..2] == [RATES[1]; 2]);
-        drawn.map(|rates| self.world(&rates)).collect()
+        let rate_choices =
+            rate_choices.filter(|rates| !self.fast_leader_clocks || rates[..2] == [RATES[1]; 2]);
+        rate_choices.map(|rates| self.world(&rates)).collect()
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Action>) {
@@ -213,15 +214,15 @@
         let mut next = world.clone();
         self.step(&mut next, action);
         self.due(&mut next);
-        next.forget_spent();
+        next.drop_ineffective_messages();
         (next != *world).then_some(next)
     }
 
     fn properties(&self) -> Vec<Property<Fleet>> {
         vec![
-            Property::always("in force: nobody serves it", |fleet: &Fleet, world| fleet.holds(world)),
+            Property::always("in force: no run serves it", |fleet: &Fleet, world| fleet.holds(world)),
             Property::sometimes(
-                "a run that was told of nothing yet serves",
+                "a run without the retirement in its view serves",
                 |fleet: &Fleet, world: &World| world.runs.iter().any(|run| fleet.may_serve(world, run)),
             ),
             Property::sometimes("in force by confirmation", |_, world: &World| {
--- a/crates/cluster-state/tests/fleet/step.rs
+++ b/crates/cluster-state/tests/fleet/step.rs
@@ -1,4 +1,4 @@
-//! What can happen in the model, and what comes of it.
+//! The model's possible actions and their effects.
 
 use super::{Action, Fleet, Guard, Message, Replica, World, FUNCTION};
 use stagehoist_cluster_state::{Command, Grant, Leader, Micros, Report, Retirement};
@@ -9,8 +9,8 @@
             actions.push(Action::Tick);
         }
         for (run, process) in world.runs.iter().enumerate() {
-            if world.asks < self.asks {
-                actions.extend((0..world.replicas.len()).map(|replica| Action::Ask { run, replica }));
+            if world.reports_sent < self.max_reports {
+                actions.extend((0..world.replicas.len()).map(|replica| Action::SendReport { run, replica }));
             }
             let last = world.committed().is_present(&process.member);
             if last && world.restarts < self.restarts {
@@ -23,7 +23,7 @@
         }
         actions.extend([Action::CatchUp, Action::Commit]);
         if world.replicas.len() <= self.elections {
-            let lags = if self.off == Some(Guard::CaughtUp) { 0..3 } else { 0..1 };
+            let lags = if self.disabled_guard == Some(Guard::CaughtUp) { 0..3 } else { 0..1 };
             actions.extend(lags.map(|lag| Action::Elect { lag }));
         }
     }
@@ -37,14 +37,14 @@
                 world.time += 1;
                 let time = world.time;
                 let leader = world.leader();
-                // A majority answers the one that leads, to the last.
+                // A majority responds to the present leader up to the current time.
                 leader.acked = leader.rate * time;
             }
-            Action::Ask { run, replica } => {
+            Action::SendReport { run, replica } => {
                 let now = world.runs[run].now(world);
                 let process = &mut world.runs[run];
                 let (number, confirmed) = (process.holder.begin_report(now), process.holder.version());
-                world.asks += 1;
+                world.reports_sent += 1;
                 let report = Message::Report { run, replica, number, confirmed, deliveries: 0 };
                 world.network.insert(report);
             }
@@ -75,13 +75,13 @@
         }
     }
 
-    /// What is due is handed out as soon as it is.
+    /// Commits the due commands, or queues them as pending.
     pub fn due(&self, world: &mut World) {
         let (time, newest) = (world.time, world.history.len() - 1);
-        let record = world.history[newest].clone();
+        let state = world.history[newest].clone();
         let leader = world.leader();
         if leader.applied == newest {
-            let due = leader.lead.due_commands(&record, leader.rate * time);
+            let due = leader.leader_state.due_commands(&state, leader.rate * time);
             if self.late_commits {
                 world.pending.extend(due);
             } else {
@@ -90,15 +90,16 @@
         }
     }
 
-    /// Another replica leads from now on; the old one does not know.
+    /// Elects another replica as leader; the old leader is not notified.
     fn elect(&self, world: &mut World, lag: usize) {
         let rate = world.next_rate;
         let now = rate * world.time;
         let terms = self.terms();
-        let began = if self.off == Some(Guard::Silence) { now - terms.takeover_wait() } else { now };
+        let began =
+            if self.disabled_guard == Some(Guard::TakeoverWait) { now - terms.takeover_wait() } else { now };
         let applied = (world.history.len() - 1).saturating_sub(lag);
-        let lead = Leader::new(terms, began);
-        world.replicas.push(Replica { rate, acked: now, lead, applied });
+        let leader_state = Leader::new(terms, began);
+        world.replicas.push(Replica { rate, acked: now, leader_state, applied });
     }
 
     fn deliver(&self, world: &mut World, message: Message) {
@@ -106,24 +107,25 @@
             Message::Report { run, replica, number, confirmed, deliveries } => {
                 world.network.remove(&message);
                 let deliveries = deliveries + 1;
-                if deliveries < self.deliveries {
+                if deliveries < self.max_deliveries {
                     world.network.insert(Message::Report { run, replica, number, confirmed, deliveries });
                 }
                 let member = world.runs[run].member.clone();
                 let time = world.time;
-                let Replica { rate, acked, lead, applied, .. } = &mut world.replicas[replica];
+                let Replica { rate, acked, leader_state, applied, .. } = &mut world.replicas[replica];
                 let now = *rate * time;
-                let acked = if self.off == Some(Guard::Quorum) { now } else { *acked };
+                let acked = if self.disabled_guard == Some(Guard::Quorum) { now } else { *acked };
                 let report = Report { number, confirmed, ..Report::default() };
-                let record = &world.history[*applied];
-                let Some(grant) = lead.report(record, &member, &report, now, acked) else { return };
+                let state = &world.history[*applied];
+                let Some(grant) = leader_state.report(state, &member, &report, now, acked) else { return };
                 let applied = *applied;
                 world.network.insert(Message::Grant { run, number, version: grant.version });
                 world.network.insert(Message::View { run, applied });
             }
             Message::Grant { run, number, version } => {
                 let holder = &mut world.runs[run].holder;
-                let version = if self.off == Some(Guard::LocalVersion) { holder.version() } else { version };
+                let version =
+                    if self.disabled_guard == Some(Guard::LocalVersion) { holder.version() } else { version };
                 let lease = self.terms().lease;
                 holder.on_grant(Grant { number, version, lease, permits: Vec::new() });
             }
@@ -136,8 +138,8 @@
 }
 
 impl World {
-    /// Messages that would change nothing wherever they come are dropped: fewer states, the same courses.
-    pub fn forget_spent(&mut self) {
+    /// Drops messages that can no longer have an effect, which reduces the number of states but not the executions.
+    pub fn drop_ineffective_messages(&mut self) {
         let (runs, history, time) = (&self.runs, &self.history, self.time);
         self.network.retain(|message| match message {
             Message::Report { .. } => true,
--- a/crates/cluster-state/tests/golden.rs
+++ b/crates/cluster-state/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Golden bytes: every message between a front end and the leader, every command and the whole replicated state in
-//! postcard, as the build before the renaming of the packages wrote them. postcard counts fields and variants by
-//! position, so a reordered variant shows here. `golden/messages.txt` never changes with the code.
+//! Golden test of the postcard encoding of every message between a front end and the leader, every command and the full
+//! replicated state, as the build before the renaming of the packages wrote them. postcard identifies fields and variants
+//! by position, so reordering them fails this test. `golden/messages.txt` must not change with the code.
 
 use serde::{de::DeserializeOwned, Serialize};
 use stagehoist_cluster_state::*;
@@ -13,7 +13,7 @@
 }
 
 impl Golden {
-    /// Encodes a value as a line, and checks that the bytes are read back as the same value.
+    /// Appends a line with the encoded value, and checks that the bytes decode to the same value.
     fn add<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, value: &T) {
         let bytes = postcard::to_stdvec(value).unwrap();
         assert_eq!(&postcard::from_bytes::<T>(&bytes).unwrap(), value);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn every_message_and_the_state_have_the_bytes_that_they_had() {
+fn messages_commands_and_state_encode_to_the_golden_bytes() {
     let mut golden = Golden::default();
     requests(&mut golden);
     responses(&mut golden);
@@ -155,7 +155,7 @@
     golden.add("state-empty", &ClusterState::default());
     assert!(
         golden.text == include_str!("golden/messages.txt"),
-        "the bytes changed; now they are\n{}",
+        "the encoded bytes changed; they are now\n{}",
         golden.text
     );
 }
--- a/crates/cluster-state/tests/leader.rs
+++ b/crates/cluster-state/tests/leader.rs
@@ -1,4 +1,4 @@
-//! What a leader decides, and what the cluster state takes.
+//! Decisions of the leader, and bounds of the cluster state.
 
 use stagehoist_cluster_state::bounds::{MAX_MEMBERS, MAX_NAME_LENGTH, MAX_REPLACED, MAX_TOMBSTONES};
 use stagehoist_cluster_state::{
@@ -10,30 +10,30 @@
     LeaseTerms { lease: 1000, drift_ppm: 10_000, quorum: 500, tombstone_retention: 5000 };
 
 struct Fleet {
-    record: ClusterState,
+    state: ClusterState,
     version: u64,
-    lead: Leader,
+    leader: Leader,
 }
 
 impl Fleet {
-    /// A leader of long standing.
+    /// Creates a fleet whose leader no longer waits for leases of earlier leaders.
     fn new() -> Fleet {
         Fleet {
-            record: ClusterState::default(),
+            state: ClusterState::default(),
             version: 0,
-            lead: Leader::new(TERMS, -TERMS.takeover_wait()),
+            leader: Leader::new(TERMS, -TERMS.takeover_wait()),
         }
     }
 
     fn apply(&mut self, command: Command) -> CommandOutcome {
         self.version += 1;
-        self.record.apply(self.version, &command)
+        self.state.apply(self.version, &command)
     }
 
     fn join(&mut self, name: &str) -> Member {
         match self.apply(Command::Join { name: name.into(), at_least: 0 }) {
             CommandOutcome::Joined(member) => member,
-            done => panic!("{done:?}"),
+            outcome => panic!("{outcome:?}"),
         }
     }
 
@@ -43,19 +43,19 @@
 
     fn report(&mut self, member: &Member, confirmed: u64, now: Micros) -> bool {
         let report = Report { number: 1, confirmed, ..Report::default() };
-        self.lead.report(&self.record, member, &report, now, now).is_some()
+        self.leader.report(&self.state, member, &report, now, now).is_some()
     }
 
-    /// Applies what is due; what it was.
+    /// Applies the due commands and returns them.
     fn due(&mut self, now: Micros) -> Vec<Command> {
-        let due = self.lead.due_commands(&self.record, now);
+        let due = self.leader.due_commands(&self.state, now);
         due.iter().for_each(|command| drop(self.apply(command.clone())));
         due
     }
 
-    /// Whom the retirement excepts; None: it is not in force.
+    /// Returns the members that the retirement excepts; `None` if it is not in force.
     fn excepted(&self) -> Option<Vec<&str>> {
-        match &self.record.view.tombstones["f"].state {
+        match &self.state.view.tombstones["f"].state {
             TombstoneState::Proposed => None,
             TombstoneState::InForce { but_for } => Some(but_for.iter().map(|m| m.name.as_str()).collect()),
         }
@@ -75,15 +75,15 @@
 }
 
 #[test]
-fn strict_waits_for_a_confirmation_or_the_end_of_the_promise() {
+fn strict_retirement_waits_for_a_confirmation_or_the_end_of_the_lease() {
     let mut fleet = Fleet::new();
     let (a, b) = (fleet.join("a"), fleet.join("b"));
     assert!(fleet.report(&a, 0, 0) && fleet.report(&b, 0, 100));
     fleet.retire(1, RetirementMode::Strict);
     assert!(fleet.report(&a, fleet.version, 200));
     assert_eq!((fleet.due(200).len(), fleet.excepted()), (0, None));
-    // Nothing is due before the promise to b has run out, then at once.
-    let next = fleet.lead.next_due(&fleet.record, 200).unwrap();
+    // Nothing is due before the lease of b has expired; then the retirement is due at once.
+    let next = fleet.leader.next_due(&fleet.state, 200).unwrap();
     assert_eq!(next, 100 + TERMS.grantor_span());
     fleet.due(next - 1);
     assert_eq!(fleet.excepted(), None);
@@ -92,22 +92,22 @@
 }
 
 #[test]
-fn available_names_who_did_not_confirm_within_a_lease_and_only_fewer_from_then_on() {
+fn available_retirement_excepts_members_that_did_not_confirm_within_a_lease_and_then_only_fewer() {
     let mut fleet = Fleet::new();
     let runs = ["a", "b", "c"].map(|name| fleet.join(name));
     runs.iter().for_each(|run| assert!(fleet.report(run, 0, 0)));
     fleet.retire(1, RetirementMode::Available);
     let proposed = fleet.version;
     fleet.due(0);
-    // One that goes on reporting without confirming holds it up for a lease and no longer.
+    // A member that keeps reporting without confirming delays the retirement for one lease and no longer.
     (1..10).for_each(|k| assert!(fleet.report(&runs[0], 0, k * 100)));
     fleet.report(&runs[1], proposed, 900);
     fleet.due(TERMS.grantor_span() - 1);
     assert_eq!(fleet.excepted(), None);
     fleet.due(TERMS.grantor_span());
     assert_eq!(fleet.excepted(), Some(vec!["a", "c"]));
-    // A later leader knows of no confirmation; nobody is named anew, nor is one that joins.
-    fleet.lead = Leader::new(TERMS, 2000);
+    // A later leader knows of no confirmations, but excepts no further members, not even one that joins.
+    fleet.leader = Leader::new(TERMS, 2000);
     fleet.join("d");
     fleet.due(2000);
     assert_eq!(fleet.excepted(), Some(vec!["a", "c"]));
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_tombstone_is_forgotten_only_once_all_confirmed_for_long_enough() {
+fn a_tombstone_is_forgotten_only_when_confirmed_by_all_for_the_retention_time() {
     let mut fleet = Fleet::new();
     let a = fleet.join("a");
     fleet.retire(1, RetirementMode::Strict);
@@ -131,14 +131,14 @@
     fleet.report(&a, fleet.version, began);
     fleet.due(began);
     assert_eq!(fleet.due(began + TERMS.tombstone_retention - 1), []);
-    assert_eq!(fleet.lead.next_due(&fleet.record, began), Some(began + TERMS.tombstone_retention));
+    assert_eq!(fleet.leader.next_due(&fleet.state, began), Some(began + TERMS.tombstone_retention));
     let forget = Command::Forget { function: "f".into(), generation: 1 };
     assert_eq!(fleet.due(began + TERMS.tombstone_retention), [forget]);
-    assert!(fleet.record.view.tombstones.is_empty());
+    assert!(fleet.state.view.tombstones.is_empty());
 }
 
 #[test]
-fn a_higher_generation_begins_anew_and_a_lower_one_changes_nothing() {
+fn a_higher_generation_starts_a_new_retirement_and_a_lower_one_changes_nothing() {
     let mut fleet = Fleet::new();
     let a = fleet.join("a");
     fleet.retire(1, RetirementMode::Strict);
@@ -151,76 +151,75 @@
 }
 
 #[test]
-fn a_run_that_was_replaced_leaves_when_its_promise_has_run_out_under_any_leader() {
+fn a_replaced_run_leaves_when_its_lease_has_expired_under_any_leader() {
     let mut fleet = Fleet::new();
     let old = fleet.join("a");
     fleet.report(&old, 0, 0);
     let new = fleet.join("a");
     assert!(!fleet.report(&old, 0, 10) && fleet.report(&new, 0, 10));
-    fleet.lead = Leader::new(TERMS, 20);
+    fleet.leader = Leader::new(TERMS, 20);
     assert_eq!(fleet.due(19 + TERMS.takeover_wait()), []);
     assert_eq!(fleet.due(20 + TERMS.takeover_wait()), [Command::Leave(old)]);
-    assert!(fleet.record.replaced.is_empty() && fleet.record.is_present(&new));
+    assert!(fleet.state.replaced.is_empty() && fleet.state.is_present(&new));
 }
 
 #[test]
-fn no_promise_without_a_majority_and_no_trust_in_what_nobody_can_have_seen() {
+fn no_lease_without_a_majority_and_no_trust_in_confirmations_of_future_views() {
     let mut fleet = Fleet::new();
     let a = fleet.join("a");
     let report = Report { number: 1, confirmed: u64::MAX, ..Report::default() };
     let late = TERMS.quorum + 1;
-    assert!(fleet.lead.report(&fleet.record, &a, &report, late, 0).is_none());
-    assert!(fleet.lead.report(&fleet.record, &a, &report, late, 1).is_some());
+    assert!(fleet.leader.report(&fleet.state, &a, &report, late, 0).is_none());
+    assert!(fleet.leader.report(&fleet.state, &a, &report, late, 1).is_some());
     fleet.retire(1, RetirementMode::Strict);
     fleet.due(late);
     assert_eq!(fleet.excepted(), None);
 }
 
 #[test]
-fn a_command_handed_out_is_not_handed_out_again_at_once() {
+fn a_returned_command_is_not_returned_again_before_the_retry_interval() {
     let mut fleet = Fleet::new();
     fleet.retire(1, RetirementMode::Strict);
-    assert_eq!(fleet.lead.due_commands(&fleet.record, 0).len(), 1);
+    assert_eq!(fleet.leader.due_commands(&fleet.state, 0).len(), 1);
     fleet.join("a");
-    assert_eq!(fleet.lead.due_commands(&fleet.record, 1).len(), 0);
-    let again = fleet.lead.next_due(&fleet.record, 1).unwrap();
-    assert_eq!((again, fleet.lead.due_commands(&fleet.record, again).len()), (TERMS.lease / 4, 1));
+    assert_eq!(fleet.leader.due_commands(&fleet.state, 1).len(), 0);
+    let retry_at = fleet.leader.next_due(&fleet.state, 1).unwrap();
+    assert_eq!((retry_at, fleet.leader.due_commands(&fleet.state, retry_at).len()), (TERMS.lease / 4, 1));
 }
 
 #[test]
-fn what_is_out_of_bounds_is_refused_with_the_reason() {
+fn commands_out_of_bounds_are_rejected_with_a_reason() {
     let mut fleet = Fleet::new();
-    let refused =
-        |done: CommandOutcome| matches!(done, CommandOutcome::Rejected { reason: why } if !why.is_empty());
+    let is_rejected = |outcome: CommandOutcome| matches!(outcome, CommandOutcome::Rejected { reason: why } if !why.is_empty());
     let join = |name: String| Command::Join { name, at_least: 0 };
     assert!(
-        refused(fleet.apply(join("x".repeat(MAX_NAME_LENGTH + 1))))
-            && refused(fleet.apply(join(String::new())))
+        is_rejected(fleet.apply(join("x".repeat(MAX_NAME_LENGTH + 1))))
+            && is_rejected(fleet.apply(join(String::new())))
     );
-    assert!(refused(fleet.apply(Command::Join { name: "a".into(), at_least: u64::MAX })));
-    assert!(refused(fleet.retire(0, RetirementMode::Strict)));
+    assert!(is_rejected(fleet.apply(Command::Join { name: "a".into(), at_least: u64::MAX })));
+    assert!(is_rejected(fleet.retire(0, RetirementMode::Strict)));
     (0..=MAX_REPLACED).for_each(|_| drop(fleet.join("a")));
-    assert!(refused(fleet.apply(join("a".into()))));
+    assert!(is_rejected(fleet.apply(join("a".into()))));
     for k in 0..MAX_TOMBSTONES {
         assert_eq!(fleet.apply(retire(&format!("f{k}"), 1, RetirementMode::Strict)), CommandOutcome::Changed);
     }
-    assert!(refused(fleet.apply(retire("g", 1, RetirementMode::Strict))));
+    assert!(is_rejected(fleet.apply(retire("g", 1, RetirementMode::Strict))));
     assert_eq!(fleet.apply(retire("f0", 2, RetirementMode::Strict)), CommandOutcome::Changed);
 }
 
 #[test]
-fn names_that_come_and_go_do_not_grow_the_record_and_none_is_taken_for_another() {
+fn names_that_join_and_leave_do_not_grow_the_state_and_no_incarnation_is_reused() {
     let mut fleet = Fleet::new();
-    let kept = fleet.join("kept");
+    let retained = fleet.join("kept");
     fleet.retire(1, RetirementMode::Available);
-    let but_for = [kept.clone()].into();
+    let but_for = [retained.clone()].into();
     fleet.apply(Command::InForce { function: "f".into(), generation: 1, but_for });
-    fleet.apply(Command::Leave(kept));
+    fleet.apply(Command::Leave(retained));
     for k in 0..MAX_MEMBERS + 10 {
         let run = fleet.join(&format!("m{k}"));
         fleet.apply(Command::Leave(run));
     }
-    assert_eq!(fleet.record.members.len(), MAX_MEMBERS);
-    assert!(fleet.record.members.contains_key("kept") && !fleet.record.members.contains_key("m0"));
+    assert_eq!(fleet.state.members.len(), MAX_MEMBERS);
+    assert!(fleet.state.members.contains_key("kept") && !fleet.state.members.contains_key("m0"));
     assert_eq!(fleet.join("m0").incarnation, 2);
 }
--- a/crates/cluster-state/tests/lease.rs
+++ b/crates/cluster-state/tests/lease.rs
@@ -1,4 +1,4 @@
-//! A holder and its giver under drawn clocks and drawn order, loss, doubling and lateness of messages.
+//! A lease holder and its leader with random clock rates and random reordering, loss, duplication and delay of messages.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
@@ -10,69 +10,69 @@
 const TERMS: LeaseTerms =
     LeaseTerms { lease: 1_000_000, drift_ppm: 50_000, quorum: 500_000, tombstone_retention: 60_000_000 };
 
-/// What may happen after a wait: which of the messages under way it concerns, and whether that stays under
-/// way.
+/// A step: the kind of action, the wait before it, the index of the message in transit that it delivers, and whether a copy
+/// of that message stays in transit.
 type Step = (u8, Micros, usize, bool);
 
-fn clock(at: Micros, ppm: Micros) -> Micros {
-    at + at * ppm / 1_000_000
+fn clock(now: Micros, ppm: Micros) -> Micros {
+    now + now * ppm / 1_000_000
 }
 
-/// Plays the steps; false where a promise was relied on for longer than its giver counted, or where a
-/// function in force was still taken for served.
+/// Runs the steps. Returns false if the holder relied on a lease for longer than the leader counted it, or if it would still
+/// have served a function whose retirement was in force.
 fn holds(terms: LeaseTerms, (slow, fast): (Micros, Micros), steps: &[Step]) -> bool {
-    let (mut record, mut version) = (ClusterState::default(), 1);
-    let CommandOutcome::Joined(member) = record.apply(1, &Command::Join { name: "m".into(), at_least: 0 })
+    let (mut state, mut version) = (ClusterState::default(), 1);
+    let CommandOutcome::Joined(member) = state.apply(1, &Command::Join { name: "m".into(), at_least: 0 })
     else {
         return false;
     };
-    let (mut lead, mut holder) = (Leader::new(terms, -terms.takeover_wait()), LeaseHolder::new(terms));
-    let (mut reports, mut answers): (Vec<Report>, Vec<(Grant, ClusterView)>) = (Vec::new(), Vec::new());
-    let (mut at, mut promised) = (0, Micros::MIN);
-    for (what, wait, pick, again) in steps {
-        at += wait;
-        let (here, there) = (clock(at, slow), clock(at, fast));
-        match what {
+    let (mut leader, mut holder) = (Leader::new(terms, -terms.takeover_wait()), LeaseHolder::new(terms));
+    let (mut reports, mut grants): (Vec<Report>, Vec<(Grant, ClusterView)>) = (Vec::new(), Vec::new());
+    let (mut now, mut lease_end) = (0, Micros::MIN);
+    for (action, wait, pick, keep_copy) in steps {
+        now += wait;
+        let (holder_now, leader_now) = (clock(now, slow), clock(now, fast));
+        match action {
             0 => {
-                let (number, confirmed) = (holder.begin_report(here), holder.version());
+                let (number, confirmed) = (holder.begin_report(holder_now), holder.version());
                 reports.push(Report { number, confirmed, ..Report::default() });
             }
             1 if !reports.is_empty() => {
-                let place = pick % reports.len();
-                let report = if *again { reports[place].clone() } else { reports.remove(place) };
-                if let Some(grant) = lead.report(&record, &member, &report, there, there) {
-                    promised = promised.max(there + terms.grantor_span());
-                    answers.push((grant, record.view.clone()));
+                let index = pick % reports.len();
+                let report = if *keep_copy { reports[index].clone() } else { reports.remove(index) };
+                if let Some(grant) = leader.report(&state, &member, &report, leader_now, leader_now) {
+                    lease_end = lease_end.max(leader_now + terms.grantor_span());
+                    grants.push((grant, state.view.clone()));
                 }
             }
-            2 | 3 if !answers.is_empty() => {
-                let place = pick % answers.len();
-                let (grant, view) = if *again { answers[place].clone() } else { answers.remove(place) };
-                if *what == 2 {
+            2 | 3 if !grants.is_empty() => {
+                let index = pick % grants.len();
+                let (grant, view) = if *keep_copy { grants[index].clone() } else { grants.remove(index) };
+                if *action == 2 {
                     holder.on_view(view);
                 }
                 holder.on_grant(grant);
             }
-            4 if *again && *pick == 0 => holder.on_connection_lost(),
+            4 if *keep_copy && *pick == 0 => holder.on_connection_lost(),
             5 => {
                 let generation = u32::try_from(version).unwrap_or(u32::MAX);
                 version += 1;
-                record.apply(version, &Command::Retire(retirement(generation, RetirementMode::Strict)));
+                state.apply(version, &Command::Retire(retirement(generation, RetirementMode::Strict)));
             }
             _ => {}
         }
-        for command in lead.due_commands(&record, there) {
+        for command in leader.due_commands(&state, leader_now) {
             version += 1;
-            record.apply(version, &command);
+            state.apply(version, &command);
         }
-        let standing = holder.status();
-        // The moment by true time, rounded down, at which the holder stops relying on it.
-        let until = standing.fresh_until.max(0) * 1_000_000 / (1_000_000 + slow);
-        let outlived = standing.fresh_until != Micros::MIN && clock(until, fast) > promised;
-        let retired = record.view.tombstones.get("f").filter(|t| t.state != TombstoneState::Proposed);
+        let status = holder.status();
+        // The true time, rounded down, at which the holder stops relying on the lease.
+        let until = status.fresh_until.max(0) * 1_000_000 / (1_000_000 + slow);
+        let has_outlived = status.fresh_until != Micros::MIN && clock(until, fast) > lease_end;
+        let retired = state.view.tombstones.get("f").filter(|t| t.state != TombstoneState::Proposed);
         let serves =
-            |generation| !standing.is_stale(here) && standing.view.retired("f", generation).is_none();
-        if outlived || retired.is_some_and(|t| serves(t.retirement.generation)) {
+            |generation| !status.is_stale(holder_now) && status.view.retired("f", generation).is_none();
+        if has_outlived || retired.is_some_and(|t| serves(t.retirement.generation)) {
             return false;
         }
     }
@@ -95,11 +95,11 @@
 }
 
 #[test]
-fn no_holder_outlives_its_givers_count_and_none_serves_what_is_in_force() {
+fn no_holder_outlives_the_leaders_count_and_none_serves_a_retired_function() {
     let config = Config { cases: 3000, failure_persistence: None, ..Config::default() };
     let rng = proptest::test_runner::TestRng::deterministic_rng(config.rng_algorithm);
-    let drawn = (-24_000..24_000i64, -24_000..24_000i64, steps());
-    let result = TestRunner::new_with_rng(config, rng).run(&drawn, |(slow, fast, steps)| {
+    let inputs = (-24_000..24_000i64, -24_000..24_000i64, steps());
+    let result = TestRunner::new_with_rng(config, rng).run(&inputs, |(slow, fast, steps)| {
         prop_assert!(holds(TERMS, (slow, fast), &steps));
         Ok(())
     });
@@ -107,22 +107,22 @@
 }
 
 #[test]
-fn without_the_drift_taken_off_some_course_outlives_it() {
-    let careless = LeaseTerms { drift_ppm: 0, ..TERMS };
-    let course = [(0, 0, 0, false), (1, 0, 0, false), (2, 0, 0, false)];
-    assert!(!holds(careless, (-24_000, 24_000), &course));
-    assert!(holds(TERMS, (-24_000, 24_000), &course));
+fn without_the_drift_margin_some_sequence_outlives_the_lease() {
+    let without_drift = LeaseTerms { drift_ppm: 0, ..TERMS };
+    let sequence = [(0, 0, 0, false), (1, 0, 0, false), (2, 0, 0, false)];
+    assert!(!holds(without_drift, (-24_000, 24_000), &sequence));
+    assert!(holds(TERMS, (-24_000, 24_000), &sequence));
 }
 
 #[test]
-fn an_answer_counts_once_and_not_after_its_connection_was_lost() {
+fn a_grant_counts_once_and_not_after_its_connection_was_lost() {
     let mut holder = LeaseHolder::new(TERMS);
-    let answer = |number| Grant { number, lease: TERMS.lease, ..Grant::default() };
+    let grant = |number| Grant { number, lease: TERMS.lease, ..Grant::default() };
     let (first, second) = (holder.begin_report(10), holder.begin_report(20));
-    assert!(holder.on_grant(answer(second)));
-    assert!(!holder.on_grant(answer(second)) && !holder.on_grant(answer(first)));
+    assert!(holder.on_grant(grant(second)));
+    assert!(!holder.on_grant(grant(second)) && !holder.on_grant(grant(first)));
     assert_eq!(holder.status().fresh_until, 20 + TERMS.holder_span());
     let third = holder.begin_report(30);
     holder.on_connection_lost();
-    assert!(!holder.on_grant(answer(third)));
+    assert!(!holder.on_grant(grant(third)));
 }
