--- a/crates/cluster-state/src/allocation/mod.rs
+++ b/crates/cluster-state/src/allocation/mod.rs
@@ -27,7 +27,7 @@
     terms: LeaseTerms,
     limits: AllocationLimits,
     guards: Guards,
-    began: Micros,
+    elected_at: Micros,
     /// Members that may hold permits from an earlier leader.
     earlier_members: BTreeSet<Member>,
     accounts: BTreeMap<Member, Account>,
@@ -72,7 +72,7 @@
             terms,
             limits,
             guards: Guards::default(),
-            began: now,
+            elected_at: now,
             earlier_members: BTreeSet::new(),
             accounts: BTreeMap::new(),
             pools: Vec::new(),
@@ -129,7 +129,7 @@
     /// Returns whether all permits granted by earlier leaders can no longer be in use: their leases have expired, and
     /// either every earlier member has applied a grant of this leader or the runs started under them have ended.
     pub fn may_allocate(&self, now: Micros) -> bool {
-        let leases_end = self.began + self.terms.takeover_wait();
+        let leases_end = self.elected_at + self.terms.takeover_wait();
         let is_known = |m: &Member| self.accounts.get(m).is_some_and(Account::is_known);
         !self.guards.takeover_wait
             || now >= leases_end
@@ -147,7 +147,7 @@
     fn observe(&mut self, state: &ClusterState, now: Micros) {
         // The first observation may be late: members present then may hold permits from an earlier leader, and so may
         // replaced runs.
-        if !self.has_observed || now < self.began + self.terms.takeover_wait() {
+        if !self.has_observed || now < self.elected_at + self.terms.takeover_wait() {
             self.has_observed = true;
             self.earlier_members.extend(state.present());
             self.earlier_members.extend(state.replaced.keys().cloned());
--- a/crates/cluster-state/src/bounds.rs
+++ b/crates/cluster-state/src/bounds.rs
@@ -33,7 +33,7 @@
                 let full =
                     tombstones.len() >= MAX_TOMBSTONES && !tombstones.contains_key(&retirement.function);
                 retirement
-                    .fault()
+                    .permanent_rejection()
                     .or_else(|| full.then(|| format!("{MAX_TOMBSTONES} functions are retired already")))
             }
             Command::InForce { but_for, .. } => {
@@ -73,7 +73,7 @@
 impl Retirement {
     /// Returns the reason why the cluster state will always reject this retirement. Any other rejection is temporary, until
     /// older retirements are forgotten.
-    pub fn fault(&self) -> Option<String> {
+    pub fn permanent_rejection(&self) -> Option<String> {
         name_rejection("function", &self.function)
             .or_else(|| self.successor.as_ref().and_then(|name| name_rejection("successor", name)))
             .or_else(|| (self.generation == 0).then(|| "generations count from 1".into()))
--- a/crates/cluster-state/src/leader.rs
+++ b/crates/cluster-state/src/leader.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leader {
     terms: LeaseTerms,
-    began: Micros,
+    elected_at: Micros,
     sessions: BTreeMap<Member, Session>,
     progress: BTreeMap<Version, RetirementProgress>,
     /// When [`crate::Command::Leave`] was last returned for replaced runs.
@@ -58,7 +58,7 @@
     pub fn new(terms: LeaseTerms, now: Micros) -> Leader {
         Leader {
             terms,
-            began: now,
+            elected_at: now,
             sessions: BTreeMap::new(),
             progress: BTreeMap::new(),
             last_leave_commands: None,
@@ -71,7 +71,7 @@
 
     /// Enables the allocation of permits from the cluster state's pools. Without it, none are allocated.
     pub fn with_allocation(mut self, limits: AllocationLimits) -> Leader {
-        self.allocator = Some(PermitAllocator::new(self.terms, limits, self.began));
+        self.allocator = Some(PermitAllocator::new(self.terms, limits, self.elected_at));
         self
     }
 
--- a/crates/cluster-state/src/leader/commands.rs
+++ b/crates/cluster-state/src/leader/commands.rs
@@ -227,7 +227,7 @@
     /// Returns when the last lease of a member, granted by this or an earlier leader, expires.
     fn relies_until(&self, member: &Member) -> Micros {
         let promised = self.sessions.get(member).map_or(Micros::MIN, |s| s.promised_until);
-        promised.max(self.began + self.terms.takeover_wait())
+        promised.max(self.elected_at + self.terms.takeover_wait())
     }
 
     /// Returns the minimum time between two commands for the same item, as the first may still be uncommitted.
--- a/crates/cluster-state/src/state.rs
+++ b/crates/cluster-state/src/state.rs
@@ -158,7 +158,7 @@
     /// The command was already applied or has been superseded.
     Unchanged,
     /// The command exceeds a bound. A retry would be rejected again, except for a retirement without a
-    /// [`Retirement::fault`].
+    /// [`Retirement::permanent_rejection`].
     Rejected {
         /// The reason, for logs.
         reason: String,
--- a/crates/consensus/src/replica/service_state/retirements.rs
+++ b/crates/consensus/src/replica/service_state/retirements.rs
@@ -19,7 +19,7 @@
 
     /// The cluster state refused it: for good where the retirement itself is at fault.
     pub(super) fn reject_retirement(&mut self, connection: u64, asked: Retirement, why: &str) {
-        match asked.fault() {
+        match asked.permanent_rejection() {
             Some(why) => self.send_retirement_rejected(connection, asked, why),
             None => self.defer_retirement(&asked, why),
         }
--- a/crates/intent-log/src/store.rs
+++ b/crates/intent-log/src/store.rs
@@ -251,13 +251,13 @@
     pub fn query(&self, identity: Identity, now: Micros) -> AttemptKnowledge {
         match self.contains(identity) {
             Ok(true) => AttemptKnowledge::MayHaveRun,
-            Ok(false) if self.is_proof(now) => AttemptKnowledge::None,
+            Ok(false) if self.can_prove_absence(now) => AttemptKnowledge::None,
             _ => AttemptKnowledge::NotKnown,
         }
     }
 
     /// Returns whether a missing intent proves that no attempt was sent in this run or any earlier one.
-    pub fn is_proof(&self, now: Micros) -> bool {
+    pub fn can_prove_absence(&self, now: Micros) -> bool {
         self.run.is_some() && self.is_complete && self.unproven_until.is_none_or(|at| at <= now)
     }
 
--- a/crates/intent-log/src/thread.rs
+++ b/crates/intent-log/src/thread.rs
@@ -115,7 +115,7 @@
         // Written before the store begins the run, so that a store that is set back later is detected by this number.
         file::write_last_run(&location.folder, &name, run)?;
         store.begin(run, last_run, 0)?;
-        tracing::info!(run, proves = store.is_proof(0), "intent log opened");
+        tracing::info!(run, proves = store.can_prove_absence(0), "intent log opened");
     }
     let (requests, queue) = sync_channel(QUEUE_CAPACITY);
     let (state, state_receiver) = watch::channel(store.commits());
