--- a/crates/cluster-state/src/allocation/account.rs
+++ b/crates/cluster-state/src/allocation/account.rs
@@ -79,7 +79,7 @@
     }
 
     /// Drops grants given at or before a time: they have expired, and all runs started under them have ended.
-    pub fn forget(&mut self, before: Micros) {
+    pub fn drop_expired_grants(&mut self, before: Micros) {
         self.outstanding.retain(|g| g.given_at > before);
     }
 
--- a/crates/cluster-state/src/allocation/mod.rs
+++ b/crates/cluster-state/src/allocation/mod.rs
@@ -169,7 +169,7 @@
         }
         let span = self.terms.grantor_span() + self.max_run_duration();
         self.accounts.retain(|m, a| {
-            a.forget(now - span);
+            a.drop_expired_grants(now - span);
             // Runs of a member that has left may continue at workers.
             state.is_present(m) || now < a.reported_at() + span
         });
--- a/crates/cluster-state/src/lease.rs
+++ b/crates/cluster-state/src/lease.rs
@@ -56,8 +56,8 @@
         LeaseHolder { terms, sent: VecDeque::new(), next: 1, status: initial_status }
     }
 
-    /// Handles a lost connection: reports sent on it will not be answered. An existing lease stays valid until it
-    /// expires.
+    /// Handles a lost connection: discards the reports sent on it, as they will not be answered. An existing lease stays
+    /// valid until it expires.
     pub fn on_connection_lost(&mut self) {
         self.sent.clear();
     }
--- a/crates/cluster-state/src/state.rs
+++ b/crates/cluster-state/src/state.rs
@@ -14,7 +14,7 @@
     pub incarnation: u64,
 }
 
-/// How a front end treats a retirable function when its view is stale.
+/// Whether a front end continues to serve a function when it cannot know whether the function is retired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RetirementMode {
     /// Rejects calls once the view's lease has expired.
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -169,7 +169,7 @@
     let fleet = config.fleet.as_ref();
     let name = fleet.map_or(format!("front-end-{number}"), |f| format!("{}/{number}", f.member));
     let place = LogLocation { folder: PathBuf::from(&told.folder), name, standalone: fleet.is_none() };
-    let options = Options { retention: told.keep, most: told.most, ..Options::default() };
+    let options = Options { retention: told.keep, max_intents: told.most, ..Options::default() };
     let opened = stagehoist_intent_log::start(&place, options);
     opened.map(Some).map_err(|source| GatewayError::Marks { folder: told.folder.clone(), source })
 }
--- a/crates/intent-log/src/commit.rs
+++ b/crates/intent-log/src/commit.rs
@@ -67,7 +67,7 @@
         plan: &mut Plan,
         run: u64,
     ) -> Result<bool, IntentLogError> {
-        let over = intents.len()?.saturating_sub(self.options.most);
+        let over = intents.len()?.saturating_sub(self.options.max_intents);
         if over == 0 {
             return Ok(false);
         }
--- a/crates/intent-log/src/error.rs
+++ b/crates/intent-log/src/error.rs
@@ -2,8 +2,8 @@
 
 use std::io;
 
-/// Errors of the intent store. After an error, the intents of the failed commit must be assumed not to be on disk;
-/// intents acknowledged earlier are still there.
+/// An error of the intent store. After an error, assume that the intents of the failed commit are not on disk. Intents
+/// acknowledged earlier are still on disk.
 #[derive(Debug, thiserror::Error)]
 pub enum IntentLogError {
     /// [`crate::IntentStore::begin`] was not called yet.
--- a/crates/intent-log/src/store.rs
+++ b/crates/intent-log/src/store.rs
@@ -52,12 +52,12 @@
     pub ended_retention: Micros,
     /// Maximum number of intents. Beyond it the oldest are dropped early, and for `retention` after that the store no
     /// longer answers that a message has not run. An intent takes about 70 bytes on disk.
-    pub most: u64,
+    pub max_intents: u64,
 }
 
 impl Default for Options {
     fn default() -> Options {
-        Options { retention: 3_600_000_000, ended_retention: 60_000_000, most: 1_000_000 }
+        Options { retention: 3_600_000_000, ended_retention: 60_000_000, max_intents: 1_000_000 }
     }
 }
 
--- a/crates/intent-log/tests/store.rs
+++ b/crates/intent-log/tests/store.rs
@@ -9,7 +9,7 @@
 use stagehoist_recovery::AttemptKnowledge;
 
 const RETENTION: i64 = 1_000_000;
-const OPTIONS: Options = Options { retention: RETENTION, ended_retention: RETENTION / 10, most: 1000 };
+const OPTIONS: Options = Options { retention: RETENTION, ended_retention: RETENTION / 10, max_intents: 1000 };
 
 fn open(disk: &Disk, now: i64) -> Result<IntentStore, IntentLogError> {
     open_with(disk, OPTIONS, now)
--- a/crates/scale-tests/src/record/marks.rs
+++ b/crates/scale-tests/src/record/marks.rs
@@ -85,15 +85,15 @@
 ///
 /// # Errors
 /// The file can't be used.
-pub fn held(folder: &Path, marks: usize, most: u64) -> Outcome<Held> {
-    let path = folder.join(format!("held-{marks}-{most}.redb"));
+pub fn held(folder: &Path, marks: usize, max_intents: u64) -> Outcome<Held> {
+    let path = folder.join(format!("held-{marks}-{max_intents}.redb"));
     let file = path.clone();
     let opener = Box::new(move || Ok(redb::Database::builder().set_cache_size(8 << 20).create(&file)?));
-    let mut store = IntentStore::open(opener, Options { most, ..Options::default() }, 0)?;
+    let mut store = IntentStore::open(opener, Options { max_intents, ..Options::default() }, 0)?;
     store.begin(1, None, 0)?;
     let was = allocated();
     // No batch fills the store by itself.
-    let batch = (most as usize / 4).clamp(1, 8192);
+    let batch = (max_intents as usize / 4).clamp(1, 8192);
     for first in (0..marks).step_by(batch) {
         let some = first..marks.min(first + batch);
         let some = Batch { intents: some.map(|n| mark(n as u64)).collect(), ended: Vec::new() };
--- a/crates/scale-tests/src/traces/marks.rs
+++ b/crates/scale-tests/src/traces/marks.rs
@@ -14,7 +14,7 @@
     let path = folder.path().join("marks.redb");
     let file = path.clone();
     let opener: Opener = Box::new(move || Ok(redb::Database::create(&file)?));
-    let mut store = IntentStore::open(opener, Options { most: u64::MAX, ..Options::default() }, 0)
+    let mut store = IntentStore::open(opener, Options { max_intents: u64::MAX, ..Options::default() }, 0)
         .map_err(|e| failed(e.to_string()))?;
     store.begin(1, None, 0).map_err(|e| failed(e.to_string()))?;
     let mut number = 0;
