--- a/crates/cluster-state/src/bounds.rs
+++ b/crates/cluster-state/src/bounds.rs
@@ -17,7 +17,7 @@
 pub const MAX_NAME_LENGTH: usize = 256;
 /// Maximum bytes of a retirement's reason.
 pub const MAX_REASON_LENGTH: usize = 1024;
-/// Upper limit (exclusive) of the incarnation that a front end may present when joining. A higher value means that the
+/// Upper limit (exclusive) of the incarnation that a front end may present when joining. This or a higher value means that the
 /// front end's remembered incarnation is corrupt.
 pub const MAX_INCARNATION: u64 = 1 << 48;
 
