--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -170,7 +170,7 @@
     let fleet = config.fleet.as_ref();
     let name = fleet.map_or(format!("front-end-{number}"), |f| format!("{}/{number}", f.member));
     let location = LogLocation { folder: PathBuf::from(&marks.folder), name, standalone: fleet.is_none() };
-    let options = Options { retention: marks.keep, most: marks.most, ..Options::default() };
+    let options = Options { retention: marks.keep, max_intents: marks.most, ..Options::default() };
     let opened = stagehoist_intent_log::start(&location, options);
     opened.map(Some).map_err(|source| GatewayError::Marks { folder: marks.folder.clone(), source })
 }
