--- a/crates/config/src/fleet_grammar.rs
+++ b/crates/config/src/fleet_grammar.rs
@@ -1,60 +1,63 @@
-//! The directives of a process that is part of a fleet.
+//! Directives of a process that is part of a fleet.
 
-use crate::grammar::{may, must, one, Directive, Occurrence, H, MS, S};
+use crate::grammar::{optional_arg, positional_once, required_arg, Directive, Occurrence, H, MS, S};
 use crate::value::Kind;
 
 const NUMBER: Kind = Kind::Count(1, u64::MAX);
 
-/// Taken together with those of [`crate::grammar::DIRECTIVES`].
+/// Fleet directives; used together with [`crate::grammar::DIRECTIVES`].
 pub const FLEET: &[Directive] = &[
-    one("member", &[must("name", Kind::Text)]),
+    positional_once("member", &[required_arg("name", Kind::Text)]),
     Directive {
         name: "keeper",
-        places: &[must("number", NUMBER), must("address", Kind::Address)],
+        positional: &[required_arg("number", NUMBER), required_arg("address", Kind::Address)],
         keys: &[],
-        often: Occurrence::OncePerName,
+        occurrence: Occurrence::OncePerName,
     },
     Directive {
         name: "keep",
-        places: &[must("number", NUMBER)],
-        keys: &[must("listen", Kind::Address), must("store", Kind::Text)],
-        often: Occurrence::Once,
+        positional: &[required_arg("number", NUMBER)],
+        keys: &[required_arg("listen", Kind::Address), required_arg("store", Kind::Text)],
+        occurrence: Occurrence::Once,
     },
-    one("fleet-folder", &[must("folder", Kind::Text)]),
-    one("view-lease", &[must("value", Kind::Duration(100 * MS, 60 * S))]),
-    one("drift", &[must("share", Kind::Number(0.0, 0.2))]),
-    one("remember", &[must("value", Kind::Duration(S, 1000 * H))]),
-    one("asking-most", &[must("value", Kind::Duration(0, 60 * S))]),
-    one("retirements", &[must("file", Kind::Text)]),
+    positional_once("fleet-folder", &[required_arg("folder", Kind::Text)]),
+    positional_once("view-lease", &[required_arg("value", Kind::Duration(100 * MS, 60 * S))]),
+    positional_once("drift", &[required_arg("share", Kind::Number(0.0, 0.2))]),
+    positional_once("remember", &[required_arg("value", Kind::Duration(S, 1000 * H))]),
+    positional_once("asking-most", &[required_arg("value", Kind::Duration(0, 60 * S))]),
+    positional_once("retirements", &[required_arg("file", Kind::Text)]),
     Directive {
         name: "pool",
-        places: &[must("name", Kind::Text)],
-        keys: &[must("functions", Kind::Text), must("lanes", Kind::Text)],
-        often: Occurrence::OncePerName,
+        positional: &[required_arg("name", Kind::Text)],
+        keys: &[required_arg("functions", Kind::Text), required_arg("lanes", Kind::Text)],
+        occurrence: Occurrence::OncePerName,
     },
     Directive {
         name: "reserve",
-        places: &[must("tenant", Kind::Text)],
-        keys: &[must("pool", Kind::Text), must("lanes", Kind::Count(1, 1_000_000))],
-        often: Occurrence::Any,
+        positional: &[required_arg("tenant", Kind::Text)],
+        keys: &[required_arg("pool", Kind::Text), required_arg("lanes", Kind::Count(1, 1_000_000))],
+        occurrence: Occurrence::Any,
     },
-    one("pools-edition", &[must("number", NUMBER)]),
+    positional_once("pools-edition", &[required_arg("number", NUMBER)]),
     Directive {
         name: "marks",
-        places: &[must("folder", Kind::Text)],
-        keys: &[may("keep", Kind::Duration(S, 1000 * H)), may("most", Kind::Count(1000, 100_000_000))],
-        often: Occurrence::Once,
+        positional: &[required_arg("folder", Kind::Text)],
+        keys: &[
+            optional_arg("keep", Kind::Duration(S, 1000 * H)),
+            optional_arg("most", Kind::Count(1000, 100_000_000)),
+        ],
+        occurrence: Occurrence::Once,
     },
     Directive {
         name: "recover",
-        places: &[],
+        positional: &[],
         keys: &[
-            may("waking", Kind::Duration(0, 60 * S)),
-            may("asking", Kind::Duration(0, 60 * S)),
-            may("reserved", Kind::Duration(S, H)),
-            may("share", Kind::Number(0.01, 1.0)),
-            may("new", Kind::Duration(S, H)),
+            optional_arg("waking", Kind::Duration(0, 60 * S)),
+            optional_arg("asking", Kind::Duration(0, 60 * S)),
+            optional_arg("reserved", Kind::Duration(S, H)),
+            optional_arg("share", Kind::Number(0.01, 1.0)),
+            optional_arg("new", Kind::Duration(S, H)),
         ],
-        often: Occurrence::Once,
+        occurrence: Occurrence::Once,
     },
 ];
--- a/crates/config/src/grammar.rs
+++ b/crates/config/src/grammar.rs
@@ -1,4 +1,4 @@
-//! The directives: their arguments by place and by key, with kinds and ranges.
+//! The directives: their positional and named arguments, with kinds and ranges.
 
 use crate::fleet_grammar::FLEET;
 use crate::front_ends_list::FRONT_ENDS_LIST;
@@ -10,14 +10,14 @@
 pub const S: i64 = 1_000_000;
 pub const H: i64 = 3600 * S;
 
-/// An argument: by place where it comes before the keys, else named by its key.
+/// An argument. Positional arguments precede the keys; all others are named by their key.
 pub struct Argument {
     pub key: &'static str,
     pub kind: Kind,
     pub required: bool,
 }
 
-/// How often a directive may stand in a configuration.
+/// How occurrence a directive may occur in a configuration.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Occurrence {
     Once,
@@ -26,226 +26,232 @@
     Any,
 }
 
-/// A directive.
+/// The syntax of a directive.
 pub struct Directive {
     pub name: &'static str,
-    pub places: &'static [Argument],
+    pub positional: &'static [Argument],
     pub keys: &'static [Argument],
-    pub often: Occurrence,
+    pub occurrence: Occurrence,
 }
 
-/// An argument that is required.
-pub const fn must(key: &'static str, kind: Kind) -> Argument {
+/// Creates a required argument.
+pub const fn required_arg(key: &'static str, kind: Kind) -> Argument {
     Argument { key, kind, required: true }
 }
 
-/// An argument that may be left out.
-pub const fn may(key: &'static str, kind: Kind) -> Argument {
+/// Creates an optional argument.
+pub const fn optional_arg(key: &'static str, kind: Kind) -> Argument {
     Argument { key, kind, required: false }
 }
 
-/// A directive that stands once at most and takes its arguments by place.
-pub const fn one(name: &'static str, places: &'static [Argument]) -> Directive {
-    Directive { name, places, keys: &[], often: Occurrence::Once }
+/// Creates a directive that occurs at most once and has only positional arguments.
+pub const fn positional_once(name: &'static str, positional: &'static [Argument]) -> Directive {
+    Directive { name, positional, keys: &[], occurrence: Occurrence::Once }
 }
 
-const YES: &[Argument] = &[must("value", Kind::YesNo)];
-const ANY_DURATION: &[Argument] = &[must("value", Kind::Duration(0, H))];
-const SHARE: &[Argument] = &[must("value", Kind::Number(0.0, 1.0))];
+const YES: &[Argument] = &[required_arg("value", Kind::YesNo)];
+const ANY_DURATION: &[Argument] = &[required_arg("value", Kind::Duration(0, H))];
+const SHARE: &[Argument] = &[required_arg("value", Kind::Number(0.0, 1.0))];
 
-/// Every directive but those of a fleet and of its shards.
+/// All directives except those of fleets and shards.
 pub const DIRECTIVES: &[Directive] = &[
     // This process.
-    one("front-ends", &[must("count", Kind::Count(1, 1024))]),
-    one("fleet-front-ends", &[must("count", Kind::Count(1, 100_000))]),
-    one("seed", &[must("number", Kind::Count(0, u64::MAX))]),
-    one("batch-interval", &[must("value", Kind::Duration(0, S))]),
-    one("held-most", &[must("calls", Kind::Count(1, 1_000_000))]),
-    one("held-bytes-most", &[must("size", Kind::Size(1, 1 << 40))]),
-    one("body-most", &[must("size", Kind::Size(1, 64 << 20))]),
-    one("answer-margin", &[must("value", Kind::Duration(0, 10 * S))]),
-    one("drain-most", &[must("value", Kind::Duration(MS, H))]),
+    positional_once("front-ends", &[required_arg("count", Kind::Count(1, 1024))]),
+    positional_once("fleet-front-ends", &[required_arg("count", Kind::Count(1, 100_000))]),
+    positional_once("seed", &[required_arg("number", Kind::Count(0, u64::MAX))]),
+    positional_once("batch-interval", &[required_arg("value", Kind::Duration(0, S))]),
+    positional_once("held-most", &[required_arg("calls", Kind::Count(1, 1_000_000))]),
+    positional_once("held-bytes-most", &[required_arg("size", Kind::Size(1, 1 << 40))]),
+    positional_once("body-most", &[required_arg("size", Kind::Size(1, 64 << 20))]),
+    positional_once("answer-margin", &[required_arg("value", Kind::Duration(0, 10 * S))]),
+    positional_once("drain-most", &[required_arg("value", Kind::Duration(MS, H))]),
     Directive {
         name: "listen",
-        places: &[must("what", Kind::Word(&["metrics"])), must("address", Kind::Address)],
+        positional: &[required_arg("what", Kind::Word(&["metrics"])), required_arg("address", Kind::Address)],
         keys: &[],
-        often: Occurrence::OncePerName,
+        occurrence: Occurrence::OncePerName,
     },
     // The service.
     Directive {
         name: "class",
-        places: &[must("name", Kind::Text)],
+        positional: &[required_arg("name", Kind::Text)],
         keys: &[
-            must("aim", Kind::Duration(MS, H)),
-            must("give-up", Kind::Duration(MS, H)),
-            may("effect", Kind::Word(&["safe", "keyed", "unsafe"])),
-            may("group", Kind::Word(&["all", "zone", "cell"])),
-            may("window", Kind::Duration(MS, H)),
-            may("worth", Kind::Number(0.0, 1e6)),
-            may("late-worth", Kind::Number(0.0, 1.0)),
-            may("aim-stretch", Kind::Number(0.0, 1e3)),
+            required_arg("aim", Kind::Duration(MS, H)),
+            required_arg("give-up", Kind::Duration(MS, H)),
+            optional_arg("effect", Kind::Word(&["safe", "keyed", "unsafe"])),
+            optional_arg("group", Kind::Word(&["all", "zone", "cell"])),
+            optional_arg("window", Kind::Duration(MS, H)),
+            optional_arg("worth", Kind::Number(0.0, 1e6)),
+            optional_arg("late-worth", Kind::Number(0.0, 1.0)),
+            optional_arg("aim-stretch", Kind::Number(0.0, 1e3)),
         ],
-        often: Occurrence::OncePerName,
+        occurrence: Occurrence::OncePerName,
     },
     Directive {
         name: "function",
-        places: &[must("name", Kind::Text)],
+        positional: &[required_arg("name", Kind::Text)],
         keys: &[
-            must("class", Kind::Text),
-            must("memory", Kind::Size(1, 1 << 50)),
-            may("lanes", Kind::Count(1, 10_000)),
-            may("load", Kind::Duration(0, H)),
-            may("work", Kind::Duration(0, H)),
-            may("generation", Kind::Count(1, u32::MAX as u64)),
-            may("retire", Kind::Word(&["strict", "available"])),
-            may("calls", Kind::Rate(0.0, 1e9)),
-            may("spread", Kind::Count(1, 4_096)),
+            required_arg("class", Kind::Text),
+            required_arg("memory", Kind::Size(1, 1 << 50)),
+            optional_arg("lanes", Kind::Count(1, 10_000)),
+            optional_arg("load", Kind::Duration(0, H)),
+            optional_arg("work", Kind::Duration(0, H)),
+            optional_arg("generation", Kind::Count(1, u32::MAX as u64)),
+            optional_arg("retire", Kind::Word(&["strict", "available"])),
+            optional_arg("calls", Kind::Rate(0.0, 1e9)),
+            optional_arg("spread", Kind::Count(1, 4_096)),
         ],
-        often: Occurrence::OncePerName,
+        occurrence: Occurrence::OncePerName,
     },
     Directive {
         name: "tenant",
-        places: &[must("name", Kind::Text)],
-        keys: &[must("quota", Kind::Rate(0.0, 1e9)), may("functions", Kind::Text)],
-        often: Occurrence::OncePerName,
+        positional: &[required_arg("name", Kind::Text)],
+        keys: &[required_arg("quota", Kind::Rate(0.0, 1e9)), optional_arg("functions", Kind::Text)],
+        occurrence: Occurrence::OncePerName,
     },
-    one("over-share-worth", SHARE),
-    one("worth-by", &[must("unit", Kind::Word(&["call", "work"]))]),
-    // Callers over AMQP.
+    positional_once("over-share-worth", SHARE),
+    positional_once("worth-by", &[required_arg("unit", Kind::Word(&["call", "work"]))]),
+    // Calls over AMQP.
     Directive {
         name: "broker",
-        places: &[must("url", Kind::Url("amqp"))],
+        positional: &[required_arg("url", Kind::Url("amqp"))],
         keys: &[],
-        often: Occurrence::OncePerName,
+        occurrence: Occurrence::OncePerName,
     },
     Directive {
         name: "consume",
-        places: &[must("queue", Kind::Text)],
+        positional: &[required_arg("queue", Kind::Text)],
         keys: &[
-            may("prefetch", Kind::Count(1, 65_535)),
-            may("declare", Kind::Word(&["no", "durable", "transient"])),
+            optional_arg("prefetch", Kind::Count(1, 65_535)),
+            optional_arg("declare", Kind::Word(&["no", "durable", "transient"])),
         ],
-        often: Occurrence::OncePerName,
+        occurrence: Occurrence::OncePerName,
     },
-    one("heartbeat", &[must("value", Kind::Duration(0, H))]),
+    positional_once("heartbeat", &[required_arg("value", Kind::Duration(0, H))]),
     Directive {
         name: "reconnect",
-        places: &[],
-        keys: &[must("first", Kind::Duration(MS, H)), must("most", Kind::Duration(MS, H))],
-        often: Occurrence::Once,
+        positional: &[],
+        keys: &[required_arg("first", Kind::Duration(MS, H)), required_arg("most", Kind::Duration(MS, H))],
+        occurrence: Occurrence::Once,
     },
-    one("confirm-timeout", &[must("value", Kind::Duration(MS, H))]),
-    one("replies", &[must("by", Kind::Word(&["confirm", "transaction"]))]),
-    one("doubtful-reply", &[must("what", Kind::Word(&["withhold", "resend"]))]),
+    positional_once("confirm-timeout", &[required_arg("value", Kind::Duration(MS, H))]),
+    positional_once("replies", &[required_arg("by", Kind::Word(&["confirm", "transaction"]))]),
+    positional_once("doubtful-reply", &[required_arg("what", Kind::Word(&["withhold", "resend"]))]),
     Directive {
         name: "answer-memory",
-        places: &[],
-        keys: &[must("count", Kind::Count(1, 10_000_000)), must("keep", Kind::Duration(S, 24 * H))],
-        often: Occurrence::Once,
+        positional: &[],
+        keys: &[
+            required_arg("count", Kind::Count(1, 10_000_000)),
+            required_arg("keep", Kind::Duration(S, 24 * H)),
+        ],
+        occurrence: Occurrence::Once,
     },
     // Workers.
     Directive {
         name: "worker-list",
-        places: &[must("source", Kind::Word(&["consul", "file"])), must("where", Kind::Text)],
+        positional: &[
+            required_arg("source", Kind::Word(&["consul", "file"])),
+            required_arg("where", Kind::Text),
+        ],
         keys: &[
-            may("service", Kind::Text),
-            may("wait", Kind::Duration(100 * MS, 10 * 60 * S)),
-            may("poll", Kind::Duration(10 * MS, H)),
+            optional_arg("service", Kind::Text),
+            optional_arg("wait", Kind::Duration(100 * MS, 10 * 60 * S)),
+            optional_arg("poll", Kind::Duration(10 * MS, H)),
         ],
-        often: Occurrence::Once,
+        occurrence: Occurrence::Once,
     },
-    one("workers-most", &[must("count", Kind::Count(1, MAX_MEMBERS as u64))]),
-    one("list-subscribe", YES),
-    one("list-ask-within", ANY_DURATION),
-    one("list-initial-wait", ANY_DURATION),
+    positional_once("workers-most", &[required_arg("count", Kind::Count(1, MAX_MEMBERS as u64))]),
+    positional_once("list-subscribe", YES),
+    positional_once("list-ask-within", ANY_DURATION),
+    positional_once("list-initial-wait", ANY_DURATION),
     Directive {
         name: "worker-kind",
-        places: &[must("name", Kind::Text)],
-        keys: &[must("memory", Kind::Size(1, 1 << 50))],
-        often: Occurrence::OncePerName,
+        positional: &[required_arg("name", Kind::Text)],
+        keys: &[required_arg("memory", Kind::Size(1, 1 << 50))],
+        occurrence: Occurrence::OncePerName,
     },
     Directive {
         name: "zone-names",
-        places: &[must("names", Kind::Text)],
+        positional: &[required_arg("names", Kind::Text)],
         keys: &[],
-        often: Occurrence::Once,
+        occurrence: Occurrence::Once,
     },
-    one("zone", &[must("name", Kind::Text)]),
-    one("drain-grace", ANY_DURATION),
+    positional_once("zone", &[required_arg("name", Kind::Text)]),
+    positional_once("drain-grace", ANY_DURATION),
     Directive {
         name: "cold-start",
-        places: &[],
+        positional: &[],
         keys: &[
-            must("window", Kind::Duration(0, H)),
-            must("multiple", Kind::Number(0.0, 1e3)),
-            must("share", Kind::Number(0.0, 1.0)),
-            must("warm-up", Kind::Duration(0, H)),
+            required_arg("window", Kind::Duration(0, H)),
+            required_arg("multiple", Kind::Number(0.0, 1e3)),
+            required_arg("share", Kind::Number(0.0, 1.0)),
+            required_arg("warm-up", Kind::Duration(0, H)),
         ],
-        often: Occurrence::Once,
+        occurrence: Occurrence::Once,
     },
-    one("attempts", &[must("most", Kind::Count(1, 100))]),
-    one("second-copies", YES),
-    one("cancel", YES),
-    one("probe", YES),
-    one("order-loads", YES),
-    one("answers-tell-copy", YES),
-    one("answers-tell-crowd", YES),
-    one("connect-timeout", &[must("value", Kind::Duration(MS, 60 * S))]),
+    positional_once("attempts", &[required_arg("most", Kind::Count(1, 100))]),
+    positional_once("second-copies", YES),
+    positional_once("cancel", YES),
+    positional_once("probe", YES),
+    positional_once("order-loads", YES),
+    positional_once("answers-tell-copy", YES),
+    positional_once("answers-tell-crowd", YES),
+    positional_once("connect-timeout", &[required_arg("value", Kind::Duration(MS, 60 * S))]),
     Directive {
         name: "idle-connections",
-        places: &[],
-        keys: &[must("close", Kind::Duration(MS, H)), must("most", Kind::Count(0, 10_000))],
-        often: Occurrence::Once,
+        positional: &[],
+        keys: &[required_arg("close", Kind::Duration(MS, H)), required_arg("most", Kind::Count(0, 10_000))],
+        occurrence: Occurrence::Once,
     },
-    one("retry-after-most", ANY_DURATION),
-    one("idle-keep", ANY_DURATION),
-    one("on-miss", &[must("what", Kind::Word(&["load", "miss"]))]),
-    one("load-timeout", &[must("value", Kind::Duration(MS, H))]),
+    positional_once("retry-after-most", ANY_DURATION),
+    positional_once("idle-keep", ANY_DURATION),
+    positional_once("on-miss", &[required_arg("what", Kind::Word(&["load", "miss"]))]),
+    positional_once("load-timeout", &[required_arg("value", Kind::Duration(MS, H))]),
     Directive {
         name: "retry-budget",
-        places: &[],
+        positional: &[],
         keys: &[
-            must("window", Kind::Duration(0, H)),
-            must("free", Kind::Number(0.0, 1e6)),
-            must("share", Kind::Number(0.0, 1e3)),
+            required_arg("window", Kind::Duration(0, H)),
+            required_arg("free", Kind::Number(0.0, 1e6)),
+            required_arg("share", Kind::Number(0.0, 1e3)),
         ],
-        often: Occurrence::Once,
+        occurrence: Occurrence::Once,
     },
     Directive {
         name: "load-ration",
-        places: &[],
+        positional: &[],
         keys: &[
-            must("window", Kind::Duration(MS, H)),
-            must("free", Kind::Number(0.0, 1e6)),
-            must("share", Kind::Number(0.0, 1e3)),
+            required_arg("window", Kind::Duration(MS, H)),
+            required_arg("free", Kind::Number(0.0, 1e6)),
+            required_arg("share", Kind::Number(0.0, 1e3)),
         ],
-        often: Occurrence::Once,
+        occurrence: Occurrence::Once,
     },
     Directive {
         name: "price",
-        places: &[],
+        positional: &[],
         keys: &[
-            may("memory", Kind::Number(0.0, 1e3)),
-            may("probe", Kind::Number(0.0, 1e3)),
-            may("cross-zone", Kind::Number(0.0, 1e3)),
-            may("fetch", Kind::Number(0.0, 1e3)),
+            optional_arg("memory", Kind::Number(0.0, 1e3)),
+            optional_arg("probe", Kind::Number(0.0, 1e3)),
+            optional_arg("cross-zone", Kind::Number(0.0, 1e3)),
+            optional_arg("fetch", Kind::Number(0.0, 1e3)),
         ],
-        often: Occurrence::Once,
+        occurrence: Occurrence::Once,
     },
     Directive {
         name: "reports",
-        places: &[must("via", Kind::Word(&["never", "answers", "probe"]))],
-        keys: &[may("fields", Kind::Text)],
-        often: Occurrence::Once,
+        positional: &[required_arg("via", Kind::Word(&["never", "answers", "probe"]))],
+        keys: &[optional_arg("fields", Kind::Text)],
+        occurrence: Occurrence::Once,
     },
 ];
 
-/// The directive of that name.
+/// Returns the directive with a name.
 pub fn directive(name: &str) -> Option<&'static Directive> {
     directives().find(|d| d.name == name)
 }
 
-/// All directives.
+/// Returns all directives.
 pub fn directives() -> impl Iterator<Item = &'static Directive> {
     DIRECTIVES.iter().chain(FLEET).chain(SHARDING).chain(FRONT_ENDS_LIST)
 }
--- a/crates/config/src/lexer.rs
+++ b/crates/config/src/lexer.rs
@@ -1,28 +1,28 @@
-//! Files to lines, lines to words with their places, words to directives with typed values.
+//! Splits files into lines and lines into words with positions, and parses words into directives with typed values.
 
 use crate::build::build;
 use crate::grammar::{directive, directives, Directive, Occurrence};
 use crate::model::Config;
 use crate::nearest::nearest;
 use crate::value::Value;
-use crate::words::{read, words, Word, FILE_MOST};
+use crate::words::{read_file, words, Word, MAX_FILE_BYTES};
 use crate::{Fault, Faults, Position};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// Deepest nesting of `include`.
-const DEPTH: usize = 8;
-/// Faults told at most.
-const FAULTS_MOST: usize = 1000;
+/// Maximum nesting depth of `include`.
+const MAX_INCLUDE_DEPTH: usize = 8;
+/// Maximum number of reported faults.
+const MAX_FAULTS: usize = 1000;
 
-/// A directive with its values by key, each with its place.
+/// A directive with its values by key, each with its position.
 pub struct Line {
     pub directive: &'static Directive,
     pub at: Position,
     pub values: BTreeMap<&'static str, (Value, Position)>,
 }
 
-/// Reads a file and those it includes (relative to the file that includes them).
+/// Reads a file and its included files. Include paths are relative to the including file.
 pub fn load(path: &Path) -> Result<Config, Faults> {
     let mut reader = Reader::default();
     let start = Position { file: path.display().to_string(), line: 1, column: 1 };
@@ -30,7 +30,7 @@
     reader.finish(&start)
 }
 
-/// Reads a configuration from a text; `include` is looked up beside `name`.
+/// Parses a configuration from text. `include` paths are relative to the directory of `name`.
 pub fn parse(name: &str, text: &str) -> Result<Config, Faults> {
     let mut reader = Reader::default();
     reader.text(Path::new(name), text);
@@ -42,28 +42,28 @@
     lines: Vec<Line>,
     faults: Vec<Fault>,
     open: Vec<PathBuf>,
-    /// Faults of files that could not be read at all.
-    unread: Vec<Fault>,
+    /// Faults for files that could not be read.
+    unreadable: Vec<Fault>,
 }
 
 impl Reader {
     fn fault(&mut self, at: &Position, what: impl Into<String>, expected: impl Into<String>) {
-        if self.faults.len() < FAULTS_MOST {
+        if self.faults.len() < MAX_FAULTS {
             self.faults.push(Fault { at: at.clone(), what: what.into(), expected: expected.into() });
         }
     }
 
     fn finish(mut self, start: &Position) -> Result<Config, Faults> {
-        if !self.unread.is_empty() {
-            // What a file that can't be read might have said is no fault of its own.
-            return Err(Faults(self.unread));
+        if !self.unreadable.is_empty() {
+            // Only the read errors are reported: other faults, such as missing directives, may come from the unread content.
+            return Err(Faults(self.unreadable));
         }
-        self.repeats();
+        self.check_repeats();
         let config = build(&self.lines, &mut self.faults, start);
         match config {
             Some(config) if self.faults.is_empty() => Ok(config),
             _ => {
-                // One fault a place is enough to mend it.
+                // Identical faults at one position are reported once.
                 let mut seen = std::collections::BTreeSet::new();
                 self.faults.retain(|f| seen.insert((f.at.clone(), f.what.clone())));
                 self.faults.sort_by(|a, b| a.at.cmp(&b.at));
@@ -74,11 +74,11 @@
 
     fn file(&mut self, path: &Path, from: &Position) {
         let canonical = path.canonicalize().unwrap_or_else(|_| path.to_path_buf());
-        if self.open.len() >= DEPTH || self.open.contains(&canonical) {
+        if self.open.len() >= MAX_INCLUDE_DEPTH || self.open.contains(&canonical) {
             let what = format!("{} includes itself or is nested too deep", path.display());
-            return self.fault(from, what, format!("at most {DEPTH} levels and no circle"));
+            return self.fault(from, what, format!("at most {MAX_INCLUDE_DEPTH} levels and no cycle"));
         }
-        match read(path).map(String::from_utf8) {
+        match read_file(path).map(String::from_utf8) {
             Ok(Ok(text)) => {
                 self.open.push(canonical);
                 self.text(path, &text);
@@ -87,8 +87,8 @@
             Ok(Err(_)) => self.fault(from, format!("{} is not UTF-8", path.display()), "a text file"),
             Err(e) => {
                 let what = format!("can't read {}: {e}", path.display());
-                let expected = format!("a readable file of at most {FILE_MOST} bytes");
-                self.unread.push(Fault { at: from.clone(), what, expected });
+                let expected = format!("a readable file of at most {MAX_FILE_BYTES} bytes");
+                self.unreadable.push(Fault { at: from.clone(), what, expected });
             }
         }
     }
@@ -119,18 +119,18 @@
             };
         }
         let Some(directive) = directive(&first.text) else {
-            let near = nearest(&first.text, directives().map(|d| d.name));
-            let expected = near.map_or("a directive".into(), |n| format!("a directive, perhaps {n}"));
+            let suggestion = nearest(&first.text, directives().map(|d| d.name));
+            let expected = suggestion.map_or("a directive".into(), |n| format!("a directive, perhaps {n}"));
             return self.fault(&at(first.column), format!("unknown directive {}", first.text), expected);
         };
         let mut values = BTreeMap::new();
         let mut rest = words[1..].iter();
-        for place in directive.places {
+        for place in directive.positional {
             match rest.next() {
                 Some(word) => self.value(&mut values, place.key, place.kind, word, at),
                 None => {
                     let expected = place.kind.parse("").err().unwrap_or_default();
-                    let what = format!("{} lacks its {}", directive.name, place.key);
+                    let what = format!("{} is missing its {}", directive.name, place.key);
                     self.fault(&at(first.column), what, expected);
                 }
             }
@@ -138,28 +138,28 @@
         while let Some(word) = rest.next() {
             let Some(key) = directive.keys.iter().find(|k| k.key == word.text) else {
                 let keys: Vec<&str> = directive.keys.iter().map(|k| k.key).collect();
-                let near = nearest(&word.text, keys.iter().copied());
-                let expected = match (near, keys.is_empty()) {
-                    (Some(near), _) => near.to_string(),
+                let suggestion = nearest(&word.text, keys.iter().copied());
+                let expected = match (suggestion, keys.is_empty()) {
+                    (Some(suggestion), _) => suggestion.to_string(),
                     (None, true) => "the end of the line".into(),
                     (None, false) => format!("one of {}", keys.join(", ")),
                 };
-                let what = format!("{} does not take {}", directive.name, word.text);
+                let what = format!("{} does not accept {}", directive.name, word.text);
                 self.fault(&at(word.column), what, expected);
-                // Its value, were there one, would only bring a second fault.
+                // Skips the value of the unknown key, which would cause a second fault.
                 if !keys.is_empty() && rest.clone().next().is_some_and(|w| !keys.contains(&w.text.as_str())) {
                     rest.next();
                 }
                 continue;
             };
             if values.contains_key(key.key) {
-                self.fault(&at(word.column), format!("{} stands twice", key.key), "each key once");
+                self.fault(&at(word.column), format!("{} is given twice", key.key), "each key once");
             }
             match rest.next() {
                 Some(value) => self.value(&mut values, key.key, key.kind, value, at),
                 None => {
                     let expected = key.kind.parse("").err().unwrap_or_default();
-                    self.fault(&at(word.column), format!("{} lacks its value", key.key), expected);
+                    self.fault(&at(word.column), format!("{} is missing its value", key.key), expected);
                 }
             }
         }
@@ -167,7 +167,7 @@
             let named = words.iter().any(|w| w.text == key.key);
             if !named {
                 let expected = key.kind.parse("").err().unwrap_or_default();
-                let what = format!("{} lacks {}", directive.name, key.key);
+                let what = format!("{} is missing {}", directive.name, key.key);
                 self.fault(&at(first.column), what, format!("{} with {expected}", key.key));
             }
         }
@@ -188,24 +188,24 @@
         }
     }
 
-    /// Directives that stand more often than they may.
-    fn repeats(&mut self) {
+    /// Reports directives that occur more occurrence than allowed.
+    fn check_repeats(&mut self) {
         let mut first: BTreeMap<(&str, String), Position> = BTreeMap::new();
         let mut faults = Vec::new();
         for line in &self.lines {
-            let name = match line.directive.often {
+            let name = match line.directive.occurrence {
                 Occurrence::Any => continue,
                 Occurrence::Once => String::new(),
                 Occurrence::OncePerName => {
-                    match line.directive.places.first().and_then(|p| line.values.get(p.key)) {
+                    match line.directive.positional.first().and_then(|p| line.values.get(p.key)) {
                         Some((value, _)) => format!(" {value:?}"),
                         None => continue,
                     }
                 }
             };
             if let Some(earlier) = first.get(&(line.directive.name, name.clone())) {
-                let what = format!("{} stands a second time", line.directive.name);
-                faults.push((line.at.clone(), what, format!("it once; first at {earlier}")));
+                let what = format!("{} is repeated", line.directive.name);
+                faults.push((line.at.clone(), what, format!("one occurrence; first at {earlier}")));
             } else {
                 first.insert((line.directive.name, name), line.at.clone());
             }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The configuration of stagehoist, in the manner of classic daemons: one directive a line, `#` begins a comment,
-//! quotes keep spaces together, every quantity carries its unit, `include FILE` reads another file in place.
+//! The configuration of stagehoist, in the style of classic daemons: one directive per line, `#` starts a comment,
+//! quotes enclose spaces, every quantity has a unit, `include FILE` inserts another file in place.
 //!
-//! [`load`] reads a file and those it includes and tells all faults at once, each with file, line, column and what was
-//! expected. [`Config::render`] writes a configuration back; reading that gives the same configuration.
+//! [`load`] reads a file and its included files and reports all faults at once, each with file, line, column and the
+//! expected value. [`Config::render`] renders a configuration as text; parsing that text gives the same configuration.
 //!
 //! ```
 //! let text = "class lookup aim 800ms give-up 2.5s\nfunction free-times class lookup memory 64MB lanes 2\n\
@@ -43,7 +43,7 @@
 
 use std::fmt;
 
-/// A place in a file; lines and columns count from 1, columns in characters.
+/// A position in a file. Lines and columns are counted from 1, columns in characters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
     pub file: String,
@@ -57,7 +57,7 @@
     }
 }
 
-/// One thing that is wrong with a configuration.
+/// An error in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{at}: {what}; expected {expected}")]
 pub struct Fault {
@@ -66,7 +66,7 @@
     pub expected: String,
 }
 
-/// All that is wrong with a configuration, by file, line and column.
+/// All errors in a configuration, ordered by file, line and column.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct Faults(pub Vec<Fault>);
 
--- a/crates/config/src/list_source.rs
+++ b/crates/config/src/list_source.rs
@@ -5,18 +5,22 @@
 use crate::model::ListSource;
 use crate::Position;
 
-/// The source that a directive names; `service` is Consul's where none is configured, `consul_only` the keys that mean nothing with
-/// a file. What is wrong goes to `stray`.
+/// Returns the list source that a directive names. `service` is the default Consul service, `consul_only` lists the keys
+/// that are not valid with a file. Faults are added to `problems`.
 pub fn list_source(
     line: &Line,
     service: &str,
     consul_only: &[&str],
-    stray: &mut Vec<(Position, String, String)>,
+    problems: &mut Vec<(Position, String, String)>,
 ) -> Option<ListSource> {
     let (place, file) = (line.text("where")?, line.text("source")? == "file");
     let (wrong, other) = if file { (consul_only, "consul") } else { (&["poll"][..], "file") };
     for key in wrong.iter().filter(|k| line.get(k).is_some()) {
-        stray.push((line.place(key), format!("{key} with this source"), format!("it with {other} only")));
+        problems.push((
+            line.place(key),
+            format!("{key} is not valid with this source"),
+            format!("source {other} for this key"),
+        ));
     }
     Some(if file {
         ListSource::File { path: place, poll: line.duration("poll").unwrap_or(250 * MS) }
--- a/crates/config/src/marks.rs
+++ b/crates/config/src/marks.rs
@@ -1,26 +1,27 @@
-//! Intents of attempts on disk.
+//! Settings of the intent log on disk.
 
 use crate::build::S;
 use crate::model::Class;
 use crate::source::Source;
 use crate::Position;
 
-/// Where attempts of calls that are not idempotent are recorded before they leave.
+/// Where attempts of non-idempotent calls are recorded before they are sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IntentLogSettings {
     pub folder: String,
-    /// How long an intent is kept, in microseconds: longer than any message may be delivered again.
+    /// Retention of an intent, in microseconds. It must exceed the time in which a message may be redelivered.
     pub keep: i64,
-    /// Intents of one front end.
+    /// Maximum number of intents of one front end.
     pub most: u64,
 }
 
-/// What is wrong goes to `stray`. Without replicas nobody knows which others may have held a message.
+/// Reads the `marks` directive and adds faults to `problems`. Several front ends need replicas: without them, a front end
+/// can't find out which other front ends may have held a message.
 pub fn marks(
     s: &Source<'_>,
     classes: &[Class],
     keepers: bool,
-    stray: &mut Vec<(Position, String, String)>,
+    problems: &mut Vec<(Position, String, String)>,
 ) -> Option<IntentLogSettings> {
     let line = s.one("marks")?;
     let marks = IntentLogSettings {
@@ -31,12 +32,12 @@
     let longest = classes.iter().map(|c| c.give_up).max().unwrap_or(0);
     if marks.keep <= longest {
         let what = "marks are kept no longer than the longest give-up".to_string();
-        stray.push((line.place("keep"), what, "a longer time".into()));
+        problems.push((line.place("keep"), what, "a longer time".into()));
     }
     let front_ends = s.count("fleet-front-ends", "count", s.count("front-ends", "count", 1));
     if !keepers && front_ends != 1 {
         let what = format!("marks without keepers for {front_ends} front ends");
-        stray.push((line.at.clone(), what, "member and keeper lines, or one front end".into()));
+        problems.push((line.at.clone(), what, "member and keeper lines, or one front end".into()));
     }
     Some(marks)
 }
--- a/crates/config/src/nearest.rs
+++ b/crates/config/src/nearest.rs
@@ -1,6 +1,6 @@
-//! Misspelt words.
+//! Suggestions for misspelled words.
 
-/// The known word nearest to a misspelt one, where one is near.
+/// Returns the known word closest to a misspelled one by edit distance, if it is close enough.
 pub fn nearest<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     known.map(|k| (distance(word, k), k)).filter(|(d, k)| *d <= 1 + k.len() / 4).min().map(|(_, k)| k)
 }
--- a/crates/config/src/render.rs
+++ b/crates/config/src/render.rs
@@ -1,13 +1,13 @@
-//! A configuration written back, one directive a line; reading it gives the same configuration.
+//! Renders a configuration as text, one directive per line. Parsing that text gives the same configuration.
 
 use crate::fleet::{Fleet, ReplicaSettings};
 use crate::model::{Config, Function, ListSource};
-use crate::value::{show_duration as d, show_size};
-use crate::words::word;
+use crate::value::{format_duration as d, format_size};
+use crate::words::quoted;
 use stagehoist::{DeduplicationScope, Effect, OnMiss, ReportChannel};
 use std::fmt::Write;
 
-fn yes(flag: bool) -> &'static str {
+fn yes_no(flag: bool) -> &'static str {
     if flag {
         "yes"
     } else {
@@ -16,11 +16,11 @@
 }
 
 impl Config {
-    /// The configuration as text, every directive written out.
+    /// Returns the configuration as text, with every directive written out.
     pub fn render(&self) -> String {
         let mut out = String::new();
         let mut line = |text: String| {
-            // Writing to a string can't fail.
+            // Writing to a string never fails.
             let _ = writeln!(out, "{text}");
         };
         line(format!("front-ends {}", self.front_ends));
@@ -28,8 +28,8 @@
         line(format!("seed {}", self.seed));
         line(format!("batch-interval {}", d(self.batch_interval)));
         line(format!("held-most {}", self.held_most));
-        line(format!("held-bytes-most {}", show_size(self.held_bytes_most)));
-        line(format!("body-most {}", show_size(self.body_most)));
+        line(format!("held-bytes-most {}", format_size(self.held_bytes_most)));
+        line(format!("body-most {}", format_size(self.body_most)));
         line(format!("answer-margin {}", d(self.answer_margin)));
         line(format!("drain-most {}", d(self.drain_most)));
         for listen in &self.listen {
@@ -50,7 +50,7 @@
             };
             line(format!(
                 "class {} aim {} give-up {} effect {effect} worth {} late-worth {} aim-stretch {}",
-                word(&c.name),
+                quoted(&c.name),
                 d(c.aim),
                 d(c.give_up),
                 c.worth,
@@ -61,9 +61,9 @@
         for f in &self.functions {
             line(format!(
                 "function {} class {} memory {} lanes {} load {} work {}{}{}",
-                word(&f.pattern),
-                word(&f.class),
-                show_size(f.memory),
+                quoted(&f.pattern),
+                quoted(&f.class),
+                format_size(f.memory),
                 f.lanes,
                 d(f.load),
                 d(f.work),
@@ -73,12 +73,12 @@
         }
         for t in &self.tenants {
             let functions = self.sharding.as_ref().map_or(String::new(), |s| s.of_tenant(&t.name));
-            line(format!("tenant {} quota {}/s{functions}", word(&t.name), t.quota));
+            line(format!("tenant {} quota {}/s{functions}", quoted(&t.name), t.quota));
         }
         line(format!("over-share-worth {}", self.over_share_worth));
         line(format!("worth-by {}", if self.worth_by_work { "work" } else { "call" }));
         for b in &self.brokers {
-            line(format!("broker {}", word(&b.url)));
+            line(format!("broker {}", quoted(&b.url)));
         }
         for c in &self.consume {
             let declare = match c.declare {
@@ -87,7 +87,7 @@
                 Some(false) => "transient",
             };
             let prefetch = c.prefetch.map_or(String::new(), |n| format!(" prefetch {n}"));
-            line(format!("consume {}{prefetch} declare {declare}", word(&c.queue)));
+            line(format!("consume {}{prefetch} declare {declare}", quoted(&c.queue)));
         }
         line(format!("heartbeat {}", d(self.heartbeat)));
         line(format!("reconnect first {} most {}", d(self.reconnect.0), d(self.reconnect.1)));
@@ -99,27 +99,27 @@
             ListSource::Consul { address, service, wait } => {
                 line(format!(
                     "worker-list consul {} service {} wait {}",
-                    word(address),
-                    word(service),
+                    quoted(address),
+                    quoted(service),
                     d(*wait)
                 ));
             }
             ListSource::File { path, poll } => {
-                line(format!("worker-list file {} poll {}", word(path), d(*poll)))
+                line(format!("worker-list file {} poll {}", quoted(path), d(*poll)))
             }
         }
         line(format!("workers-most {}", self.workers_most));
-        line(format!("list-subscribe {}", yes(self.list_subscribe)));
+        line(format!("list-subscribe {}", yes_no(self.list_subscribe)));
         line(format!("list-ask-within {}", d(self.list_ask_within)));
         line(format!("list-initial-wait {}", d(self.list_initial_wait)));
         for k in &self.kinds {
-            line(format!("worker-kind {} memory {}", word(&k.name), show_size(k.memory)));
+            line(format!("worker-kind {} memory {}", quoted(&k.name), format_size(k.memory)));
         }
         if !self.zones.is_empty() {
-            line(format!("zone-names {}", word(&self.zones.join(","))));
+            line(format!("zone-names {}", quoted(&self.zones.join(","))));
         }
         if let Some(zone) = &self.zone {
-            line(format!("zone {}", word(zone)));
+            line(format!("zone {}", quoted(zone)));
         }
         line(format!("drain-grace {}", d(self.drain_grace)));
         line(format!(
@@ -130,12 +130,12 @@
             d(self.warm_up)
         ));
         line(format!("attempts {}", self.attempts));
-        line(format!("second-copies {}", yes(self.second_copies)));
-        line(format!("cancel {}", yes(self.cancel)));
-        line(format!("probe {}", yes(self.probe)));
-        line(format!("order-loads {}", yes(self.order_loads)));
-        line(format!("answers-tell-copy {}", yes(self.answers_tell_copy)));
-        line(format!("answers-tell-crowd {}", yes(self.answers_tell_crowd)));
+        line(format!("second-copies {}", yes_no(self.second_copies)));
+        line(format!("cancel {}", yes_no(self.cancel)));
+        line(format!("probe {}", yes_no(self.probe)));
+        line(format!("order-loads {}", yes_no(self.order_loads)));
+        line(format!("answers-tell-copy {}", yes_no(self.answers_tell_copy)));
+        line(format!("answers-tell-crowd {}", yes_no(self.answers_tell_crowd)));
         line(format!("connect-timeout {}", d(self.connect_timeout)));
         line(format!("idle-connections close {} most {}", d(self.idle_close), self.idle_most));
         line(format!("retry-after-most {}", d(self.retry_after_most)));
@@ -155,14 +155,14 @@
         match self.report_via {
             ReportChannel::None => line("reports never".into()),
             ReportChannel::Answers => {
-                line(format!("reports answers fields {}", word(&self.report_fields.join(","))))
+                line(format!("reports answers fields {}", quoted(&self.report_fields.join(","))))
             }
             ReportChannel::HealthChecks => {
-                line(format!("reports probe fields {}", word(&self.report_fields.join(","))))
+                line(format!("reports probe fields {}", quoted(&self.report_fields.join(","))))
             }
         }
         if let Some(marks) = &self.marks {
-            line(format!("marks {} keep {} most {}", word(&marks.folder), d(marks.keep), marks.most));
+            line(format!("marks {} keep {} most {}", quoted(&marks.folder), d(marks.keep), marks.most));
         }
         if let Some(sharding) = &self.sharding {
             sharding.lines(&self.zones).into_iter().for_each(&mut line);
@@ -183,23 +183,23 @@
 
 impl Fleet {
     fn lines(&self) -> Vec<String> {
-        let mut out = vec![format!("member {}", word(&self.member))];
+        let mut out = vec![format!("member {}", quoted(&self.member))];
         out.extend(self.keepers.iter().map(|(number, address)| format!("keeper {number} {address}")));
         let keep =
-            |k: &ReplicaSettings| format!("keep {} listen {} store {}", k.number, k.listen, word(&k.store));
+            |k: &ReplicaSettings| format!("keep {} listen {} store {}", k.number, k.listen, quoted(&k.store));
         out.extend(self.keep.as_ref().map(keep));
-        out.extend(self.folder.as_ref().map(|f| format!("fleet-folder {}", word(f))));
+        out.extend(self.folder.as_ref().map(|f| format!("fleet-folder {}", quoted(f))));
         out.push(format!("view-lease {}", d(self.view_lease)));
         out.push(format!("drift {}", self.drift));
         out.push(format!("remember {}", d(self.remember)));
         out.push(format!("asking-most {}", d(self.asking_most)));
-        out.extend(self.retirements.as_ref().map(|f| format!("retirements {}", word(f))));
+        out.extend(self.retirements.as_ref().map(|f| format!("retirements {}", quoted(f))));
         for pool in &self.pools {
             let lanes = pool.permits.map_or("by-workers".to_string(), |n| n.to_string());
-            let functions = word(&pool.functions.join(","));
-            out.push(format!("pool {} functions {functions} lanes {lanes}", word(&pool.name)));
+            let functions = quoted(&pool.functions.join(","));
+            out.push(format!("pool {} functions {functions} lanes {lanes}", quoted(&pool.name)));
             for (tenant, lanes) in &pool.reservations {
-                out.push(format!("reserve {} pool {} lanes {lanes}", word(tenant), word(&pool.name)));
+                out.push(format!("reserve {} pool {} lanes {lanes}", quoted(tenant), quoted(&pool.name)));
             }
         }
         out.push(format!("pools-edition {}", self.pools_edition));
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,10 +1,10 @@
-//! What the module is given, and what is looked up in a configuration.
+//! Settings passed to the core module, and lookups in a configuration.
 
 use crate::model::{Class, Config, Function};
 use stagehoist::{ClassSettings, ReportField, Settings};
 
 impl Config {
-    /// What the module is given at its start.
+    /// Returns the settings that the core module is started with.
     pub fn settings(&self) -> Settings {
         let class = |c: &Class| ClassSettings {
             latency_objective: c.aim,
@@ -59,13 +59,13 @@
         }
     }
 
-    /// The function directive that takes a name: an exact one before the longest pattern.
+    /// Returns the function directive that matches a name. An exact name wins over patterns, a longer pattern over a shorter one.
     pub fn function(&self, name: &str) -> Option<&Function> {
         let takes = self.functions.iter().filter(|f| f.takes(name));
         takes.max_by_key(|f| (!f.pattern.ends_with('*'), f.pattern.len()))
     }
 
-    /// The place of a class among the classes.
+    /// Returns the index of a class.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|c| c.name == name)
     }
--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -1,4 +1,4 @@
-//! Values with their units, and the kinds of value that a directive takes.
+//! Values with units, and the kinds of value that a directive accepts.
 
 use std::net::SocketAddr;
 
@@ -9,20 +9,20 @@
     Duration(i64),
     /// Bytes.
     Size(u64),
-    /// A plain number, a share or a rate a second.
+    /// A plain number, a share or a rate per second.
     Number(f64),
     Count(u64),
     Flag(bool),
     Text(String),
 }
 
-/// What a value must be.
+/// The type and range that a value must have.
 #[derive(Clone, Copy, Debug)]
 pub enum Kind {
-    /// At least and at most, in microseconds.
+    /// Minimum and maximum, in microseconds.
     Duration(i64, i64),
     Size(u64, u64),
-    /// Written with `/s` behind it.
+    /// Written with the suffix `/s`.
     Rate(f64, f64),
     Number(f64, f64),
     Count(u64, u64),
@@ -40,7 +40,7 @@
     Some((text[..at].parse().ok()?, &text[at..]))
 }
 
-/// A duration such as `250us`, `800ms`, `2.5s`, `10m` or `1h`, in microseconds. `0` needs no unit.
+/// Parses a duration such as `250us`, `800ms`, `2.5s`, `10m` or `1h`, in microseconds. `0` needs no unit.
 pub fn parse_duration(text: &str) -> Option<i64> {
     let (number, unit) = split_unit(text)?;
     let scale = match unit {
@@ -56,7 +56,7 @@
     (micros <= 1e15).then_some(micros.round() as i64)
 }
 
-/// A size such as `512B`, `64KB`, `12MB` or `4GB` (powers of 1,000) or `KiB`, `MiB`, `GiB` (of 1,024), in bytes.
+/// Parses a size such as `512B`, `64KB`, `12MB` or `4GB` (powers of 1,000) or `KiB`, `MiB`, `GiB` (of 1,024), in bytes.
 pub fn parse_size(text: &str) -> Option<u64> {
     let (number, unit) = split_unit(text)?;
     let scale = match unit {
@@ -74,8 +74,8 @@
     (bytes <= 1e18).then_some(bytes.round() as u64)
 }
 
-/// A duration in the largest unit that keeps it whole.
-pub fn show_duration(micros: i64) -> String {
+/// Formats a duration in the largest unit that gives a whole number.
+pub fn format_duration(micros: i64) -> String {
     match micros {
         0 => "0".into(),
         m if m % (3600 * SECOND) == 0 => format!("{}h", m / (3600 * SECOND)),
@@ -86,8 +86,8 @@
     }
 }
 
-/// A size in the largest unit that keeps it whole.
-pub fn show_size(bytes: u64) -> String {
+/// Formats a size in the largest unit that gives a whole number.
+pub fn format_size(bytes: u64) -> String {
     match bytes {
         0 => "0".into(),
         b if b % 1_000_000_000 == 0 => format!("{}GB", b / 1_000_000_000),
@@ -98,23 +98,23 @@
 }
 
 impl Kind {
-    /// The value of a word, or what was expected instead.
+    /// Parses a word. The error describes the expected value.
     pub fn parse(self, text: &str) -> Result<Value, String> {
         match self {
             Kind::Duration(least, most) => match parse_duration(text) {
                 Some(d) if (least..=most).contains(&d) => Ok(Value::Duration(d)),
                 _ => Err(format!(
                     "a duration with its unit (us, ms, s, m, h) from {} to {}",
-                    show_duration(least),
-                    show_duration(most)
+                    format_duration(least),
+                    format_duration(most)
                 )),
             },
             Kind::Size(least, most) => match parse_size(text) {
                 Some(s) if (least..=most).contains(&s) => Ok(Value::Size(s)),
                 _ => Err(format!(
                     "a size with its unit (B, KB, MB, GB, KiB, MiB, GiB) from {} to {}",
-                    show_size(least),
-                    show_size(most)
+                    format_size(least),
+                    format_size(most)
                 )),
             },
             Kind::Rate(least, most) => {
--- a/crates/config/src/words.rs
+++ b/crates/config/src/words.rs
@@ -1,9 +1,9 @@
-//! What a file holds, and the words of a line with their places.
+//! Reading of files, and splitting of lines into words with positions.
 
 use std::path::Path;
 
-/// Largest file read, in bytes.
-pub const FILE_MOST: u64 = 16 << 20;
+/// Maximum size of a file, in bytes.
+pub const MAX_FILE_BYTES: u64 = 16 << 20;
 
 /// A word of a line, with its position.
 pub struct Word {
@@ -11,22 +11,22 @@
     pub column: usize,
 }
 
-/// All that a file, a pipe, or standard input (`-`) holds, up to [`FILE_MOST`].
-pub fn read(path: &Path) -> std::io::Result<Vec<u8>> {
+/// Reads a file, a pipe, or standard input (`-`), up to [`MAX_FILE_BYTES`].
+pub fn read_file(path: &Path) -> std::io::Result<Vec<u8>> {
     use std::io::{Error, ErrorKind, Read};
     let source: Box<dyn Read> = match path.as_os_str() == "-" {
         true => Box::new(std::io::stdin()),
         false => Box::new(std::fs::File::open(path)?),
     };
     let mut bytes = Vec::new();
-    source.take(FILE_MOST + 1).read_to_end(&mut bytes)?;
-    match bytes.len() as u64 > FILE_MOST {
+    source.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes)?;
+    match bytes.len() as u64 > MAX_FILE_BYTES {
         true => Err(Error::new(ErrorKind::FileTooLarge, "too large")),
         false => Ok(bytes),
     }
 }
 
-/// Words of a line, up to a comment; an open quote gives its column.
+/// Splits a line into words, up to a comment. The error is the column of an unclosed quote.
 pub fn words(line: &str) -> Result<Vec<Word>, usize> {
     let mut words = Vec::new();
     let mut chars = line.chars().enumerate().peekable();
@@ -58,8 +58,8 @@
     Ok(words)
 }
 
-/// A word as [`words`] reads it back, in quotes where it needs them.
-pub fn word(text: &str) -> String {
+/// Quotes a word if necessary, so that [`words`] reads it back unchanged.
+pub fn quoted(text: &str) -> String {
     if !text.is_empty() && !text.contains(|c: char| c.is_whitespace() || matches!(c, '"' | '#' | '\\')) {
         return text.to_string();
     }
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -1,4 +1,4 @@
-//! What a configuration means, what is wrong with a bad one, and that writing it back keeps it.
+//! Parsing of configurations, the faults reported for invalid ones, and rendering back to the same configuration.
 
 use proptest::prelude::*;
 use stagehoist::{DeduplicationScope, Effect, OnMiss, ReportChannel};
@@ -21,7 +21,7 @@
 ";
 
 #[test]
-fn a_whole_configuration_is_read_and_written_back() {
+fn a_complete_configuration_is_parsed_and_rendered() {
     let config = parse("good.conf", GOOD).unwrap();
     assert_eq!(config.front_ends, 3);
     assert_eq!(config.classes[0].give_up, 2_500_000);
@@ -44,19 +44,22 @@
 }
 
 #[test]
-fn a_retry_budget_is_usual_where_workers_load_and_told_where_they_answer_misses() {
+fn the_retry_budget_is_on_by_default_only_if_workers_load_on_a_miss() {
     let budget = |text: &str| parse("budget.conf", text).unwrap().settings().retry_budget;
     assert_eq!(budget(GOOD).window, 0);
     let loads = GOOD.replace("on-miss miss", "on-miss load");
     assert_eq!((budget(&loads).window, budget(&loads).share), (10_000_000, 0.2));
-    let told = format!("{GOOD}retry-budget window 5s free 3 share 0.5\n");
-    assert_eq!((budget(&told).window, budget(&told).free, budget(&told).share), (5_000_000, 3.0, 0.5));
+    let configured = format!("{GOOD}retry-budget window 5s free 3 share 0.5\n");
+    assert_eq!(
+        (budget(&configured).window, budget(&configured).free, budget(&configured).share),
+        (5_000_000, 3.0, 0.5)
+    );
     let off = format!("{loads}retry-budget window 0s free 0 share 0\n");
     assert_eq!(budget(&off).window, 0);
 }
 
 #[test]
-fn all_faults_are_told_at_once_with_their_places() {
+fn all_faults_are_reported_at_once_with_their_positions() {
     let bad = "\
 front-ends 0
 clas lookup aim 800ms
@@ -74,29 +77,33 @@
 zone hall-a
 ";
     let faults = parse("bad.conf", bad).unwrap_err();
-    let told: Vec<String> = faults.0.iter().map(|f| f.to_string()).collect();
+    let reported: Vec<String> = faults.0.iter().map(|f| f.to_string()).collect();
     for expected in [
         "bad.conf:1:12: count is \"0\"; expected a whole number from 1 to 1024",
         "bad.conf:2:1: unknown directive clas; expected a directive, perhaps class",
         "bad.conf:3:18: aim is \"800\"; expected a duration with its unit",
-        "bad.conf:4:16: class late aims beyond",
-        "bad.conf:5:1: class stands a second time; expected it once; first at bad.conf:3:1",
+        "bad.conf:4:16: class late has an aim above its",
+        "bad.conf:5:1: class is repeated; expected one occurrence; first at bad.conf:3:1",
         "bad.conf:6:35: group with effect safe",
         "bad.conf:7:18: function f names class nowhere",
         "bad.conf:8:9: quote is not closed",
-        "bad.conf:10:1: attempts stands a second time",
-        "bad.conf:11:21: retry-after-most does not take 2s; expected the end of the line",
-        "bad.conf:12:36: wait with this source",
-        "bad.conf:13:18: price does not take prob; expected probe",
+        "bad.conf:10:1: attempts is repeated",
+        "bad.conf:11:21: retry-after-most does not accept 2s; expected the end of the line",
+        "bad.conf:12:36: wait is not valid with this source",
+        "bad.conf:13:18: price does not accept prob; expected probe",
         "bad.conf:14:6: zone hall-a is not known",
         "no broker directive",
     ] {
-        assert!(told.iter().any(|t| t.contains(expected)), "{expected}\nnot in\n{}", told.join("\n"));
+        assert!(
+            reported.iter().any(|t| t.contains(expected)),
+            "expected fault {expected}\nnot found in\n{}",
+            reported.join("\n")
+        );
     }
 }
 
 #[test]
-fn included_files_name_their_own_places_and_circles_are_found() {
+fn faults_in_included_files_name_that_file_and_include_cycles_are_detected() {
     let folder = tempfile::tempdir().unwrap();
     let path = |name: &str| folder.path().join(name);
     std::fs::write(path("main.conf"), format!("{GOOD}include more.conf\n")).unwrap();
@@ -111,12 +118,12 @@
 
 proptest! {
     #[test]
-    fn any_text_is_read_without_a_panic(text in "[a-z0-9 \"#./:*\\\\\n-]{0,200}") {
+    fn any_text_is_parsed_without_a_panic(text in "[a-z0-9 \"#./:*\\\\\n-]{0,200}") {
         let _ = parse("any.conf", &text);
     }
 
     #[test]
-    fn quantities_survive_being_written_back(
+    fn quantities_are_unchanged_after_rendering(
         aim in 1_000i64..3_600_000_000,
         memory in 1u64..1_000_000_000_000,
         worth in 0.0f64..1e6,
--- a/crates/config/tests/fleet.rs
+++ b/crates/config/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The directives of a process that is part of a fleet.
+//! Directives of a process that is part of a fleet.
 
 use stagehoist_config::{parse, Config};
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_fleet_is_read_with_its_defaults_and_written_back() {
+fn a_fleet_is_parsed_with_its_defaults_and_rendered() {
     let config = read(FLEET);
     let fleet = config.fleet.as_ref().unwrap();
     assert_eq!((fleet.member.as_str(), fleet.keepers.len(), fleet.view_lease), ("a", 3, 500_000));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn without_its_directives_there_is_no_fleet() {
+fn without_fleet_directives_there_is_no_fleet() {
     let config = read("");
     assert_eq!(config.fleet, None);
     assert!(!config.render().contains("generation"));
@@ -65,71 +65,87 @@
 }
 
 #[test]
-fn what_does_not_agree_is_told_with_its_place_and_what_was_expected() {
+fn inconsistent_directives_are_reported_with_position_and_expected_value() {
     let lines = ALONE.lines().count();
-    let told = |more: &str, line: usize, rest: &str| {
+    let assert_fault = |more: &str, line: usize, rest: &str| {
         let expected = format!("fleet.conf:{}:{rest}", lines + line);
-        let told = faults(&format!("{ALONE}{more}"));
-        assert!(told.iter().any(|t| t.contains(&expected)), "{expected}\nnot in\n{}", told.join("\n"));
+        let reported = faults(&format!("{ALONE}{more}"));
+        assert!(
+            reported.iter().any(|t| t.contains(&expected)),
+            "expected fault {expected}\nnot found in\n{}",
+            reported.join("\n")
+        );
     };
     let with = |more: &str| format!("member a\nkeeper 1 127.0.0.1:7001\n{more}");
-    told("member a\n", 1, "1: member without keepers; expected 1, 3 or 5 keeper lines");
-    told("keeper 1 127.0.0.1:1\n", 1, "1: keeper without a member; expected a member line");
-    told("keeper 0 127.0.0.1:1\n", 1, "8: number is \"0\"; expected a whole number from 1");
-    told(&with("keeper 2 127.0.0.1:2\n"), 3, "1: 2 keepers; expected 1, 3 or 5 keeper lines");
-    told(&with("keeper 1 127.0.0.1:2\n"), 3, "1: keeper stands a second time");
-    told(&with("keep 4 listen 127.0.0.1:4 store s\n"), 3, "6: keep names keeper 4; expected the number of");
-    told(
+    assert_fault("member a\n", 1, "1: member without keepers; expected 1, 3 or 5 keeper lines");
+    assert_fault("keeper 1 127.0.0.1:1\n", 1, "1: keeper without a member; expected a member line");
+    assert_fault("keeper 0 127.0.0.1:1\n", 1, "8: number is \"0\"; expected a whole number from 1");
+    assert_fault(&with("keeper 2 127.0.0.1:2\n"), 3, "1: 2 keepers; expected 1, 3 or 5 keeper lines");
+    assert_fault(&with("keeper 1 127.0.0.1:2\n"), 3, "1: keeper is repeated");
+    assert_fault(
+        &with("keep 4 listen 127.0.0.1:4 store s\n"),
+        3,
+        "6: keep names keeper 4; expected the number of",
+    );
+    assert_fault(
         &with("view-lease 50ms\n"),
         3,
         "12: value is \"50ms\"; expected a duration with its unit (us, ms, s, m, h) from 100ms to 1m",
     );
-    told(&with("drift 2%\n"), 3, "7: share is \"2%\"; expected a number from 0 to 0.2");
-    told("retirements f\n", 1, "1: retirements without keepers; expected member and keeper lines");
-    told("function x class lookup memory 1MB retire strict\n", 1, "43: retire without keepers");
-    told(&with("function x@2 class lookup memory 1MB\n"), 3, "10: function x@2; expected a name without @");
-    told(
+    assert_fault(&with("drift 2%\n"), 3, "7: share is \"2%\"; expected a number from 0 to 0.2");
+    assert_fault("retirements f\n", 1, "1: retirements without keepers; expected member and keeper lines");
+    assert_fault("function x class lookup memory 1MB retire strict\n", 1, "43: retire without keepers");
+    assert_fault(
+        &with("function x@2 class lookup memory 1MB\n"),
+        3,
+        "10: function x@2; expected a name without @",
+    );
+    assert_fault(
         &with("pool p functions f lanes many\n"),
         3,
         "26: lanes is \"many\"; expected a whole number from 1, or by-workers",
     );
-    told(
+    assert_fault(
         &with("pool p functions f,g lanes 1\npool q functions g lanes 1\n"),
         4,
-        "18: pool q takes g, as does pool p",
+        "18: pool q includes g, as does pool p",
     );
     let pool = with("pool p functions f lanes 10\nreserve clinics pool p lanes 6\n");
-    told(
+    assert_fault(
         &format!("{pool}reserve clinics pool p lanes 1\n"),
         5,
-        "1: reserve clinics stands a second time for pool p",
+        "1: reserve clinics is repeated for pool p",
     );
-    told(&format!("{pool}reserve clinics pool q lanes 1\n"), 5, "22: reserve names pool q");
-    told(
+    assert_fault(&format!("{pool}reserve clinics pool q lanes 1\n"), 5, "22: reserve names pool q");
+    assert_fault(
         &with("pool p functions f lanes 5\nreserve clinics pool p lanes 6\n"),
         4,
         "30: 6 lanes of pool p are reserved; expected at most its 5",
     );
-    told(&format!("{pool}reserve nobody pool p lanes 1\n"), 5, "9: reserve names tenant nobody");
-    // Calls that name no tenant count as the first one's.
-    told(&format!("{pool}reserve other pool p lanes 1\n"), 5, "9: reserve names tenant other, whose are the");
-    told(&pool, 3, "1: pool without fleet-front-ends; expected a fleet-front-ends line");
+    assert_fault(&format!("{pool}reserve nobody pool p lanes 1\n"), 5, "9: reserve names tenant nobody");
+    // Calls without a tenant are counted for the first tenant, which can't have a reservation.
+    assert_fault(
+        &format!("{pool}reserve other pool p lanes 1\n"),
+        5,
+        "9: reserve names tenant other, which owns the",
+    );
+    assert_fault(&pool, 3, "1: pool without fleet-front-ends; expected a fleet-front-ends line");
     let pool = with("pool p functions f lanes 10\n");
     assert!(parse("f.conf", &format!("{ALONE}fleet-front-ends 2\n{pool}")).is_ok());
-    // Also where no tenant is declared at all.
+    // The tenant of a reservation must also exist if no tenant is configured.
     let alone = ALONE.replace("tenant other quota 50/s\ntenant clinics quota 50/s\n", "");
-    let told = faults(&format!("{alone}fleet-front-ends 2\n{pool}reserve clinics pool p lanes 1\n"));
-    assert!(told.iter().any(|t| t.contains("reserve names tenant clinics")), "{told:?}");
+    let reported = faults(&format!("{alone}fleet-front-ends 2\n{pool}reserve clinics pool p lanes 1\n"));
+    assert!(reported.iter().any(|t| t.contains("reserve names tenant clinics")), "{reported:?}");
 }
 
 #[test]
 fn pools_need_keepers() {
-    let told = faults(&format!("{ALONE}fleet-front-ends 2\npool p functions f lanes 10\n"));
-    assert!(told.iter().any(|t| t.contains("pool without keepers")), "{told:?}");
+    let reported = faults(&format!("{ALONE}fleet-front-ends 2\npool p functions f lanes 10\n"));
+    assert!(reported.iter().any(|t| t.contains("pool without keepers")), "{reported:?}");
 }
 
 #[test]
-fn marks_stand_alone_only_for_one_front_end_and_outlast_every_call() {
+fn marks_without_keepers_need_a_single_front_end_and_are_kept_longer_than_any_call() {
     let lines = ALONE.lines().count();
     let config = read("marks \"of a\" keep 30s most 5000\n");
     let marks = config.marks.as_ref().unwrap();
@@ -146,7 +162,7 @@
 }
 
 #[test]
-fn the_way_back_is_told_with_its_defaults_and_only_with_a_folder() {
+fn recovery_is_parsed_with_its_defaults_and_requires_a_fleet_folder() {
     let recover = |line: &str| read(&format!("{FLEET}{line}")).fleet.unwrap().recover;
     assert_eq!(recover(""), None);
     let all = recover("recover\n").unwrap();
--- a/crates/config/tests/front_ends_list.rs
+++ b/crates/config/tests/front_ends_list.rs
@@ -1,4 +1,4 @@
-//! The directive that names a divided fleet's list of front ends.
+//! The directive that names the list of front ends of a sharded fleet.
 
 use stagehoist_config::{parse, Config, FrontEndsList, ListSource};
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_list_is_read_and_written_back() {
+fn a_list_is_parsed_and_rendered() {
     let consul =
         ListSource::Consul { address: "127.0.0.1:8500".into(), service: "gateways".into(), wait: 30_000_000 };
     let file = ListSource::File { path: "front ends.list".into(), poll: 250_000 };
@@ -42,33 +42,65 @@
 }
 
 #[test]
-fn without_its_directive_front_ends_own_by_number() {
+fn without_the_list_directive_front_ends_own_shards_by_number() {
     let config = read("shards 4 generation 1\n");
     assert_eq!(config.front_ends_list, None);
     assert!(!config.render().contains("front-ends-list"));
 }
 
 #[test]
-fn nonsense_is_told_with_file_and_line() {
-    let told = |more: &str, line: usize, rest: &str| {
+fn invalid_settings_are_reported_with_file_and_line() {
+    let assert_fault = |more: &str, line: usize, rest: &str| {
         let expected = format!("l.conf:{}:{rest}", BASE.lines().count() + line);
         let faults = parse("l.conf", &format!("{BASE}{more}")).unwrap_err();
-        let told: Vec<String> = faults.0.iter().map(|f| f.to_string()).collect();
-        assert!(told.iter().any(|t| t.contains(&expected)), "{expected}\nnot in\n{}", told.join("\n"));
+        let reported: Vec<String> = faults.0.iter().map(|f| f.to_string()).collect();
+        assert!(
+            reported.iter().any(|t| t.contains(&expected)),
+            "expected fault {expected}\nnot found in\n{}",
+            reported.join("\n")
+        );
     };
     let shards = "shards 4 generation 1\n";
     let list = |rest: &str| format!("{shards}shard-front-ends-list {rest}\n");
-    told("shard-front-ends-list file a\n", 1, "1: shard-front-ends-list without shards; expected a shards");
-    told(&list("file a wait 5s"), 2, "35: wait with this source; expected it with consul only");
-    told(&list("file a pause 5s"), 2, "36: pause with this source; expected it with consul only");
-    told(&list("file a service s"), 2, "38: service with this source; expected it with consul only");
-    told(&list("consul h:1 poll 1s"), 2, "39: poll with this source; expected it with file only");
-    told(&list("consul h:1 wait 10ms"), 2, "39: wait is \"10ms\"; expected a duration with its unit");
-    told(&list("file a name \"\""), 2, "35: name is \"\"; expected some text");
-    told(&list("file a name \"a b\""), 2, "35: no name of an entry; expected a word");
-    told(&list("file \"\""), 2, "28: where is \"\"; expected some text");
-    told(&list("file workers.list"), 2, "28: the list of workers as that of front ends; expected a list");
-    told(&list("dns a"), 2, "23: source is \"dns\"");
-    told(&list("file"), 2, "1: shard-front-ends-list lacks its where; expected some text");
-    told(&format!("{}shard-front-ends-list file b\n", list("file a")), 3, "1: shard-front-ends-list stands");
+    assert_fault(
+        "shard-front-ends-list file a\n",
+        1,
+        "1: shard-front-ends-list without shards; expected a shards",
+    );
+    assert_fault(
+        &list("file a wait 5s"),
+        2,
+        "35: wait is not valid with this source; expected source consul for this key",
+    );
+    assert_fault(
+        &list("file a pause 5s"),
+        2,
+        "36: pause is not valid with this source; expected source consul for this key",
+    );
+    assert_fault(
+        &list("file a service s"),
+        2,
+        "38: service is not valid with this source; expected source consul for this key",
+    );
+    assert_fault(
+        &list("consul h:1 poll 1s"),
+        2,
+        "39: poll is not valid with this source; expected source file for this key",
+    );
+    assert_fault(&list("consul h:1 wait 10ms"), 2, "39: wait is \"10ms\"; expected a duration with its unit");
+    assert_fault(&list("file a name \"\""), 2, "35: name is \"\"; expected some text");
+    assert_fault(&list("file a name \"a b\""), 2, "35: not a valid entry name; expected a word");
+    assert_fault(&list("file \"\""), 2, "28: where is \"\"; expected some text");
+    assert_fault(
+        &list("file workers.list"),
+        2,
+        "28: the list of workers is also named as that of front ends; expected a separate list",
+    );
+    assert_fault(&list("dns a"), 2, "23: source is \"dns\"");
+    assert_fault(&list("file"), 2, "1: shard-front-ends-list is missing its where; expected some text");
+    assert_fault(
+        &format!("{}shard-front-ends-list file b\n", list("file a")),
+        3,
+        "1: shard-front-ends-list is repeated",
+    );
 }
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -1,12 +1,13 @@
-//! Golden files: configurations with every directive, and their rendered form as the build before the renaming of the
-//! packages wrote it. The files never change with the code; a difference means that a setting changed its name or meaning.
+//! Golden files: configurations with every directive, and their rendered form as written by the build before the
+//! packages were renamed. The files never change with the code: a difference means that the name or meaning of a setting
+//! changed.
 
 use stagehoist_config::parse;
 
 fn assert_rendered(name: &str, text: &str, golden: &str) {
     let config = parse(name, text).unwrap_or_else(|faults| panic!("{faults}"));
     let rendered = config.render();
-    assert!(rendered == golden, "{name} is rendered differently; now:\n{rendered}");
+    assert!(rendered == golden, "{name} is rendered differently from its golden file; now:\n{rendered}");
     assert_eq!(parse("rendered.conf", golden).unwrap(), config);
 }
 
