--- a/crates/amqp/src/acks.rs
+++ b/crates/amqp/src/acks.rs
@@ -1,49 +1,49 @@
-//! Deliveries of one channel that are not acknowledged yet, and the fewest acknowledgements that settle those which may be
-//! (AMQP 0-9-1, `basic.ack` with `multiple`: all up to and including the tag).
+//! Tracks the unacknowledged deliveries of one channel and computes the smallest set of acknowledgements for those that
+//! are ready to be acknowledged. In AMQP 0-9-1, `basic.ack` with `multiple` covers all tags up to and including its tag.
 
 use std::collections::BTreeMap;
 
 #[cfg(test)]
 mod tests;
 
-/// Tags of one channel.
+/// Unacknowledged delivery tags of one channel.
 #[derive(Clone, Debug, Default)]
 pub struct Acks {
-    /// Whether each open tag waits to be acknowledged.
+    /// Unacknowledged tags; true if the tag is ready to be acknowledged.
     open: BTreeMap<u64, bool>,
     waiting: usize,
 }
 
 impl Acks {
-    /// A message came with this tag.
+    /// Records a delivery with this tag.
     pub fn delivered(&mut self, tag: u64) {
         self.open.insert(tag, false);
     }
 
-    /// The tag may be acknowledged.
+    /// Marks a tag as ready to be acknowledged.
     pub fn acknowledge(&mut self, tag: u64) {
-        if let Some(settled) = self.open.get_mut(&tag) {
-            self.waiting += usize::from(!std::mem::replace(settled, true));
+        if let Some(ready) = self.open.get_mut(&tag) {
+            self.waiting += usize::from(!std::mem::replace(ready, true));
         }
     }
 
-    /// The tag was settled otherwise: rejected.
+    /// Removes a tag that was rejected instead of acknowledged.
     pub fn remove(&mut self, tag: u64) {
         self.waiting -= usize::from(self.open.remove(&tag) == Some(true));
     }
 
-    /// Tags that are neither settled nor removed.
+    /// Returns the number of tags that are neither acknowledged nor removed.
     pub fn outstanding(&self) -> usize {
         self.open.len() - self.waiting
     }
 
-    /// Tags that wait for [`Acks::take`].
+    /// Returns the number of tags that wait for [`Acks::take`].
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// What to send now: tags, and whether each stands for all open ones below it too. An acknowledgement with `multiple`
-    /// never covers a tag that was not settled.
+    /// Returns the acknowledgements to send now: tags, each with its `multiple` flag, which also covers all lower
+    /// unacknowledged tags. An acknowledgement with `multiple` never covers a tag that is not ready.
     pub fn take(&mut self) -> Vec<(u64, bool)> {
         let mut out: Vec<(u64, bool)> = Vec::new();
         if self.waiting == 0 {
@@ -57,7 +57,7 @@
         }
         if self.waiting > count {
             out.extend(self.open.iter().filter(|t| *t.1).map(|t| (*t.0, false)));
-            self.open.retain(|_, settled| !*settled);
+            self.open.retain(|_, ready| !*ready);
         }
         self.waiting = 0;
         out
--- a/crates/amqp/src/acks/tests.rs
+++ b/crates/amqp/src/acks/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of `acks`.
+//! Tests of [`Acks`].
 
 use super::*;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
 #[test]
-fn a_run_at_the_front_goes_in_one_and_what_is_behind_a_gap_alone() {
+fn consecutive_lowest_tags_share_one_ack_and_tags_after_a_gap_are_acked_one_by_one() {
     let mut acks = Acks::default();
     (1..=6).for_each(|t| acks.delivered(t));
     [2, 1, 3, 5].iter().for_each(|t| acks.acknowledge(*t));
@@ -14,13 +14,13 @@
     acks.remove(4);
     acks.acknowledge(6);
     assert_eq!((acks.waiting(), acks.take()), (1, vec![(6, false)]));
-    // A tag of another channel, or settled twice, changes nothing.
+    // An unknown tag is ignored.
     acks.acknowledge(99);
     assert_eq!(acks.take(), []);
 }
 
 proptest! {
-    /// Against a broker's own reading of `multiple`: exactly the settled tags are acknowledged, each once.
+    /// Compares with a model of how a broker interprets `multiple`: exactly the settled tags are acknowledged, each once.
     #[test]
     fn a_broker_sees_each_settled_tag_once_and_no_other(ops in prop::collection::vec((0u8..4, 0u64..40), 1..200)) {
         let mut acks = Acks::default();
@@ -48,7 +48,7 @@
                             at_broker.iter().copied().filter(|t| *t == tag || multiple && *t < tag).collect();
                         prop_assert!(covered.contains(&tag));
                         for t in covered {
-                            prop_assert!(settled.remove(&t), "{t} was not settled");
+                            prop_assert!(settled.remove(&t), "tag {t} is acknowledged but was not settled");
                             at_broker.remove(&t);
                         }
                     }
--- a/crates/amqp/src/client/channels.rs
+++ b/crates/amqp/src/client/channels.rs
@@ -1,4 +1,4 @@
-//! Channels: methods, publishes and their confirms, and what the broker holds back.
+//! Channels: methods, publishes and their confirms, and flow control by the broker.
 
 use super::*;
 
@@ -7,13 +7,13 @@
         self.channels.get(&channel).is_some_and(|c| c.unconfirmed.contains(&seq))
     }
 
-    /// Whether a publish is known not to have reached the broker whole: its last byte was never handed to the
-    /// system, so no broker can have routed it.
+    /// Returns whether a publish certainly did not reach the broker completely: its last byte was never_sent written to the
+    /// socket, so the broker can't have routed it.
     pub fn surely_unsent(&self, channel: u16, seq: u64) -> bool {
-        let end = self.ends.iter().find(|e| (e.1, e.2) == (channel, seq)).map(|e| e.0);
+        let end = self.publish_ends.iter().find(|e| (e.1, e.2) == (channel, seq)).map(|e| e.0);
         let paused =
             self.channels.get(&channel).is_some_and(|c| c.paused.iter().any(|(number, _)| *number == seq));
-        paused || self.never.contains(&(channel, seq)) || end.is_some_and(|end| end > self.written)
+        paused || self.never_sent.contains(&(channel, seq)) || end.is_some_and(|end| end > self.written)
     }
 
     pub(super) fn take_method(&mut self, channel: u16, method: AMQPClass) -> Result<(), Fault> {
@@ -36,7 +36,7 @@
                 let ok = channel::CloseOk {};
                 self.method(channel, AMQPClass::Channel(channel::AMQPMethod::CloseOk(ok)));
                 if let Some(state) = self.channels.remove(&channel) {
-                    self.never.extend(state.paused.into_iter().map(|(seq, _)| (channel, seq)));
+                    self.never_sent.extend(state.paused.into_iter().map(|(seq, _)| (channel, seq)));
                 }
                 let text = close.reply_text.as_str().to_string();
                 self.events.push_back(ClientEvent::ChannelClosed { channel, code: close.reply_code, text });
@@ -52,7 +52,7 @@
     fn confirm(&mut self, channel: u16, tag: u64, multiple: bool, ok: bool) {
         let Some(state) = self.channels.get_mut(&channel) else { return };
         let settled: Vec<u64> = if multiple {
-            // 0 with `multiple` means all so far.
+            // Tag 0 with `multiple` confirms all outstanding publishes.
             let rest = if tag == 0 { BTreeSet::new() } else { state.unconfirmed.split_off(&(tag + 1)) };
             std::mem::replace(&mut state.unconfirmed, rest).into_iter().collect()
         } else {
@@ -78,21 +78,21 @@
         }
         for (seq, bytes) in std::mem::take(&mut state.paused) {
             self.put(|out| out.extend_from_slice(&bytes));
-            self.ends.push_back((self.queued, channel, seq));
+            self.publish_ends.push_back((self.queued, channel, seq));
         }
     }
 
-    /// Opens the lowest free channel; `channel.open-ok` comes as [`ClientEvent::Method`]. None where all are in use
-    /// or the connection is not open.
+    /// Opens the lowest free channel; `channel.open-ok` is reported as [`ClientEvent::Method`]. Returns `None` if all
+    /// channels are in use or the connection is not open.
     pub fn open_channel(&mut self) -> Option<u16> {
         if self.state != State::Open {
             return None;
         }
         let number = (1..=self.channel_max).find(|c| !self.channels.contains_key(c))?;
         self.channels.insert(number, ChannelState::default());
-        // Its numbers begin again.
-        self.never.retain(|p| p.0 != number);
-        self.ends.retain(|e| e.1 != number);
+        // The publish numbers of a new channel restart at 1.
+        self.never_sent.retain(|p| p.0 != number);
+        self.publish_ends.retain(|e| e.1 != number);
         self.method(number, AMQPClass::Channel(channel::AMQPMethod::Open(channel::Open {})));
         Some(number)
     }
@@ -110,8 +110,8 @@
         self.method(channel, method);
     }
 
-    /// Publishes a message. Returns its number on the channel, which its confirm will carry where the channel is in
-    /// confirm mode; None where the channel is not open. Content waits while the broker stopped the flow.
+    /// Publishes a message. Returns its number on the channel, which its confirm carries if the channel is in confirm
+    /// mode, or `None` if the channel is not open. The message is queued while the broker has stopped the flow.
     pub fn publish(
         &mut self,
         channel: u16,
@@ -139,12 +139,12 @@
         let confirming = state.confirming;
         self.put(|out| out.extend_from_slice(&bytes));
         if confirming {
-            self.ends.push_back((self.queued, channel, seq));
+            self.publish_ends.push_back((self.queued, channel, seq));
         }
         Some(seq)
     }
 
-    /// Whether content waits on a channel because the broker stopped the flow.
+    /// Returns whether messages are queued on a channel because the broker has stopped the flow.
     pub fn is_held_back(&self, channel: u16) -> bool {
         self.channels.get(&channel).is_some_and(|c| !c.paused.is_empty())
     }
--- a/crates/amqp/src/client/handshake.rs
+++ b/crates/amqp/src/client/handshake.rs
@@ -1,9 +1,9 @@
-//! The connection itself: its handshake, its end, and what is said on channel 0.
+//! The connection: handshake, close, and the methods on channel 0.
 
 use super::*;
 
 impl Client {
-    /// Ends the connection for a fault, telling the broker the code where the specification allows it.
+    /// Closes the connection because of a fault. The reply code is sent to the broker if the specification allows it.
     pub(super) fn fail(&mut self, fault: Fault) {
         if let Fault::Connection { code, text, class, method } = &fault {
             let close = connection::Close {
@@ -23,8 +23,12 @@
         match (self.state, method) {
             (State::Start, M::Start(start)) => self.take_start(&start),
             (State::Tune, M::Secure(_)) => {
-                // PLAIN and AMQPLAIN have no second step (2.2.4).
-                Err(Fault::connection(reply::NOT_ALLOWED, "challenge to a one-step mechanism", (10, 20)))
+                // PLAIN and AMQPLAIN have no challenge step (2.2.4).
+                Err(Fault::connection(
+                    reply::NOT_ALLOWED,
+                    "challenge for a mechanism without a challenge step",
+                    (10, 20),
+                ))
             }
             (State::Tune, M::Tune(tune)) => {
                 self.take_tune(&tune);
@@ -58,7 +62,7 @@
             }
             (State::Closing, _) => Ok(()),
             (state, other) => {
-                let text = format!("unexpected connection method while {state:?}");
+                let text = format!("unexpected connection method in state {state:?}");
                 Err(Fault::connection(reply::COMMAND_INVALID, text, ids(&AMQPClass::Connection(other))))
             }
         }
@@ -75,10 +79,10 @@
         } else if offers("AMQPLAIN") {
             ("AMQPLAIN", self.amqplain().into())
         } else {
-            let text = format!("no mechanism in common, offered are: {offered}");
+            let text = format!("no supported authentication mechanism; the server offers: {offered}");
             return Err(Fault::connection(reply::ACCESS_REFUSED, text, (10, 10)));
         };
-        let mut can = FieldTable::default();
+        let mut capabilities = FieldTable::default();
         for name in [
             "publisher_confirms",
             "basic.nack",
@@ -86,12 +90,12 @@
             "connection.blocked",
             "authentication_failure_close",
         ] {
-            can.insert(short(name), AMQPValue::Boolean(true));
+            capabilities.insert(short(name), AMQPValue::Boolean(true));
         }
         let mut client_properties = FieldTable::default();
         client_properties.insert(short("product"), long(self.options.product.clone()));
         client_properties.insert(short("version"), long(env!("CARGO_PKG_VERSION")));
-        client_properties.insert(short("capabilities"), AMQPValue::FieldTable(can));
+        client_properties.insert(short("capabilities"), AMQPValue::FieldTable(capabilities));
         let ok = connection::StartOk {
             client_properties,
             mechanism: short(mechanism),
@@ -103,7 +107,7 @@
         Ok(())
     }
 
-    /// A field table without its length in front: LOGIN and PASSWORD as long strings.
+    /// Returns the AMQPLAIN response: a field table without the length prefix, with LOGIN and PASSWORD as long strings.
     fn amqplain(&self) -> Vec<u8> {
         let mut out = Vec::new();
         for (key, value) in [("LOGIN", &self.options.user), ("PASSWORD", &self.options.password)] {
@@ -117,7 +121,7 @@
     }
 
     fn take_tune(&mut self, tune: &connection::Tune) {
-        // 0 means no limit on either side, else the lower holds (1.4.2.5).
+        // 0 means no limit on that side; otherwise the lower value applies (1.4.2.5).
         let lower = |a: u32, b: u32| if a == 0 || b == 0 { a.max(b) } else { a.min(b) };
         self.frame_max = lower(tune.frame_max, self.options.frame_max);
         self.channel_max = lower(u32::from(tune.channel_max), 2047) as u16;
@@ -131,7 +135,7 @@
         self.state = State::OpenOk;
     }
 
-    /// Begins an orderly close; [`ClientEvent::Closed`] follows.
+    /// Starts a graceful close; [`ClientEvent::Closed`] follows.
     pub fn close(&mut self, code: u16, text: &str) {
         if matches!(self.state, State::Closing | State::Closed) {
             return;
--- a/crates/amqp/src/client/mod.rs
+++ b/crates/amqp/src/client/mod.rs
@@ -1,5 +1,5 @@
-//! The client half of a connection as a state machine: the protocol header, authentication, tuning, channels,
-//! publisher confirms, flow, heartbeats and orderly closes (specification 2.2.4, 4.2.2, 4.2.7; publisher confirms,
+//! The client side of a connection as a state machine: the protocol header, authentication, tuning, channels,
+//! publisher confirms, flow control, heartbeats and graceful closes (specification 2.2.4, 4.2.2, 4.2.7; publisher confirms,
 //! `basic.nack`, `connection.blocked` and consumer cancel notification as published by RabbitMQ).
 
 mod channels;
@@ -17,29 +17,30 @@
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A moment on the caller's monotonic clock, in microseconds.
+/// A time on the caller's monotonic clock, in microseconds.
 pub type Micros = i64;
 
-/// News from the connection.
+/// An event of the connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientEvent {
-    /// `connection.open-ok` came: channels may be opened.
+    /// `connection.open-ok` was received: channels may be opened.
     Open,
-    /// A method without content that the client does not answer by itself: `-ok` answers, `basic.cancel`.
+    /// A method without content that the client does not handle itself, such as `-ok` methods and `basic.cancel`.
     Method(u16, AMQPClass),
     /// `basic.deliver` or `basic.get-ok` with its content.
     Delivered(u16, Box<Message>),
     /// `basic.return` of a mandatory message; its confirm follows.
     Returned(u16, Box<Message>),
-    /// The broker answers (`ok`) or doesn't answer for a publish, numbered from 1 on each channel.
+    /// The broker accepted (`ok`) or did not accept responsibility for a publish. Publishes are numbered from 1 on each
+    /// channel.
     Confirmed { channel: u16, seq: u64, ok: bool },
-    /// The broker closed a channel; it is answered already.
+    /// The broker closed a channel; `channel.close-ok` is already queued for output.
     ChannelClosed { channel: u16, code: u16, text: String },
-    /// The broker takes no publishes for now (`connection.blocked`), or does again.
+    /// The broker stopped accepting publishes (`connection.blocked`), or accepts them again.
     Blocked(bool),
-    /// The connection is over in order, by the broker or by [`Client::close`].
+    /// The connection was closed gracefully, by the broker or by [`Client::close`].
     Closed { code: u16, text: String },
-    /// The connection is over for a breach of the protocol, on the side named by the fault.
+    /// The connection failed because of a protocol violation; the fault describes it.
     Failed(Fault),
 }
 
@@ -59,12 +60,12 @@
     confirming: bool,
     published: u64,
     unconfirmed: BTreeSet<u64>,
-    /// `channel.flow` of the broker: no content until it says so.
+    /// Whether the broker stopped content with `channel.flow`; it sends another `channel.flow` to resume.
     stopped: bool,
     paused: VecDeque<(u64, BytesMut)>,
 }
 
-/// The state machine. Feed it with [`Client::receive`] and [`Client::tick`], write what [`Client::output`] holds.
+/// The state machine. Feed it with [`Client::receive`] and [`Client::tick`], write the bytes of [`Client::output`].
 #[derive(Debug)]
 pub struct Client {
     options: ClientOptions,
@@ -77,20 +78,20 @@
     channel_max: u16,
     heartbeat: Micros,
     received_at: Micros,
-    spoke: Micros,
+    sent_at: Micros,
     blocked: bool,
-    /// Bytes ever put into `out`, and ever handed to the system by the caller.
+    /// Total bytes appended to `output`, and total bytes that the caller wrote to the socket.
     queued: u64,
     written: u64,
-    /// Where each unconfirmed publish ends in the stream of bytes.
-    ends: VecDeque<(u64, u16, u64)>,
-    /// Publishes held back on channels that the broker closed: what their numbers say lasts until the channel is
-    /// used anew.
-    never: BTreeSet<(u16, u64)>,
+    /// End position of each unconfirmed publish in the output stream, with its channel and number.
+    publish_ends: VecDeque<(u64, u16, u64)>,
+    /// Publishes, by channel and number, that were queued on channels when the broker closed them and were never_sent sent.
+    /// Entries are kept until the channel number is reused.
+    never_sent: BTreeSet<(u16, u64)>,
 }
 
 impl Client {
-    /// A connection that begins now; its first output is the protocol header.
+    /// Starts a connection; the first output is the protocol header.
     pub fn new(options: ClientOptions, now: Micros) -> Client {
         let mut client = Client {
             frame_max: options.frame_max,
@@ -103,28 +104,28 @@
             channel_max: 2047,
             heartbeat: 0,
             received_at: now,
-            spoke: now,
+            sent_at: now,
             blocked: false,
             queued: 0,
             written: 0,
-            ends: VecDeque::new(),
-            never: BTreeSet::new(),
+            publish_ends: VecDeque::new(),
+            never_sent: BTreeSet::new(),
         };
         client.put(|out| out.extend_from_slice(&PROTOCOL_HEADER));
         client
     }
 
-    /// Largest frame agreed on, in bytes.
+    /// Returns the negotiated maximum frame size in bytes.
     pub fn frame_max(&self) -> u32 {
         self.frame_max
     }
 
-    /// Whether channels may be used.
+    /// Returns whether channels may be used.
     pub fn is_open(&self) -> bool {
         self.state == State::Open
     }
 
-    /// Whether nothing more will come of this connection.
+    /// Returns whether the connection is closed and produces no more frames.
     pub fn is_over(&self) -> bool {
         self.state == State::Closed
     }
@@ -139,45 +140,48 @@
         self.put(|out| put_method(out, channel, method));
     }
 
-    /// Bytes to write next.
+    /// Returns the bytes to write next.
     pub fn output(&mut self) -> &mut BytesMut {
         &mut self.output
     }
 
-    /// The caller handed `n` more bytes of the output to the system at `now`.
+    /// Records that the caller wrote `n` more bytes of the output to the socket at `now`.
     pub fn wrote(&mut self, n: usize, now: Micros) {
         self.written += n as u64;
-        self.spoke = now;
-        while self.ends.front().is_some_and(|e| e.0 <= self.written && !self.is_unconfirmed(e.1, e.2)) {
-            self.ends.pop_front();
+        self.sent_at = now;
+        while self.publish_ends.front().is_some_and(|e| e.0 <= self.written && !self.is_unconfirmed(e.1, e.2))
+        {
+            self.publish_ends.pop_front();
         }
     }
 
-    /// The next news.
+    /// Returns the next event.
     pub fn event(&mut self) -> Option<ClientEvent> {
         self.events.pop_front()
     }
 
-    /// When [`Client::tick`] is due, where heartbeats were agreed on.
+    /// Returns the time at which [`Client::tick`] must be called next, if heartbeats were negotiated.
     pub fn due(&self) -> Option<Micros> {
-        let live = self.heartbeat > 0 && self.state != State::Closed;
-        live.then(|| (self.spoke + self.heartbeat / 2).min(self.received_at + 2 * self.heartbeat))
+        let heartbeats_active = self.heartbeat > 0 && self.state != State::Closed;
+        heartbeats_active
+            .then(|| (self.sent_at + self.heartbeat / 2).min(self.received_at + 2 * self.heartbeat))
     }
 
-    /// Heartbeats: one is sent after half an interval of silence, and the peer is abandoned after two (4.2.7).
+    /// Handles heartbeats: sends one if nothing was sent for half an interval, and fails the connection if nothing was
+    /// received for two intervals (4.2.7).
     pub fn tick(&mut self, now: Micros) {
         if self.heartbeat == 0 || self.state == State::Closed {
             return;
         }
         if now - self.received_at >= 2 * self.heartbeat {
             self.fail(Fault::Silent(((now - self.received_at) / 1000) as u64));
-        } else if now - self.spoke >= self.heartbeat / 2 {
-            self.spoke = now;
+        } else if now - self.sent_at >= self.heartbeat / 2 {
+            self.sent_at = now;
             self.put(put_heartbeat);
         }
     }
 
-    /// Takes bytes from the broker, in any split.
+    /// Processes bytes received from the broker, split at any position.
     pub fn receive(&mut self, bytes: &[u8], now: Micros) {
         self.received_at = now;
         self.decoder.push(bytes);
@@ -201,7 +205,7 @@
             Frame::Method(0, other) => {
                 Err(Fault::connection(reply::CHANNEL_ERROR, "method on channel 0", ids(&other)))
             }
-            // After our close everything but its answer is passed over (1.4.2.9).
+            // After a close by this side, everything except `connection.close-ok` is ignored (1.4.2.9).
             _ if self.state == State::Closing => Ok(()),
             Frame::Method(_, AMQPClass::Connection(method)) => {
                 let class = AMQPClass::Connection(method);
@@ -211,7 +215,7 @@
             frame => {
                 let limit = self.options.body_limit;
                 let Some(state) = self.channels.get_mut(&channel) else {
-                    // Frames that were under way when we closed the channel.
+                    // Frames that were in flight when this side closed the channel.
                     return Ok(());
                 };
                 match state.assembler.take(frame, limit)? {
--- a/crates/amqp/src/client/options.rs
+++ b/crates/amqp/src/client/options.rs
@@ -1,18 +1,19 @@
-//! What a client brings to a connection.
+//! Options of a client connection.
 
-/// What a client brings to a connection.
+/// Options of a client connection.
 #[derive(Clone, Debug)]
 pub struct ClientOptions {
     pub user: String,
     pub password: String,
     pub vhost: String,
-    /// Seconds; 0: none wanted. The lower of both sides' wishes is used, the other's where one says 0.
+    /// Requested heartbeat interval in seconds; 0: none. The lower of both sides' values is used; if one side sends 0, the
+    /// value of the other.
     pub heartbeat: u16,
-    /// Largest frame in bytes; 0: no limit wanted.
+    /// Requested maximum frame size in bytes; 0: no limit.
     pub frame_max: u32,
-    /// Largest body kept, in bytes; a larger one is read and left out.
+    /// Maximum body size in bytes; a larger body is read and discarded.
     pub body_limit: usize,
-    /// Shown to the broker's operators.
+    /// Product name, shown to the operators of the broker.
     pub product: String,
 }
 
--- a/crates/amqp/src/codec.rs
+++ b/crates/amqp/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames from a byte stream in any split, and back (specification 2.3.5 and 4.2.3).
+//! Decodes frames from a byte stream that arrives in arbitrary pieces, and encodes them (specification 2.3.5 and 4.2.3).
 
 use crate::error::{reply, Fault};
 use amq_protocol::frame::{
@@ -7,11 +7,11 @@
 use amq_protocol::protocol::{parse_class, AMQPClass, BasicProperties};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// Type, channel and size in front of a payload, and the end mark behind it.
+/// Bytes of a frame around its payload: type, channel and size before it, and the end octet after it.
 pub const OVERHEAD: usize = 8;
-const HEAD: usize = 7;
-const END: u8 = 0xCE;
-/// What every peer takes before a size is negotiated (specification 4.2.3).
+const PREFIX_LEN: usize = 7;
+const END_OCTET: u8 = 0xCE;
+/// Frame size that every peer must accept before a size is negotiated (specification 4.2.3).
 pub const FRAME_MIN: u32 = 4096;
 
 const METHOD: u8 = 1;
@@ -32,7 +32,7 @@
 }
 
 impl Frame {
-    /// The channel it came on.
+    /// Returns the channel of the frame.
     pub fn channel(&self) -> u16 {
         match self {
             Frame::Method(c, _) | Frame::Header(c, _) | Frame::Body(c, _) => *c,
@@ -41,60 +41,60 @@
     }
 }
 
-/// Cuts a stream into frames. Holds at most one frame of the negotiated size and what came with it.
+/// Splits a byte stream into frames. Buffers at max_payload one frame of the negotiated size and the bytes received with it.
 #[derive(Debug)]
 pub struct Decoder {
     buffer: BytesMut,
     frame_max: u32,
-    header_due: bool,
+    header_expected: bool,
 }
 
 impl Decoder {
-    /// For the side that gets frames from the start on.
+    /// Creates the decoder of a client, which receives frames from the start.
     pub fn client() -> Decoder {
-        Decoder { buffer: BytesMut::new(), frame_max: FRAME_MIN.max(8192), header_due: false }
+        Decoder { buffer: BytesMut::new(), frame_max: FRAME_MIN.max(8192), header_expected: false }
     }
 
-    /// For the side that gets the protocol header first.
+    /// Creates the decoder of a server, which receives the protocol header first.
     pub fn server() -> Decoder {
-        Decoder { header_due: true, ..Decoder::client() }
+        Decoder { header_expected: true, ..Decoder::client() }
     }
 
-    /// Sets the negotiated size of a whole frame in bytes; 0: no limit but 16 MiB.
+    /// Sets the negotiated maximum size of a frame in bytes, overhead included; 0 means a limit of 16 MiB.
     pub fn set_frame_max(&mut self, bytes: u32) {
         self.frame_max = if bytes == 0 { 16 << 20 } else { bytes };
     }
 
-    /// Takes what came from the peer.
+    /// Appends bytes received from the peer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes held that make no whole frame yet.
+    /// Returns the number of buffered bytes that are not decoded yet.
     pub fn held(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether the protocol header is still due; true once it came whole and right.
+    /// Consumes the protocol header if it is still expected. Returns true once the complete, correct header was received.
     pub fn take_protocol_header(&mut self) -> Result<bool, Fault> {
-        if !self.header_due {
+        if !self.header_expected {
             return Ok(true);
         }
-        let have = self.buffer.len().min(8);
-        if self.buffer[..have] != PROTOCOL_HEADER[..have] {
-            return Err(Fault::ProtocolHeader(self.buffer[..have].to_vec()));
+        let available = self.buffer.len().min(8);
+        if self.buffer[..available] != PROTOCOL_HEADER[..available] {
+            return Err(Fault::ProtocolHeader(self.buffer[..available].to_vec()));
         }
-        if have < 8 {
+        if available < 8 {
             return Ok(false);
         }
         self.buffer.advance(8);
-        self.header_due = false;
+        self.header_expected = false;
         Ok(true)
     }
 
-    /// The next whole frame, if one is there. After an error the stream can't be read any further.
+    /// Returns the next complete frame, if one was received. After an error the stream can't be decoded any further.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, Fault> {
-        if self.header_due && !self.take_protocol_header()? {
+        if self.header_expected && !self.take_protocol_header()? {
             return Ok(None);
         }
         if self.buffer.is_empty() {
@@ -111,23 +111,27 @@
             }
             return Err(frame_error(format!("unknown frame type {kind}")));
         }
-        if self.buffer.len() < HEAD {
+        if self.buffer.len() < PREFIX_LEN {
             return Ok(None);
         }
         let channel = u16::from_be_bytes([self.buffer[1], self.buffer[2]]);
         let size = u32::from_be_bytes([self.buffer[3], self.buffer[4], self.buffer[5], self.buffer[6]]);
         if u64::from(size) + OVERHEAD as u64 > u64::from(self.frame_max) {
-            let text = format!("frame of {} bytes, negotiated are {}", u64::from(size) + 8, self.frame_max);
+            let text = format!(
+                "frame of {} bytes, the negotiated maximum is {}",
+                u64::from(size) + 8,
+                self.frame_max
+            );
             return Err(frame_error(text));
         }
         if self.buffer.len() < size as usize + OVERHEAD {
             return Ok(None);
         }
         let mut frame = self.buffer.split_to(size as usize + OVERHEAD).freeze();
-        if frame[frame.len() - 1] != END {
+        if frame[frame.len() - 1] != END_OCTET {
             return Err(frame_error(format!("frame end is {:#04x}, expected 0xce", frame[frame.len() - 1])));
         }
-        frame.advance(HEAD);
+        frame.advance(PREFIX_LEN);
         frame.truncate(size as usize);
         parse(kind, channel, frame).map(Some)
     }
@@ -151,7 +155,7 @@
             Err(Fault::connection(reply::CHANNEL_ERROR, "content body on channel 0", (60, 0)))
         }
         BODY => Ok(Frame::Body(channel, payload)),
-        // Specification 4.2.7: heartbeats travel on channel 0 and carry nothing.
+        // Specification 4.2.7: heartbeats are sent on channel 0 and available no payload.
         _ if channel == 0 && payload.is_empty() => Ok(Frame::Heartbeat),
         _ => Err(frame_error("heartbeat with a channel or a payload".into())),
     }
@@ -165,19 +169,19 @@
     let method = u16::from_be_bytes([payload[2], payload[3]]);
     match parse_class(payload) {
         Ok(([], parsed)) => Ok(Frame::Method(channel, parsed)),
-        _ if known(class, method) => {
+        _ if is_known_method(class, method) => {
             let text = format!("malformed arguments of method {class}.{method}");
             Err(Fault::connection(reply::SYNTAX_ERROR, text, (class, method)))
         }
         _ => {
-            let text = format!("no method {class}.{method}");
+            let text = format!("unknown method {class}.{method}");
             Err(Fault::connection(reply::COMMAND_INVALID, text, (class, method)))
         }
     }
 }
 
-/// The classes and methods of the specification, with the extensions that the types know.
-fn known(class: u16, method: u16) -> bool {
+/// Returns whether the specification, or an extension supported by `amq-protocol`, defines a method.
+fn is_known_method(class: u16, method: u16) -> bool {
     match class {
         10 => matches!(method, 10 | 11 | 20 | 21 | 30 | 31 | 40 | 41 | 50 | 51 | 60 | 61 | 70 | 71),
         20 => matches!(method, 10 | 11 | 20 | 21 | 40 | 41),
@@ -194,15 +198,15 @@
     }
 }
 
-/// Class and method number of a method, as `connection.close` and `channel.close` want them.
+/// Returns the class and method number of a method, as needed in `connection.close` and `channel.close`.
 pub fn ids(method: &AMQPClass) -> (u16, u16) {
     (method.get_amqp_class_id(), method.get_amqp_method_id())
 }
 
 fn encode(frame: &AMQPFrame, out: &mut BytesMut) {
-    // Writing to a vector can't fail.
-    if let Ok(done) = gen_frame(frame)(WriteContext::from(Vec::with_capacity(64))) {
-        out.extend_from_slice(&done.into_inner().0);
+    // Writing to a vector never fails.
+    if let Ok(encoded) = gen_frame(frame)(WriteContext::from(Vec::with_capacity(64))) {
+        out.extend_from_slice(&encoded.into_inner().0);
     }
 }
 
@@ -213,10 +217,10 @@
 
 /// Appends a heartbeat.
 pub fn put_heartbeat(out: &mut BytesMut) {
-    out.extend_from_slice(&[HEARTBEAT, 0, 0, 0, 0, 0, 0, END]);
+    out.extend_from_slice(&[HEARTBEAT, 0, 0, 0, 0, 0, 0, END_OCTET]);
 }
 
-/// Appends the header and body frames of a content, the body cut to the negotiated size.
+/// Appends the header and body frames of a content. The body is split into frames of the negotiated size.
 pub fn put_content(
     out: &mut BytesMut,
     channel: u16,
@@ -227,12 +231,12 @@
     let header =
         AMQPContentHeader { class_id: 60, body_size: body.len() as u64, properties: properties.clone() };
     encode(&AMQPFrame::Header(channel, header), out);
-    let most = if frame_max == 0 { 1 << 17 } else { frame_max as usize } - OVERHEAD;
-    for part in body.chunks(most) {
+    let max_payload = if frame_max == 0 { 1 << 17 } else { frame_max as usize } - OVERHEAD;
+    for part in body.chunks(max_payload) {
         out.put_u8(BODY);
         out.put_u16(channel);
         out.put_u32(part.len() as u32);
         out.extend_from_slice(part);
-        out.put_u8(END);
+        out.put_u8(END_OCTET);
     }
 }
--- a/crates/amqp/src/content.rs
+++ b/crates/amqp/src/content.rs
@@ -1,4 +1,4 @@
-//! Messages from method, header and body frames (specification 4.2.6).
+//! Assembles messages from method, header and body frames (specification 4.2.6).
 
 use crate::codec::{ids, Frame};
 use crate::error::{reply, Fault};
@@ -11,70 +11,74 @@
     pub method: AMQPClass,
     pub properties: BasicProperties,
     pub body: Bytes,
-    /// Size that the header stated; larger than `body` where the body was over the limit and left out.
+    /// Body size from the content header; larger than `body` if the body exceeded the limit and was discarded.
     pub size: u64,
 }
 
-/// What a frame comes to on its channel.
+/// The result of processing a frame of a channel.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Item {
     /// A method without content.
     Method(AMQPClass),
-    /// A whole message.
+    /// A complete message.
     Message(Box<Message>),
-    /// Nothing yet.
+    /// More frames are needed.
     More,
 }
 
 #[derive(Debug)]
-struct Open {
+struct PartialMessage {
     method: AMQPClass,
     header: Option<(BasicProperties, u64)>,
     body: BytesMut,
-    got: u64,
+    received: u64,
 }
 
-/// Puts one channel's frames together. A body over the limit is read to its end and left out, so that the
-/// receiver can answer the message instead of losing the channel.
+/// Assembles the frames of one channel into messages. A body over the limit is read to its end and discarded, so that the
+/// receiver can answer the message instead of closing the channel.
 #[derive(Debug, Default)]
 pub struct Assembler {
-    open: Option<Open>,
+    partial: Option<PartialMessage>,
 }
 
 impl Assembler {
-    /// Takes a frame of this channel; `limit` bytes of a body are kept at most.
+    /// Processes a frame of this channel. A body larger than `limit` bytes is discarded.
     pub fn take(&mut self, frame: Frame, limit: usize) -> Result<Item, Fault> {
         let channel = frame.channel();
         let unexpected = |text: &str, method: Option<&AMQPClass>| {
             Fault::connection(reply::UNEXPECTED_FRAME, text, method.map_or((60, 0), ids))
         };
-        match (frame, self.open.as_mut()) {
+        match (frame, self.partial.as_mut()) {
             (Frame::Method(_, method), None) if carries_content(&method) => {
-                self.open = Some(Open { method, header: None, body: BytesMut::new(), got: 0 });
+                self.partial =
+                    Some(PartialMessage { method, header: None, body: BytesMut::new(), received: 0 });
                 Ok(Item::More)
             }
             (Frame::Method(_, method), None) => Ok(Item::Method(method)),
             (Frame::Method(_, method), Some(_)) => {
                 Err(unexpected("method where content was expected", Some(&method)))
             }
-            (Frame::Header(_, header), Some(open)) if open.header.is_none() => {
+            (Frame::Header(_, header), Some(partial)) if partial.header.is_none() => {
                 if header.class_id != 60 {
                     let text = format!("content header of class {}, expected 60", header.class_id);
-                    return Err(Fault::connection(reply::UNEXPECTED_FRAME, text, ids(&open.method)));
+                    return Err(Fault::connection(reply::UNEXPECTED_FRAME, text, ids(&partial.method)));
                 }
-                open.header = Some((header.properties, header.body_size));
+                partial.header = Some((header.properties, header.body_size));
                 self.finish()
             }
             (Frame::Header(..), _) => Err(unexpected("content header where none was expected", None)),
-            (Frame::Body(_, part), Some(open)) if open.header.is_some() => {
-                let size = open.header.as_ref().map_or(0, |h| h.1);
-                open.got += part.len() as u64;
-                if open.got > size {
-                    let text = format!("body of {} bytes on channel {channel}, header said {size}", open.got);
-                    return Err(Fault::connection(reply::UNEXPECTED_FRAME, text, ids(&open.method)));
+            (Frame::Body(_, part), Some(partial)) if partial.header.is_some() => {
+                let size = partial.header.as_ref().map_or(0, |h| h.1);
+                partial.received += part.len() as u64;
+                if partial.received > size {
+                    let text = format!(
+                        "body of {} bytes on channel {channel}, expected {size} from the header",
+                        partial.received
+                    );
+                    return Err(Fault::connection(reply::UNEXPECTED_FRAME, text, ids(&partial.method)));
                 }
                 if size <= limit as u64 {
-                    open.body.extend_from_slice(&part);
+                    partial.body.extend_from_slice(&part);
                 }
                 self.finish()
             }
@@ -84,12 +88,14 @@
     }
 
     fn finish(&mut self) -> Result<Item, Fault> {
-        match self.open.take() {
-            Some(Open { method, header: Some((properties, size)), body, got }) if got == size => {
+        match self.partial.take() {
+            Some(PartialMessage { method, header: Some((properties, size)), body, received })
+                if received == size =>
+            {
                 Ok(Item::Message(Box::new(Message { method, properties, body: body.freeze(), size })))
             }
-            open => {
-                self.open = open;
+            partial => {
+                self.partial = partial;
                 Ok(Item::More)
             }
         }
--- a/crates/amqp/src/error.rs
+++ b/crates/amqp/src/error.rs
@@ -1,4 +1,4 @@
-//! What goes wrong on a connection, with the reply code that the specification gives it.
+//! Connection errors, with the reply codes of the specification.
 
 /// Reply codes (specification 1.5.2.4 and the constants table).
 pub mod reply {
@@ -22,35 +22,35 @@
     pub const INTERNAL_ERROR: u16 = 541;
 }
 
-/// A breach of the protocol, or a refusal in its terms.
+/// A protocol violation, or a rejection with a reply code.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
     /// The stream does not begin with `AMQP 0 0 9 1` (specification 4.2.2).
     #[error("wrong protocol header {0:02x?}, expected AMQP 0-9-1")]
     ProtocolHeader(Vec<u8>),
-    /// Ends the connection.
+    /// Closes the connection.
     #[error("{code} {text} (class {class}, method {method})")]
     Connection { code: u16, text: String, class: u16, method: u16 },
-    /// Ends one channel.
+    /// Closes one channel.
     #[error("{code} {text} on channel {channel} (class {class}, method {method})")]
     Channel { channel: u16, code: u16, text: String, class: u16, method: u16 },
-    /// Nothing heard for two heartbeat intervals (specification 4.2.7).
-    #[error("no byte from the peer for {0} ms")]
+    /// Nothing received for two heartbeat intervals (specification 4.2.7).
+    #[error("nothing received from the peer for {0} ms")]
     Silent(u64),
 }
 
 impl Fault {
-    /// A fault that ends the connection.
+    /// Creates a fault that closes the connection.
     pub fn connection(code: u16, text: impl Into<String>, (class, method): (u16, u16)) -> Fault {
         Fault::Connection { code, text: text.into(), class, method }
     }
 
-    /// A fault that ends a channel.
+    /// Creates a fault that closes a channel.
     pub fn channel(channel: u16, code: u16, text: impl Into<String>, (class, method): (u16, u16)) -> Fault {
         Fault::Channel { channel, code, text: text.into(), class, method }
     }
 
-    /// The reply code.
+    /// Returns the reply code.
     pub fn code(&self) -> u16 {
         match self {
             Fault::ProtocolHeader(_) | Fault::Silent(_) => reply::CONNECTION_FORCED,
--- a/crates/amqp/src/lib.rs
+++ b/crates/amqp/src/lib.rs
@@ -1,9 +1,10 @@
-//! AMQP 0-9-1 without I/O. Bytes and the time go in, frames, events and bytes come out; sockets are the caller's.
+//! AMQP 0-9-1 without I/O. Input is bytes and the current time, output is frames, events and bytes; the caller owns the
+//! sockets.
 //!
-//! - [`codec`]: a byte stream cut into frames, with the specification's reply code for whatever is wrong with it.
-//! - [`content`]: method, header and body frames put together to messages.
-//! - [`acks`]: deliveries that are not acknowledged, and the fewest acknowledgements for those that may be.
-//! - [`client`]: the client half of a connection, from the protocol header to publisher confirms.
+//! - [`codec`]: splits a byte stream into frames and reports each error with the reply code of the specification.
+//! - [`content`]: assembles method, header and body frames into messages.
+//! - [`acks`]: tracks unacknowledged deliveries and computes the smallest set of acknowledgements to send.
+//! - [`client`]: the client side of a connection, from the protocol header to publisher confirms.
 //!
 //! Types and the coding of methods and tables are those of the `amq-protocol` crate, generated from the
 //! specification. Section numbers in comments are of the AMQP 0-9-1 specification (amqp0-9-1.pdf).
@@ -25,7 +26,7 @@
 pub use content::{Assembler, Message};
 pub use error::{reply, Fault};
 
-/// Text of a header value, where it is text or a number: callers of several libraries write `function` or
+/// Returns a header value as text if it is text or a number. Client libraries differ: they encode `function` or
 /// `tenant` as long string, short string or byte array.
 pub fn header_text(table: &FieldTable, key: &str) -> Option<String> {
     match table.inner().get(key)? {
@@ -36,7 +37,7 @@
     }
 }
 
-/// A header value of any of the integer types.
+/// Returns a header value of any integer type as `i64`.
 pub fn header_int(value: &AMQPValue) -> Option<i64> {
     Some(match value {
         AMQPValue::ShortShortInt(n) => i64::from(*n),
@@ -51,7 +52,7 @@
     })
 }
 
-/// A short string (255 bytes at most), cut at a character boundary where the text is longer.
+/// Creates a short string (at most 255 bytes). A longer text is truncated at a character boundary.
 pub fn short(text: &str) -> ShortString {
     let mut end = text.len().min(255);
     while !text.is_char_boundary(end) {
@@ -60,7 +61,7 @@
     ShortString::try_new(&text[..end]).unwrap_or_default()
 }
 
-/// `queue.declare` of a queue with every flag off; what differs is set on it.
+/// Creates a `queue.declare` method with all flags off; callers set the flags that they need.
 pub fn declare(name: &str) -> queue::Declare {
     queue::Declare {
         queue: short(name),
@@ -73,7 +74,7 @@
     }
 }
 
-/// `basic.consume` of a queue with every flag off; what differs is set on it.
+/// Creates a `basic.consume` method with all flags off; callers set the flags that they need.
 pub fn consume(queue: &str, tag: &str) -> basic::Consume {
     basic::Consume {
         queue: short(queue),
@@ -86,7 +87,7 @@
     }
 }
 
-/// A long-string header value.
+/// Creates a long-string header value.
 pub fn long(text: impl Into<String>) -> AMQPValue {
     AMQPValue::LongString(text.into().into_bytes().into())
 }
--- a/crates/amqp/tests/split.rs
+++ b/crates/amqp/tests/split.rs
@@ -1,4 +1,5 @@
-//! Streams in any split, and streams that are wrong: the same frames, the same faults, never a panic.
+//! Decoding of streams that arrive in arbitrary pieces, and of malformed streams: the frames and faults do not depend on the
+//! split, and no input causes a panic.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
@@ -53,7 +54,7 @@
 
 proptest! {
     #[test]
-    fn the_same_frames_in_any_split(
+    fn frames_do_not_depend_on_the_split(
         bodies in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..20_000), 1..5),
         cuts in prop::collection::vec(any::<usize>(), 0..40),
     ) {
@@ -65,13 +66,13 @@
         let whole = frames(&[&stream]).unwrap();
         prop_assert_eq!(&frames(&split(&stream, &cuts)).unwrap(), &whole);
         let mut assembler = Assembler::default();
-        let mut got = Vec::new();
+        let mut received = Vec::new();
         for frame in whole.into_iter().filter(|f| !matches!(f, Frame::Heartbeat)) {
             if let Item::Message(m) = assembler.take(frame, 1 << 20).unwrap() {
-                got.push(m.body.to_vec());
+                received.push(m.body.to_vec());
             }
         }
-        prop_assert_eq!(got, bodies);
+        prop_assert_eq!(received, bodies);
     }
 
     #[test]
@@ -102,11 +103,11 @@
 }
 
 fn code(bytes: &[u8]) -> u16 {
-    frames(&[bytes]).expect_err("a fault").code()
+    frames(&[bytes]).expect_err("malformed frames must give a fault").code()
 }
 
 #[test]
-fn faults_carry_the_specification_s_codes() {
+fn faults_have_the_reply_codes_of_the_specification() {
     let mut method = BytesMut::new();
     put_method(&mut method, 1, AMQPClass::Basic(basic::AMQPMethod::QosOk(basic::QosOk {})));
     assert_eq!(frames(&[&method]).unwrap().len(), 1);
@@ -124,18 +125,18 @@
 }
 
 #[test]
-fn a_body_over_the_limit_is_read_to_its_end_and_left_out() {
+fn a_body_over_the_limit_is_read_to_its_end_and_discarded() {
     let mut stream = BytesMut::new();
     message(&mut stream, 1, 1, &[7; 5000], 1024);
     message(&mut stream, 1, 2, b"small", 1024);
     let mut assembler = Assembler::default();
-    let mut got = Vec::new();
+    let mut received = Vec::new();
     for frame in frames(&[&stream]).unwrap() {
         if let Item::Message(m) = assembler.take(frame, 100).unwrap() {
-            got.push((m.size, m.body.clone()));
+            received.push((m.size, m.body.clone()));
         }
     }
-    assert_eq!(got, [(5000, Bytes::new()), (5, Bytes::from_static(b"small"))]);
+    assert_eq!(received, [(5000, Bytes::new()), (5, Bytes::from_static(b"small"))]);
 }
 
 #[test]
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn a_broker_of_another_version_is_given_up_at_once() {
+fn a_broker_of_another_version_fails_the_connection_at_once() {
     let mut client = Client::new(ClientOptions::default(), 0);
     client.receive(b"AMQP\x00\x01\x00\x00", 0);
     assert!(matches!(client.event(), Some(ClientEvent::Failed(Fault::ProtocolHeader(_)))));
