--- a/crates/config/src/grammar.rs
+++ b/crates/config/src/grammar.rs
@@ -49,7 +49,7 @@
     Directive { name, positional, keys: &[], occurrence: Occurrence::Once }
 }
 
-const YES: &[Argument] = &[required_arg("value", Kind::YesNo)];
+const YES_NO: &[Argument] = &[required_arg("value", Kind::YesNo)];
 const ANY_DURATION: &[Argument] = &[required_arg("value", Kind::Duration(0, H))];
 const SHARE: &[Argument] = &[required_arg("value", Kind::Number(0.0, 1.0))];
 
@@ -161,7 +161,7 @@
         occurrence: Occurrence::Once,
     },
     positional_once("workers-most", &[required_arg("count", Kind::Count(1, MAX_MEMBERS as u64))]),
-    positional_once("list-subscribe", YES),
+    positional_once("list-subscribe", YES_NO),
     positional_once("list-ask-within", ANY_DURATION),
     positional_once("list-initial-wait", ANY_DURATION),
     Directive {
@@ -190,12 +190,12 @@
         occurrence: Occurrence::Once,
     },
     positional_once("attempts", &[required_arg("most", Kind::Count(1, 100))]),
-    positional_once("second-copies", YES),
-    positional_once("cancel", YES),
-    positional_once("probe", YES),
-    positional_once("order-loads", YES),
-    positional_once("answers-tell-copy", YES),
-    positional_once("answers-tell-crowd", YES),
+    positional_once("second-copies", YES_NO),
+    positional_once("cancel", YES_NO),
+    positional_once("probe", YES_NO),
+    positional_once("order-loads", YES_NO),
+    positional_once("answers-tell-copy", YES_NO),
+    positional_once("answers-tell-crowd", YES_NO),
     positional_once("connect-timeout", &[required_arg("value", Kind::Duration(MS, 60 * S))]),
     Directive {
         name: "idle-connections",
--- a/crates/config/tests/sharding.rs
+++ b/crates/config/tests/sharding.rs
@@ -39,20 +39,20 @@
 #[test]
 fn shards_are_parsed_and_rendered() {
     let config = read(ALL_DIRECTIVES);
-    let reported = config.sharding.as_ref().unwrap();
-    let (old, new) = (reported.divisions.old(), reported.divisions.next().unwrap());
+    let sharding = config.sharding.as_ref().unwrap();
+    let (old, new) = (sharding.divisions.old(), sharding.divisions.next().unwrap());
     assert_eq!((old.shards(), old.generation(), new.shards(), new.generation()), (8, 7, 9, 8));
     assert_eq!(
-        (reported.divisions.phase(), new.weight(8), new.weight(7)),
+        (sharding.divisions.phase(), new.weight(8), new.weight(7)),
         (Some(TransitionPhase::Both), 3, 1)
     );
-    assert_eq!((reported.calls, reported.workers, reported.first), (1_000.0, Some(24), 6));
-    assert_eq!(reported.zones, [(0, 14), (1, 10)]);
+    assert_eq!((sharding.calls, sharding.workers, sharding.first), (1_000.0, Some(24), 6));
+    assert_eq!(sharding.zones, [(0, 14), (1, 10)]);
     assert_eq!(
-        (reported.hot[0].calls, reported.hot[0].spread, reported.hot[1].spread),
+        (sharding.hot[0].calls, sharding.hot[0].spread, sharding.hot[1].spread),
         (300.0, None, Some(2))
     );
-    assert_eq!(reported.tenants["hall"], ["payroll", "roster"]);
+    assert_eq!(sharding.tenants["hall"], ["payroll", "roster"]);
     assert_eq!(parse("again.conf", &config.render()).unwrap(), config);
 }
 
@@ -67,12 +67,12 @@
 #[test]
 fn sharding_defaults() {
     let config = read(&format!("{FUNCTION}shards 8 generation 1\n"));
-    let reported = config.sharding.as_ref().unwrap();
+    let sharding = config.sharding.as_ref().unwrap();
     assert_eq!(
-        (reported.divisions.phase(), reported.calls, reported.workers, reported.first),
+        (sharding.divisions.phase(), sharding.calls, sharding.workers, sharding.first),
         (None, 0.0, None, 0)
     );
-    assert_eq!((&reported.zones[..], reported.hot.len()), (&[(0, 12), (1, 12)][..], 0));
+    assert_eq!((&sharding.zones[..], sharding.hot.len()), (&[(0, 12), (1, 12)][..], 0));
     assert_eq!(parse("again.conf", &config.render()).unwrap(), config);
 }
 
