--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -168,7 +168,7 @@
 /// Rejects function names such as `NAME@2`, which are used internally for later generations.
 fn check_function_names(s: &Source<'_>, problems: &mut FaultList) {
     for line in s.all("function") {
-        if let Some(name) = line.text("name").filter(|n| ends_numbered(n)) {
+        if let Some(name) = line.text("name").filter(|n| has_generation_suffix(n)) {
             let expected = "a name without @ and a number at its end".to_string();
             problems.push((line.place("name"), format!("function {name}"), expected));
         }
@@ -176,7 +176,7 @@
 }
 
 /// Returns whether a name ends with a generation number, as in `NAME@2`.
-pub fn ends_numbered(name: &str) -> bool {
+pub fn has_generation_suffix(name: &str) -> bool {
     let tail = name.rsplit_once('@').map(|(_, tail)| tail);
     tail.is_some_and(|t| !t.is_empty() && t.bytes().all(|b| b.is_ascii_digit()))
 }
--- a/crates/gateway/src/amqp/message.rs
+++ b/crates/gateway/src/amqp/message.rs
@@ -18,7 +18,7 @@
 use bytes::Bytes;
 use stagehoist::Micros;
 use stagehoist_amqp::{header_int, header_text, long, short, AMQPValue, BasicProperties, FieldTable};
-use stagehoist_config::{ends_numbered, Config};
+use stagehoist_config::{has_generation_suffix, Config};
 use stagehoist_sharding::Shard;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -135,7 +135,7 @@
         };
         let function = Reader::function(properties, routing_key)?;
         let is_fleet = self.config.fleet.is_some();
-        if is_fleet && ends_numbered(&function) {
+        if is_fleet && has_generation_suffix(&function) {
             // Names that end in `@N` are reserved: later generations have such internal names.
             return Err(InvalidMessage::MalformedFunction);
         }
