--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -29,12 +29,12 @@
     pub pools: Vec<Pool>,
     pub pools_edition: u64,
     /// Staged recovery after a loss of all state; `None`: calls are admitted immediately.
-    pub recover: Option<Recover>,
+    pub recover: Option<RecoverySettings>,
 }
 
 /// Limits of the recovery stages, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Recover {
+pub struct RecoverySettings {
     pub waking: i64,
     pub asking: i64,
     pub reserved: i64,
@@ -149,14 +149,14 @@
     })
 }
 
-fn recover(s: &Source<'_>, problems: &mut FaultList) -> Option<Recover> {
+fn recover(s: &Source<'_>, problems: &mut FaultList) -> Option<RecoverySettings> {
     let line = s.one("recover")?;
     if s.one("fleet-folder").is_none() {
         // The folder records whether the last run shut down gracefully.
         let expected = "a fleet-folder line".to_string();
         problems.push((line.at.clone(), "recover without a fleet-folder".into(), expected));
     }
-    Some(Recover {
+    Some(RecoverySettings {
         waking: line.duration("waking").unwrap_or(2 * S),
         asking: line.duration("asking").unwrap_or(3 * S),
         reserved: line.duration("reserved").unwrap_or(20 * S),
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -30,7 +30,7 @@
 mod value;
 mod words;
 
-pub use fleet::{has_generation_suffix, Fleet, Pool, Recover, ReplicaSettings};
+pub use fleet::{has_generation_suffix, Fleet, Pool, RecoverySettings, ReplicaSettings};
 pub use front_ends_list::FrontEndsList;
 pub use lexer::{load, parse};
 pub use marks::IntentLogSettings;
--- a/crates/gateway/src/fleet/recovery.rs
+++ b/crates/gateway/src/fleet/recovery.rs
@@ -8,7 +8,7 @@
 
 use super::priority;
 use stagehoist::{EndpointUpdate, Lifecycle, Micros, Outcome, WorkerId};
-use stagehoist_config::{Config, Recover};
+use stagehoist_config::{Config, RecoverySettings};
 use stagehoist_endpoints::Update;
 use stagehoist_recovery::phases::{Admission, Limits, RecoveryEvidence, RecoveryPhase};
 use stagehoist_recovery::RecoveryPhases;
@@ -62,7 +62,7 @@
     /// Creates the recovery. `was_unclean` is set if the last run of this front end did not shut down in order.
     pub fn new(
         config: &Config,
-        recover: &Recover,
+        recover: &RecoverySettings,
         was_unclean: bool,
         seed: u64,
         now: Micros,
