--- a/crates/amqp/src/client/channels.rs
+++ b/crates/amqp/src/client/channels.rs
@@ -9,7 +9,7 @@
 
     /// Returns whether a publish certainly did not reach the broker completely: its last byte was never_sent written to the
     /// socket, so the broker can't have routed it.
-    pub fn surely_unsent(&self, channel: u16, seq: u64) -> bool {
+    pub fn is_certainly_unsent(&self, channel: u16, seq: u64) -> bool {
         let end = self.publish_ends.iter().find(|e| (e.1, e.2) == (channel, seq)).map(|e| e.0);
         let paused =
             self.channels.get(&channel).is_some_and(|c| c.paused.iter().any(|(number, _)| *number == seq));
--- a/crates/gateway/src/amqp/front/replies.rs
+++ b/crates/gateway/src/amqp/front/replies.rs
@@ -129,7 +129,7 @@
         for ticket in std::mem::take(&mut self.replies).into_values() {
             let Some(delivery) = self.deliveries.remove(&ticket) else { continue };
             let (Some(key), Some((sequence, _))) = (&delivery.key, delivery.published) else { continue };
-            let is_unsent = self.client.as_ref().is_some_and(|c| c.surely_unsent(channel, sequence));
+            let is_unsent = self.client.as_ref().is_some_and(|c| c.is_certainly_unsent(channel, sequence));
             self.memory
                 .on_reply_state(key, if is_unsent { ReplyState::NotSent } else { ReplyState::Doubtful });
         }
