--- a/crates/amqp/src/client/mod.rs
+++ b/crates/amqp/src/client/mod.rs
@@ -146,7 +146,7 @@
     }
 
     /// Records that the caller wrote `n` more bytes of the output to the socket at `now`.
-    pub fn wrote(&mut self, n: usize, now: Micros) {
+    pub fn record_written(&mut self, n: usize, now: Micros) {
         self.written += n as u64;
         self.sent_at = now;
         while self.publish_ends.front().is_some_and(|e| e.0 <= self.written && !self.is_unconfirmed(e.1, e.2))
--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -240,7 +240,7 @@
         match socket.stream.try_write(client.output()) {
             Ok(written) => {
                 let _ = client.output().split_to(written);
-                client.wrote(written, now);
+                client.record_written(written, now);
                 socket.write_blocked_since = None;
                 Ok(!client.output().is_empty())
             }
--- a/crates/gateway/tests/caller/mod.rs
+++ b/crates/gateway/tests/caller/mod.rs
@@ -40,7 +40,7 @@
             let out = self.client.output().split();
             self.socket.write_all(&out).unwrap();
             let now = self.started.elapsed().as_micros() as i64;
-            self.client.wrote(out.len(), now);
+            self.client.record_written(out.len(), now);
             if let Ok(n) = self.socket.read(&mut bytes) {
                 self.client.receive(&bytes[..n], now);
             }
--- a/crates/gateway/tests/crossings_amqp.rs
+++ b/crates/gateway/tests/crossings_amqp.rs
@@ -87,7 +87,7 @@
         // The reply is sent completely, and the broker rejects it.
         let client = w.front.client().unwrap();
         let written = client.output().split().len();
-        client.wrote(written, w.now);
+        client.record_written(written, w.now);
         let mut bytes = bytes::BytesMut::new();
         let nack = basic::Nack { delivery_tag: 1, multiple: false, requeue: false };
         put_method(&mut bytes, 1, AMQPClass::Basic(basic::AMQPMethod::Nack(nack)));
--- a/crates/gateway/tests/crossings_drain.rs
+++ b/crates/gateway/tests/crossings_drain.rs
@@ -59,7 +59,7 @@
             let now = self.now();
             let (number, client, _) = &mut self.caller;
             let out = client.output().split();
-            client.wrote(out.len(), now);
+            client.record_written(out.len(), now);
             self.broker.receive(*number, &out, now);
             let back = self.broker.take_output(*number).unwrap();
             client.receive(&back, now);
--- a/crates/gateway/tests/divided/mod.rs
+++ b/crates/gateway/tests/divided/mod.rs
@@ -165,7 +165,7 @@
         let output = self.client.output().split();
         self.socket.write_all(&output).unwrap();
         let now = self.started_at.elapsed().as_micros() as i64;
-        self.client.wrote(output.len(), now);
+        self.client.record_written(output.len(), now);
         let mut bytes = [0; 4096];
         if let Ok(n) = self.socket.read(&mut bytes) {
             self.client.receive(&bytes[..n], now);
--- a/crates/gateway/tests/shards_queues.rs
+++ b/crates/gateway/tests/shards_queues.rs
@@ -48,7 +48,7 @@
 /// Passes the caller's bytes to the broker; the resulting delivery stays in the front's socket.
 fn pass_caller_bytes(w: &mut World) {
     let output = w.caller.client.output().split();
-    w.caller.client.wrote(output.len(), w.now);
+    w.caller.client.record_written(output.len(), w.now);
     w.broker.receive(w.caller.number, &output, w.now);
 }
 
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -94,7 +94,7 @@
             let out = self.caller.client.output().split();
             if !out.is_empty() {
                 moved = true;
-                self.caller.client.wrote(out.len(), self.now);
+                self.caller.client.record_written(out.len(), self.now);
                 self.broker.receive(self.caller.number, &out, self.now);
             }
             moved |= self.push_front();
@@ -132,7 +132,7 @@
         self.front.flush(self.now);
         let Some(client) = self.front.client() else { return false };
         let out = client.output().split();
-        client.wrote(out.len(), self.now);
+        client.record_written(out.len(), self.now);
         self.broker.receive(number, &out, self.now);
         !out.is_empty()
     }
--- a/crates/harness/src/callers.rs
+++ b/crates/harness/src/callers.rs
@@ -195,7 +195,7 @@
         let output = client.output().split();
         if !output.is_empty() {
             stream.write_all(&output).await?;
-            client.wrote(output.len(), now());
+            client.record_written(output.len(), now());
         }
         if client.is_over() {
             return stream.shutdown().await;
--- a/crates/load-generator/src/amqp.rs
+++ b/crates/load-generator/src/amqp.rs
@@ -230,7 +230,7 @@
             // A broker that reads nothing is abandoned, as nothing would end otherwise.
             let written = tokio::time::timeout(Duration::from_secs(30), stream.write_all(&output)).await;
             written.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into())).map_err(broke)?;
-            sender.client.wrote(output.len(), clock());
+            sender.client.record_written(output.len(), clock());
         }
         if sender.client.is_over() || (closing && now - shown > 5_000_000) {
             return Ok(ledger.report(last as f64 / 1e6));
