--- a/crates/amqp/src/codec.rs
+++ b/crates/amqp/src/codec.rs
@@ -71,7 +71,7 @@
     }
 
     /// Returns the number of buffered bytes that are not decoded yet.
-    pub fn held(&self) -> usize {
+    pub fn buffered_len(&self) -> usize {
         self.buffer.len()
     }
 
