--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -52,7 +52,7 @@
         allocation: (!fleet.pools.is_empty()).then(|| AllocationLimits {
             front_ends: config.fleet_front_ends,
             guaranteed_share: GUARANTEED_SHARE,
-            longest_run: config.longest_run(),
+            longest_run: config.longest_attempt(),
             interval: DEAL_EVERY,
         }),
         members: (0..config.front_ends).map(|number| member(fleet, number)).collect(),
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -252,7 +252,7 @@
 impl Config {
     /// Returns the maximum duration of an attempt, in microseconds: the longest time that any caller waits, plus the answer
     /// margin.
-    pub fn longest_run(&self) -> i64 {
+    pub fn longest_attempt(&self) -> i64 {
         self.classes.iter().map(|c| c.give_up).max().unwrap_or(0) + self.answer_margin
     }
 
--- a/crates/gateway/src/fleet/pool_admission.rs
+++ b/crates/gateway/src/fleet/pool_admission.rs
@@ -52,7 +52,7 @@
     pub fn new(config: &Rc<Config>, seed: u64, now: Micros) -> Option<PoolAdmission> {
         let fleet = config.fleet.as_ref().filter(|f| !f.pools.is_empty())?;
         // If closing a connection cancels the run at its worker, no run of an earlier process is still in progress.
-        let earlier_runs_until = if config.cancel { now } else { now + config.longest_run() };
+        let earlier_runs_until = if config.cancel { now } else { now + config.longest_attempt() };
         let max_waiting = usize::try_from(config.held_most).unwrap_or(usize::MAX);
         let limits = AllocationLimits {
             front_ends: config.fleet_front_ends,
