--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -35,7 +35,8 @@
 pub use lexer::{load, parse};
 pub use marks::IntentLogSettings;
 pub use model::{
-    takes, Broker, Class, Config, Consume, Function, Kind, ListSource, Listen, ListenPurpose, Tenant,
+    matches_pattern, Broker, Class, Config, Consume, Function, Kind, ListSource, Listen, ListenPurpose,
+    Tenant,
 };
 pub use parts::broker;
 pub use sharding::Sharding;
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -41,13 +41,13 @@
 
 impl Function {
     /// Returns whether a function name matches this directive.
-    pub fn takes(&self, name: &str) -> bool {
-        takes(&self.pattern, name)
+    pub fn matches(&self, name: &str) -> bool {
+        matches_pattern(&self.pattern, name)
     }
 }
 
 /// Returns whether a name matches a pattern: an exact name, or a prefix followed by `*`.
-pub fn takes(pattern: &str, name: &str) -> bool {
+pub fn matches_pattern(pattern: &str, name: &str) -> bool {
     match pattern.strip_suffix('*') {
         Some(prefix) => name.starts_with(prefix),
         None => name == pattern,
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -61,8 +61,8 @@
 
     /// Returns the function directive that matches a name. An exact name wins over patterns, a longer pattern over a shorter one.
     pub fn function(&self, name: &str) -> Option<&Function> {
-        let takes = self.functions.iter().filter(|f| f.takes(name));
-        takes.max_by_key(|f| (!f.pattern.ends_with('*'), f.pattern.len()))
+        let matching = self.functions.iter().filter(|f| f.matches(name));
+        matching.max_by_key(|f| (!f.pattern.ends_with('*'), f.pattern.len()))
     }
 
     /// Returns the index of a class.
--- a/crates/gateway/src/fleet/priority.rs
+++ b/crates/gateway/src/fleet/priority.rs
@@ -2,7 +2,7 @@
 //! reservation's pool. Without reservations no call has priority.
 
 use super::names::parse_internal_name;
-use stagehoist_config::{takes, Config};
+use stagehoist_config::{matches_pattern, Config};
 
 /// Returns the tenants with reservations, each with the functions of the pool.
 pub fn of(config: &Config) -> Vec<(u32, Vec<String>)> {
@@ -18,6 +18,6 @@
 /// Returns whether a tenant has a reservation for a function, given by its internal name.
 pub fn has_priority(reservations: &[(u32, Vec<String>)], tenant: u32, internal_name: &str) -> bool {
     let function = parse_internal_name(internal_name).0;
-    let pool = |patterns: &[String]| patterns.iter().any(|pattern| takes(pattern, function));
+    let pool = |patterns: &[String]| patterns.iter().any(|pattern| matches_pattern(pattern, function));
     reservations.iter().any(|(reserved, patterns)| *reserved == tenant && pool(patterns))
 }
