--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -38,7 +38,7 @@
     matches_pattern, Broker, Class, Config, Consume, Function, Kind, ListSource, Listen, ListenPurpose,
     Tenant,
 };
-pub use parts::broker;
+pub use parts::parse_broker_url;
 pub use sharding::Sharding;
 pub use value::{parse_duration, parse_size, Value};
 
--- a/crates/load-generator/src/stand.rs
+++ b/crates/load-generator/src/stand.rs
@@ -198,7 +198,7 @@
     /// The broker as callers name it.
     pub fn broker_url(&self) -> Result<Broker, LoadError> {
         let url = format!("amqp://guest:guest@{}/", self.broker);
-        stagehoist_config::broker(&url).ok_or(LoadError::NotUp("broker".into()))
+        stagehoist_config::parse_broker_url(&url).ok_or(LoadError::NotUp("broker".into()))
     }
 
     /// Pages of metrics of all gateway processes, one after the other.
