--- a/crates/amqp/src/acks/tests.rs
+++ b/crates/amqp/src/acks/tests.rs
@@ -14,7 +14,7 @@
     acks.remove(4);
     acks.acknowledge(6);
     assert_eq!((acks.waiting(), acks.take()), (1, vec![(6, false)]));
-    // An unknown tag is ignored.
+    // A tag of another channel, or one acknowledged twice, is ignored.
     acks.acknowledge(99);
     assert_eq!(acks.take(), []);
 }
--- a/crates/amqp/src/client/channels.rs
+++ b/crates/amqp/src/client/channels.rs
@@ -7,7 +7,7 @@
         self.channels.get(&channel).is_some_and(|c| c.unconfirmed.contains(&seq))
     }
 
-    /// Returns whether a publish certainly did not reach the broker completely: its last byte was never_sent written to the
+    /// Returns whether a publish certainly did not reach the broker completely: its last byte was never written to the
     /// socket, so the broker can't have routed it.
     pub fn is_certainly_unsent(&self, channel: u16, seq: u64) -> bool {
         let end = self.publish_ends.iter().find(|e| (e.1, e.2) == (channel, seq)).map(|e| e.0);
--- a/crates/amqp/src/client/mod.rs
+++ b/crates/amqp/src/client/mod.rs
@@ -85,7 +85,7 @@
     written: u64,
     /// End position of each unconfirmed publish in the output stream, with its channel and number.
     publish_ends: VecDeque<(u64, u16, u64)>,
-    /// Publishes, by channel and number, that were queued on channels when the broker closed them and were never_sent sent.
+    /// Publishes, by channel and number, that were queued on channels when the broker closed them and were never sent.
     /// Entries are kept until the channel number is reused.
     never_sent: BTreeSet<(u16, u64)>,
 }
@@ -125,7 +125,7 @@
         self.state == State::Open
     }
 
-    /// Returns whether the connection is closed and produces no more frames.
+    /// Returns whether the connection is closed.
     pub fn is_over(&self) -> bool {
         self.state == State::Closed
     }
--- a/crates/amqp/src/codec.rs
+++ b/crates/amqp/src/codec.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Splits a byte stream into frames. Buffers at max_payload one frame of the negotiated size and the bytes received with it.
+/// Splits a byte stream into frames. Buffers at most one frame of the negotiated size and the bytes received with it.
 #[derive(Debug)]
 pub struct Decoder {
     buffer: BytesMut,
@@ -155,7 +155,7 @@
             Err(Fault::connection(reply::CHANNEL_ERROR, "content body on channel 0", (60, 0)))
         }
         BODY => Ok(Frame::Body(channel, payload)),
-        // Specification 4.2.7: heartbeats are sent on channel 0 and available no payload.
+        // Specification 4.2.7: heartbeats are sent on channel 0 and have no payload.
         _ if channel == 0 && payload.is_empty() => Ok(Frame::Heartbeat),
         _ => Err(frame_error("heartbeat with a channel or a payload".into())),
     }
--- a/crates/config/src/build.rs
+++ b/crates/config/src/build.rs
@@ -166,7 +166,7 @@
         let expected = "at most as many as workers-most".to_string();
         problems.push((
             line.place("workers"),
-            format!("class_faults workers than the limit of {workers_most}"),
+            format!("more workers than the limit of {workers_most}"),
             expected,
         ));
     }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,4 +1,5 @@
-//! Settings of a process that is part of a fleet: replicas of the cluster state, leases, retirements, pools.
+//! Settings of a process that is part of a fleet: replicas of the cluster state, leases, retirements, pools and
+//! reservations.
 
 use crate::build::{MS, S};
 use crate::model::{Config, Tenant};
@@ -99,8 +100,8 @@
             problems.push((line.at.clone(), "keeper without a member".into(), "a member line".into()));
         }
         (None, None) => {
-            let alone = FLEET_ONLY.iter().filter_map(|name| s.one(name));
-            alone.for_each(|l| {
+            let fleet_lines = FLEET_ONLY.iter().filter_map(|name| s.one(name));
+            fleet_lines.for_each(|l| {
                 let what = format!("{} without keepers", l.directive.name);
                 problems.push((l.at.clone(), what, "member and keeper lines".into()));
             });
--- a/crates/config/src/front_ends_list.rs
+++ b/crates/config/src/front_ends_list.rs
@@ -87,7 +87,7 @@
     if same {
         report(
             line.place("where"),
-            "the list of workers is also named as that of front ends",
+            "the list of front ends is the same as that of workers",
             "a separate list",
         );
     }
--- a/crates/config/src/grammar.rs
+++ b/crates/config/src/grammar.rs
@@ -17,7 +17,7 @@
     pub required: bool,
 }
 
-/// How occurrence a directive may occur in a configuration.
+/// How often a directive may occur in a configuration.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Occurrence {
     Once,
@@ -246,7 +246,7 @@
     },
 ];
 
-/// Returns the directive with a name.
+/// Returns the directive with this name.
 pub fn directive(name: &str) -> Option<&'static Directive> {
     directives().find(|d| d.name == name)
 }
--- a/crates/config/src/lexer.rs
+++ b/crates/config/src/lexer.rs
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Reports directives that occur more occurrence than allowed.
+    /// Reports directives that occur more often than allowed.
     fn check_repeats(&mut self) {
         let mut first: BTreeMap<(&str, String), Position> = BTreeMap::new();
         let mut faults = Vec::new();
--- a/crates/config/src/sharding.rs
+++ b/crates/config/src/sharding.rs
@@ -47,7 +47,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sharding {
     pub divisions: Divisions,
-    /// Expected calls per second over the whole fleet; 0: the sum of the rates configured for functions.
+    /// Expected calls per second over the whole fleet; 0: unknown. The sum of the rates configured for functions is used if
+    /// it is larger.
     pub calls: f64,
     /// Configured number of workers; used only to check the settings.
     pub workers: Option<u32>,
--- a/crates/config/tests/front_ends_list.rs
+++ b/crates/config/tests/front_ends_list.rs
@@ -94,7 +94,7 @@
     assert_fault(
         &list("file workers.list"),
         2,
-        "28: the list of workers is also named as that of front ends; expected a separate list",
+        "28: the list of front ends is the same as that of workers; expected a separate list",
     );
     assert_fault(&list("dns a"), 2, "23: source is \"dns\"");
     assert_fault(&list("file"), 2, "1: shard-front-ends-list is missing its where; expected some text");
