--- a/crates/config/src/build.rs
+++ b/crates/config/src/build.rs
@@ -161,12 +161,12 @@
     let marks = marks(&s, &classes, fleet.is_some(), &mut problems);
     let sharding = sharding(&s, &zones, &mut problems);
     let front_ends_list = front_ends_list(&s, list.as_ref(), &mut problems);
-    let workers_most = s.count("workers-most", "count", 10_000);
-    if let Some(line) = s.one("shards").filter(|l| l.count("workers").is_some_and(|n| n > workers_most)) {
+    let max_workers = s.count("workers-most", "count", 10_000);
+    if let Some(line) = s.one("shards").filter(|l| l.count("workers").is_some_and(|n| n > max_workers)) {
         let expected = "at most as many as workers-most".to_string();
         problems.push((
             line.place("workers"),
-            format!("more workers than the limit of {workers_most}"),
+            format!("more workers than the limit of {max_workers}"),
             expected,
         ));
     }
@@ -178,17 +178,17 @@
         fleet_front_ends: s.count("fleet-front-ends", "count", u64::from(front_ends)) as u32,
         seed: s.count("seed", "number", 1),
         batch_interval: s.duration("batch-interval", MS),
-        held_most: s.count("held-most", "calls", 20_000),
-        held_bytes_most: s.count("held-bytes-most", "size", 256_000_000),
-        body_most: s.count("body-most", "size", 1_000_000),
+        max_held_calls: s.count("held-most", "calls", 20_000),
+        max_held_bytes: s.count("held-bytes-most", "size", 256_000_000),
+        max_body_size: s.count("body-most", "size", 1_000_000),
         answer_margin: s.duration("answer-margin", 20 * MS),
-        drain_most: s.duration("drain-most", 30 * S),
+        drain_timeout: s.duration("drain-most", 30 * S),
         listen: s
             .all("listen")
             .filter_map(|l| Some(Listen { what: ListenPurpose::Metrics, address: l.text("address")? }))
             .collect(),
-        over_share_worth: s.number("over-share-worth", "value", 1.0),
-        worth_by_work: s.text("worth-by", "unit").as_deref() == Some("work"),
+        over_quota_weight: s.number("over-share-worth", "value", 1.0),
+        weight_by_work: s.text("worth-by", "unit").as_deref() == Some("work"),
         heartbeat: s.duration("heartbeat", 10 * S),
         confirm_timeout: s.duration("confirm-timeout", 5 * S),
         transactions: s.text("replies", "by").as_deref() == Some("transaction"),
@@ -198,7 +198,7 @@
             s.one("answer-memory").and_then(|l| l.duration("keep")).unwrap_or(60 * S),
         ),
         list: list.unwrap_or(ListSource::File { path: String::new(), poll: S }),
-        workers_most: workers_most as usize,
+        max_workers: max_workers as usize,
         list_subscribe: s.flag("list-subscribe", false),
         list_ask_within: s.duration("list-ask-within", 10 * S),
         list_initial_wait: s.duration("list-initial-wait", 10 * S),
@@ -221,8 +221,8 @@
         answers_tell_crowd: s.flag("answers-tell-crowd", true),
         connect_timeout: s.duration("connect-timeout", 250 * MS),
         idle_close: s.one("idle-connections").and_then(|l| l.duration("close")).unwrap_or(30 * S),
-        idle_most: s.count("idle-connections", "most", 64),
-        retry_after_most: s.duration("retry-after-most", 500 * MS),
+        max_idle_connections: s.count("idle-connections", "most", 64),
+        max_retry_after: s.duration("retry-after-most", 500 * MS),
         idle_keep: s.duration("idle-keep", 10 * S),
         on_miss,
         load_timeout: s.duration("load-timeout", 10 * S),
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -24,7 +24,7 @@
     /// Retention of a tombstone after every member confirmed it.
     pub remember: i64,
     /// How long startup waits for the first response from the replicas.
-    pub asking_most: i64,
+    pub max_startup_wait: i64,
     /// A watched file with one retired function per line.
     pub retirements: Option<String>,
     pub pools: Vec<Pool>,
@@ -142,7 +142,7 @@
         view_lease: s.duration("view-lease", 2 * S),
         drift: s.number("drift", "share", 0.01),
         remember: s.duration("remember", 3600 * S),
-        asking_most: s.duration("asking-most", 2000 * MS),
+        max_startup_wait: s.duration("asking-most", 2000 * MS),
         retirements: s.text("retirements", "file"),
         pools: pools(s, tenants, problems),
         pools_edition: s.count("pools-edition", "number", 1),
--- a/crates/config/src/render.rs
+++ b/crates/config/src/render.rs
@@ -27,11 +27,11 @@
         line(format!("fleet-front-ends {}", self.fleet_front_ends));
         line(format!("seed {}", self.seed));
         line(format!("batch-interval {}", d(self.batch_interval)));
-        line(format!("held-most {}", self.held_most));
-        line(format!("held-bytes-most {}", format_size(self.held_bytes_most)));
-        line(format!("body-most {}", format_size(self.body_most)));
+        line(format!("held-most {}", self.max_held_calls));
+        line(format!("held-bytes-most {}", format_size(self.max_held_bytes)));
+        line(format!("body-most {}", format_size(self.max_body_size)));
         line(format!("answer-margin {}", d(self.answer_margin)));
-        line(format!("drain-most {}", d(self.drain_most)));
+        line(format!("drain-most {}", d(self.drain_timeout)));
         for listen in &self.listen {
             line(format!("listen metrics {}", listen.address));
         }
@@ -75,8 +75,8 @@
             let functions = self.sharding.as_ref().map_or(String::new(), |s| s.of_tenant(&t.name));
             line(format!("tenant {} quota {}/s{functions}", quoted(&t.name), t.quota));
         }
-        line(format!("over-share-worth {}", self.over_share_worth));
-        line(format!("worth-by {}", if self.worth_by_work { "work" } else { "call" }));
+        line(format!("over-share-worth {}", self.over_quota_weight));
+        line(format!("worth-by {}", if self.weight_by_work { "work" } else { "call" }));
         for b in &self.brokers {
             line(format!("broker {}", quoted(&b.url)));
         }
@@ -108,7 +108,7 @@
                 line(format!("worker-list file {} poll {}", quoted(path), d(*poll)))
             }
         }
-        line(format!("workers-most {}", self.workers_most));
+        line(format!("workers-most {}", self.max_workers));
         line(format!("list-subscribe {}", yes_no(self.list_subscribe)));
         line(format!("list-ask-within {}", d(self.list_ask_within)));
         line(format!("list-initial-wait {}", d(self.list_initial_wait)));
@@ -137,8 +137,8 @@
         line(format!("answers-tell-copy {}", yes_no(self.answers_tell_copy)));
         line(format!("answers-tell-crowd {}", yes_no(self.answers_tell_crowd)));
         line(format!("connect-timeout {}", d(self.connect_timeout)));
-        line(format!("idle-connections close {} most {}", d(self.idle_close), self.idle_most));
-        line(format!("retry-after-most {}", d(self.retry_after_most)));
+        line(format!("idle-connections close {} most {}", d(self.idle_close), self.max_idle_connections));
+        line(format!("retry-after-most {}", d(self.max_retry_after)));
         line(format!("idle-keep {}", d(self.idle_keep)));
         line(format!("on-miss {}", if self.on_miss == OnMiss::Miss { "miss" } else { "load" }));
         line(format!("load-timeout {}", d(self.load_timeout)));
@@ -192,7 +192,7 @@
         out.push(format!("view-lease {}", d(self.view_lease)));
         out.push(format!("drift {}", self.drift));
         out.push(format!("remember {}", d(self.remember)));
-        out.push(format!("asking-most {}", d(self.asking_most)));
+        out.push(format!("asking-most {}", d(self.max_startup_wait)));
         out.extend(self.retirements.as_ref().map(|f| format!("retirements {}", quoted(f))));
         for pool in &self.pools {
             let lanes = pool.permits.map_or("by-workers".to_string(), |n| n.to_string());
--- a/crates/config/tests/fleet.rs
+++ b/crates/config/tests/fleet.rs
@@ -44,7 +44,7 @@
     let config = read(FLEET);
     let fleet = config.fleet.as_ref().unwrap();
     assert_eq!((fleet.member.as_str(), fleet.keepers.len(), fleet.view_lease), ("a", 3, 500_000));
-    assert_eq!((fleet.drift, fleet.remember, fleet.asking_most), (0.01, 3_600_000_000, 2_000_000));
+    assert_eq!((fleet.drift, fleet.remember, fleet.max_startup_wait), (0.01, 3_600_000_000, 2_000_000));
     let keep = fleet.keep.as_ref().unwrap();
     assert_eq!((keep.number, keep.store.as_str()), (2, "keeper-two"));
     assert_eq!(fleet.pools[0].functions, ["free-times", "later*"]);
--- a/crates/config/tests/sharding.rs
+++ b/crates/config/tests/sharding.rs
@@ -59,9 +59,9 @@
 #[test]
 fn the_maximum_length_of_the_worker_list_is_configurable() {
     let config = read(&format!("{FUNCTION}workers-most 65536\nshards 24 generation 1 workers 30000\n"));
-    assert_eq!(config.workers_most, 65_536);
+    assert_eq!(config.max_workers, 65_536);
     assert_eq!(parse("again.conf", &config.render()).unwrap(), config);
-    assert_eq!(read(FUNCTION).workers_most, 10_000);
+    assert_eq!(read(FUNCTION).max_workers, 10_000);
 }
 
 #[test]
--- a/crates/gateway/src/amqp/front/deliveries.rs
+++ b/crates/gateway/src/amqp/front/deliveries.rs
@@ -237,7 +237,7 @@
             }
         };
         if !may_have_run && received.effect != Effect::Idempotent && self.is_unknown() {
-            let retry_after = self.config.retry_after_most;
+            let retry_after = self.config.max_retry_after;
             return Some(Answer::Refused { reason: "marks-not-ready", retry_after });
         }
         let placement = self.places.as_ref().map(|places| places.over(received.queue, &request.function));
--- a/crates/gateway/src/amqp/front/mod.rs
+++ b/crates/gateway/src/amqp/front/mod.rs
@@ -119,7 +119,7 @@
         let (most, retention) = config.answer_memory;
         let places = Places::new(&config);
         let queues = queues::at_start(&config);
-        let bounds = Bounds { calls: config.held_most, bytes: config.held_bytes_most };
+        let bounds = Bounds { calls: config.max_held_calls, bytes: config.max_held_bytes };
         Front {
             reader: Reader::new(config.clone()),
             acks: Acks::default(),
@@ -128,7 +128,7 @@
             depth_requested_at: 0,
             stopped_from: 0,
             intake: Intake::new(bounds),
-            advice: Advice::new(config.retry_after_most, seed, now),
+            advice: Advice::new(config.max_retry_after, seed, now),
             memory: DeliveryCache::new(most as usize, retention, config.resend_doubtful),
             inquiries: None,
             backoff: Backoff::new(config.reconnect.0, config.reconnect.1, seed),
@@ -162,7 +162,7 @@
             password: broker.password.clone(),
             vhost: broker.vhost.clone(),
             heartbeat: (self.config.heartbeat / 1_000_000).clamp(0, 65_535) as u16,
-            body_limit: self.config.body_most as usize,
+            body_limit: self.config.max_body_size as usize,
             ..ClientOptions::default()
         };
         self.client = Some(Client::new(options, now));
--- a/crates/gateway/src/amqp/message.rs
+++ b/crates/gateway/src/amqp/message.rs
@@ -152,7 +152,7 @@
             }
             _ => 0,
         };
-        if size > self.config.body_most {
+        if size > self.config.max_body_size {
             return Err(InvalidMessage::TooLarge);
         }
         let give_up = self.config.function(&function).and_then(|f| self.config.class_index(&f.class));
--- a/crates/gateway/src/fleet/pool_admission.rs
+++ b/crates/gateway/src/fleet/pool_admission.rs
@@ -53,7 +53,7 @@
         let fleet = config.fleet.as_ref().filter(|f| !f.pools.is_empty())?;
         // If closing a connection cancels the run at its worker, no run of an earlier process is still in progress.
         let earlier_runs_until = if config.cancel { now } else { now + config.longest_attempt() };
-        let max_waiting = usize::try_from(config.held_most).unwrap_or(usize::MAX);
+        let max_waiting = usize::try_from(config.max_held_calls).unwrap_or(usize::MAX);
         let limits = AllocationLimits {
             front_ends: config.fleet_front_ends,
             guaranteed_share: GUARANTEED_SHARE,
@@ -62,7 +62,7 @@
         };
         let mut admission = PoolAdmission {
             config: config.clone(),
-            permits: PermitPools::new(max_waiting, config.retry_after_most, earlier_runs_until, seed),
+            permits: PermitPools::new(max_waiting, config.max_retry_after, earlier_runs_until, seed),
             pools: fleet.pools.iter().map(pool).collect(),
             edition: fleet.pools_edition,
             limits,
--- a/crates/gateway/src/fleet/retirement_gate.rs
+++ b/crates/gateway/src/fleet/retirement_gate.rs
@@ -73,10 +73,10 @@
     /// from the replicas has been running all the time.
     pub fn record_activity(&mut self, now: Micros) {
         if self.was_stalled(now) {
-            let asking_most = self.config.fleet.as_ref().map_or(0, |f| f.asking_most);
-            self.must_confirm_until = now.saturating_add(asking_most);
+            let max_startup_wait = self.config.fleet.as_ref().map_or(0, |f| f.max_startup_wait);
+            self.must_confirm_until = now.saturating_add(max_startup_wait);
             tracing::warn!(
-                most_ms = asking_most / 1000,
+                most_ms = max_startup_wait / 1000,
                 "process was stopped while its view expired; waiting for a fresh cluster status"
             );
         }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -132,7 +132,7 @@
             core.set_recovery(FleetRecovery::new(&config, &recover, is_unclean, seed, clock.now()));
         }
         let transport = AmqpTransport::start(&config, number, seed, clock, sender, fleet, inquiries);
-        let max_drain = config.drain_most;
+        let max_drain = config.drain_timeout;
         driver::run(FrontEndParts { core, transport, inputs, clock, max_drain, drain, state, session }).await;
         if let Some(marker) = marker {
             marker.remove();
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -81,9 +81,9 @@
             zones: config.zones.clone(),
             // The list takes precedence again once it has contradicted a worker's announcement for longer than it may lag.
             announcement_retention: 60_000_000.max(4 * config.list_ask_within),
-            max_workers: Some(config.workers_most),
-            max_calls: config.held_most,
-            max_retry_after: config.retry_after_most,
+            max_workers: Some(config.max_workers),
+            max_calls: config.max_held_calls,
+            max_retry_after: config.max_retry_after,
             load_timeout: config.load_timeout,
             name_limits: (100_000, 600_000_000),
             cancel_abandoned: false,
--- a/crates/gateway/src/transport.rs
+++ b/crates/gateway/src/transport.rs
@@ -61,7 +61,7 @@
         });
         let link =
             link::run(config.clone(), (seed, clock), inquiries, inputs.clone(), from_driver, link_state);
-        let max_status_wait = config.fleet.as_ref().map_or(0, |f| f.asking_most);
+        let max_status_wait = config.fleet.as_ref().map_or(0, |f| f.max_startup_wait);
         tasks.spawn_local(async move {
             if let Some((_, status)) = fleet {
                 await_first_status(status, clock, max_status_wait).await;
--- a/crates/gateway/src/workers/exchange.rs
+++ b/crates/gateway/src/workers/exchange.rs
@@ -88,7 +88,7 @@
     if connection.sender.ready().await.is_ok() {
         let mut pools = pools.borrow_mut();
         let idle = pools.entry(address.clone()).or_default();
-        if (idle.len() as u64) < config.idle_most {
+        if (idle.len() as u64) < config.max_idle_connections {
             idle.push((connection, Instant::now()));
         }
     }
--- a/crates/gateway/src/workers/pool.rs
+++ b/crates/gateway/src/workers/pool.rs
@@ -74,7 +74,7 @@
         let (running, may_send) = (self.running.clone(), self.send_check(&attempt.function));
         let task = tokio::task::spawn_local(async move {
             let exchanged =
-                exchange((&config, &pools), &attempt.address, request, config.body_most, &may_send).await;
+                exchange((&config, &pools), &attempt.address, request, config.max_body_size, &may_send).await;
             let (result, reusable) = match exchanged {
                 Ok((status, headers, body, connection)) => (
                     http_response::attempt_result(status, &headers, body, &config.report_fields),
@@ -244,7 +244,7 @@
         }
         pools.retain(|_, idle| !idle.is_empty());
         let mut addresses = self.addresses.borrow_mut();
-        if addresses.len() > 2 * self.config.workers_most {
+        if addresses.len() > 2 * self.config.max_workers {
             addresses.clear();
         }
     }
