--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,10 +1,10 @@
-//! What the module is given, and what is looked up in a configuration.
+//! Settings passed to the core module, and lookups in a configuration.
 
 use crate::model::{Class, Config, Function};
 use stagehoist::{ClassSettings, ReportField, Settings};
 
 impl Config {
-    /// What the module is given at its start.
+    /// Returns the settings that the core module is started with.
     pub fn settings(&self) -> Settings {
         let class = |c: &Class| ClassSettings {
             latency_objective: c.aim,
@@ -21,8 +21,8 @@
             zone: zone.unwrap_or(0) as u32,
             classes: self.classes.iter().map(class).collect(),
             tenant_quotas: self.tenants.iter().map(|t| t.quota).collect(),
-            over_quota_weight: self.over_share_worth,
-            weight_by_work: self.worth_by_work,
+            over_quota_weight: self.over_quota_weight,
+            weight_by_work: self.weight_by_work,
             tick: self.batch_interval,
             subscribe_endpoints: self.list_subscribe,
             poll_within: self.list_ask_within,
@@ -40,7 +40,7 @@
             answers_report_copy: self.answers_tell_copy,
             answers_report_concurrency: self.answers_tell_crowd,
             connect_timeout: self.connect_timeout,
-            max_retry_after: self.retry_after_most,
+            max_retry_after: self.max_retry_after,
             idle_retention: self.idle_keep,
             on_miss: self.on_miss,
             load_timeout: self.load_timeout,
@@ -59,13 +59,13 @@
         }
     }
 
-    /// The function directive that takes a name: an exact one before the longest pattern.
+    /// Returns the function directive that matches a name. An exact name wins over patterns, a longer pattern over a shorter one.
     pub fn function(&self, name: &str) -> Option<&Function> {
-        let takes = self.functions.iter().filter(|f| f.takes(name));
-        takes.max_by_key(|f| (!f.pattern.ends_with('*'), f.pattern.len()))
+        let matching = self.functions.iter().filter(|f| f.matches(name));
+        matching.max_by_key(|f| (!f.pattern.ends_with('*'), f.pattern.len()))
     }
 
-    /// The place of a class among the classes.
+    /// Returns the index of a class.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|c| c.name == name)
     }
