--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,26 +1,27 @@
-//! `demo` and `play`: a day on the whole stack, shown and accounted for.
+//! The `demo`, `play` and `measure` subcommands: run a scenario (a day) on the whole stack and print its progress and ledger,
+//! or measure the stack.
 
 mod shown;
 
 use clap::Args;
-use shown::{account, shower};
+use shown::{print_ledger, progress_printer};
 use stagehoist_harness::{measure, play_on, Day, HarnessError, Stack};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The day that `demo` plays.
+/// The scenario that `demo` runs.
 const DEMO: &str = include_str!("../../../days/demo.day");
 
 #[derive(Args)]
 pub struct DemoArgs {
-    /// Shorten or lengthen the day to so many seconds.
+    /// Shorten or lengthen the day to this number of seconds.
     #[arg(long)]
     seconds: Option<u64>,
-    /// One JSON object on standard output in place of the ledger.
+    /// Print one JSON object on standard output instead of the ledger.
     #[arg(long)]
     json: bool,
-    /// Keep all up until SIGINT and print the addresses; a day is played first only where --seconds is given.
+    /// Print the addresses and keep the stack running until SIGINT; a day runs first only if --seconds is given.
     #[arg(long)]
     stay: bool,
 }
@@ -29,19 +30,19 @@
 pub struct PlayArgs {
     /// The day file; see docs/days.md.
     day: PathBuf,
-    /// Shorten or lengthen the day to so many seconds.
+    /// Shorten or lengthen the day to this number of seconds.
     #[arg(long)]
     seconds: Option<u64>,
-    /// Draw anew what the day leaves open (ranges of moments, `any`, `any-of`); the file's own seed draws otherwise.
+    /// Seed for the values that the day leaves to chance (time ranges, `any`, `any-of`); the default is the seed in the file.
     #[arg(long)]
     seed: Option<u64>,
-    /// Tell the front ends of no pool, to compare; callers send the same.
+    /// Configure no pools in the front ends, for comparison; callers send the same load.
     #[arg(long)]
     without_reservations: bool,
-    /// Keep the processes' configurations, logs and stores, and the day as drawn, in this folder: new, or empty.
+    /// Keep the processes' configurations, logs and stores, and the day with all drawn values, in this new or empty folder.
     #[arg(long)]
     keep: Option<PathBuf>,
-    /// One JSON object on standard output in place of the ledger.
+    /// Print one JSON object on standard output instead of the ledger.
     #[arg(long)]
     json: bool,
 }
@@ -51,7 +52,7 @@
     ExitCode::FAILURE
 }
 
-fn read(name: &str, text: &str, seconds: Option<u64>) -> Result<Day, ExitCode> {
+fn parse_day(name: &str, text: &str, seconds: Option<u64>) -> Result<Day, ExitCode> {
     let day = Day::parse(name, text).map_err(|faults| {
         faults.iter().for_each(|fault| eprintln!("{fault}"));
         ExitCode::from(2)
@@ -62,13 +63,13 @@
     })
 }
 
-/// Plays a day file.
+/// Runs a day file.
 pub fn play(args: &PlayArgs) -> ExitCode {
     let text = match std::fs::read_to_string(&args.day) {
         Ok(text) => text,
         Err(e) => return fail(&format!("{}: {e}", args.day.display())),
     };
-    let mut day = match read(&args.day.display().to_string(), &text, args.seconds) {
+    let mut day = match parse_day(&args.day.display().to_string(), &text, args.seconds) {
         Ok(day) => day,
         Err(code) => return code,
     };
@@ -77,10 +78,10 @@
     if args.seed.is_some() {
         eprint!("{}", day.drawn_text());
     }
-    let Some(folder) = &args.keep else { return played(day, args.json, None) };
-    let kept = keep(folder, &text, args.seconds, &day);
+    let Some(folder) = &args.keep else { return run_day(day, args.json, None) };
+    let kept = prepare_keep_folder(folder, &text, args.seconds, &day);
     match kept {
-        Ok(()) => played(day, args.json, Some(folder)),
+        Ok(()) => run_day(day, args.json, Some(folder)),
         Err(e) => {
             eprintln!("stagehoist: --keep {}: {e}", folder.display());
             ExitCode::from(2)
@@ -88,49 +89,49 @@
     }
 }
 
-/// Makes the folder for what a day leaves behind, and writes the day there as it was drawn.
-fn keep(folder: &Path, text: &str, seconds: Option<u64>, day: &Day) -> std::io::Result<()> {
+/// Creates the folder for the files of a run, and writes the day with all drawn values into it.
+fn prepare_keep_folder(folder: &Path, text: &str, seconds: Option<u64>, day: &Day) -> std::io::Result<()> {
     std::fs::create_dir_all(folder)?;
     if std::fs::read_dir(folder)?.next().is_some() {
         return Err(std::io::Error::other("the folder is not empty"));
     }
-    let first = |line: &str| line.split_whitespace().next().map(str::to_string);
-    let open = |line: &&str| !matches!(first(line).as_deref(), Some("at" | "seed"));
-    let mut lines: Vec<&str> = text.lines().filter(open).collect();
-    let shortened = seconds.map(|s| format!("# Played with --seconds {s}, which also shortened spans."));
-    lines.extend(shortened.as_deref());
+    let first_word = |line: &str| line.split_whitespace().next().map(str::to_string);
+    let is_copied = |line: &&str| !matches!(first_word(line).as_deref(), Some("at" | "seed"));
+    let mut lines: Vec<&str> = text.lines().filter(is_copied).collect();
+    let note = seconds.map(|s| format!("# Played with --seconds {s}, which also shortened spans."));
+    lines.extend(note.as_deref());
     std::fs::write(folder.join("drawn.day"), format!("{}\n{}", lines.join("\n"), day.drawn_text()))
 }
 
-/// Plays a day on a new stack and accounts for it.
-fn played(day: Day, json: bool, keep: Option<&Path>) -> ExitCode {
-    let ledger = stage(day).and_then(|mut stack| {
-        let ledger = play_on(&mut stack, &mut shower());
+/// Runs a day on a new stack and prints its ledger.
+fn run_day(day: Day, json: bool, keep: Option<&Path>) -> ExitCode {
+    let ledger = start_stack(day).and_then(|mut stack| {
+        let ledger = play_on(&mut stack, &mut progress_printer());
         let kept = keep.map_or(Ok(()), |folder| stack.keep(folder));
         kept.map_err(HarnessError::Config).and(ledger)
     });
     match ledger {
-        Ok(ledger) => account(&ledger, json),
+        Ok(ledger) => print_ledger(&ledger, json),
         Err(e) => fail(&e),
     }
 }
 
-/// Plays the built-in day, or keeps the stack up for strangers.
+/// Runs the built-in day, or keeps the stack running for external clients.
 pub fn demo(args: &DemoArgs) -> ExitCode {
-    let day = match read("demo.day", DEMO, args.seconds) {
+    let day = match parse_day("demo.day", DEMO, args.seconds) {
         Ok(day) => day,
         Err(code) => return code,
     };
     if !args.stay {
-        return played(day, args.json, None);
+        return run_day(day, args.json, None);
     }
     if args.seconds.is_some() {
-        let code = played(day.clone(), args.json, None);
+        let code = run_day(day.clone(), args.json, None);
         if code != ExitCode::SUCCESS {
             return code;
         }
     }
-    let mut stack = match stage(day) {
+    let mut stack = match start_stack(day) {
         Ok(stack) => stack,
         Err(e) => return fail(&e),
     };
@@ -138,10 +139,10 @@
         Ok(runtime) => runtime,
         Err(e) => return fail(&e),
     };
-    let interrupted = runtime.block_on(async {
+    let wait_result = runtime.block_on(async {
         let mut interrupt = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::interrupt())?;
         let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
-        // Nothing is recorded for a verdict while strangers use the stack.
+        // Traffic of external clients is not judged, so the recorder is stopped.
         stack.recorder.stop();
         for (name, address) in stack.addresses() {
             println!("{name} {address}");
@@ -154,7 +155,7 @@
         }
         Ok::<(), std::io::Error>(())
     });
-    if let Err(e) = interrupted {
+    if let Err(e) = wait_result {
         return fail(&e);
     }
     match stack.end(Duration::from_secs(10)) {
@@ -163,31 +164,31 @@
     }
 }
 
-fn stage(day: Day) -> Result<Stack, HarnessError> {
+fn start_stack(day: Day) -> Result<Stack, HarnessError> {
     let binary = std::env::current_exe().map_err(HarnessError::Socket)?;
     let mut stack = Stack::start(day, &binary)?;
     stack.wait_ready(Duration::from_secs(20))?;
     Ok(stack)
 }
 
-/// Measures and prints one line for each way of calling.
-pub fn measured(rate: f64, seconds: u64, workers: &[u32], json: bool) -> ExitCode {
+/// Runs the measurements and prints one line for each call path.
+pub fn run_measurements(rate: f64, seconds: u64, workers: &[u32], json: bool) -> ExitCode {
     let binary = match std::env::current_exe() {
         Ok(binary) => binary,
         Err(e) => return fail(&e),
     };
-    let mut show = |m: &stagehoist_harness::Measured| {
+    let mut print_row = |m: &stagehoist_harness::Measured| {
         if json {
             println!("{}", serde_json::to_string(m).unwrap_or_default());
             return;
         }
-        let held: Vec<String> = m.held_us.iter().map(|(k, v)| format!("{k} {v:.0}")).collect();
+        let latencies: Vec<String> = m.held_us.iter().map(|(k, v)| format!("{k} {v:.0}")).collect();
         print!(
             "{:<22} {:>4} workers  {:>6} answered  held us: {}",
             m.what,
             m.workers,
             m.answered,
-            held.join("  ")
+            latencies.join("  ")
         );
         if m.cpu_us > 0.0 {
             print!("  cpu {:.1} us a call, {:.0} calls/s a core", m.cpu_us, m.per_core_s);
@@ -200,7 +201,7 @@
         }
         println!();
     };
-    match measure(&binary, workers, rate, seconds, &mut show) {
+    match measure(&binary, workers, rate, seconds, &mut print_row) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => fail(&e),
     }
--- a/crates/cli/src/demo/shown.rs
+++ b/crates/cli/src/demo/shown.rs
@@ -1,17 +1,17 @@
-//! A day's progress and its ledger, as shown.
+//! Prints the progress and the ledger of a day.
 
 use super::fail;
 use indicatif::{ProgressBar, ProgressStyle};
 use stagehoist_harness::{Ledger, Progress};
 use std::process::ExitCode;
 
-/// Shows progress on standard error: a bar on a terminal, lines elsewhere.
-pub(super) fn shower() -> impl FnMut(Progress<'_>) {
+/// Returns a callback that prints progress on standard error: a bar on a terminal, otherwise lines.
+pub(super) fn progress_printer() -> impl FnMut(Progress<'_>) {
     let bar = ProgressBar::new(0);
     let style = "{bar:30} {pos}/{len} s  {msg}";
     bar.set_style(ProgressStyle::with_template(style).unwrap_or_else(|_| ProgressStyle::default_bar()));
     let hidden = bar.is_hidden();
-    let line = move |bar: &ProgressBar, text: String| {
+    let print_line = move |bar: &ProgressBar, text: String| {
         if hidden {
             eprintln!("{text}");
         } else {
@@ -19,8 +19,8 @@
         }
     };
     move |progress| match progress {
-        Progress::Ready => line(&bar, "front ends consume".into()),
-        Progress::Trouble(text) => line(&bar, format!("  trouble: {text}")),
+        Progress::Ready => print_line(&bar, "front ends are consuming".into()),
+        Progress::Trouble(text) => print_line(&bar, format!("  fault: {text}")),
         Progress::Second { at, length, sent, served, refused, failed } => {
             bar.set_length(length.as_secs());
             bar.set_position(at.as_secs());
@@ -32,12 +32,12 @@
         }
         Progress::Judging => {
             bar.finish_and_clear();
-            eprintln!("judging what crossed the sockets");
+            eprintln!("judging the recorded traffic");
         }
     }
 }
 
-pub(super) fn account(ledger: &Ledger, json: bool) -> ExitCode {
+pub(super) fn print_ledger(ledger: &Ledger, json: bool) -> ExitCode {
     if json {
         match serde_json::to_string(ledger) {
             Ok(text) => println!("{text}"),
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,5 @@
-//! A process as part of a fleet: its sessions with the replicas started, tied to its front ends, and ended after them.
+//! Fleet membership of a process: starts its sessions with the replicas, connects each session to a front end, and stops
+//! the sessions after the front ends.
 
 use stagehoist_cluster_state::{AllocationLimits, LeaseTerms, Pool, PoolSize, Reservation, GUARANTEED_SHARE};
 use stagehoist_config::{Config, Fleet};
@@ -10,19 +11,19 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// The least time in which a leader that is at ease hears of a majority, in microseconds.
-const QUORUM_LEAST: i64 = 250_000;
+/// Lower bound, in microseconds, on the time within which a leader in normal operation hears from a majority.
+const MIN_QUORUM_TIMEOUT: i64 = 250_000;
 
-/// How often it is reckoned anew at most who should have how many permits, in microseconds.
-const DEAL_EVERY: i64 = 10_000;
+/// Minimum interval between two computations of the permit allocation, in microseconds.
+const ALLOCATION_INTERVAL: i64 = 10_000;
 
-/// The name of a front end of this process among the members.
-fn member(fleet: &Fleet, number: u32) -> String {
+/// Returns the member name of a front end of this process.
+fn member_name(fleet: &Fleet, number: u32) -> String {
     format!("{}/{number}", fleet.member)
 }
 
-/// What the replica's part is given.
-pub fn options(config: &Config, fleet: &Fleet) -> Options {
+/// Converts the configuration of a fleet into the options of the consensus package.
+pub fn consensus_options(config: &Config, fleet: &Fleet) -> Options {
     let pool = |pool: &stagehoist_config::Pool| Pool {
         name: pool.name.clone(),
         functions: pool.functions.clone(),
@@ -30,21 +31,21 @@
         reservations: pool
             .reservations
             .iter()
-            .map(|(tenant, lanes)| Reservation { tenant: tenant.clone(), permits: *lanes })
+            .map(|(tenant, permits)| Reservation { tenant: tenant.clone(), permits: *permits })
             .collect(),
     };
-    let keep = |keep: &stagehoist_config::ReplicaSettings| ReplicaOptions {
-        number: keep.number,
-        listen: keep.listen.clone(),
-        store: PathBuf::from(&keep.store),
+    let replica_options = |settings: &stagehoist_config::ReplicaSettings| ReplicaOptions {
+        number: settings.number,
+        listen: settings.listen.clone(),
+        store: PathBuf::from(&settings.store),
     };
     Options {
         replicas: fleet.keepers.clone(),
-        replica: fleet.keep.as_ref().map(keep),
+        replica: fleet.keep.as_ref().map(replica_options),
         terms: LeaseTerms {
             lease: fleet.view_lease,
             drift_ppm: (fleet.drift * 1e6).round() as u32,
-            quorum: (fleet.view_lease / 4).max(QUORUM_LEAST),
+            quorum: (fleet.view_lease / 4).max(MIN_QUORUM_TIMEOUT),
             tombstone_retention: fleet.remember,
         },
         edition: fleet.pools_edition,
@@ -53,74 +54,79 @@
             front_ends: config.fleet_front_ends,
             guaranteed_share: GUARANTEED_SHARE,
             longest_run: config.longest_run(),
-            interval: DEAL_EVERY,
+            interval: ALLOCATION_INTERVAL,
         }),
-        members: (0..config.front_ends).map(|number| member(fleet, number)).collect(),
+        members: (0..config.front_ends).map(|number| member_name(fleet, number)).collect(),
         session_folder: fleet.folder.as_ref().map(PathBuf::from),
         seed: config.seed,
         timing: Timing::default(),
     }
 }
 
-/// The sessions of a process, and the tasks beside them.
-pub struct Joined {
+/// The running sessions of a process and the tasks that serve them.
+pub struct FleetMembership {
     running: Running,
     tasks: JoinSet<()>,
 }
 
-/// Starts the sessions and ties each to a front end; must be called inside a runtime, whose tasks do the rest.
+/// Starts the sessions and connects each to a front end. Must be called inside a runtime, because it spawns tasks.
 pub fn start(
     config: &Config,
     fleet: &Fleet,
     clock: Clock,
-) -> Result<(Joined, Vec<Option<SessionHandle>>), ConsensusError> {
-    let mut running = stagehoist_consensus::start(options(config, fleet), Arc::new(move || clock.now()))?;
+) -> Result<(FleetMembership, Vec<Option<SessionHandle>>), ConsensusError> {
+    let mut running =
+        stagehoist_consensus::start(consensus_options(config, fleet), Arc::new(move || clock.now()))?;
     let mut tasks = JoinSet::new();
-    let (mut links, mut sessions) = (Vec::new(), std::mem::take(&mut running.sessions));
+    let (mut session_handles, mut sessions) = (Vec::new(), std::mem::take(&mut running.sessions));
     for number in 0..config.front_ends {
-        let Some(mut session) = sessions.remove(&member(fleet, number)) else {
-            links.push(None);
+        let Some(mut session) = sessions.remove(&member_name(fleet, number)) else {
+            session_handles.push(None);
             continue;
         };
         if let (0, Some(file)) = (number, &fleet.retirements) {
-            let (standing, retire) = (session.status.clone(), session.retire.clone());
-            tasks.spawn(retirements::follow(config.clone(), PathBuf::from(file), standing, retire));
+            let (status, retire) = (session.status.clone(), session.retire.clone());
+            tasks.spawn(retirements::follow(config.clone(), PathBuf::from(file), status, retire));
         }
-        let (told, news) = watch::channel(SessionReport::default());
-        let others = config.marks.as_ref().map(|_| {
-            // Nobody says anything by the end that stays with the session.
-            let heard = std::mem::replace(&mut session.inquiry_events, mpsc::channel(1).1);
-            PeerInquiry { requests: session.inquiries.clone(), events: heard }
+        let (report_sender, reports) = watch::channel(SessionReport::default());
+        let peer_inquiry = config.marks.as_ref().map(|_| {
+            // The replacement receiver that stays in the session never receives an event: its sender is dropped.
+            let inquiry_events = std::mem::replace(&mut session.inquiry_events, mpsc::channel(1).1);
+            PeerInquiry { requests: session.inquiries.clone(), events: inquiry_events }
         });
-        links.push(Some(SessionHandle { status: session.status.clone(), report: told, inquiry: others }));
-        tasks.spawn(pass_on(news, session));
+        session_handles.push(Some(SessionHandle {
+            status: session.status.clone(),
+            report: report_sender,
+            inquiry: peer_inquiry,
+        }));
+        tasks.spawn(forward_reports(reports, session));
     }
-    Ok((Joined { running, tasks }, links))
+    Ok((FleetMembership { running, tasks }, session_handles))
 }
 
-/// What a front end tells, in the replica's words, until the front end ended.
-async fn pass_on(mut news: watch::Receiver<SessionReport>, session: Session) {
-    while news.changed().await.is_ok() {
+/// Converts each report of a front end and forwards it to the session, until the front end has ended.
+async fn forward_reports(mut reports: watch::Receiver<SessionReport>, session: Session) {
+    while reports.changed().await.is_ok() {
         let SessionReport { confirmed, ready_capacity: ready_lanes, demand } =
-            news.borrow_and_update().clone();
+            reports.borrow_and_update().clone();
         session.report.send_replace(stagehoist_consensus::SessionReport {
             confirmed,
             ready_capacity: ready_lanes,
             demand,
         });
     }
-    // The session's ends are kept until the members leave: what was given last stands.
+    // The session's channels stay open until the members leave, so that the last report remains in force.
     std::future::pending::<()>().await;
 }
 
-impl Joined {
-    /// Members leave in order; after their front ends have drained.
+impl FleetMembership {
+    /// Deregisters the members and stops the sessions. To be called after the front ends have drained.
     pub async fn stop(mut self) {
         let running = self.running;
-        // Ends a thread, and so waits.
+        // Blocks until a thread has ended.
         let stopped = tokio::task::spawn_blocking(move || running.stop()).await;
         if let Err(e) = stopped {
-            tracing::error!(error = %e, "the keeper's part failed while it ended");
+            tracing::error!(error = %e, "replica and session service failed during shutdown");
         }
         self.tasks.shutdown().await;
     }
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -1,4 +1,4 @@
-//! `load`: open-loop load on a broker, sweeps of the whole stack.
+//! The `load` subcommand: open-loop load on a broker, and load sweeps of the whole stack.
 
 use clap::{Args, Subcommand, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -13,11 +13,11 @@
 
 #[derive(Subcommand)]
 pub enum Load {
-    /// Send calls to a broker's queue at a told pace and account for every answer.
+    /// Send calls to a broker's queue at a given rate and account for every answer.
     Run(RunArgs),
-    /// Run the whole stack at several offered loads beside baselines, and plot it.
+    /// Run the whole stack and baselines at several offered loads, and plot the results.
     Sweep(SweepArgs),
-    /// Run the gateway under a baseline policy, to measure against. Not for service.
+    /// Run the gateway with a baseline policy for comparison. Not for production.
     Gateway {
         #[arg(long, value_enum)]
         policy: Policy,
@@ -33,7 +33,7 @@
 }
 
 impl Policy {
-    pub fn decider(self) -> PolicyFactory {
+    pub fn factory(self) -> PolicyFactory {
         match self {
             Policy::Module => module,
             Policy::RoundRobin => baseline::round_robin,
@@ -42,47 +42,47 @@
     }
 }
 
-fn duration(text: &str) -> Result<i64, String> {
+fn parse_duration(text: &str) -> Result<i64, String> {
     stagehoist_config::parse_duration(text)
         .ok_or_else(|| format!("{text}: expected a duration such as 800ms"))
 }
 
-fn shape(text: &str) -> Result<Shape, String> {
+fn parse_shape(text: &str) -> Result<Shape, String> {
     text.parse().map_err(|e: stagehoist_load_generator::PlanError| e.to_string())
 }
 
 #[derive(Args)]
 pub struct Pace {
     /// constant, poisson, ramp:FROM-TO (multiples of the rate), burst:TIMES@AT+SPAN (seconds) or day.
-    #[arg(long, default_value = "poisson", value_parser = shape)]
+    #[arg(long, default_value = "poisson", value_parser = parse_shape)]
     shape: Shape,
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// A call served within this counts in full.
-    #[arg(long, default_value = "800ms", value_parser = duration)]
+    /// Latency objective: only a call served within this time counts towards goodput.
+    #[arg(long, default_value = "800ms", value_parser = parse_duration)]
     aim: i64,
-    /// Callers time out after this.
-    #[arg(long, default_value = "2500ms", value_parser = duration)]
+    /// Timeout of the callers.
+    #[arg(long, default_value = "2500ms", value_parser = parse_duration)]
     give_up: i64,
     /// `expiration` of each message in milliseconds; 0: none.
     #[arg(long, default_value_t = 2500)]
     expiration_ms: u64,
-    /// Part of callers that repeat a refused call at once.
+    /// Fraction of callers that retry a refused call immediately.
     #[arg(long, default_value_t = 0.0)]
     repeat_at_once: f64,
-    /// Part of callers that repeat a refused call after the time they are told.
+    /// Fraction of callers that retry a refused call after the delay given in the refusal.
     #[arg(long, default_value_t = 0.0)]
     repeat_as_told: f64,
-    /// Repeats of one call at most.
+    /// Maximum number of retries of a call.
     #[arg(long, default_value_t = 2)]
     repeats: u32,
-    /// One JSON object a line.
+    /// Print one JSON object per line.
     #[arg(long)]
     json: bool,
 }
 
 impl Pace {
-    fn manners(&self) -> Manners {
+    fn retry_behavior(&self) -> Manners {
         Manners { at_once: self.repeat_at_once, honour: self.repeat_as_told, most: self.repeats }
     }
 }
@@ -93,7 +93,7 @@
     broker: String,
     #[arg(long, default_value = "calls")]
     queue: String,
-    /// Calls a second.
+    /// Calls per second.
     #[arg(long, default_value_t = 100.0)]
     rate: f64,
     /// A function and its weight, NAME or NAME:WEIGHT; may be given more than once.
@@ -102,13 +102,13 @@
     /// A tenant and its weight; may be given more than once.
     #[arg(long = "tenant")]
     tenants: Vec<String>,
-    /// Bytes of a body, or LEAST-MOST.
+    /// Size of a body in bytes, or a range LEAST-MOST.
     #[arg(long, default_value = "64")]
     size: String,
-    /// Moments to send at, from a file of lines MILLISECONDS [FUNCTION [BYTES]], in place of a shape.
+    /// File with send times to replay instead of a shape, in lines MILLISECONDS [FUNCTION [BYTES]].
     #[arg(long)]
     replay: Option<PathBuf>,
-    /// Set the publisher's timestamp.
+    /// Set the publisher's timestamp on each message.
     #[arg(long)]
     timestamp: bool,
     #[arg(long, default_value_t = 1)]
@@ -119,7 +119,7 @@
 
 #[derive(Args)]
 pub struct SweepArgs {
-    /// Offered loads in multiples of the workers' capacity.
+    /// Offered loads as multiples of the workers' capacity.
     #[arg(long, default_value = "0.25,0.5,1,1.5,2.5,3.75,5", value_delimiter = ',')]
     multiples: Vec<f64>,
     /// Number of seeds.
@@ -129,38 +129,38 @@
     policies: Vec<String>,
     #[arg(long, default_value_t = 4)]
     workers: u32,
-    /// Calls at a time on each worker.
+    /// Concurrent calls on each worker.
     #[arg(long, default_value_t = 2)]
     lanes: u32,
     #[arg(long, default_value_t = 20)]
     run_ms: u32,
-    /// Calls that wait at a worker at most.
+    /// Maximum number of calls queued at a worker.
     #[arg(long, default_value_t = 64)]
     worker_queue: usize,
-    /// Front ends of each gateway process, as in 2,1.
+    /// Number of front ends of each gateway process, such as 2,1.
     #[arg(long = "front-ends", default_value = "1", value_delimiter = ',')]
     processes: Vec<u32>,
-    /// The broker stamps messages.
+    /// Let the broker stamp messages.
     #[arg(long)]
     stamp: bool,
     /// Directives added to the gateway's configuration, separated by semicolons.
     #[arg(long, default_value = "")]
     more: String,
-    /// Where to write sweep.json and sweep.svg.
+    /// Folder to write sweep.json and sweep.svg to.
     #[arg(long)]
     out: Option<PathBuf>,
     #[command(flatten)]
     pace: Pace,
 }
 
-/// Runs a load; exit code 1 where it could not run, 3 where a message had no answer or two.
-pub fn run(what: Load) -> ExitCode {
-    let done = match what {
-        Load::Run(args) => one(&args),
-        Load::Sweep(args) => all(&args),
-        Load::Gateway { policy, conf } => return crate::serve::serve_with(policy.decider(), &conf),
+/// Runs a load subcommand. Returns exit code 1 if it could not run, and 3 if a message had no answer or more than one.
+pub fn run(action: Load) -> ExitCode {
+    let result = match action {
+        Load::Run(args) => run_load(&args),
+        Load::Sweep(args) => run_sweep(&args),
+        Load::Gateway { policy, conf } => return crate::serve::serve_with(policy.factory(), &conf),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(3),
         Err(e) => {
@@ -170,7 +170,7 @@
     }
 }
 
-fn print(report: &Report) {
+fn print_report(report: &Report) {
     let count = |of: &std::collections::BTreeMap<String, u64>| of.values().sum::<u64>();
     println!("calls {}, messages {} in {:.1} s", report.calls, report.messages, report.seconds);
     println!(
@@ -204,13 +204,13 @@
     }
 }
 
-fn one(args: &RunArgs) -> Result<bool, LoadError> {
+fn run_load(args: &RunArgs) -> Result<bool, LoadError> {
     let shape = match &args.replay {
         None => args.pace.shape.clone(),
         Some(file) => {
-            let read = std::fs::read_to_string(file);
+            let text = std::fs::read_to_string(file);
             Shape::replay(
-                &read.map_err(|source| LoadError::Start { what: file.display().to_string(), source })?,
+                &text.map_err(|source| LoadError::Start { what: file.display().to_string(), source })?,
             )?
         }
     };
@@ -229,7 +229,7 @@
         settle: args.pace.give_up + 3_000_000,
         aim: args.pace.aim,
         give_up: args.pace.give_up,
-        manners: args.pace.manners(),
+        manners: args.pace.retry_behavior(),
         name: format!("load-{}-{}", std::process::id(), args.seed),
     };
     let bar = ProgressBar::new_spinner().with_style(
@@ -250,12 +250,12 @@
     if args.pace.json {
         println!("{}", serde_json::to_string(&report).unwrap_or_default());
     } else {
-        print(&report);
+        print_report(&report);
     }
     Ok(report.no_answer == 0 && report.answered_twice == 0)
 }
 
-fn row(p: &Point) -> String {
+fn format_row(p: &Point) -> String {
     let r = &p.report;
     let refused: u64 = r.refused.values().sum();
     let late = r.served_late + r.after_give_up;
@@ -277,7 +277,7 @@
     )
 }
 
-fn all(args: &SweepArgs) -> Result<bool, LoadError> {
+fn run_sweep(args: &SweepArgs) -> Result<bool, LoadError> {
     let stand = LoadStackOptions {
         workers: args.workers,
         lanes: args.lanes,
@@ -298,7 +298,7 @@
         seconds: args.pace.seconds,
         expiration_ms: (args.pace.expiration_ms > 0).then_some(args.pace.expiration_ms),
         shape: args.pace.shape.clone(),
-        manners: args.pace.manners(),
+        manners: args.pace.retry_behavior(),
     };
     let binary =
         std::env::current_exe().map_err(|source| LoadError::Start { what: "itself".into(), source })?;
@@ -311,7 +311,7 @@
     let json = args.pace.json;
     let points = sweep::sweep(&binary, &options, &mut |p| {
         bar.inc(1);
-        let line = if json { serde_json::to_string(p).unwrap_or_default() } else { row(p) };
+        let line = if json { serde_json::to_string(p).unwrap_or_default() } else { format_row(p) };
         bar.suspend(|| println!("{line}"));
     })?;
     bar.finish_and_clear();
@@ -322,6 +322,6 @@
         std::fs::write(out.join("sweep.json"), text).map_err(fail)?;
         plot::plot(&points, &out.join("sweep.svg"))?;
     }
-    let own = points.iter().filter(|p| p.policy == "module");
-    Ok(own.map(|p| p.report.no_answer + p.report.answered_twice).sum::<u64>() == 0)
+    let module_points = points.iter().filter(|p| p.policy == "module");
+    Ok(module_points.map(|p| p.report.no_answer + p.report.answered_twice).sum::<u64>() == 0)
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -13,14 +13,14 @@
 use std::process::ExitCode;
 use tracing_subscriber::EnvFilter;
 
-/// A gateway that hands calls to workers which load functions or models on demand.
+/// A gateway that sends calls to workers which load functions or models on demand.
 #[derive(Parser)]
 #[command(version, about)]
 struct Cli {
-    /// What to log: a level (error, warn, info, debug, trace) or filter directives such as `warn,stagehoist_gateway=debug`.
+    /// Log filter: a level (error, warn, info, debug, trace) or filter directives such as `warn,stagehoist_gateway=debug`.
     #[arg(long, global = true, default_value = "warn")]
     log: String,
-    /// How to log.
+    /// Log format.
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
     log_format: LogFormat,
     #[command(subcommand)]
@@ -35,16 +35,16 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// The whole stack on loopback with a short day of trouble; exit code 0 only if every rule held.
+    /// Run the whole stack on loopback through a short scenario with faults; exit code 0 only if every rule held.
     Demo(demo::DemoArgs),
-    /// Run the gateway by a configuration file until SIGTERM or SIGINT, then drain.
+    /// Run the gateway with a configuration file until SIGTERM or SIGINT, then drain.
     Serve {
         /// The configuration file.
         conf: PathBuf,
     },
-    /// Run one live front end on the platform's protocol, as the file named by GW_CONFIG tells, until SIGTERM.
+    /// Run one front end on the platform's protocol until SIGTERM, configured by the file that GW_CONFIG names.
     Platform,
-    /// Tell everything that is wrong with a configuration file.
+    /// Report every fault in a configuration file.
     Check {
         /// The configuration file.
         conf: PathBuf,
@@ -52,32 +52,32 @@
         #[arg(long)]
         print: bool,
     },
-    /// Measure the gateway beside a direct call and a pass-through proxy, in one run.
+    /// Measure the gateway against direct calls and a pass-through proxy, in one run.
     Measure {
-        /// Calls a second.
+        /// Calls per second.
         #[arg(long, default_value_t = 1000.0)]
         rate: f64,
-        /// Seconds for each measurement.
+        /// Duration of each measurement in seconds.
         #[arg(long, default_value_t = 10)]
         seconds: u64,
-        /// Numbers of workers, separated by commas.
+        /// Numbers of workers to measure with, separated by commas.
         #[arg(long, default_value = "12,100", value_delimiter = ',')]
         workers: Vec<u32>,
-        /// One JSON object a line.
+        /// Print one JSON object per line.
         #[arg(long)]
         json: bool,
     },
-    /// Open-loop load on a running gateway, and sweeps of the whole stack beside baselines.
+    /// Generate open-loop load on a running gateway, or sweep the whole stack over several loads and compare with baselines.
     Load {
         #[command(subcommand)]
-        what: load::Load,
+        action: load::Load,
     },
-    /// An emulator for an outside system.
+    /// Run an emulator of an external system.
     Standin {
         #[command(subcommand)]
-        what: standin::Standin,
+        emulator: standin::Standin,
     },
-    /// Play a scripted day of trouble from a file and print its ledger; exit code 0 only if every rule held.
+    /// Run a scenario with faults from a day file and print its ledger; exit code 0 only if every rule held.
     Play(demo::PlayArgs),
 }
 
@@ -94,8 +94,8 @@
     let log = log.with_ansi(std::io::IsTerminal::is_terminal(&std::io::stderr()));
     match (cli.log_format, &cli.command) {
         (_, Command::Platform) => {
-            let everything = cli.log.contains("debug") || cli.log.contains("trace");
-            log.with_writer(platform::SparseLog::new(everything)).init()
+            let log_all = cli.log.contains("debug") || cli.log.contains("trace");
+            log.with_writer(platform::SparseLog::new(log_all)).init()
         }
         (LogFormat::Text, _) => log.with_writer(std::io::stderr).init(),
         (LogFormat::Json, _) => {
@@ -108,8 +108,10 @@
         Command::Platform => platform::run(),
         Command::Serve { conf } => serve::serve(&conf),
         Command::Check { conf, print } => serve::check(&conf, print),
-        Command::Measure { rate, seconds, workers, json } => demo::measured(rate, seconds, &workers, json),
-        Command::Load { what } => load::run(what),
-        Command::Standin { what } => standin::run(what),
+        Command::Measure { rate, seconds, workers, json } => {
+            demo::run_measurements(rate, seconds, &workers, json)
+        }
+        Command::Load { action } => load::run(action),
+        Command::Standin { emulator } => standin::run(emulator),
     }
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! `serve` and `check`.
+//! The `serve` and `check` subcommands.
 
 use crate::fleet;
 use stagehoist_config::load;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// Tells what is wrong with a configuration; exit code 2 where something is.
+/// Prints the faults of a configuration file; returns exit code 2 if there are any.
 pub fn check(conf: &Path, print: bool) -> ExitCode {
     match load(conf) {
         Ok(config) if print => {
@@ -29,13 +29,13 @@
     }
 }
 
-/// Runs the gateway until it is ordered to end.
+/// Runs the gateway with the decision module until SIGTERM or SIGINT, then drains it.
 pub fn serve(conf: &Path) -> ExitCode {
     serve_with(module, conf)
 }
 
-/// The same with a policy told.
-pub fn serve_with(decider: PolicyFactory, conf: &Path) -> ExitCode {
+/// Runs the gateway like [`serve`], with the given policy.
+pub fn serve_with(policy: PolicyFactory, conf: &Path) -> ExitCode {
     let config = match load(conf) {
         Ok(config) => config,
         Err(faults) => {
@@ -59,7 +59,7 @@
         Ok(runtime) => runtime,
         Err(e) => return fail(&e),
     };
-    // Signals are caught before anything runs, so that none is lost.
+    // Signal handlers are installed before anything else runs, so that no signal is lost.
     let signals = runtime.block_on(async {
         Ok::<_, std::io::Error>((signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?))
     });
@@ -68,48 +68,49 @@
         Err(e) => return fail(&e),
     };
     let clock = Clock::new();
-    let (joined, links) = match &config.fleet {
+    let (membership, session_handles) = match &config.fleet {
         None => (None, Vec::new()),
-        Some(told) => {
+        Some(fleet_config) => {
             let _tasks = runtime.enter();
-            match fleet::start(&config, told, clock) {
-                Ok((joined, links)) => (Some(joined), links),
+            match fleet::start(&config, fleet_config, clock) {
+                Ok((membership, session_handles)) => (Some(membership), session_handles),
                 Err(e) => return fail(&e),
             }
         }
     };
-    let running = match start(decider, &config, metrics, clock, links) {
+    let running = match start(policy, &config, metrics, clock, session_handles) {
         Ok(running) => running,
         Err(e) => return fail(&e),
     };
     tracing::info!(front_ends = config.front_ends, metrics = ?running.metrics, "serving");
-    let broken = runtime.block_on(async {
-        let mut look = tokio::time::interval(Duration::from_millis(200));
+    let exited_unexpectedly = runtime.block_on(async {
+        let mut exit_check = tokio::time::interval(Duration::from_millis(200));
         loop {
             tokio::select! {
                 _ = terminate.recv() => return false,
                 _ = interrupt.recv() => return false,
-                _ = look.tick() => if running.has_unexpected_exit() {
+                _ = exit_check.tick() => if running.has_unexpected_exit() {
                     return true;
                 },
             }
         }
     });
     running.drain();
-    let ended = match joined {
+    let result = match membership {
         None => running.join(),
-        // What front ends confirm while they drain is still passed on; members leave once nothing of theirs is in progress.
-        Some(joined) => runtime.block_on(async {
-            let ended = tokio::task::spawn_blocking(move || running.join()).await;
-            joined.stop().await;
-            ended.unwrap_or_else(|e| Err(GatewayError::Start(std::io::Error::other(e))))
+        // Confirmations that front ends report while they drain are still forwarded; members leave the fleet only after
+        // their front ends have finished all work in progress.
+        Some(membership) => runtime.block_on(async {
+            let result = tokio::task::spawn_blocking(move || running.join()).await;
+            membership.stop().await;
+            result.unwrap_or_else(|e| Err(GatewayError::Start(std::io::Error::other(e))))
         }),
     };
-    match ended {
+    match result {
         Err(e) => fail(&e),
-        Ok(()) if broken => fail(&"a front end ended though it was not told to"),
+        Ok(()) if exited_unexpectedly => fail(&"a front end exited unexpectedly"),
         Ok(()) => {
-            tracing::info!("ended in order");
+            tracing::info!("graceful shutdown complete");
             ExitCode::SUCCESS
         }
     }
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -1,4 +1,4 @@
-//! `standin`: each emulator by itself, on a told address, until SIGINT or SIGTERM.
+//! The `standin` subcommand: runs one emulator on a given address until SIGINT or SIGTERM.
 
 use clap::Subcommand;
 use stagehoist_emulator::broker::{self, Broker, BrokerOptions};
@@ -14,7 +14,7 @@
 
 #[derive(Subcommand)]
 pub enum Standin {
-    /// An AMQP 0-9-1 broker.
+    /// Run an AMQP 0-9-1 broker.
     Broker {
         #[arg(long, default_value = "127.0.0.1:5672")]
         listen: String,
@@ -22,47 +22,47 @@
         user: String,
         #[arg(long, default_value = "guest")]
         password: String,
-        /// Stamp messages with the time at which they are taken (header timestamp_in_ms).
+        /// Stamp messages with the time at which the broker accepts them (header timestamp_in_ms).
         #[arg(long)]
         stamp: bool,
     },
-    /// Workers over KServe v2, on ports given by the system, and a list of them.
+    /// Run workers that serve KServe v2 on ports assigned by the system, and an endpoint list of them.
     Workers {
         #[arg(long, default_value_t = 3)]
         count: u32,
         /// Address of a program store.
         #[arg(long)]
         store: String,
-        /// Where to serve their list in the manner of Consul's health API.
+        /// Address on which to serve the endpoint list in the format of Consul's health API.
         #[arg(long, default_value = "127.0.0.1:8500")]
         list: String,
-        /// A function that all of them can load: NAME:MEMORY-MB:LANES:START-MS:RUN-MS; NAME may end with *.
+        /// A function that all workers can load: NAME:MEMORY-MB:LANES:START-MS:RUN-MS; NAME may end with *.
         #[arg(long = "function", default_value = "*:64:2:80:20")]
         functions: Vec<String>,
-        /// Calls that each runs at full pace at a time.
+        /// Concurrent calls that each worker runs at full speed.
         #[arg(long, default_value_t = 4)]
         cores: u32,
-        /// Calls that wait at a worker at most; it turns others away.
+        /// Maximum number of calls queued at a worker; it rejects further calls.
         #[arg(long, default_value_t = 64)]
         queue: usize,
     },
-    /// An endpoint list from a file, served in the manner of Consul's health API.
+    /// Serve an endpoint list from a file in the format of Consul's health API.
     List {
         #[arg(long, default_value = "127.0.0.1:8500")]
         listen: String,
-        /// Lines of NAME ADDRESS.
+        /// File with one line NAME ADDRESS for each endpoint.
         #[arg(long)]
         file: std::path::PathBuf,
     },
-    /// A pass-through proxy that decides nothing, to measure against.
+    /// Run a pass-through proxy that makes no decisions, as a baseline for measurements.
     Proxy {
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: String,
-        /// Addresses to pass requests to in turn, separated by commas.
+        /// Addresses to forward requests to in turn, separated by commas.
         #[arg(long)]
         to: String,
     },
-    /// The program store that workers fetch from.
+    /// Run the program store that workers fetch from.
     Store {
         #[arg(long, default_value = "127.0.0.1:8600")]
         listen: String,
@@ -75,8 +75,8 @@
     },
 }
 
-/// Runs an emulator until it is ordered to end.
-pub fn run(what: Standin) -> ExitCode {
+/// Runs an emulator until it receives SIGINT or SIGTERM.
+pub fn run(emulator: Standin) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
@@ -85,15 +85,15 @@
         }
     };
     let local = tokio::task::LocalSet::new();
-    let ended = local.block_on(&runtime, async {
+    let result = local.block_on(&runtime, async {
         let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
         tokio::select! {
-            ended = serve(what) => ended,
+            result = serve(emulator) => result,
             _ = tokio::signal::ctrl_c() => Ok(()),
             _ = terminate.recv() => Ok(()),
         }
     });
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("stagehoist: {e}");
@@ -102,7 +102,7 @@
     }
 }
 
-async fn listen(name: &str, address: &str) -> io::Result<TcpListener> {
+async fn bind(name: &str, address: &str) -> io::Result<TcpListener> {
     let listener = TcpListener::bind(address)
         .await
         .map_err(|e| io::Error::new(e.kind(), format!("can't listen on {address}: {e}")))?;
@@ -110,28 +110,28 @@
     Ok(listener)
 }
 
-fn bad(text: String) -> io::Error {
+fn invalid_input(text: String) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidInput, text)
 }
 
-async fn serve(what: Standin) -> io::Result<()> {
-    match what {
+async fn serve(emulator: Standin) -> io::Result<()> {
+    match emulator {
         Standin::Broker { listen: address, user, password, stamp } => {
             let (_handle, commands) = broker::Handle::new();
             // The broker's clock counts from its start.
             let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
             let stamp_from = stamp.then_some(since_epoch.as_micros() as i64);
             let options = BrokerOptions { user, password, stamp_from, ..BrokerOptions::default() };
-            broker::serve(listen("broker", &address).await?, Broker::new(options), commands).await
+            broker::serve(bind("broker", &address).await?, Broker::new(options), commands).await
         }
         Standin::Store { listen: address, fetch_ms, at_ease, most } => {
             let fetch = Duration::from_millis(fetch_ms);
             let options = StoreOptions { fetch, at_ease, most, ..StoreOptions::default() };
-            store::serve(listen("program-store", &address).await?, options, Arc::default()).await
+            store::serve(bind("program-store", &address).await?, options, Arc::default()).await
         }
         Standin::Proxy { listen: address, to } => {
             let targets = to.split(',').map(str::to_string).collect();
-            stagehoist_emulator::proxy::serve(listen("proxy", &address).await?, targets).await
+            stagehoist_emulator::proxy::serve(bind("proxy", &address).await?, targets).await
         }
         Standin::List { listen: address, file } => {
             let registry = Registry::new();
@@ -143,27 +143,31 @@
                 match words[..] {
                     [] => {}
                     [name, address] => {
-                        registry.put(listed(name, 0));
+                        registry.put(endpoint(name, 0));
                         addresses.insert(name.to_string(), address.to_string());
                     }
                     _ => {
-                        return Err(bad(format!("{}:{}: expected NAME ADDRESS", file.display(), number + 1)))
+                        return Err(invalid_input(format!(
+                            "{}:{}: expected NAME ADDRESS",
+                            file.display(),
+                            number + 1
+                        )))
                     }
                 }
             }
-            registry.serve(listen("worker-list", &address).await?, addresses).await
+            registry.serve(bind("worker-list", &address).await?, addresses).await
         }
         Standin::Workers { count, store, list, functions, cores, queue } => {
-            let catalogue = functions.iter().map(|f| function(f)).collect::<io::Result<Vec<_>>>()?;
+            let catalogue = functions.iter().map(|f| parse_function(f)).collect::<io::Result<Vec<_>>>()?;
             let catalogue = Arc::new(Catalogue(catalogue));
             let registry = Registry::new();
             let mut addresses = BTreeMap::new();
             let mut tasks = tokio::task::JoinSet::new();
             for i in 0..count {
                 let name = format!("w{i}");
-                let listener = listen(&format!("worker-{name}"), "127.0.0.1:0").await?;
+                let listener = bind(&format!("worker-{name}"), "127.0.0.1:0").await?;
                 addresses.insert(name.clone(), listener.local_addr()?.to_string());
-                registry.put(Listed { capacity: f64::from(cores), ..listed(&name, now_ms()) });
+                registry.put(Listed { capacity: f64::from(cores), ..endpoint(&name, now_ms()) });
                 let options = WorkerOptions {
                     name,
                     spec: Spec { cores: f64::from(cores), queue_most: queue, ..Spec::default() },
@@ -173,7 +177,7 @@
                 };
                 tasks.spawn_local(worker::run(listener, options, Arc::default(), true));
             }
-            registry.serve(listen("worker-list", &list).await?, addresses).await
+            registry.serve(bind("worker-list", &list).await?, addresses).await
         }
     }
 }
@@ -182,7 +186,7 @@
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_millis() as i64
 }
 
-fn listed(name: &str, started_ms: i64) -> Listed {
+fn endpoint(name: &str, started_ms: i64) -> Listed {
     Listed {
         name: name.into(),
         zone: "hall-a".into(),
@@ -194,11 +198,11 @@
     }
 }
 
-fn function(text: &str) -> io::Result<(String, Program)> {
-    let wrong = || bad(format!("{text}: expected NAME:MEMORY-MB:LANES:START-MS:RUN-MS"));
+fn parse_function(text: &str) -> io::Result<(String, Program)> {
+    let parse_error = || invalid_input(format!("{text}: expected NAME:MEMORY-MB:LANES:START-MS:RUN-MS"));
     let parts: Vec<&str> = text.split(':').collect();
-    let [name, memory, lanes, start, run] = parts[..] else { return Err(wrong()) };
-    let number = |t: &str| t.parse::<u32>().map_err(|_| wrong());
+    let [name, memory, lanes, start, run] = parts[..] else { return Err(parse_error()) };
+    let number = |t: &str| t.parse::<u32>().map_err(|_| parse_error());
     let program = Program {
         memory: u64::from(number(memory)?) * 1_000_000,
         lanes: number(lanes)?.max(1) as usize,
