--- a/crates/cli/tests/alone/mod.rs
+++ b/crates/cli/tests/alone/mod.rs
@@ -1,45 +1,46 @@
-//! How many stacks stand at a time in a test's process. A stack has eight threads and processes that are busy under a flood; a
-//! dozen of them beside each other measure the machine, and cargo plays test files one after the other.
-// Not every test file takes both kinds of seat.
+//! Limits how many stacks run concurrently in one test process. A stack has eight threads and processes that are busy under a
+//! flood, so the results of a dozen concurrent stacks would depend on the machine. Cargo runs test files one after another, so
+//! a limit per process is enough.
+// Not every test file uses both kinds of permit.
 #![allow(dead_code)]
 
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// A stack for each so many cores; one at least.
-const CORES: usize = 4;
+/// Cores per concurrent stack. At least one stack may run on any machine.
+const CORES_PER_STACK: usize = 4;
 
-static TAKEN: Mutex<usize> = Mutex::new(0);
-static LEFT: Condvar = Condvar::new();
+static PERMITS_IN_USE: Mutex<usize> = Mutex::new(0);
+static RELEASED: Condvar = Condvar::new();
 
-/// Room for a stack, until it is dropped. A test that failed leaves no stack behind.
-pub struct Seat(usize);
+/// Permits to run a stack, released on drop. A failed test drops its stack, so releasing its permits is safe.
+pub struct Permits(usize);
 
-fn seats() -> usize {
-    std::thread::available_parallelism().map_or(1, |cores| cores.get() / CORES).max(1)
+fn max_permits() -> usize {
+    std::thread::available_parallelism().map_or(1, |cores| cores.get() / CORES_PER_STACK).max(1)
 }
 
-fn take(many: usize) -> Seat {
-    let mut taken = TAKEN.lock().unwrap_or_else(PoisonError::into_inner);
-    while *taken + many > seats() {
-        taken = LEFT.wait(taken).unwrap_or_else(PoisonError::into_inner);
+fn acquire(count: usize) -> Permits {
+    let mut in_use = PERMITS_IN_USE.lock().unwrap_or_else(PoisonError::into_inner);
+    while *in_use + count > max_permits() {
+        in_use = RELEASED.wait(in_use).unwrap_or_else(PoisonError::into_inner);
     }
-    *taken += many;
-    Seat(many)
+    *in_use += count;
+    Permits(count)
 }
 
-/// Waits until no other stack stands.
-pub fn alone() -> Seat {
-    take(seats())
+/// Waits until no other stack runs, and takes all permits.
+pub fn alone() -> Permits {
+    acquire(max_permits())
 }
 
-/// Waits until no more stacks stand than the cores have room for.
-pub fn beside_few() -> Seat {
-    take(1)
+/// Waits until there are cores for one more stack, and takes one permit.
+pub fn with_limit() -> Permits {
+    acquire(1)
 }
 
-impl Drop for Seat {
+impl Drop for Permits {
     fn drop(&mut self) {
-        *TAKEN.lock().unwrap_or_else(PoisonError::into_inner) -= self.0;
-        LEFT.notify_all();
+        *PERMITS_IN_USE.lock().unwrap_or_else(PoisonError::into_inner) -= self.0;
+        RELEASED.notify_all();
     }
 }
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command by its exit codes and what it prints.
+//! Tests the exit codes and the output of the command.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
@@ -15,10 +15,10 @@
     std::fs::write(&path, "front-ends none\nclass a aim 2s give-up 1s\nwhat\n").unwrap();
     for command in ["check", "serve"] {
         let out = stagehoist().arg(command).arg(&path).output().unwrap();
-        let told = String::from_utf8(out.stderr).unwrap();
-        assert_eq!(out.status.code(), Some(2), "{told}");
+        let stderr = String::from_utf8(out.stderr).unwrap();
+        assert_eq!(out.status.code(), Some(2), "{stderr}");
         for place in ["bad.conf:1:12", "bad.conf:2:13", "bad.conf:3:1", "no broker directive"] {
-            assert!(told.contains(place), "{place} not in\n{told}");
+            assert!(stderr.contains(place), "{place} not in\n{stderr}");
         }
     }
     let missing = stagehoist().args(["check", "nowhere.conf"]).output().unwrap();
@@ -45,10 +45,10 @@
     let path = folder.path().join("bad.day");
     std::fs::write(&path, "rate 5\nat 2s worker w1 dance\nat 3s front-end 9 kill\nlength 5s more\n").unwrap();
     let out = stagehoist().arg("play").arg(&path).output().unwrap();
-    let told = String::from_utf8(out.stderr).unwrap();
-    assert_eq!(out.status.code(), Some(2), "{told}");
+    let stderr = String::from_utf8(out.stderr).unwrap();
+    assert_eq!(out.status.code(), Some(2), "{stderr}");
     for place in ["bad.day:1:6", "bad.day:2:17", "names a front end", "bad.day:4:11"] {
-        assert!(told.contains(place), "{place} not in\n{told}");
+        assert!(stderr.contains(place), "{place} not in\n{stderr}");
     }
 }
 
@@ -57,16 +57,16 @@
     let mut demo = stagehoist().args(["demo", "--stay"]).stdout(Stdio::piped()).spawn().unwrap();
     let mut lines = BufReader::new(demo.stdout.take().unwrap()).lines();
     let first = lines.next().unwrap().unwrap();
-    let address = first.strip_prefix("broker ").expect("the broker's address first");
+    let address = first.strip_prefix("broker ").expect("expected the broker's address on the first line");
     std::net::TcpStream::connect(address).unwrap();
     let killed = Command::new("kill").args(["-INT", &demo.id().to_string()]).status().unwrap();
     assert!(killed.success());
-    let by = Instant::now() + Duration::from_secs(20);
+    let deadline = Instant::now() + Duration::from_secs(20);
     let status = loop {
         if let Some(status) = demo.try_wait().unwrap() {
             break status;
         }
-        assert!(Instant::now() < by, "still up");
+        assert!(Instant::now() < deadline, "the process did not exit after SIGINT");
         std::thread::sleep(Duration::from_millis(20));
     };
     assert_eq!(status.code(), Some(0));
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A process of a fleet: its replica, its front ends' sessions and its retirements, from start to an orderly end.
+//! Tests one process of a fleet (its replica, its front ends' sessions and its retirements) from start to graceful shutdown.
 
 use std::net::TcpListener;
 use std::path::Path;
@@ -15,20 +15,20 @@
     command.stderr(Stdio::null()).spawn().unwrap()
 }
 
-/// Waits until a file is as it should be, at most so long that only a fault is longer.
-fn until(path: &Path, process: &mut Child, is: impl Fn(&str) -> bool) {
+/// Waits until the content of a file satisfies a predicate. The timeout is so long that only a fault exceeds it.
+fn wait_for_content(path: &Path, process: &mut Child, is_expected: impl Fn(&str) -> bool) {
     for _ in 0..3000 {
-        if std::fs::read_to_string(path).is_ok_and(|t| is(&t)) {
+        if std::fs::read_to_string(path).is_ok_and(|t| is_expected(&t)) {
             return;
         }
-        assert!(process.try_wait().unwrap().is_none(), "the process ended");
+        assert!(process.try_wait().unwrap().is_none(), "the process exited early");
         std::thread::sleep(Duration::from_millis(10));
     }
     process.kill().unwrap();
-    panic!("found {:?}", std::fs::read_to_string(path));
+    panic!("timed out; the file holds {:?}", std::fs::read_to_string(path));
 }
 
-fn end(mut process: Child) {
+fn terminate(mut process: Child) {
     let pid = rustix::process::Pid::from_child(&process);
     rustix::process::kill_process(pid, rustix::process::Signal::TERM).unwrap();
     assert!(process.wait().unwrap().success());
@@ -50,13 +50,15 @@
     std::fs::write(path("retired.list"), "f 1 reason=replaced\ng 1").unwrap();
     let state = path("retired.list.state");
     let mut process = serve(folder.path());
-    until(&state, &mut process, |t| t.starts_with("f 1 in-force ") && !t.contains("but-for"));
-    assert!(!std::fs::read_to_string(&state).unwrap().contains("\ng 1 "), "a half line");
-    end(process);
-    // Started again without the lines, the cluster state still has it, and what is added comes to it.
+    wait_for_content(&state, &mut process, |t| t.starts_with("f 1 in-force ") && !t.contains("but-for"));
+    assert!(!std::fs::read_to_string(&state).unwrap().contains("\ng 1 "), "an unfinished line was read");
+    terminate(process);
+    // After a restart without the line of `f`, the cluster state still holds its retirement, and a new line is added to it.
     std::fs::write(path("retired.list"), "g 1\n").unwrap();
     std::fs::remove_file(&state).unwrap();
     let mut process = serve(folder.path());
-    until(&state, &mut process, |t| t.starts_with("f 1 in-force ") && t.contains("\ng 1 in-force "));
-    end(process);
+    wait_for_content(&state, &mut process, |t| {
+        t.starts_with("f 1 in-force ") && t.contains("\ng 1 in-force ")
+    });
+    terminate(process);
 }
--- a/crates/cli/tests/fleet_days.rs
+++ b/crates/cli/tests/fleet_days.rs
@@ -1,5 +1,6 @@
-//! Days of a fleet: five processes of the program, three of which keep the cluster state, with faults between them; judged from what
-//! crossed the sockets. Verdicts rest on the rules and on counts, never on times of this machine.
+//! Runs scenarios (days) on a fleet of five processes, three of which hold replicas of the cluster state, with network and
+//! process faults, and judges the recorded traffic. Verdicts depend on the rules and on counts, never on the timing of the
+//! machine.
 
 mod alone;
 
@@ -10,8 +11,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Plays a day as a seed draws it; every rule must be kept.
-fn judged(name: &str, text: &str, seed: u64, seconds: u64) -> Ledger {
+/// Runs a day with the values drawn from a seed, and asserts that every rule was kept.
+fn play_and_check(name: &str, text: &str, seed: u64, seconds: u64) -> Ledger {
     let _alone = alone();
     let mut day = Day::parse(name, text).unwrap().shortened(Duration::from_secs(seconds));
     day.seed = seed;
@@ -26,7 +27,7 @@
 
 #[test]
 fn what_is_retired_stays_so_while_processes_are_cut_off_stopped_and_killed() {
-    let ledger = judged("retire", include_str!("../../../days/retire.day"), 3, 12);
+    let ledger = play_and_check("retire", include_str!("../../../days/retire.day"), 3, 12);
     let rule = ledger.verdict.rules.iter().find(|r| r.name == "retired stays retired").unwrap();
     assert!(rule.checks > 100, "{rule:?}");
     assert_eq!(ledger.in_force_after_ms.len(), 2, "{ledger:?}");
@@ -34,27 +35,27 @@
 
 #[test]
 fn power_is_lost_everywhere_and_nothing_unsafe_runs_twice_though_messages_are_asked_about() {
-    let ledger = judged("power-loss", include_str!("../../../days/power-loss.day"), 3, 20);
+    let ledger = play_and_check("power-loss", include_str!("../../../days/power-loss.day"), 3, 20);
     let rule = ledger.verdict.rules.iter().find(|r| r.name == "no effect twice").unwrap();
     assert!(rule.checks > 300, "{rule:?}");
 }
 
 #[test]
 fn a_divided_fleet_keeps_the_rules_while_machines_die_and_the_list_stalls() {
-    let ledger = judged("shards", include_str!("../../../days/shards.day"), 1, 12);
+    let ledger = play_and_check("shards", include_str!("../../../days/shards.day"), 1, 12);
     assert!(ledger.verdict.sent > 1_000, "{ledger:?}");
     assert_eq!(ledger.answers.get("refused: other-shard"), None, "{ledger:?}");
 }
 
-/// At its whole length, as restarts take the time that they take.
+/// Runs at full length, because the duration of restarts can't be shortened.
 #[test]
 fn the_number_of_shards_changes_under_load_and_no_call_meets_the_wrong_shard() {
-    let ledger = judged("shards-change", include_str!("../../../days/shards-change.day"), 1, 36);
+    let ledger = play_and_check("shards-change", include_str!("../../../days/shards-change.day"), 1, 36);
     assert!(ledger.verdict.sent > 3_000, "{ledger:?}");
     assert_eq!(ledger.answers.get("refused: other-shard"), None, "{ledger:?}");
 }
 
-/// The first request of this kind that a front end sent to a worker at this time or later, and where.
+/// Returns the first request of this kind that a front end sent to a worker (or to any worker) at or after the given time.
 fn request<'a>(capture: &'a Capture, kind: &str, worker: Option<&str>, from: i64) -> &'a Record {
     let sent = |r: &&Record| {
         let Peer::Worker(name) = &capture.links[r.link].peer else { return false };
@@ -68,7 +69,7 @@
     capture.records.iter().find(sent).unwrap()
 }
 
-/// The capture in which a request was sent so many times more, each on a connection of its own.
+/// Returns a copy of a capture with a request repeated the given number of times, each on its own connection.
 fn repeated(capture: &Capture, request: &Record, times: u64) -> Capture {
     let mut doctored = capture.clone();
     let after = capture.records.iter().position(|r| r.at > request.at).unwrap();
@@ -84,40 +85,42 @@
     doctored
 }
 
-/// A day whose front ends order all loads, on a stack that stands still; every rule kept.
-fn ordering(name: &str, text: &str, seconds: u64) -> (Stack, Ledger, Capture, RuleSet) {
+/// Runs a day in which front ends order all loads, asserts that every rule was kept, and returns the stack and the capture.
+fn play_load_orders(name: &str, text: &str, seconds: u64) -> (Stack, Ledger, Capture, RuleSet) {
     let day = Day::parse(name, text).unwrap().shortened(Duration::from_secs(seconds));
     let mut stack = Stack::start(day, Path::new(env!("CARGO_BIN_EXE_stagehoist"))).unwrap();
     stack.wait_ready(Duration::from_secs(20)).unwrap();
-    let (ledger, capture, charter) = record_on(&mut stack, &mut |_| {}).unwrap();
+    let (ledger, capture, rules) = record_on(&mut stack, &mut |_| {}).unwrap();
     for rule in &ledger.verdict.rules {
         assert!(rule.kept, "{rule:#?}");
     }
     assert_eq!(ledger.mishaps, Vec::<String>::new());
     assert_eq!(ledger.verdict.unanswered, ledger.verdict.not_owed);
-    (stack, ledger, capture, charter)
+    (stack, ledger, capture, rules)
 }
 
-/// Machines die and stop for longer than the list of front ends shows them: others own their shards, and hand them back.
+/// Machines die or are stopped for so long that the list of front ends drops them: other front ends take over their shards
+/// and hand them back.
 #[test]
 fn where_owners_follow_a_list_shards_change_hands_and_the_rules_are_kept() {
     let _alone = alone();
-    let (stack, ledger, _, _) = ordering("shards-list", include_str!("../../../days/shards-list.day"), 16);
+    let (stack, ledger, _, _) =
+        play_load_orders("shards-list", include_str!("../../../days/shards-list.day"), 16);
     assert_eq!(ledger.answers.get("refused: other-shard"), None, "{ledger:?}");
     assert!(ledger.verdict.rules[3].checks > 10, "{:?}", ledger.verdict.rules[3]);
     assert!(ledger.verdict.rules[4].checks > 100, "{:?}", ledger.verdict.rules[4]);
-    // Each comes to own its shards once, each of the sixteen processes that start anew once more.
+    // Each of the 24 front ends acquires its shards once, and each of the sixteen restarted processes once more.
     let times: usize = (0..24).map(|front_end| stack.times_owning(front_end)).sum();
     assert!(times > 24 + 16, "shards did not change hands: {times}");
 }
 
-/// Workers load nothing by themselves here: rule 5 is judged by the orders of all front ends, and rule 4 by what
-/// workers that come back cold are sent. A capture in which one front end sent too much breaks each.
+/// Workers load nothing by themselves in this day: rule 5 is judged by the load orders of all front ends, and rule 4 by the
+/// calls sent to workers that restarted cold. As negative controls, captures with excess requests must break each rule.
 #[test]
 fn in_a_divided_fleet_loads_stay_in_their_ration_and_cold_workers_are_spared() {
     let _alone = alone();
-    let (_, ledger, capture, charter) =
-        ordering("shards-load", include_str!("../../../days/shards-load.day"), 16);
+    let (_, ledger, capture, rules) =
+        play_load_orders("shards-load", include_str!("../../../days/shards-load.day"), 16);
     let story = Story::read(&capture);
     let loading: BTreeSet<u32> = story.loads.iter().map(|l| l.front_end).collect();
     assert!(loading.len() >= 12, "few front ends order loads: {loading:?}");
@@ -125,20 +128,21 @@
     assert!(ledger.verdict.rules[4].checks > 100, "{:?}", ledger.verdict.rules[4]);
 
     let kept = |capture: &Capture, rule: u8| {
-        let verdict = check(&Story::read(capture), &charter);
+        let verdict = check(&Story::read(capture), &rules);
         verdict.rules.iter().find(|r| r.rule == rule).unwrap().kept
     };
-    // Twelve within ten seconds are free: most of these are over any ration of a front end with its part of the calls.
+    // Twelve load orders within ten seconds are always allowed. Most of the 150 copies exceed the load budget that any front
+    // end gets for its part of the calls.
     let load = request(&capture, "/load", None, 0);
-    assert!(!kept(&repeated(&capture, load, 150), 5), "rule 5 sees no load too many");
-    let start = charter.starts.iter().find(|s| s.worker == "w1").unwrap();
-    let told = |f: u32| {
-        let told = story.told.get(&(f, start.worker.clone()))?;
-        told.iter().find(|t| t.by_list && t.ready && t.at >= start.at).map(|t| t.at)
+    assert!(!kept(&repeated(&capture, load, 150), 5), "rule 5 did not detect the excess load orders");
+    let start = rules.starts.iter().find(|s| s.worker == "w1").unwrap();
+    let notified_at = |f: u32| {
+        let notifications = story.told.get(&(f, start.worker.clone()))?;
+        notifications.iter().find(|t| t.by_list && t.ready && t.at >= start.at).map(|t| t.at)
     };
-    // One of the front ends that knew that it is back.
-    let informed = (0..24).filter_map(told).max().unwrap();
+    // Time at which the last of the front ends learned from the list that the worker is back.
+    let informed = (0..24).filter_map(notified_at).max().unwrap();
     let call = request(&capture, "/infer", Some(&start.worker), informed);
-    assert!(call.at < start.at + 6_000_000, "no call while it was cold");
-    assert!(!kept(&repeated(&capture, call, 1000), 4), "rule 4 sees no burst");
+    assert!(call.at < start.at + 6_000_000, "no call while the worker was cold");
+    assert!(!kept(&repeated(&capture, call, 1000), 4), "rule 4 did not detect the burst");
 }
--- a/crates/cli/tests/interfaces.rs
+++ b/crates/cli/tests/interfaces.rs
@@ -1,5 +1,5 @@
-//! The command's words, flags and exit codes, and the names and labels of the metrics: interfaces that stay when the code
-//! is renamed. `golden/` never changes with the code.
+//! Guards the command's subcommands, flags and exit codes, and the names and labels of the metrics: interfaces that must not
+//! change when code is renamed. The files in `golden/` never change with the code.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -12,7 +12,7 @@
     Command::new(env!("CARGO_BIN_EXE_stagehoist"))
 }
 
-/// Words and flags of a command and all below it, one line each, from what `--help` prints.
+/// Writes the subcommands and flags of a command and of all its subcommands, one line each, as `--help` prints them.
 fn usage(words: &[String], out: &mut String) {
     let help = stagehoist().args(words).arg("--help").output().unwrap();
     assert_eq!(help.status.code(), Some(0), "{words:?}");
@@ -50,7 +50,7 @@
 fn words_and_flags_of_the_command_are_as_they_were() {
     let mut text = String::new();
     usage(&[], &mut text);
-    assert!(text == include_str!("golden/usage.txt"), "now it is\n{text}");
+    assert!(text == include_str!("golden/usage.txt"), "usage changed to\n{text}");
 }
 
 #[test]
@@ -79,9 +79,9 @@
     }
 }
 
-/// The page of the metrics, once it is there.
+/// Polls the metrics endpoint until it is complete, and returns its response.
 fn page(address: SocketAddr) -> String {
-    let by = Instant::now() + Duration::from_secs(20);
+    let deadline = Instant::now() + Duration::from_secs(20);
     loop {
         let mut text = String::new();
         if let Ok(mut stream) = TcpStream::connect(address) {
@@ -90,16 +90,16 @@
             let _ = stream.write_all(request.as_bytes());
             let _ = stream.read_to_string(&mut text);
         }
-        // The stage of the recovery is published last of all.
+        // The recovery stage is published after all other metrics.
         if text.contains("stagehoist_view_version") {
             return text;
         }
-        assert!(Instant::now() < by, "no metrics in time:\n{text}");
+        assert!(Instant::now() < deadline, "metrics incomplete at the deadline:\n{text}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// Names and labels of what a page shows, each once, without values.
+/// Collects the names and labels of the metrics in a response, without values.
 fn series(page: &str, out: &mut BTreeSet<String>) {
     for line in page.lines().filter(|line| line.starts_with("stagehoist_")) {
         let (series, _value) = line.rsplit_once(' ').unwrap();
@@ -107,8 +107,8 @@
     }
 }
 
-/// The page of a process with these lines beside the others.
-fn served(lines: &str) -> String {
+/// Starts a process with these additional configuration lines and returns its metrics.
+fn metrics_with(lines: &str) -> String {
     let folder = tempfile::tempdir().unwrap();
     let free = || TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let (broker, metrics) = (free(), free());
@@ -131,10 +131,10 @@
 #[test]
 fn names_and_labels_of_the_metrics_are_as_they_were() {
     let mut names = BTreeSet::new();
-    series(&served("fleet-folder folder\nrecover waking 100ms asking 100ms\n"), &mut names);
+    series(&metrics_with("fleet-folder folder\nrecover waking 100ms asking 100ms\n"), &mut names);
     let divided = "front-ends 1\nfleet-front-ends 2\nshards 2 generation 1\n\
         shard-front-ends-list file front-ends.list poll 20ms\n";
-    series(&served(divided), &mut names);
+    series(&metrics_with(divided), &mut names);
     let text: String = names.iter().map(|name| format!("{name}\n")).collect();
-    assert!(text == include_str!("golden/metrics.txt"), "now they are\n{text}");
+    assert!(text == include_str!("golden/metrics.txt"), "metrics changed to\n{text}");
 }
--- a/crates/cli/tests/outages/drains.rs
+++ b/crates/cli/tests/outages/drains.rs
@@ -1,4 +1,5 @@
-//! Drains that the list can't tell of: rule 3 by the clock of the pages, for sends and for orders to load.
+//! Drains during an outage, which the endpoint list can't report: tests of rule 3 for sends and for load orders, with the
+//! times that the documentation defines.
 
 use crate::rig::{beside_others, Rig, Shape, Verdict};
 use crate::traffic::Load;
@@ -7,9 +8,9 @@
 
 const MS: Duration = Duration::from_millis(1);
 const EXECUTORS: usize = 10;
-/// Of what is served before an outage, so much is to be served within it.
+/// Minimum ratio of the served part of requests within an outage to the served part before it.
 const SERVED_PART: f64 = 0.9;
-/// Broken rules shown of each play.
+/// Maximum number of broken rules printed for each run.
 const MAX_SHOWN: usize = 8;
 
 fn load(front_ends: usize) -> Load {
@@ -17,7 +18,7 @@
         clients: 1,
         rate: 90.0 / front_ends as f64,
         functions: 30,
-        // Orders to load stay within the budget of one front end, which a single one has to itself.
+        // Keeps load orders within the load budget of one front end; with a single front end all orders count against it.
         new_function_after: if front_ends == 1 { 20 } else { 8 },
         allow: 1200 * MS,
         unsafe_part: 0.3,
@@ -26,7 +27,7 @@
     }
 }
 
-/// One outage with drains.
+/// An outage with drains.
 #[derive(Clone, Copy)]
 struct Case {
     kind: SubscriptionFault,
@@ -36,19 +37,19 @@
 }
 
 impl Case {
-    /// One after which the missed events come at once.
+    /// Creates a case in which the missed events are delivered immediately after the outage.
     fn new(kind: SubscriptionFault, front_ends: usize, seed: u64) -> Case {
         Case { kind, resumption: Resumption::Events, front_ends, seed }
     }
 }
 
-/// Two executors drain as the outage begins and two deep inside it. Gives the verdict, and the part served before the outage
-/// and from its fifth second on.
+/// Drains two executors at the start of the outage and two more about six seconds later. Returns the verdict, and the part of
+/// requests served before the outage and from its fifth second on.
 async fn outage_with_drains(case: Case) -> (Verdict, f64, f64) {
     let mut rig = Rig::start(Shape::usual(case.front_ends, EXECUTORS, case.seed), |_| Vec::new()).await;
     rig.begin_traffic(load(case.front_ends));
     tokio::time::sleep(1000 * MS).await;
-    let usual = Instant::now();
+    let traffic_start = Instant::now();
     tokio::time::sleep(2000 * MS).await;
     let began = Instant::now();
     rig.begin_outage(case.kind);
@@ -68,17 +69,17 @@
     rig.end_outage(case.resumption);
     tokio::time::sleep(if case.resumption == Resumption::SlowEvents { 3000 * MS } else { 1500 * MS }).await;
     let verdict = rig.finish().await;
-    let before = verdict.served(usual, began);
+    let before = verdict.served(traffic_start, began);
     let within = verdict.served(began + 5000 * MS, ended);
     (verdict, before, within)
 }
 
-/// What an outage with drains came to, and what of it is wrong.
+/// Result of an outage with drains, and its violations.
 struct Report {
     line: String,
     sends: usize,
     orders: usize,
-    wrong: Vec<String>,
+    violations: Vec<String>,
 }
 
 async fn report(case: Case) -> Report {
@@ -92,32 +93,35 @@
         verdict.probes,
         verdict.requests.len()
     );
-    let mut wrong: Vec<String> = verdict.broken.into_iter().take(MAX_SHOWN).collect();
+    let mut violations: Vec<String> = verdict.broken.into_iter().take(MAX_SHOWN).collect();
     if within < SERVED_PART * before {
-        wrong.push(format!("served {before:.3} before the outage and {within:.3} within"));
+        violations.push(format!("served {before:.3} before the outage and {within:.3} within"));
     }
-    Report { line, sends, orders, wrong }
+    Report { line, sends, orders, violations }
 }
 
-/// Plays each case on a thread of its own, and fails with all that went wrong.
-fn all_keep_the_rules(cases: impl IntoIterator<Item = Case>) {
+/// Runs each case on its own thread, and asserts that there are no violations in any of them.
+fn assert_rules_kept(cases: impl IntoIterator<Item = Case>) {
     let play = |case| {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(report(case))
     };
     let threads: Vec<_> = cases.into_iter().map(|case| std::thread::spawn(move || play(case))).collect();
     let reports: Vec<Report> = threads.into_iter().map(|thread| thread.join().unwrap()).collect();
-    let (mut sends, mut orders, mut wrong) = (0, 0, Vec::new());
+    let (mut sends, mut orders, mut violations) = (0, 0, Vec::new());
     for report in reports {
         println!("{}", report.line);
         sends += report.sends;
         orders += report.orders;
-        wrong.extend(report.wrong);
+        violations.extend(report.violations);
     }
-    assert!(wrong.is_empty(), "{sends} sends and {orders} orders to load past the grace: {wrong:#?}");
+    assert!(
+        violations.is_empty(),
+        "{sends} sends and {orders} orders to load past the grace: {violations:#?}"
+    );
 }
 
-/// A front end that is started anew inside an outage has the list of its start, which nothing vouches for.
+/// A front end that is restarted within an outage has only the endpoint list from its configuration, which nothing confirms.
 #[test]
 fn a_front_end_started_inside_an_outage_keeps_drains_that_begin_after_its_start() {
     let _beside = beside_others();
@@ -139,20 +143,20 @@
             tokio::time::sleep(2500 * MS).await;
             rig.finish().await
         });
-        // What the killed process held is its clients' to ask again.
+        // Requests that the killed process had in flight are lost, and their clients retry them: only rule 3 is checked.
         let broken: Vec<_> = verdict.broken.iter().filter(|broken| broken.contains(" 3: ")).collect();
         assert!(broken.is_empty(), "{kind:?}: {broken:#?}");
     }
 }
 
-/// Two front ends through each kind of outage. By hand `OUTAGE_SEEDS=20`.
+/// Runs two front ends through each kind of outage. For longer manual runs set `OUTAGE_SEEDS=20`.
 #[test]
 fn every_kind_of_outage_keeps_the_rules_and_nine_tenths_of_the_service() {
     let _beside = beside_others();
     use SubscriptionFault::{Closing, Refusing, Silent, Unreachable};
     let seeds: u64 = std::env::var("OUTAGE_SEEDS").map_or(1, |text| text.parse().unwrap());
     for seed in 100..100 + seeds {
-        all_keep_the_rules([Silent, Refusing, Closing, Unreachable].map(|kind| Case::new(kind, 2, seed)));
+        assert_rules_kept([Silent, Refusing, Closing, Unreachable].map(|kind| Case::new(kind, 2, seed)));
     }
 }
 
@@ -161,14 +165,14 @@
     let _beside = beside_others();
     use SubscriptionFault::{Refusing, Silent};
     let cases = [(Silent, 1, 1), (Refusing, 1, 2), (Silent, 3, 3), (Refusing, 3, 4), (Silent, 8, 5)];
-    all_keep_the_rules(cases.map(|(kind, front_ends, seed)| Case::new(kind, front_ends, seed)));
+    assert_rules_kept(cases.map(|(kind, front_ends, seed)| Case::new(kind, front_ends, seed)));
 }
 
-/// The first of the missed events says nothing of those after it.
+/// The first missed event does not show whether more events will follow.
 #[test]
 fn drains_that_a_bus_tells_slowly_after_an_outage_are_kept_from_its_first_event_on() {
     let _beside = beside_others();
     use SubscriptionFault::{Closing, Refusing, Silent, Unreachable};
     let case = |(kind, seed)| Case { resumption: Resumption::SlowEvents, ..Case::new(kind, 2, seed) };
-    all_keep_the_rules([(Silent, 6), (Refusing, 7), (Closing, 8), (Unreachable, 9)].map(case));
+    assert_rules_kept([(Silent, 6), (Refusing, 7), (Closing, 8), (Unreachable, 9)].map(case));
 }
--- a/crates/cli/tests/outages/fleet_soak.rs
+++ b/crates/cli/tests/outages/fleet_soak.rs
@@ -1,9 +1,10 @@
-//! A soak of fleets of all sizes: front ends with a share of a core, executors that are replaced by tenths, vanish, hang and
-//! spoil their answers, beside the outages, signals, crowds and faults of machines of the other soak. Played again by
+//! Soak test of fleets of all sizes: front ends with a share of a core, and executors that are replaced in tenths of the fleet,
+//! vanish, hang or send corrupt answers, in addition to the outages, signals, idle connections and machine faults of the
+//! other soak test. To repeat a run:
 //! `SOAK_FIRST=17 FLEET_SOAK_SEEDS=1 cargo test -p stagehoist-cli --test outages fleet_soak -- --nocapture`.
 
 use crate::rig::{alone, Shape};
-use crate::soak::{draw_faults, draw_outages, draw_signals, number, run_seeds, Happening, Plan};
+use crate::soak::{draw_faults, draw_outages, draw_signals, number, run_seeds, Plan, PlannedEvent};
 use crate::traffic::Load;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -11,19 +12,19 @@
 use std::time::Duration;
 
 const MS: Duration = Duration::from_millis(1);
-/// Seeds that CI plays, and how many at once.
+/// Number of seeds that CI runs, and how many run concurrently.
 const SEEDS: u64 = 8;
-const AT_ONCE: u64 = 4;
-/// An answer so long after its time is lost.
+const CONCURRENCY: u64 = 4;
+/// An answer this long after its deadline counts as lost.
 const LOST_AFTER: Duration = Duration::from_millis(500);
-/// Executors of the usual fleet, for one front end.
+/// Executors per front end in a fleet of the usual size.
 const USUAL_FLEET: usize = 12;
-/// A front end with less of a core than this is not restarted: its drain has to end in time too.
+/// A front end with a smaller share of a core than this is not restarted, because its drain must also finish in time.
 const MIN_SHARE_FOR_RESTART: f64 = 0.1;
-/// One of so many executors is cut off at most, and so many in all.
+/// At most one of this number of executors is cut off, and at most `MAX_CUT_OFF` in all.
 const CUT_OFF_PART: usize = 20;
 const MAX_CUT_OFF: usize = 20;
-/// What becomes of spoilt answers.
+/// Faults injected into answers.
 const FAULTS: [Fault; 12] = [
     Fault::Noise,
     Fault::Endless,
@@ -70,23 +71,23 @@
         short_part: [0.0, 0.0, 0.1, 0.3][random.random_range(0..4)],
     };
     let faults = (0..front_ends).map(|number| draw_machine(seed, number, share, &mut random)).collect();
-    let mut happenings = Vec::new();
+    let mut events = Vec::new();
     if random.random_bool(0.6) {
-        draw_outages(&mut random, &mut happenings);
+        draw_outages(&mut random, &mut events);
     }
-    draw_replacements(executors, &mut random, &mut happenings);
-    draw_bad_executors(executors, &mut random, &mut happenings);
+    draw_replacements(executors, &mut random, &mut events);
+    draw_bad_executors(executors, &mut random, &mut events);
     if share >= MIN_SHARE_FOR_RESTART {
-        draw_signals(&shape, &mut random, &mut happenings);
+        draw_signals(&shape, &mut random, &mut events);
     } else {
         let at = random.random_range(1500..9000) * MS;
-        happenings.push((at, Happening::Reloaded(0, random.random_range(1..8))));
+        events.push((at, PlannedEvent::Reloaded(0, random.random_range(1..8))));
     }
-    happenings.sort_by_key(|(at, _)| *at);
-    Plan { shape, load, faults, happenings }
+    events.sort_by_key(|(at, _)| *at);
+    Plan { shape, load, faults, events }
 }
 
-/// Faults of the machine of a front end, and its share of a core.
+/// Draws the machine faults of a front end, and adds its share of a core.
 fn draw_machine(seed: u64, number: usize, share: f64, random: &mut ChaCha8Rng) -> String {
     let faults = draw_faults(seed, number, random);
     if share < 1.0 {
@@ -95,8 +96,8 @@
     faults
 }
 
-/// Tenths of the fleet drain, go and start anew, one after the other; some overlap.
-fn draw_replacements(executors: usize, random: &mut ChaCha8Rng, happenings: &mut Vec<(Duration, Happening)>) {
+/// Draws replacements of tenths of the fleet: each drains, is removed and restarts. Successive replacements may overlap.
+fn draw_replacements(executors: usize, random: &mut ChaCha8Rng, events: &mut Vec<(Duration, PlannedEvent)>) {
     let tenth = (executors / 10).max(1);
     let mut at = random.random_range(1000..2500);
     for number in 0..random.random_range(1..=4) {
@@ -106,46 +107,42 @@
         }
         let removed = at + random.random_range(300..1500);
         let restarted = removed + random.random_range(100..1500);
-        happenings.push((at * MS, Happening::SeveralDrain(indices.clone())));
-        happenings.push((removed * MS, Happening::SeveralRemoved(indices.clone())));
-        happenings.push((restarted * MS, Happening::SeveralRestarted(indices)));
+        events.push((at * MS, PlannedEvent::SeveralDrain(indices.clone())));
+        events.push((removed * MS, PlannedEvent::SeveralRemoved(indices.clone())));
+        events.push((restarted * MS, PlannedEvent::SeveralRestarted(indices)));
         at += random.random_range(500..3000);
     }
 }
 
-/// Executors at the end of the list, which is never replaced, that misbehave.
-fn draw_bad_executors(
-    executors: usize,
-    random: &mut ChaCha8Rng,
-    happenings: &mut Vec<(Duration, Happening)>,
-) {
+/// Draws faults of executors in the second half of the list, which is never replaced.
+fn draw_bad_executors(executors: usize, random: &mut ChaCha8Rng, events: &mut Vec<(Duration, PlannedEvent)>) {
     let first = executors / 2;
     for _ in 0..random.random_range(1..=6) {
         let (index, at) = (random.random_range(first..executors), random.random_range(1000..10_000));
         let spoilt = random.random_range(1..8);
         let faults = (0..spoilt).map(|_| FAULTS[random.random_range(0..FAULTS.len())]).collect();
-        happenings.push((at * MS, Happening::Spoils(index, faults)));
+        events.push((at * MS, PlannedEvent::Spoils(index, faults)));
     }
     for _ in 0..random.random_range(0..4) {
         let (index, at) = (random.random_range(first..executors), random.random_range(1000..11_000));
-        happenings.push((at * MS, Happening::ClosesConnections(index)));
+        events.push((at * MS, PlannedEvent::ClosesConnections(index)));
     }
     for index in first..first + random.random_range(0..=(executors / CUT_OFF_PART).min(MAX_CUT_OFF)) {
-        happenings.push((random.random_range(1000..10_000) * MS, Happening::CutOff(index)));
+        events.push((random.random_range(1000..10_000) * MS, PlannedEvent::CutOff(index)));
     }
     let (index, at) = (executors - 1, random.random_range(1000..8000));
     if random.random_bool(0.3) {
-        let gone =
-            if random.random_bool(0.5) { Happening::Vanishes(index) } else { Happening::CutOff(index) };
-        happenings.push((at * MS, gone));
+        let loss =
+            if random.random_bool(0.5) { PlannedEvent::Vanishes(index) } else { PlannedEvent::CutOff(index) };
+        events.push((at * MS, loss));
     } else if random.random_bool(0.5) {
-        happenings.push((at * MS, Happening::Hangs(index, true)));
-        happenings.push(((at + random.random_range(300..3000)) * MS, Happening::Hangs(index, false)));
+        events.push((at * MS, PlannedEvent::Hangs(index, true)));
+        events.push(((at + random.random_range(300..3000)) * MS, PlannedEvent::Hangs(index, false)));
     }
 }
 
 #[test]
 fn fleets_of_all_sizes_keep_every_rule_under_drawn_faults_and_shares_of_a_core() {
     let _alone = alone();
-    run_seeds("fleet-soak", number("FLEET_SOAK_SEEDS", SEEDS), number("SOAK_AT_ONCE", AT_ONCE), draw);
+    run_seeds("fleet-soak", number("FLEET_SOAK_SEEDS", SEEDS), number("SOAK_AT_ONCE", CONCURRENCY), draw);
 }
--- a/crates/cli/tests/outages/machine.rs
+++ b/crates/cli/tests/outages/machine.rs
@@ -1,5 +1,5 @@
-//! Faults of the machine under a front end, without an outage: system calls that fail for a moment or are interrupted, and
-//! a wall clock that steps. None of it says anything about an executor, and nothing of it costs a call.
+//! Machine faults under a front end, without an outage of discovery: transient failures and interruptions of system calls,
+//! and a wall clock that steps. None of these indicates a fault of an executor, and none may make a call fail.
 
 use crate::rig::{beside_others, Rig, Shape, Verdict};
 use crate::traffic::Load;
@@ -8,7 +8,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// What has a process fail as planned.
+/// Returns the environment variables that inject the planned faults into a process.
 pub fn shim_environment(plan: &str) -> Vec<(String, String)> {
     if plan.is_empty() {
         return Vec::new();
@@ -17,7 +17,7 @@
     vec![("LD_PRELOAD".into(), preload), ("FAULT_SHIM".into(), plan.into())]
 }
 
-/// The library that cargo built beside this test.
+/// Returns the path of the fault-shim library, which cargo builds into the folder of this test.
 fn shim() -> PathBuf {
     let test = std::env::current_exe().unwrap();
     let library = test.parent().unwrap().join("libstagehoist_fault_shim.so");
@@ -40,8 +40,8 @@
     Shape { run: 15 * MS, load: 40 * MS, ..Shape::usual(2, 6, seed) }
 }
 
-/// Plays six seconds with these faults; one executor starts anew in the middle.
-async fn play(plan: &str, seed: u64) -> (Verdict, f64) {
+/// Runs the traffic for six seconds with these faults; one executor is restarted in the middle.
+async fn run_with_faults(plan: &str, seed: u64) -> (Verdict, f64) {
     let mut rig = Rig::start(shape(seed), |_| shim_environment(plan)).await;
     rig.begin_traffic(LOAD);
     let start = Instant::now();
@@ -57,9 +57,9 @@
     (verdict, served)
 }
 
-fn is_untouched_by(plan: &str) {
+fn assert_unaffected_by(plan: &str) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let (verdict, served) = runtime.block_on(play(plan, 1));
+    let (verdict, served) = runtime.block_on(run_with_faults(plan, 1));
     let ejections: Vec<_> = verdict.logs.iter().filter(|line| line.contains("eject worker")).collect();
     println!("{plan}: served {served:.3} of {}, {} ejections", verdict.requests.len(), ejections.len());
     assert!(verdict.broken.is_empty(), "{plan}: {:#?}", verdict.broken);
@@ -70,11 +70,11 @@
 #[test]
 fn calls_on_sockets_that_fail_for_a_moment_cost_no_call_and_eject_no_executor() {
     let _beside = beside_others();
-    is_untouched_by("seed=5,sockets=50000");
+    assert_unaffected_by("seed=5,sockets=50000");
 }
 
 #[test]
 fn a_wall_clock_that_steps_by_seconds_or_an_hour_both_ways_changes_nothing() {
     let _beside = beside_others();
-    is_untouched_by("steps=500:3600000;1500:-7200000;2900:7000;4000:-9000");
+    assert_unaffected_by("steps=500:3600000;1500:-7200000;2900:7000;4000:-9000");
 }
--- a/crates/cli/tests/outages/main.rs
+++ b/crates/cli/tests/outages/main.rs
@@ -1,5 +1,5 @@
-//! Front ends while discovery is out of reach: processes of the command between emulated clients, executors and an event bus
-//! for each, judged by what crossed their sockets.
+//! Tests front ends while discovery is unreachable: real front-end processes run between emulated clients, executors and one
+//! event bus per front end, and the recorded traffic is judged.
 
 mod drains;
 mod fleet_soak;
--- a/crates/cli/tests/outages/processor_share.rs
+++ b/crates/cli/tests/outages/processor_share.rs
@@ -1,5 +1,5 @@
-//! Front ends with a small share of a core, before fleets of different sizes: what can't be done in time is refused in
-//! time, and what a front end needs does not grow with the fleet.
+//! Front ends with a small share of a core and fleets of different sizes: requests that can't be served in time are refused in
+//! time, and the resource usage of a front end does not grow with the fleet.
 
 use crate::machine::shim_environment;
 use crate::rig::{alone, Rig, Shape, Verdict};
@@ -9,34 +9,35 @@
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
-/// Executors of the usual fleet, for one front end.
+/// Executors per front end in a fleet of the usual size.
 const USUAL_FLEET: usize = 12;
-/// Clients of a front end: more requests wait than one connection may have open.
+/// Clients of a front end, so many that more requests wait than one connection may have in flight.
 const CLIENTS: usize = 4;
-/// An answer so long after its time is lost.
+/// An answer this long after its deadline counts as lost.
 const LOST_AFTER: Duration = Duration::from_millis(500);
-/// A tenth of the fleet is replaced each so often: it drains, is gone after a while, and starts anew after another.
+/// Interval at which a tenth of the fleet is replaced: it drains for `DRAIN_TIME`, is removed, and restarts after
+/// `AWAY_TIME`.
 const REPLACEMENT_INTERVAL: Duration = Duration::from_millis(3000);
 const DRAIN_TIME: Duration = Duration::from_millis(1000);
 const AWAY_TIME: Duration = Duration::from_millis(500);
-/// Broken rules shown of a play.
+/// Maximum number of broken rules printed for a run.
 const MAX_SHOWN: usize = 6;
 
-/// One play.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 struct Play {
     executors: usize,
-    /// Share of a core of the front end.
+    /// Share of a core that the front end may use.
     share: f64,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
     length: Duration,
-    /// Part of the requests whose clients wait for a moment only.
+    /// Fraction of requests with a short client timeout.
     short_part: f64,
     seed: u64,
 }
 
-/// What a play came to.
+/// Result of a run.
 struct Outcome {
     play: Play,
     verdict: Verdict,
@@ -101,18 +102,18 @@
     Outcome { play, verdict, served, lost, usage, connections }
 }
 
-/// Plays all, each on a thread of its own, so many at once.
+/// Performs all runs, each on its own thread, at most `at_once` concurrently.
 fn run_all(plays: &[Play], at_once: usize) -> Vec<Outcome> {
     let _alone = alone();
     let mut outcomes = Vec::new();
-    for some in plays.chunks(at_once) {
+    for batch in plays.chunks(at_once) {
         let start = |play: Play| {
             std::thread::spawn(move || {
                 let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
                 runtime.block_on(run(play))
             })
         };
-        let threads: Vec<_> = some.iter().map(|play| start(*play)).collect();
+        let threads: Vec<_> = batch.iter().map(|play| start(*play)).collect();
         outcomes.extend(threads.into_iter().map(|thread| thread.join().unwrap()));
     }
     outcomes.iter().for_each(Outcome::print);
@@ -141,7 +142,7 @@
     }
 }
 
-/// All broken rules of all plays.
+/// Returns the broken rules of all runs.
 fn broken(outcomes: &[Outcome]) -> Vec<String> {
     let of = |outcome: &Outcome| {
         let executors = outcome.play.executors;
@@ -157,7 +158,7 @@
     assert!(broken.is_empty(), "{lost} lost: {broken:#?}");
 }
 
-/// A front end that can't do all that is asked refuses in time. By hand `SHARE_SEEDS=5`.
+/// A front end that can't serve all requests refuses the rest in time. For longer manual runs set `SHARE_SEEDS=5`.
 #[test]
 fn a_front_end_with_too_little_of_a_core_loses_no_request_whatever_the_fleet() {
     let seeds = number("SHARE_SEEDS", 1);
@@ -179,7 +180,7 @@
     assert_nothing_broken(&run_all(&plays, 4));
 }
 
-/// Clients that wait for milliseconds are told of it in time, too. By hand `SHARE_SEEDS=5`.
+/// Requests with timeouts of milliseconds are also refused in time. For longer manual runs set `SHARE_SEEDS=5`.
 #[test]
 fn a_front_end_with_too_little_of_a_core_refuses_requests_of_milliseconds_in_time() {
     let seeds = number("SHARE_SEEDS", 1);
@@ -189,7 +190,8 @@
     assert_nothing_broken(&run_all(&plays, 4));
 }
 
-/// With three hundredths of a core thousands of executors cost little of what a dozen leave. By hand `SHARE_SEEDS=10`.
+/// With three hundredths of a core, a front end serves nearly as much before thousands of executors as before a dozen. For
+/// longer manual runs set `SHARE_SEEDS=10`.
 #[test]
 fn thousands_of_executors_cost_no_more_than_a_seventh_of_the_service_of_a_busy_front_end() {
     const SERVED_PART: f64 = 0.85;
@@ -216,7 +218,7 @@
     assert!(wrong.is_empty(), "{wrong:#?}");
 }
 
-/// What a front end may need with a larger fleet, by the terms of the platform.
+/// Limit on the resource usage of a front end with a larger fleet, as the platform requires.
 struct GrowthLimit {
     factor: f64,
     base: f64,
@@ -234,7 +236,7 @@
 const DESCRIPTORS: GrowthLimit = GrowthLimit { factor: 2.0, base: 40.0, for_thousand_executors: 0.0 };
 const CONNECTIONS: GrowthLimit = GrowthLimit { factor: 2.5, base: 40.0, for_thousand_executors: 0.0 };
 
-/// Sixteen times the executors, for the same traffic. By hand `SHARE_SEEDS=3 SHARE_SECONDS=45`.
+/// Runs the same traffic with up to sixteen times the executors. For longer manual runs set `SHARE_SEEDS=3 SHARE_SECONDS=45`.
 #[test]
 fn what_a_front_end_needs_does_not_grow_with_the_fleet() {
     const USUAL: usize = 200;
@@ -252,10 +254,11 @@
         let usual = &outcomes[1];
         for large in &outcomes[2..] {
             let mut check = |what: &str, limit: GrowthLimit, value: fn(&Outcome) -> f64| {
-                let (most, needed) = (limit.with(value(usual), large.play.executors), value(large));
-                if needed > most {
+                let (limit_value, needed) = (limit.with(value(usual), large.play.executors), value(large));
+                if needed > limit_value {
                     let executors = large.play.executors;
-                    wrong.push(format!("{executors} executors: {what} {needed:.2}, at most {most:.2}"));
+                    wrong
+                        .push(format!("{executors} executors: {what} {needed:.2}, at most {limit_value:.2}"));
                 }
             };
             check("processor seconds", PROCESSOR_SECONDS, |o| o.usage.processor.as_secs_f64());
--- a/crates/cli/tests/outages/rig.rs
+++ b/crates/cli/tests/outages/rig.rs
@@ -1,7 +1,8 @@
-//! Several front ends with an event bus each, before the same executors; and the judgement of what crossed their sockets.
+//! Test harness: several front ends, each with its own event bus, in front of the same executors. Records and judges the
+//! traffic on their sockets.
 
 use crate::front_end::FrontEnd;
-use crate::traffic::{ask, Ledger, Load, Phase};
+use crate::traffic::{run_client, Ledger, Load, Phase};
 use rustix::process::Signal;
 use serde_json::Value;
 use stagehoist_emulator::platform::bus::{record_of_capacity, Resumption, SubscriptionFault};
@@ -19,24 +20,24 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Where executors listen; each has one port for each front end.
+/// First port on which executors listen; each executor has one port for each front end.
 const EXECUTOR_PORT: u16 = 10_000;
-/// Front ends of one rig at most.
+/// Maximum number of front ends of a rig.
 const MAX_FRONT_ENDS: u16 = 64;
-/// Executors that find a port at one host, and the hosts that a rig has for them.
+/// Number of executors whose ports fit on one loopback address, and number of such addresses of a rig.
 const EXECUTORS_IN_BLOCK: usize = 800;
 const EXECUTOR_BLOCKS: u8 = 4;
-/// Rigs of one process at a time at most.
+/// Maximum number of concurrent rigs in a process.
 const MAX_RIGS: u8 = 32;
-/// Every so many-th executor holds a function at the start.
+/// Each function starts with a copy on every `COPY_SPREAD`-th executor.
 const COPY_SPREAD: u64 = 3;
 /// States of an executor on the event bus.
 const READY: u8 = 0;
 const DRAINING: u8 = 1;
 const GONE: u8 = 2;
-/// The grace after a drain, as the configuration has it.
+/// Grace after a drain; equal to the value in the configuration.
 const GRACE: Duration = Duration::from_millis(250);
-/// Orders to load of one front end: free ones, the part for each request, and the window.
+/// Load budget of a front end: load orders that are always allowed, additional load orders per request, and the window.
 const LOAD_BUDGET: (f64, f64, Duration) = (6.0, 0.1, Duration::from_secs(10));
 
 static RIGS: AtomicU8 = AtomicU8::new(1);
@@ -45,13 +46,13 @@
     static HOST: std::cell::Cell<u8> = const { std::cell::Cell::new(0) };
 }
 
-/// An address of this rig alone: the system gives none of them out, nor connects from them. A rig lives on the thread that
-/// made it.
+/// Returns an address that only this rig uses: the operating system neither assigns these addresses nor connects from them.
+/// A rig stays on the thread that created it, because its host number is thread-local.
 pub fn address(port: u16) -> SocketAddr {
     address_in_block(0, port)
 }
 
-/// An address of one of the blocks that a rig has for its executors.
+/// Returns an address in one of the blocks of the rig.
 fn address_in_block(block: u8, port: u16) -> SocketAddr {
     let [_, _, c, d] = std::process::id().to_be_bytes();
     let host = 128 + HOST.get() % MAX_RIGS * EXECUTOR_BLOCKS + block;
@@ -60,43 +61,43 @@
 
 static TESTS: RwLock<()> = RwLock::new(());
 
-/// Held by a test with thousands of executors: their listeners take descriptors, and some measure processor time, which
-/// costs more on a processor that others use too.
+/// Returns the exclusive lock for a test with thousands of executors. Their listeners use many descriptors, and some of these
+/// tests measure processor time, which increases on a processor shared with other tests.
 pub fn alone() -> RwLockWriteGuard<'static, ()> {
     TESTS.write().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Held by each other test.
+/// Returns the shared lock for every other test.
 pub fn beside_others() -> RwLockReadGuard<'static, ()> {
     TESTS.read().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What a rig is made of.
+/// Parameters of a rig.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
     pub front_ends: usize,
     pub executors: usize,
-    /// Time of a run.
+    /// Duration of a call on an executor.
     pub run: Duration,
-    /// Time of a load.
+    /// Duration of a load.
     pub load: Duration,
-    /// Requests that an executor runs at a time at full speed.
+    /// Requests that an executor runs concurrently at full speed.
     pub capacity: u32,
-    /// Requests that it takes at a time; 0: any number.
+    /// Requests that an executor accepts concurrently; 0: any number.
     pub places: usize,
-    /// Whether it drops requests without a word whose time is shorter than a run.
+    /// Whether an executor drops requests without an answer if their remaining time is shorter than a run.
     pub drops_expired: bool,
-    /// The longest time that the settings say a client waits.
+    /// Longest client timeout in the settings.
     pub longest_deadline: Duration,
-    /// Front ends of the whole fleet by the settings; only some of them are played.
+    /// Number of front ends of the fleet in the settings; the rig may run only some of them.
     pub fleet_front_ends: usize,
-    /// So long after its time an answer is lost.
+    /// An answer this long after its deadline counts as lost.
     pub answer_slack: Duration,
     pub seed: u64,
 }
 
 impl Shape {
-    /// A fleet that is played whole, of executors that run 20 ms and load in 60.
+    /// Returns a fleet of which all front ends run, with executors that run a call in 20 ms and load a function in 60 ms.
     pub fn usual(front_ends: usize, executors: usize, seed: u64) -> Shape {
         Shape {
             front_ends,
@@ -114,7 +115,7 @@
     }
 }
 
-/// How late the thread of the emulated systems was: what they note is dated so much too late at worst.
+/// Measures how late the thread of the emulated systems is scheduled: their timestamps are too late by at most this time.
 struct Lateness {
     worst: Arc<Mutex<Duration>>,
     task: JoinHandle<()>,
@@ -128,10 +129,10 @@
         let seen = worst.clone();
         let task = tokio::spawn(async move {
             loop {
-                let due = Instant::now() + Lateness::INTERVAL;
-                tokio::time::sleep_until(due.into()).await;
+                let scheduled_at = Instant::now() + Lateness::INTERVAL;
+                tokio::time::sleep_until(scheduled_at.into()).await;
                 let mut worst = seen.lock().unwrap();
-                *worst = worst.max(due.elapsed());
+                *worst = worst.max(scheduled_at.elapsed());
             }
         });
         Lateness { worst, task }
@@ -148,26 +149,26 @@
     }
 }
 
-/// An executor of the rig, over its restarts.
+/// An executor of the rig across its restarts.
 struct Slot {
     executor: Executor,
-    /// What its earlier processes saw, and the connections that came to them.
+    /// Requests that its earlier processes received, and the number of connections to these processes.
     earlier: Vec<ObservedRequest>,
     earlier_connections: usize,
-    /// When its drain was written to the buses.
+    /// Time at which its drain was published to the buses.
     drained_at: Option<Instant>,
     ready_again: Option<Instant>,
     state: u8,
     started_ms: u64,
 }
 
-/// A client of a front end, and what it will have seen.
+/// A client task of a front end, which returns the client's ledger.
 struct FrontEndClient {
     front_end: usize,
     ledger: JoinHandle<Ledger>,
 }
 
-/// The whole arrangement.
+/// The emulated systems, the front ends and their clients.
 pub struct Rig {
     pub shape: Shape,
     _folder: tempfile::TempDir,
@@ -181,21 +182,21 @@
     lateness: Lateness,
 }
 
-/// What a run of the rig came to.
+/// Result of a run of the rig.
 pub struct Verdict {
     pub broken: Vec<String>,
-    /// What was asked, with whether it was served.
+    /// Requests, each with whether it was served.
     pub requests: Vec<(SentRequest, bool)>,
-    /// Questions to executors without work, over all front ends.
+    /// Number of probes of executors, from all front ends.
     pub probes: usize,
-    /// The longest time for which the emulated systems themselves did not run.
+    /// Maximum scheduling delay of the emulated systems.
     pub lateness: Duration,
     /// Log lines of all front ends.
     pub logs: Vec<String>,
 }
 
 impl Verdict {
-    /// Part of the requests between two moments that were served.
+    /// Returns the fraction of the requests sent between two times that were served.
     pub fn served(&self, from: Instant, to: Instant) -> f64 {
         let within = self.requests.iter().filter(|(request, _)| (from..to).contains(&request.at));
         let served = within.clone().filter(|(_, served)| *served).count();
@@ -204,7 +205,8 @@
 }
 
 impl Rig {
-    /// Starts everything but clients. `environment`, by the number of the front end, is for the processes of the front ends.
+    /// Starts everything except clients. `environment` returns the environment variables for the process of a front end, given
+    /// its number.
     pub async fn start(shape: Shape, environment: impl Fn(usize) -> Vec<(String, String)>) -> Rig {
         HOST.set(RIGS.fetch_add(1, Ordering::Relaxed));
         let folder = tempfile::tempdir().unwrap();
@@ -240,30 +242,30 @@
             lateness: Lateness::start(),
         };
         for number in 0..shape.front_ends {
-            rig.write_known(number);
+            rig.write_initial_list(number);
             rig.start_front_end(number).await;
         }
         rig
     }
 
-    fn write_known(&self, number: usize) {
+    fn write_initial_list(&self, number: usize) {
         let records: Vec<_> =
             self.slots.iter().map(|slot| slot.record(number, self.shape.capacity)).collect();
         self.front_ends[number].bus.known(&records);
     }
 
-    /// Starts the process of a front end with the list as it stands now.
+    /// Starts the process of a front end with the current endpoint list.
     pub async fn start_front_end(&mut self, number: usize) {
         let config = self.configuration(number);
         self.front_ends[number].start(config).await;
     }
 
-    /// Has a front end read its configuration again, so many times in a row.
+    /// Makes a front end reload its configuration the given number of times in succession.
     pub fn reload(&self, number: usize, times: usize) {
         (0..times).for_each(|_| self.front_ends[number].signal(Signal::HUP));
     }
 
-    /// The bus of a front end moves, and its new configuration tells where.
+    /// Moves the bus of a front end and reloads the front end with the new address.
     pub async fn move_bus(&mut self, number: usize) {
         self.front_ends[number].move_bus().await;
         let config = self.configuration(number);
@@ -295,37 +297,37 @@
         config
     }
 
-    /// Has clients ask at every front end, for functions of which every third executor has a copy.
+    /// Starts clients at every front end, which call functions that have a copy on every third executor.
     pub fn begin_traffic(&mut self, load: Load) {
         for (index, slot) in self.slots.iter().enumerate() {
-            let held =
+            let held_functions =
                 (0..load.functions).filter(|function| function % COPY_SPREAD == index as u64 % COPY_SPREAD);
-            let keys: Vec<String> = held.map(|function| format!("{function:016x}")).collect();
+            let keys: Vec<String> = held_functions.map(|function| format!("{function:016x}")).collect();
             slot.executor.holds(&keys.iter().map(String::as_str).collect::<Vec<_>>());
         }
         for front_end in &self.front_ends {
             for client in 0..load.clients {
                 let phase = self.phases[front_end.number].subscribe();
                 let number = front_end.number * load.clients + client;
-                let asking = ask(number, front_end.listen, load, self.shape.seed, phase);
+                let asking = run_client(number, front_end.listen, load, self.shape.seed, phase);
                 let ledger = tokio::spawn(asking);
                 self.clients.push(FrontEndClient { front_end: front_end.number, ledger });
             }
         }
     }
 
-    /// What the clients of a front end may do from now on.
+    /// Sets the phase of the clients of a front end.
     pub fn set_phase(&self, number: usize, phase: Phase) {
         self.phases[number].send_replace(phase);
     }
 
-    /// Discovery is out of reach of every front end.
+    /// Begins an outage of discovery for every front end.
     pub fn begin_outage(&mut self, kind: SubscriptionFault) {
         self.outage = Some((Instant::now(), kind));
         self.front_ends.iter().for_each(|front_end| front_end.bus.mood(kind));
     }
 
-    /// It is back, and tells what happened meanwhile in this form.
+    /// Ends the outage; the buses report the missed events in the given form.
     pub fn end_outage(&mut self, resumption: Resumption) {
         for front_end in &self.front_ends {
             front_end.bus.resume_with(resumption);
@@ -336,69 +338,69 @@
         }
     }
 
-    /// An executor drains; the list does not tell yet.
+    /// Makes an executor drain without publishing the drain.
     pub fn begin_drain(&mut self, index: usize) {
         self.slots[index].executor.set_intake(Intake::Draining);
     }
 
-    /// The drain of an executor is written to the buses.
+    /// Publishes the drain of an executor to the buses.
     pub fn publish_drain(&mut self, index: usize) {
         self.publish_drains(index..index + 1);
     }
 
-    /// The drains of several executors are written to the buses as one event.
+    /// Publishes the drains of several executors to the buses as one event.
     pub fn publish_drains(&mut self, indices: Range<usize>) {
         let now = Instant::now();
         self.slots[indices.clone()].iter_mut().for_each(|slot| slot.drained_at = Some(now));
         self.publish(indices, DRAINING);
     }
 
-    /// An executor hangs, or no longer.
+    /// Makes an executor hang or resume.
     pub fn set_hung(&mut self, index: usize, is_hung: bool) {
         let intake = if is_hung { Intake::Hung } else { Intake::Open };
         self.slots[index].executor.set_intake(intake);
     }
 
-    /// Nobody listens at an executor's addresses any more; the list does not tell.
+    /// Makes an executor stop listening without publishing it.
     pub fn vanish(&mut self, index: usize) {
         self.slots[index].executor.end();
     }
 
-    /// An executor's machine is cut off: connections to it never come up; the list does not tell.
+    /// Cuts off the machine of an executor without publishing it: connections to it are never established.
     pub fn cut_off(&mut self, index: usize) {
         self.slots[index].executor.cut_off();
     }
 
-    /// The next answers of an executor are spoilt.
+    /// Corrupts the next answers of an executor.
     pub fn spoil(&mut self, index: usize, faults: Vec<Fault>) {
         self.slots[index].executor.spoil(faults);
     }
 
-    /// An executor closes its connections, as one does that forgets them.
+    /// Makes an executor close its connections, as an executor does that has lost their state.
     pub fn close_connections(&self, index: usize) {
         self.slots[index].executor.close_connections();
     }
 
-    /// A drained executor ends.
+    /// Stops a drained executor and publishes its removal.
     pub fn remove(&mut self, index: usize) {
         self.remove_all(index..index + 1);
     }
 
-    /// Several drained executors end.
+    /// Stops several drained executors and publishes their removal as one event.
     pub fn remove_all(&mut self, indices: Range<usize>) {
         self.slots[indices.clone()].iter().for_each(|slot| slot.executor.end());
         self.publish(indices, GONE);
     }
 
-    /// It is started anew at its addresses, cold.
+    /// Restarts an executor at its addresses, without copies.
     pub async fn restart(&mut self, index: usize) {
         self.restart_all(index..index + 1).await;
     }
 
-    /// Several are started anew.
+    /// Restarts several executors and publishes them as one event.
     pub async fn restart_all(&mut self, indices: Range<usize>) {
         for index in indices.clone() {
-            self.start_anew(index).await;
+            self.start_new_process(index).await;
         }
         let now = Instant::now();
         for slot in &mut self.slots[indices.clone()] {
@@ -408,7 +410,7 @@
         self.publish(indices, READY);
     }
 
-    async fn start_anew(&mut self, index: usize) {
+    async fn start_new_process(&mut self, index: usize) {
         let mut executor = start_executor(&self.shape, index).await;
         std::mem::swap(&mut self.slots[index].executor, &mut executor);
         executor.end();
@@ -419,7 +421,7 @@
         slot.started_ms = now.as_millis() as u64;
     }
 
-    /// Writes the state of some executors to the buses as one event.
+    /// Publishes the state of several executors to the buses as one event.
     fn publish(&mut self, indices: Range<usize>, state: u8) {
         let slots = &mut self.slots[indices];
         slots.iter_mut().for_each(|slot| slot.state = state);
@@ -429,12 +431,12 @@
         }
     }
 
-    /// Connections that front ends made to executors.
+    /// Returns the number of connections that front ends have made to executors.
     pub fn executor_connections(&self) -> usize {
         self.slots.iter().map(|slot| slot.earlier_connections + slot.executor.connections()).sum()
     }
 
-    /// Ends the clients once all that they asked has had its time, and judges what crossed the sockets.
+    /// Stops the clients after their last requests are answered or timed out, and judges the recorded traffic.
     pub async fn finish(mut self) -> Verdict {
         if let Some((began, kind)) = self.outage.take() {
             self.outages.push(Outage { began, ended: Instant::now(), kind });
@@ -457,9 +459,9 @@
         }
         let seen: Vec<_> = self.slots.iter().map(Slot::seen).collect();
         for (number, ledger) in ledgers.iter().enumerate() {
-            let own: Vec<_> = seen.iter().map(|(id, seen)| (*id, of_front_end(seen, number))).collect();
-            let found = judge(&ledger.asked, &ledger.answers, &own, &self.rules(number));
-            broken.extend(found.into_iter().map(|text| format!("n{number}: {text}")));
+            let observed: Vec<_> = seen.iter().map(|(id, seen)| (*id, of_front_end(seen, number))).collect();
+            let violations = judge(&ledger.asked, &ledger.answers, &observed, &self.rules(number));
+            broken.extend(violations.into_iter().map(|text| format!("n{number}: {text}")));
         }
         broken.extend(self.slow_start().broken(&seen));
         let is_probe = |seen: &&ObservedRequest| {
@@ -474,7 +476,8 @@
         Verdict { broken, requests, probes, lateness, logs }
     }
 
-    /// The rules by which one front end is judged: each asks its bus again at a time of its own.
+    /// Returns the settings of the rules for one front end. They differ between front ends, because each subscribes to its bus
+    /// again at a different time.
     fn rules(&self, number: usize) -> RuleSettings {
         let asked = self.front_ends[number].bus.asked();
         let drains = self.slots.iter().filter_map(|slot| {
@@ -492,7 +495,7 @@
         }
     }
 
-    /// What executors that start may get from all front ends together.
+    /// Returns the limits on the requests that starting executors may get from all front ends together.
     fn slow_start(&self) -> SlowStart {
         let window = Duration::from_secs(1);
         SlowStart {
--- a/crates/cli/tests/outages/traffic.rs
+++ b/crates/cli/tests/outages/traffic.rs
@@ -1,4 +1,4 @@
-//! One client of a front end: requests at a rate, written on one connection after the other; what was asked and answered.
+//! A client of a front end: sends requests at a given rate over successive connections, and records requests and answers.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -8,54 +8,54 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// A request that crosses the close of its connection within this time is sent again, once.
+/// A request sent within this time before its connection closes may have crossed the close, and is retried once.
 const CROSSING: Duration = Duration::from_millis(50);
-/// Pause after a connection that was not accepted.
+/// Delay after a failed connection attempt.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
-/// Requests open on one connection at most.
+/// Maximum number of requests in flight on a connection.
 const MAX_OPEN: usize = 32;
-/// Part of the requests that call the newest function.
+/// Fraction of requests that call the newest function.
 const NEWEST_PART: f64 = 0.2;
-/// The longest wait of a client that waits for a moment only.
+/// Upper bound of the short client timeouts.
 const MAX_SHORT_ALLOW_MS: u64 = 60;
-/// Numbers of requests that one client may use.
+/// Size of the range of request numbers of one client.
 const NUMBERS: u64 = 1 << 24;
 
-/// What clients do.
+/// Parameters of the clients' load.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Clients of each front end, each with a connection at a time.
+    /// Clients of each front end; each uses one connection at a time.
     pub clients: usize,
-    /// Requests a second at each front end.
+    /// Requests per second at each front end.
     pub rate: f64,
-    /// Functions that are called at first.
+    /// Number of functions that are called from the start.
     pub functions: u64,
-    /// A function is called for the first time after each so many requests; 0: never.
+    /// Number of requests after which each client calls another new function; 0: never.
     pub new_function_after: u64,
-    /// How long clients wait.
+    /// Timeout of the clients.
     pub allow: Duration,
-    /// Part of the requests that may not run twice.
+    /// Fraction of requests that are non-idempotent.
     pub unsafe_part: f64,
-    /// Part of the requests that are cancelled soon.
+    /// Fraction of requests that are cancelled shortly after they are sent.
     pub cancelled_part: f64,
-    /// Part of the requests whose clients wait for a moment only.
+    /// Fraction of requests with a short client timeout.
     pub short_part: f64,
 }
 
-/// Which clients may connect and ask.
+/// Phases of a run, which determine whether clients may connect and send requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// They connect where they need to.
+    /// Clients connect when needed.
     Open,
-    /// They keep their connections and ask nothing.
+    /// Clients keep their connections open and send no requests.
     Quiet,
-    /// They use open connections alone.
+    /// Clients use only connections that are already open.
     OpenConnections,
-    /// They ask nothing more.
+    /// Clients send no further requests.
     Over,
 }
 
-/// What clients saw.
+/// Requests and answers of a client.
 #[derive(Default)]
 pub struct Ledger {
     pub asked: Vec<SentRequest>,
@@ -68,8 +68,8 @@
     requests: Vec<usize>,
 }
 
-/// Asks until the phase is over and all that was asked has had its time.
-pub async fn ask(
+/// Sends requests until the phase is `Over`, then waits for outstanding answers until they time out.
+pub async fn run_client(
     number: usize,
     to: SocketAddr,
     load: Load,
@@ -99,7 +99,7 @@
             connection = traffic.connect(to, now).await;
             if let Some(open) = connection.as_mut() {
                 for index in crossed {
-                    traffic.ask_again(open, index).await;
+                    traffic.retry(open, index).await;
                 }
             }
         }
@@ -107,7 +107,7 @@
             connection = traffic.connect(to, now).await;
         }
         if let Some(open) = connection.as_mut() {
-            traffic.ask_one(open).await;
+            traffic.send_request(open).await;
         }
     }
     if let Some(mut open) = connection {
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Takes the answers of a connection that is over; gives the requests that are to be sent again, which no longer
-    /// stand in the ledger as they were.
+    /// Records the answers of a finished connection. Removes the requests that are to be retried from the ledger and returns
+    /// them.
     fn collect(&mut self, connection: Connection) -> Vec<SentRequest> {
         let answers = connection.client.answers();
         let closed = connection.client.closed();
@@ -155,12 +155,12 @@
             }
         }
         self.ledger.answers.extend(answers);
-        // From the end, so that the positions before stand.
+        // Removes from the end, so that the earlier positions remain valid.
         let again = crossed.iter().rev().map(|&position| self.ledger.asked.remove(position));
         again.collect()
     }
 
-    async fn ask_one(&mut self, connection: &mut Connection) {
+    async fn send_request(&mut self, connection: &mut Connection) {
         let open = connection.requests.len().saturating_sub(connection.client.answers().len());
         if open >= MAX_OPEN {
             return;
@@ -195,8 +195,8 @@
         self.load.allow
     }
 
-    async fn ask_again(&mut self, connection: &mut Connection, crossed: SentRequest) {
-        // A number that no other request has: of the upper half.
+    async fn retry(&mut self, connection: &mut Connection, crossed: SentRequest) {
+        // The retry uses a number above the ranges of all clients, so that no other request has it.
         let tag = (NUMBERS * 512 + crossed.tag.parse::<u64>().unwrap_or(0)).to_string();
         if crossed.tag.len() < tag.len() {
             self.write(connection, SentRequest { at: Instant::now(), tag, ..crossed }).await;
--- a/crates/cli/tests/outages/usage.rs
+++ b/crates/cli/tests/outages/usage.rs
@@ -1,26 +1,26 @@
-//! What a process of a front end has used, by the system's own account.
+//! Resource usage of a front-end process, as reported by the operating system.
 
 use std::fs;
 use std::time::Duration;
 
-/// Clock ticks in a second, as Linux shows processor time in `/proc`.
+/// Clock ticks per second, the unit of processor time in Linux's `/proc`.
 const TICKS_PER_SECOND: u64 = 100;
 
-/// What a process has used.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     pub processor: Duration,
-    /// The most memory that it held at once.
+    /// Peak resident memory.
     pub peak_kib: u64,
-    /// Open descriptors now.
+    /// Currently open descriptors.
     pub descriptors: usize,
 }
 
 impl Usage {
-    /// Of a running process.
+    /// Reads the usage of a running process.
     pub fn of(process: u32) -> Option<Usage> {
         let stat = fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
-        // The name of the program, in brackets, may hold blanks.
+        // The program name, in parentheses, may contain spaces.
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let ticks: u64 = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
         let status = fs::read_to_string(format!("/proc/{process}/status")).ok()?;
--- a/crates/cli/tests/overload.rs
+++ b/crates/cli/tests/overload.rs
@@ -1,5 +1,6 @@
-//! Floods against the gateway as it is served: processes of their own for broker, store, workers and gateways, and an
-//! open-loop caller that accounts for every message. Verdicts are counts; what a machine's pace moves has wide bounds.
+//! Overload tests of real gateway processes: broker, store, workers and gateways each run in their own process, and an
+//! open-loop caller accounts for every message. Tests compare counts; counts that depend on the machine's speed have wide
+//! bounds.
 
 mod alone;
 
@@ -14,7 +15,7 @@
 
 const S: i64 = 1_000_000;
 
-/// A load on a stack; what is not told is as most tests want it.
+/// Load on a stack, with the defaults of most tests.
 #[derive(Clone)]
 struct Load {
     name: &'static str,
@@ -36,7 +37,7 @@
         Load { name, queue, function, rate, seconds, size: 64, shape, expires: true, settle: 5 * S, manners }
     }
 
-    /// Runs on a thread of its own.
+    /// Starts the load on a new thread.
     fn start(&self, stack: &LoadStack) -> JoinHandle<Report> {
         let load = self.clone();
         let target = Target {
@@ -61,19 +62,19 @@
     }
 
     fn run(&self, stack: &LoadStack) -> Report {
-        accounted(self.name, self.start(stack))
+        join_report(self.name, self.start(stack))
     }
 }
 
-/// Every message has one answer.
-fn accounted(name: &str, load: JoinHandle<Report>) -> Report {
+/// Waits for a load and asserts that every message had exactly one answer.
+fn join_report(name: &str, load: JoinHandle<Report>) -> Report {
     let report = load.join().unwrap();
     eprintln!("{name}: {report:?}");
     assert_eq!((report.no_answer, report.answered_twice, report.unasked), (0, 0, 0), "{name}: {report:#?}");
     report
 }
 
-/// Workers for 400 calls a second; copies stand.
+/// Starts a stack whose workers can run 400 calls per second, and loads the copies of the function.
 fn warm(options: &LoadStackOptions) -> LoadStack {
     let mut stack = LoadStack::start(Path::new(env!("CARGO_BIN_EXE_stagehoist")), options).unwrap();
     stack.serve().unwrap();
@@ -98,9 +99,9 @@
     signal(stack.gateways()[1], "-STOP");
     std::thread::sleep(Duration::from_secs(2));
     signal(stack.gateways()[1], "-CONT");
-    let report = accounted("flood", load);
+    let report = join_report("flood", load);
     assert!(report.messages > 7000 && refused(&report) > 3000 && report.served_in_aim > 200);
-    // What came after: at half the capacity nothing of the flood is left.
+    // After the flood, at half the capacity, no effect of the flood remains.
     let report = Load::new("after", 200.0, 2.0).run(&stack);
     assert!(report.served_in_aim * 2 > report.messages, "{report:#?}");
 }
@@ -123,7 +124,7 @@
         let stack = warm(&LoadStackOptions { more, ..LoadStackOptions::default() });
         let flood = Load { function: "loud", ..Load::new("loud", 2000.0, 3.0) }.start(&stack);
         let steady = Load { function: "quiet", queue, ..Load::new("quiet", 40.0, 3.0) }.start(&stack);
-        let (flood, steady) = (accounted("loud", flood), accounted("quiet", steady));
+        let (flood, steady) = (join_report("loud", flood), join_report("quiet", steady));
         assert!(refused(&flood) > 1000 && flood.served_in_aim > 300, "{queue}: {flood:#?}");
         assert!(steady.served_in_aim * 2 > steady.messages, "{queue}: {steady:#?}");
     }
@@ -134,7 +135,7 @@
     let _alone = alone();
     let options = LoadStackOptions { processes: vec![2], ..LoadStackOptions::default() };
     let mut stack = LoadStack::start(Path::new(env!("CARGO_BIN_EXE_stagehoist")), &options).unwrap();
-    // The queue must stand before callers publish to it: the gateway declares it, and goes.
+    // The queue must exist before callers publish to it: the gateway declares it and is then stopped.
     stack.serve().unwrap();
     stack.end_gateways();
     let old = Load { expires: false, settle: 20 * S, ..Load::new("old", 10_000.0, 1.0) }.start(&stack);
@@ -142,9 +143,9 @@
     stack.serve().unwrap();
     std::thread::sleep(Duration::from_millis(500));
     let new = Load::new("new", 200.0, 6.0).start(&stack);
-    let (old, new) = (accounted("old", old), accounted("new", new));
+    let (old, new) = (join_report("old", old), join_report("new", new));
     assert!(old.messages > 9000, "{old:#?}");
-    // Callers of the old ones left before the gateway came; few of them ran.
+    // The callers of the old messages timed out before the gateway started, so few of these messages may run.
     let ran = old.served_in_aim + old.served_late;
     assert!(ran * 10 < old.messages && refused(&old) * 10 > old.messages * 5, "{old:#?}");
     let (late, many) = (new.in_aim_by_second.get(5).copied().unwrap_or(0), new.messages / 6);
@@ -159,7 +160,7 @@
     let shape = Shape::Burst { times: 6.0, at: 1.0, span: 2.0 };
     let report = Load { manners, shape, ..Load::new("burst", 250.0, 10.0) }.run(&stack);
     assert!(report.messages > report.calls * 12 / 10 && refused(&report) > 500, "{report:#?}");
-    // The burst ends at 3 s; from 8 s on the calls are served as before.
+    // The burst ends at 3 s; from 8 s on, calls are served as before the burst.
     let after: u64 = report.in_aim_by_second.iter().skip(8).take(2).sum();
     assert!(after > 250, "{report:#?}");
 }
--- a/crates/cli/tests/whole_path.rs
+++ b/crates/cli/tests/whole_path.rs
@@ -1,15 +1,16 @@
-//! The whole path over sockets, judged by what crossed them: each test plays a short day on a stack of its own, with front
-//! ends in processes of their own. Verdicts rest on the rules and on counts, never on times of this machine.
+//! End-to-end tests over sockets, judged by the recorded traffic: each test runs a short day on its own stack, with front ends
+//! in separate processes. Verdicts depend on the rules and on counts, never on the timing of the machine.
 
 mod alone;
 
-use alone::beside_few;
+use alone::with_limit;
 use stagehoist_harness::{play, Day, Ledger};
 use std::path::Path;
 
-/// Plays a day; every rule must be kept, no message answered twice, and none that was owed an answer left without.
-fn judged(name: &str, day: &Day) -> Ledger {
-    let _seat = beside_few();
+/// Runs a day and asserts that every rule was kept, that no message was answered twice, and that every message that was owed
+/// an answer got one.
+fn play_and_check(name: &str, day: &Day) -> Ledger {
+    let _permit = with_limit();
     let ledger = play(day, Path::new(env!("CARGO_BIN_EXE_stagehoist")), &mut |_| {}).unwrap();
     for rule in &ledger.verdict.rules {
         assert!(rule.kept, "{name}: {rule:#?}");
@@ -22,7 +23,7 @@
 
 fn run(name: &str, text: &str) -> Ledger {
     let head = "halls 3\nworkers 6\nfront-ends 2\nrate 100/s\nlength 4s\nreplies transaction\n";
-    let ledger = judged(name, &Day::parse(name, &format!("{head}{text}")).unwrap());
+    let ledger = play_and_check(name, &Day::parse(name, &format!("{head}{text}")).unwrap());
     assert!(
         ledger.verdict.sent > 200 && ledger.verdict.served * 2 > ledger.verdict.sent,
         "{name}: {ledger:?}"
@@ -47,8 +48,9 @@
 fn a_broker_that_cuts_connections_in_the_middle_of_replies() {
     let cuts = "at 800ms broker cut-reply\nat 1600ms broker cut-confirm\nat 2400ms broker cut-delivery\n\
                 at 3s broker cut-reply\n";
-    // In a transaction the reply and the acknowledgement take effect together, whoever gets the message again. What confirms
-    // leave in doubt at each cut is decided without sockets, where it is known which bytes left (the gateway's front tests).
+    // In a transaction the reply and the acknowledgement take effect together, whichever front end gets the redelivered
+    // message. In-doubt replies with publisher confirms are tested without sockets, where it is known which bytes were sent
+    // (the gateway's front tests).
     let ledger = run("cuts", cuts);
     assert!(ledger.verdict.rules[0].checks >= ledger.verdict.sent - 10);
 }
@@ -105,11 +107,12 @@
     run("ends", "at 1s front-end 0 terminate\nat 2500ms front-end 1 kill\n");
 }
 
-/// Callers send about five times what three workers can do, on two front ends; what is not served must be refused.
+/// Callers send about five times the capacity of three workers, through two front ends. Calls that are not served must be
+/// refused.
 fn overloaded(name: &str, text: &str) -> Ledger {
     let head = "halls 3\nworkers 3\nfront-ends 2\nrate 300/s\nlength 4s\nreplies transaction\n\
                 at 500ms flood 7x for 2s\n";
-    let ledger = judged(name, &Day::parse(name, &format!("{head}{text}")).unwrap());
+    let ledger = play_and_check(name, &Day::parse(name, &format!("{head}{text}")).unwrap());
     assert!(
         ledger.verdict.sent > 1500 && ledger.verdict.refused > 200 && ledger.verdict.served > 200,
         "{name}: {ledger:?}"
@@ -141,5 +144,5 @@
 fn the_day_of_trouble_in_a_shorter_time() {
     let text = include_str!("../../../days/trouble.day");
     let day = Day::parse("trouble.day", text).unwrap().shortened(std::time::Duration::from_secs(24));
-    judged("trouble", &day);
+    play_and_check("trouble", &day);
 }
