--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -182,13 +182,13 @@
             println!("{}", serde_json::to_string(m).unwrap_or_default());
             return;
         }
-        let latencies: Vec<String> = m.held_us.iter().map(|(k, v)| format!("{k} {v:.0}")).collect();
+        let held_times: Vec<String> = m.held_us.iter().map(|(k, v)| format!("{k} {v:.0}")).collect();
         print!(
             "{:<22} {:>4} workers  {:>6} answered  held us: {}",
             m.what,
             m.workers,
             m.answered,
-            latencies.join("  ")
+            held_times.join("  ")
         );
         if m.cpu_us > 0.0 {
             print!("  cpu {:.1} us a call, {:.0} calls/s a core", m.cpu_us, m.per_core_s);
--- a/crates/cli/tests/alone/mod.rs
+++ b/crates/cli/tests/alone/mod.rs
@@ -1,7 +1,7 @@
 //! Limits how many stacks run concurrently in one test process. A stack has eight threads and processes that are busy under a
 //! flood, so the results of a dozen concurrent stacks would depend on the machine. Cargo runs test files one after another, so
 //! a limit per process is enough.
-// Not every test file uses both kinds of permit.
+// Not every test file uses both functions.
 #![allow(dead_code)]
 
 use std::sync::{Condvar, Mutex, PoisonError};
@@ -29,12 +29,12 @@
 }
 
 /// Waits until no other stack runs, and takes all permits.
-pub fn alone() -> Permits {
+pub fn acquire_all() -> Permits {
     acquire(max_permits())
 }
 
 /// Waits until there are cores for one more stack, and takes one permit.
-pub fn with_limit() -> Permits {
+pub fn acquire_one() -> Permits {
     acquire(1)
 }
 
--- a/crates/cli/tests/fleet_days.rs
+++ b/crates/cli/tests/fleet_days.rs
@@ -4,7 +4,7 @@
 
 mod alone;
 
-use alone::alone;
+use alone::acquire_all;
 use stagehoist_checker::{check, Capture, CaptureEvent, Direction, Peer, Record, RuleSet, Story};
 use stagehoist_harness::{play, record_on, Day, Ledger, Stack};
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 
 /// Runs a day with the values drawn from a seed, and asserts that every rule was kept.
 fn play_and_check(name: &str, text: &str, seed: u64, seconds: u64) -> Ledger {
-    let _alone = alone();
+    let _permits = acquire_all();
     let mut day = Day::parse(name, text).unwrap().shortened(Duration::from_secs(seconds));
     day.seed = seed;
     let ledger = play(&day, Path::new(env!("CARGO_BIN_EXE_stagehoist")), &mut |_| {}).unwrap();
@@ -71,7 +71,7 @@
 
 /// Returns a copy of a capture with a request repeated the given number of times, each on its own connection.
 fn repeated(capture: &Capture, request: &Record, times: u64) -> Capture {
-    let mut doctored = capture.clone();
+    let mut altered = capture.clone();
     let after = capture.records.iter().position(|r| r.at > request.at).unwrap();
     let newest = capture.records.iter().map(|r| r.connection).max().unwrap();
     let copy = |connection| {
@@ -81,8 +81,8 @@
             ..request.clone()
         })
     };
-    doctored.records.splice(after..after, (newest + 1..=newest + times).flat_map(copy));
-    doctored
+    altered.records.splice(after..after, (newest + 1..=newest + times).flat_map(copy));
+    altered
 }
 
 /// Runs a day in which front ends order all loads, asserts that every rule was kept, and returns the stack and the capture.
@@ -103,7 +103,7 @@
 /// and hand them back.
 #[test]
 fn where_owners_follow_a_list_shards_change_hands_and_the_rules_are_kept() {
-    let _alone = alone();
+    let _permits = acquire_all();
     let (stack, ledger, _, _) =
         play_load_orders("shards-list", include_str!("../../../days/shards-list.day"), 16);
     assert_eq!(ledger.answers.get("refused: other-shard"), None, "{ledger:?}");
@@ -118,7 +118,7 @@
 /// calls sent to workers that restarted cold. As negative controls, captures with excess requests must break each rule.
 #[test]
 fn in_a_divided_fleet_loads_stay_in_their_ration_and_cold_workers_are_spared() {
-    let _alone = alone();
+    let _permits = acquire_all();
     let (_, ledger, capture, rules) =
         play_load_orders("shards-load", include_str!("../../../days/shards-load.day"), 16);
     let story = Story::read(&capture);
@@ -141,8 +141,8 @@
         notifications.iter().find(|t| t.by_list && t.ready && t.at >= start.at).map(|t| t.at)
     };
     // Time at which the last of the front ends learned from the list that the worker is back.
-    let informed = (0..24).filter_map(notified_at).max().unwrap();
-    let call = request(&capture, "/infer", Some(&start.worker), informed);
+    let last_notified_at = (0..24).filter_map(notified_at).max().unwrap();
+    let call = request(&capture, "/infer", Some(&start.worker), last_notified_at);
     assert!(call.at < start.at + 6_000_000, "no call while the worker was cold");
     assert!(!kept(&repeated(&capture, call, 1000), 4), "rule 4 did not detect the burst");
 }
--- a/crates/cli/tests/outages/drains.rs
+++ b/crates/cli/tests/outages/drains.rs
@@ -49,7 +49,7 @@
     let mut rig = Rig::start(Shape::usual(case.front_ends, EXECUTORS, case.seed), |_| Vec::new()).await;
     rig.begin_traffic(load(case.front_ends));
     tokio::time::sleep(1000 * MS).await;
-    let traffic_start = Instant::now();
+    let baseline_start = Instant::now();
     tokio::time::sleep(2000 * MS).await;
     let began = Instant::now();
     rig.begin_outage(case.kind);
@@ -69,7 +69,7 @@
     rig.end_outage(case.resumption);
     tokio::time::sleep(if case.resumption == Resumption::SlowEvents { 3000 * MS } else { 1500 * MS }).await;
     let verdict = rig.finish().await;
-    let before = verdict.served(traffic_start, began);
+    let before = verdict.served(baseline_start, began);
     let within = verdict.served(began + 5000 * MS, ended);
     (verdict, before, within)
 }
--- a/crates/cli/tests/outages/processor_share.rs
+++ b/crates/cli/tests/outages/processor_share.rs
@@ -190,7 +190,7 @@
     assert_nothing_broken(&run_all(&plays, 4));
 }
 
-/// With three hundredths of a core, a front end serves nearly as much before thousands of executors as before a dozen. For
+/// With three hundredths of a core, a front end serves nearly as much with thousands of executors as with a dozen. For
 /// longer manual runs set `SHARE_SEEDS=10`.
 #[test]
 fn thousands_of_executors_cost_no_more_than_a_seventh_of_the_service_of_a_busy_front_end() {
@@ -208,14 +208,15 @@
     };
     let plays: Vec<Play> = (1..=seeds).flat_map(of_seed).collect();
     let outcomes = run_all(&plays, 2);
-    let mut wrong = broken(&outcomes);
+    let mut violations = broken(&outcomes);
     for pair in outcomes.chunks(2) {
         let [usual, large] = [pair[0].served, pair[1].served];
         if large < SERVED_PART * usual {
-            wrong.push(format!("served {usual:.3} with the usual fleet and {large:.3} with 3,200 executors"));
+            violations
+                .push(format!("served {usual:.3} with the usual fleet and {large:.3} with 3,200 executors"));
         }
     }
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
 /// Limit on the resource usage of a front end with a larger fleet, as the platform requires.
@@ -249,7 +250,7 @@
     };
     let plays: Vec<Play> = (1..=seeds).flat_map(of_seed).collect();
     let outcomes = run_all(&plays, 4);
-    let mut wrong = broken(&outcomes);
+    let mut violations = broken(&outcomes);
     for outcomes in outcomes.chunks(4) {
         let usual = &outcomes[1];
         for large in &outcomes[2..] {
@@ -257,7 +258,7 @@
                 let (limit_value, needed) = (limit.with(value(usual), large.play.executors), value(large));
                 if needed > limit_value {
                     let executors = large.play.executors;
-                    wrong
+                    violations
                         .push(format!("{executors} executors: {what} {needed:.2}, at most {limit_value:.2}"));
                 }
             };
@@ -266,9 +267,9 @@
             check("descriptors", DESCRIPTORS, |o| o.usage.descriptors as f64);
             check("connections", CONNECTIONS, |o| o.connections as f64);
             if large.served < SERVED_PART * usual.served {
-                wrong.push(format!("served {:.3} of {:.3}", large.served, usual.served));
+                violations.push(format!("served {:.3} of {:.3}", large.served, usual.served));
             }
         }
     }
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
--- a/crates/cli/tests/overload.rs
+++ b/crates/cli/tests/overload.rs
@@ -4,7 +4,7 @@
 
 mod alone;
 
-use alone::alone;
+use alone::acquire_all;
 use stagehoist_load_generator::amqp::{self, Manners, Target};
 use stagehoist_load_generator::stand::{LoadStack, LoadStackOptions};
 use stagehoist_load_generator::{Mix, Plan, Report, Shape};
@@ -92,7 +92,7 @@
 
 #[test]
 fn three_front_ends_in_two_processes_at_five_times_the_capacity_one_of_them_stopped() {
-    let _alone = alone();
+    let _permits = acquire_all();
     let stack = warm(&LoadStackOptions { processes: vec![2, 1], ..LoadStackOptions::default() });
     let load = Load::new("flood", 2000.0, 4.0).start(&stack);
     std::thread::sleep(Duration::from_millis(700));
@@ -108,7 +108,7 @@
 
 #[test]
 fn bodies_of_a_megabyte_up_to_the_bound_on_bytes() {
-    let _alone = alone();
+    let _permits = acquire_all();
     let more = "held-bytes-most 8MB\nbody-most 2MB\n".to_string();
     let stack = warm(&LoadStackOptions { more, run_ms: 400, ..LoadStackOptions::default() });
     let report = Load { size: 1 << 20, ..Load::new("large", 40.0, 2.0) }.run(&stack);
@@ -118,7 +118,7 @@
 
 #[test]
 fn one_functions_flood_beside_anothers_steady_calls_on_one_queue_and_on_two() {
-    let _alone = alone();
+    let _permits = acquire_all();
     for queue in ["calls", "steady"] {
         let more = "consume steady declare durable\n".to_string();
         let stack = warm(&LoadStackOptions { more, ..LoadStackOptions::default() });
@@ -132,7 +132,7 @@
 
 #[test]
 fn a_backlog_of_unknown_age_is_answered_without_running_what_is_too_late() {
-    let _alone = alone();
+    let _permits = acquire_all();
     let options = LoadStackOptions { processes: vec![2], ..LoadStackOptions::default() };
     let mut stack = LoadStack::start(Path::new(env!("CARGO_BIN_EXE_stagehoist")), &options).unwrap();
     // The queue must exist before callers publish to it: the gateway declares it and is then stopped.
@@ -154,7 +154,7 @@
 
 #[test]
 fn callers_that_repeat_every_refusal_at_once_leave_no_state_that_lasts() {
-    let _alone = alone();
+    let _permits = acquire_all();
     let stack = warm(&LoadStackOptions { processes: vec![2], ..LoadStackOptions::default() });
     let manners = Manners { at_once: 0.84, honour: 0.0, most: 10 };
     let shape = Shape::Burst { times: 6.0, at: 1.0, span: 2.0 };
--- a/crates/cli/tests/whole_path.rs
+++ b/crates/cli/tests/whole_path.rs
@@ -3,14 +3,14 @@
 
 mod alone;
 
-use alone::with_limit;
+use alone::acquire_one;
 use stagehoist_harness::{play, Day, Ledger};
 use std::path::Path;
 
 /// Runs a day and asserts that every rule was kept, that no message was answered twice, and that every message that was owed
 /// an answer got one.
 fn play_and_check(name: &str, day: &Day) -> Ledger {
-    let _permit = with_limit();
+    let _permit = acquire_one();
     let ledger = play(day, Path::new(env!("CARGO_BIN_EXE_stagehoist")), &mut |_| {}).unwrap();
     for rule in &ledger.verdict.rules {
         assert!(rule.kept, "{name}: {rule:#?}");
