--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,10 +1,10 @@
 //! The `demo`, `play` and `measure` subcommands: run a scenario (a day) on the whole stack and print its progress and ledger,
 //! or measure the stack.
 
-mod shown;
+mod output;
 
 use clap::Args;
-use shown::{print_ledger, progress_printer};
+use output::{print_ledger, progress_printer};
 use stagehoist_harness::{measure, play_on, Day, HarnessError, Stack};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -27,7 +27,7 @@
 }
 
 #[derive(Args)]
-pub struct PlayArgs {
+pub struct ScenarioArgs {
     /// The day file; see docs/days.md.
     day: PathBuf,
     /// Shorten or lengthen the day to this number of seconds.
@@ -64,7 +64,7 @@
 }
 
 /// Runs a day file.
-pub fn play(args: &PlayArgs) -> ExitCode {
+pub fn run_scenario(args: &ScenarioArgs) -> ExitCode {
     let text = match std::fs::read_to_string(&args.day) {
         Ok(text) => text,
         Err(e) => return fail(&format!("{}: {e}", args.day.display())),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -78,7 +78,7 @@
         emulator: standin::Standin,
     },
     /// Run a scenario with faults from a day file and print its ledger; exit code 0 only if every rule held.
-    Play(demo::PlayArgs),
+    Play(demo::ScenarioArgs),
 }
 
 fn main() -> ExitCode {
@@ -104,7 +104,7 @@
     }
     match cli.command {
         Command::Demo(args) => demo::demo(&args),
-        Command::Play(args) => demo::play(&args),
+        Command::Play(args) => demo::run_scenario(&args),
         Command::Platform => platform::run(),
         Command::Serve { conf } => serve::serve(&conf),
         Command::Check { conf, print } => serve::check(&conf, print),
--- a/crates/cli/tests/fleet_days.rs
+++ b/crates/cli/tests/fleet_days.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Runs a day with the values drawn from a seed, and asserts that every rule was kept.
-fn play_and_check(name: &str, text: &str, seed: u64, seconds: u64) -> Ledger {
+fn run_and_check(name: &str, text: &str, seed: u64, seconds: u64) -> Ledger {
     let _permits = acquire_all();
     let mut day = Day::parse(name, text).unwrap().shortened(Duration::from_secs(seconds));
     day.seed = seed;
@@ -27,7 +27,7 @@
 
 #[test]
 fn what_is_retired_stays_so_while_processes_are_cut_off_stopped_and_killed() {
-    let ledger = play_and_check("retire", include_str!("../../../days/retire.day"), 3, 12);
+    let ledger = run_and_check("retire", include_str!("../../../days/retire.day"), 3, 12);
     let rule = ledger.verdict.rules.iter().find(|r| r.name == "retired stays retired").unwrap();
     assert!(rule.checks > 100, "{rule:?}");
     assert_eq!(ledger.in_force_after_ms.len(), 2, "{ledger:?}");
@@ -35,14 +35,14 @@
 
 #[test]
 fn power_is_lost_everywhere_and_nothing_unsafe_runs_twice_though_messages_are_asked_about() {
-    let ledger = play_and_check("power-loss", include_str!("../../../days/power-loss.day"), 3, 20);
+    let ledger = run_and_check("power-loss", include_str!("../../../days/power-loss.day"), 3, 20);
     let rule = ledger.verdict.rules.iter().find(|r| r.name == "no effect twice").unwrap();
     assert!(rule.checks > 300, "{rule:?}");
 }
 
 #[test]
 fn a_divided_fleet_keeps_the_rules_while_machines_die_and_the_list_stalls() {
-    let ledger = play_and_check("shards", include_str!("../../../days/shards.day"), 1, 12);
+    let ledger = run_and_check("shards", include_str!("../../../days/shards.day"), 1, 12);
     assert!(ledger.verdict.sent > 1_000, "{ledger:?}");
     assert_eq!(ledger.answers.get("refused: other-shard"), None, "{ledger:?}");
 }
@@ -50,7 +50,7 @@
 /// Runs at full length, because the duration of restarts can't be shortened.
 #[test]
 fn the_number_of_shards_changes_under_load_and_no_call_meets_the_wrong_shard() {
-    let ledger = play_and_check("shards-change", include_str!("../../../days/shards-change.day"), 1, 36);
+    let ledger = run_and_check("shards-change", include_str!("../../../days/shards-change.day"), 1, 36);
     assert!(ledger.verdict.sent > 3_000, "{ledger:?}");
     assert_eq!(ledger.answers.get("refused: other-shard"), None, "{ledger:?}");
 }
@@ -86,7 +86,7 @@
 }
 
 /// Runs a day in which front ends order all loads, asserts that every rule was kept, and returns the stack and the capture.
-fn play_load_orders(name: &str, text: &str, seconds: u64) -> (Stack, Ledger, Capture, RuleSet) {
+fn run_with_load_orders(name: &str, text: &str, seconds: u64) -> (Stack, Ledger, Capture, RuleSet) {
     let day = Day::parse(name, text).unwrap().shortened(Duration::from_secs(seconds));
     let mut stack = Stack::start(day, Path::new(env!("CARGO_BIN_EXE_stagehoist"))).unwrap();
     stack.wait_ready(Duration::from_secs(20)).unwrap();
@@ -105,7 +105,7 @@
 fn where_owners_follow_a_list_shards_change_hands_and_the_rules_are_kept() {
     let _permits = acquire_all();
     let (stack, ledger, _, _) =
-        play_load_orders("shards-list", include_str!("../../../days/shards-list.day"), 16);
+        run_with_load_orders("shards-list", include_str!("../../../days/shards-list.day"), 16);
     assert_eq!(ledger.answers.get("refused: other-shard"), None, "{ledger:?}");
     assert!(ledger.verdict.rules[3].checks > 10, "{:?}", ledger.verdict.rules[3]);
     assert!(ledger.verdict.rules[4].checks > 100, "{:?}", ledger.verdict.rules[4]);
@@ -120,7 +120,7 @@
 fn in_a_divided_fleet_loads_stay_in_their_ration_and_cold_workers_are_spared() {
     let _permits = acquire_all();
     let (_, ledger, capture, rules) =
-        play_load_orders("shards-load", include_str!("../../../days/shards-load.day"), 16);
+        run_with_load_orders("shards-load", include_str!("../../../days/shards-load.day"), 16);
     let story = Story::read(&capture);
     let loading: BTreeSet<u32> = story.loads.iter().map(|l| l.front_end).collect();
     assert!(loading.len() >= 12, "few front ends order loads: {loading:?}");
--- a/crates/cli/tests/outages/drains.rs
+++ b/crates/cli/tests/outages/drains.rs
@@ -1,7 +1,7 @@
 //! Drains during an outage, which the endpoint list can't report: tests of rule 3 for sends and for load orders, with the
 //! times that the documentation defines.
 
-use crate::rig::{beside_others, Rig, Shape, Verdict};
+use crate::rig::{shared_lock, Rig, Shape, Verdict};
 use crate::traffic::Load;
 use stagehoist_emulator::platform::bus::{Resumption, SubscriptionFault};
 use std::time::{Duration, Instant};
@@ -11,14 +11,14 @@
 /// Minimum ratio of the served part of requests within an outage to the served part before it.
 const SERVED_PART: f64 = 0.9;
 /// Maximum number of broken rules printed for each run.
-const MAX_SHOWN: usize = 8;
+const MAX_PRINTED: usize = 8;
 
 fn load(front_ends: usize) -> Load {
     Load {
         clients: 1,
         rate: 90.0 / front_ends as f64,
         functions: 30,
-        // Keeps load orders within the load budget of one front end; with a single front end all orders count against it.
+        // With a single front end, new functions appear less often, so that its load orders stay within the load budget.
         new_function_after: if front_ends == 1 { 20 } else { 8 },
         allow: 1200 * MS,
         unsafe_part: 0.3,
@@ -93,7 +93,7 @@
         verdict.probes,
         verdict.requests.len()
     );
-    let mut violations: Vec<String> = verdict.broken.into_iter().take(MAX_SHOWN).collect();
+    let mut violations: Vec<String> = verdict.broken.into_iter().take(MAX_PRINTED).collect();
     if within < SERVED_PART * before {
         violations.push(format!("served {before:.3} before the outage and {within:.3} within"));
     }
@@ -124,7 +124,7 @@
 /// A front end that is restarted within an outage has only the endpoint list from its configuration, which nothing confirms.
 #[test]
 fn a_front_end_started_inside_an_outage_keeps_drains_that_begin_after_its_start() {
-    let _beside = beside_others();
+    let _lock = shared_lock();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     for kind in [SubscriptionFault::Refusing, SubscriptionFault::Unreachable] {
         let verdict = runtime.block_on(async {
@@ -152,7 +152,7 @@
 /// Runs two front ends through each kind of outage. For longer manual runs set `OUTAGE_SEEDS=20`.
 #[test]
 fn every_kind_of_outage_keeps_the_rules_and_nine_tenths_of_the_service() {
-    let _beside = beside_others();
+    let _lock = shared_lock();
     use SubscriptionFault::{Closing, Refusing, Silent, Unreachable};
     let seeds: u64 = std::env::var("OUTAGE_SEEDS").map_or(1, |text| text.parse().unwrap());
     for seed in 100..100 + seeds {
@@ -162,7 +162,7 @@
 
 #[test]
 fn drains_within_an_outage_of_discovery_are_kept_for_sends_and_for_orders_to_load() {
-    let _beside = beside_others();
+    let _lock = shared_lock();
     use SubscriptionFault::{Refusing, Silent};
     let cases = [(Silent, 1, 1), (Refusing, 1, 2), (Silent, 3, 3), (Refusing, 3, 4), (Silent, 8, 5)];
     assert_rules_kept(cases.map(|(kind, front_ends, seed)| Case::new(kind, front_ends, seed)));
@@ -171,7 +171,7 @@
 /// The first missed event does not show whether more events will follow.
 #[test]
 fn drains_that_a_bus_tells_slowly_after_an_outage_are_kept_from_its_first_event_on() {
-    let _beside = beside_others();
+    let _lock = shared_lock();
     use SubscriptionFault::{Closing, Refusing, Silent, Unreachable};
     let case = |(kind, seed)| Case { resumption: Resumption::SlowEvents, ..Case::new(kind, 2, seed) };
     assert_rules_kept([(Silent, 6), (Refusing, 7), (Closing, 8), (Unreachable, 9)].map(case));
--- a/crates/cli/tests/outages/fleet_soak.rs
+++ b/crates/cli/tests/outages/fleet_soak.rs
@@ -3,7 +3,7 @@
 //! other soak test. To repeat a run:
 //! `SOAK_FIRST=17 FLEET_SOAK_SEEDS=1 cargo test -p stagehoist-cli --test outages fleet_soak -- --nocapture`.
 
-use crate::rig::{alone, Shape};
+use crate::rig::{exclusive_lock, Shape};
 use crate::soak::{draw_faults, draw_outages, draw_signals, number, run_seeds, Plan, PlannedEvent};
 use crate::traffic::Load;
 use rand::{RngExt, SeedableRng};
@@ -143,6 +143,6 @@
 
 #[test]
 fn fleets_of_all_sizes_keep_every_rule_under_drawn_faults_and_shares_of_a_core() {
-    let _alone = alone();
+    let _lock = exclusive_lock();
     run_seeds("fleet-soak", number("FLEET_SOAK_SEEDS", SEEDS), number("SOAK_AT_ONCE", CONCURRENCY), draw);
 }
--- a/crates/cli/tests/outages/machine.rs
+++ b/crates/cli/tests/outages/machine.rs
@@ -1,7 +1,7 @@
 //! Machine faults under a front end, without an outage of discovery: transient failures and interruptions of system calls,
 //! and a wall clock that steps. None of these indicates a fault of an executor, and none may make a call fail.
 
-use crate::rig::{beside_others, Rig, Shape, Verdict};
+use crate::rig::{shared_lock, Rig, Shape, Verdict};
 use crate::traffic::Load;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -69,12 +69,12 @@
 
 #[test]
 fn calls_on_sockets_that_fail_for_a_moment_cost_no_call_and_eject_no_executor() {
-    let _beside = beside_others();
+    let _lock = shared_lock();
     assert_unaffected_by("seed=5,sockets=50000");
 }
 
 #[test]
 fn a_wall_clock_that_steps_by_seconds_or_an_hour_both_ways_changes_nothing() {
-    let _beside = beside_others();
+    let _lock = shared_lock();
     assert_unaffected_by("steps=500:3600000;1500:-7200000;2900:7000;4000:-9000");
 }
--- a/crates/cli/tests/outages/processor_share.rs
+++ b/crates/cli/tests/outages/processor_share.rs
@@ -2,7 +2,7 @@
 //! time, and the resource usage of a front end does not grow with the fleet.
 
 use crate::machine::shim_environment;
-use crate::rig::{alone, Rig, Shape, Verdict};
+use crate::rig::{exclusive_lock, Rig, Shape, Verdict};
 use crate::soak::number;
 use crate::traffic::Load;
 use crate::usage::Usage;
@@ -21,7 +21,7 @@
 const DRAIN_TIME: Duration = Duration::from_millis(1000);
 const AWAY_TIME: Duration = Duration::from_millis(500);
 /// Maximum number of broken rules printed for a run.
-const MAX_SHOWN: usize = 6;
+const MAX_PRINTED: usize = 6;
 
 /// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
@@ -104,7 +104,7 @@
 
 /// Performs all runs, each on its own thread, at most `at_once` concurrently.
 fn run_all(plays: &[Play], at_once: usize) -> Vec<Outcome> {
-    let _alone = alone();
+    let _lock = exclusive_lock();
     let mut outcomes = Vec::new();
     for batch in plays.chunks(at_once) {
         let start = |play: Play| {
@@ -146,7 +146,7 @@
 fn broken(outcomes: &[Outcome]) -> Vec<String> {
     let of = |outcome: &Outcome| {
         let executors = outcome.play.executors;
-        let shown = outcome.verdict.broken.iter().take(MAX_SHOWN);
+        let shown = outcome.verdict.broken.iter().take(MAX_PRINTED);
         shown.map(|text| format!("{executors} executors: {text}")).collect::<Vec<_>>()
     };
     outcomes.iter().flat_map(of).collect()
--- a/crates/cli/tests/outages/rig.rs
+++ b/crates/cli/tests/outages/rig.rs
@@ -34,7 +34,7 @@
 /// States of an executor on the event bus.
 const READY: u8 = 0;
 const DRAINING: u8 = 1;
-const GONE: u8 = 2;
+const REMOVED: u8 = 2;
 /// Grace after a drain; equal to the value in the configuration.
 const GRACE: Duration = Duration::from_millis(250);
 /// Load budget of a front end: load orders that are always allowed, additional load orders per request, and the window.
@@ -63,12 +63,12 @@
 
 /// Returns the exclusive lock for a test with thousands of executors. Their listeners use many descriptors, and some of these
 /// tests measure processor time, which increases on a processor shared with other tests.
-pub fn alone() -> RwLockWriteGuard<'static, ()> {
+pub fn exclusive_lock() -> RwLockWriteGuard<'static, ()> {
     TESTS.write().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Returns the shared lock for every other test.
-pub fn beside_others() -> RwLockReadGuard<'static, ()> {
+pub fn shared_lock() -> RwLockReadGuard<'static, ()> {
     TESTS.read().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -274,7 +274,7 @@
 
     fn configuration(&self, number: usize) -> Value {
         let word = |state: u8| ["ready", "draining"][usize::from(state)];
-        let listed = self.slots.iter().filter(|slot| slot.state != GONE);
+        let listed = self.slots.iter().filter(|slot| slot.state != REMOVED);
         let entry = |slot: &Slot| {
             let mut entry = host(slot.executor.id, slot.executor.addresses[number], word(slot.state));
             entry["share"] = f64::from(self.shape.capacity).into();
@@ -389,7 +389,7 @@
     /// Stops several drained executors and publishes their removal as one event.
     pub fn remove_all(&mut self, indices: Range<usize>) {
         self.slots[indices.clone()].iter().for_each(|slot| slot.executor.end());
-        self.publish(indices, GONE);
+        self.publish(indices, REMOVED);
     }
 
     /// Restarts an executor at its addresses, without copies.
@@ -446,9 +446,9 @@
         });
         let mut ledgers: Vec<Ledger> = self.front_ends.iter().map(|_| Ledger::default()).collect();
         for client in std::mem::take(&mut self.clients) {
-            let Ledger { asked, answers } = client.ledger.await.unwrap();
+            let Ledger { requests, answers } = client.ledger.await.unwrap();
             let ledger = &mut ledgers[client.front_end];
-            ledger.asked.extend(asked);
+            ledger.requests.extend(requests);
             ledger.answers.extend(answers);
         }
         let mut broken = Vec::new();
@@ -460,7 +460,7 @@
         let seen: Vec<_> = self.slots.iter().map(Slot::seen).collect();
         for (number, ledger) in ledgers.iter().enumerate() {
             let observed: Vec<_> = seen.iter().map(|(id, seen)| (*id, of_front_end(seen, number))).collect();
-            let violations = judge(&ledger.asked, &ledger.answers, &observed, &self.rules(number));
+            let violations = judge(&ledger.requests, &ledger.answers, &observed, &self.rules(number));
             broken.extend(violations.into_iter().map(|text| format!("n{number}: {text}")));
         }
         broken.extend(self.slow_start().broken(&seen));
@@ -549,6 +549,6 @@
     let served: BTreeMap<&str, bool> =
         ledger.answers.iter().map(|answer| (&*answer.tag, answer.word == "200")).collect();
     let is_served = |request: &SentRequest| served.get(&*request.tag).copied().unwrap_or(false);
-    let outcomes: Vec<bool> = ledger.asked.iter().map(is_served).collect();
-    ledger.asked.into_iter().zip(outcomes).collect()
+    let outcomes: Vec<bool> = ledger.requests.iter().map(is_served).collect();
+    ledger.requests.into_iter().zip(outcomes).collect()
 }
--- a/crates/cli/tests/outages/soak.rs
+++ b/crates/cli/tests/outages/soak.rs
@@ -5,7 +5,7 @@
 //! `SOAK_SEEDS` sets the number of seeds and `SOAK_AT_ONCE` how many run concurrently.
 
 use crate::machine::shim_environment;
-use crate::rig::{beside_others, Rig, Shape, Verdict};
+use crate::rig::{shared_lock, Rig, Shape, Verdict};
 use crate::traffic::{Load, Phase};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -42,7 +42,7 @@
 /// Number of idle connections that a crowd opens.
 const CROWD: usize = 150;
 /// Maximum number of broken rules printed for a run.
-const MAX_SHOWN: usize = 6;
+const MAX_PRINTED: usize = 6;
 
 /// An event in a run.
 #[derive(Clone, Debug)]
@@ -237,7 +237,7 @@
     }
 }
 
-async fn play(plan: Plan) -> (Plan, Verdict) {
+async fn run_plan(plan: Plan) -> (Plan, Verdict) {
     let environment = |number: usize| shim_environment(&plan.faults[number]);
     let mut rig = Rig::start(plan.shape, environment).await;
     rig.begin_traffic(plan.load);
@@ -306,7 +306,7 @@
 /// Runs the plan of one seed and returns the violations.
 pub fn run(name: &str, seed: u64, plan: Plan) -> Vec<String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let (plan, verdict) = runtime.block_on(play(plan));
+    let (plan, verdict) = runtime.block_on(run_plan(plan));
     let start = verdict.requests.first().map_or(Instant::now(), |(request, _)| request.at);
     let served = verdict.served(start, start + LENGTH_MS as u32 * MS * 2);
     let Shape { front_ends, executors, longest_deadline, run, capacity, .. } = plan.shape;
@@ -327,7 +327,7 @@
     let faults = plan.faults.iter().map(|faults| format!("faults {faults}"));
     let lines: Vec<String> = events.chain(faults).chain(verdict.broken.clone()).chain(verdict.logs).collect();
     std::fs::write(&log_file, lines.join("\n")).unwrap();
-    let shown = verdict.broken.into_iter().take(MAX_SHOWN);
+    let shown = verdict.broken.into_iter().take(MAX_PRINTED);
     shown.map(|text| format!("{name}, seed {seed} ({}): {text}", log_file.display())).collect()
 }
 
@@ -337,7 +337,7 @@
 
 #[test]
 fn soak_of_outages_drains_restarts_and_faults_of_machines_keeps_every_rule() {
-    let _beside = beside_others();
+    let _lock = shared_lock();
     run_seeds("outage-soak", number("SOAK_SEEDS", SEEDS), number("SOAK_AT_ONCE", CONCURRENCY), draw);
 }
 
--- a/crates/cli/tests/outages/traffic.rs
+++ b/crates/cli/tests/outages/traffic.rs
@@ -58,14 +58,14 @@
 /// Requests and answers of a client.
 #[derive(Default)]
 pub struct Ledger {
-    pub asked: Vec<SentRequest>,
+    pub requests: Vec<SentRequest>,
     pub answers: Vec<Answered>,
 }
 
 struct Connection {
     client: Client,
     /// Positions of its requests in the ledger.
-    requests: Vec<usize>,
+    request_positions: Vec<usize>,
 }
 
 /// Sends requests until the phase is `Over`, then waits for outstanding answers until they time out.
@@ -111,7 +111,7 @@
         }
     }
     if let Some(mut open) = connection {
-        let answers = open.requests.len();
+        let answers = open.request_positions.len();
         open.client.wait(answers, load.allow + CROSSING).await;
         traffic.collect(open);
     }
@@ -132,7 +132,7 @@
             return None;
         }
         match Client::connect(to).await {
-            Ok(client) => Some(Connection { client, requests: Vec::new() }),
+            Ok(client) => Some(Connection { client, request_positions: Vec::new() }),
             Err(_) => {
                 tokio::time::sleep(RECONNECT_PAUSE).await;
                 None
@@ -146,8 +146,8 @@
         let answers = connection.client.answers();
         let closed = connection.client.closed();
         let mut crossed = Vec::new();
-        for &position in &connection.requests {
-            let request = &self.ledger.asked[position];
+        for &position in &connection.request_positions {
+            let request = &self.ledger.requests[position];
             let is_answered = answers.iter().any(|answer| answer.tag == request.tag);
             let has_crossed = closed.is_some_and(|at| request.at + CROSSING > at);
             if !is_answered && has_crossed && request.left.is_none() {
@@ -156,12 +156,12 @@
         }
         self.ledger.answers.extend(answers);
         // Removes from the end, so that the earlier positions remain valid.
-        let again = crossed.iter().rev().map(|&position| self.ledger.asked.remove(position));
+        let again = crossed.iter().rev().map(|&position| self.ledger.requests.remove(position));
         again.collect()
     }
 
     async fn send_request(&mut self, connection: &mut Connection) {
-        let open = connection.requests.len().saturating_sub(connection.client.answers().len());
+        let open = connection.request_positions.len().saturating_sub(connection.client.answers().len());
         if open >= MAX_OPEN {
             return;
         }
@@ -213,16 +213,16 @@
         let class = if request.is_unsafe { "book" } else { "look" };
         let tag = request.tag.parse().unwrap_or(0);
         if connection.client.request(tag, class, &fields, &request.body).await.is_ok() {
-            connection.requests.push(self.ledger.asked.len());
-            self.ledger.asked.push(request);
+            connection.request_positions.push(self.ledger.requests.len());
+            self.ledger.requests.push(request);
         }
     }
 
     async fn cancel_last(&mut self, connection: &mut Connection) {
-        let Some(&position) = connection.requests.last() else { return };
+        let Some(&position) = connection.request_positions.last() else { return };
         let pause = Duration::from_millis(self.random.random_range(0..30));
         tokio::time::sleep(pause).await;
-        let request = &mut self.ledger.asked[position];
+        let request = &mut self.ledger.requests[position];
         let left = Instant::now();
         if connection.client.raw(&array(&[b"ABORT", request.tag.as_bytes()])).await.is_ok() {
             request.left = Some(left);
--- a/crates/cli/tests/whole_path.rs
+++ b/crates/cli/tests/whole_path.rs
@@ -9,7 +9,7 @@
 
 /// Runs a day and asserts that every rule was kept, that no message was answered twice, and that every message that was owed
 /// an answer got one.
-fn play_and_check(name: &str, day: &Day) -> Ledger {
+fn run_and_check(name: &str, day: &Day) -> Ledger {
     let _permit = acquire_one();
     let ledger = play(day, Path::new(env!("CARGO_BIN_EXE_stagehoist")), &mut |_| {}).unwrap();
     for rule in &ledger.verdict.rules {
@@ -23,7 +23,7 @@
 
 fn run(name: &str, text: &str) -> Ledger {
     let head = "halls 3\nworkers 6\nfront-ends 2\nrate 100/s\nlength 4s\nreplies transaction\n";
-    let ledger = play_and_check(name, &Day::parse(name, &format!("{head}{text}")).unwrap());
+    let ledger = run_and_check(name, &Day::parse(name, &format!("{head}{text}")).unwrap());
     assert!(
         ledger.verdict.sent > 200 && ledger.verdict.served * 2 > ledger.verdict.sent,
         "{name}: {ledger:?}"
@@ -112,7 +112,7 @@
 fn overloaded(name: &str, text: &str) -> Ledger {
     let head = "halls 3\nworkers 3\nfront-ends 2\nrate 300/s\nlength 4s\nreplies transaction\n\
                 at 500ms flood 7x for 2s\n";
-    let ledger = play_and_check(name, &Day::parse(name, &format!("{head}{text}")).unwrap());
+    let ledger = run_and_check(name, &Day::parse(name, &format!("{head}{text}")).unwrap());
     assert!(
         ledger.verdict.sent > 1500 && ledger.verdict.refused > 200 && ledger.verdict.served > 200,
         "{name}: {ledger:?}"
@@ -144,5 +144,5 @@
 fn the_day_of_trouble_in_a_shorter_time() {
     let text = include_str!("../../../days/trouble.day");
     let day = Day::parse("trouble.day", text).unwrap().shortened(std::time::Duration::from_secs(24));
-    play_and_check("trouble", &day);
+    run_and_check("trouble", &day);
 }
