--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,14 +1,12 @@
-//! Agreement on the cluster state between processes, and a front end's session with the leader.
+//! Replication of the cluster state between processes, and a front end's session with the leader.
 //!
-//! Three or five processes keep the cluster state: openraft over a log and snapshots in redb. Tasks own their
-//! sockets and state and
-//! talk by messages, on a thread of their own ([`start`]); a front end's driver reads [`Session::status`]
-//! and never waits.
+//! Three or five processes replicate the cluster state: openraft over a log and snapshots in redb. Each task owns
+//! its socket and state, and tasks exchange messages, all on a dedicated thread ([`start`]). A front end's driver
+//! reads [`Session::status`] and never blocks.
 //!
-//! What a replica acknowledged is on its disk. One that lost its store, or finds it older than a file beside
-//! it tells, is
-//! brought back without a second vote in any term (`replica::participation`); how a store is judged stands in
-//! `store::open`.
+//! Whatever a replica acknowledged is on its disk. A replica that lost its store, or whose store is older than the
+//! guard file beside it records, rejoins without voting twice in any term (`replica::participation`). `store::open`
+//! describes how a store is checked.
 #![forbid(unsafe_code)]
 
 mod error;
@@ -36,31 +34,31 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
 
-/// The process's monotonic clock, the one its front ends go by.
+/// The process's monotonic clock, which its front ends also use.
 pub type Now = Arc<dyn Fn() -> Micros + Send + Sync>;
 
-/// What a process is notified of the fleet.
+/// Configuration of a process's replica and sessions.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Every replica by its number, as this process reaches it.
+    /// Address at which this process reaches each replica, by replica number.
     pub replicas: BTreeMap<u64, String>,
-    /// Where this process is a replica itself: its number, the address it listens on, the folder of its store.
+    /// The replica that this process runs; `None`: it runs none.
     pub replica: Option<ReplicaOptions>,
     pub terms: LeaseTerms,
     pub edition: u64,
     pub pools: Vec<Pool>,
-    /// How permits of pools are allocated while this process's replica leads; none: they are not.
+    /// Limits for allocating pool permits while this process's replica leads; `None`: permits are not allocated.
     pub allocation: Option<AllocationLimits>,
-    /// Front ends of this process by name, each a member with a session of its own.
+    /// Names of the front ends in this process; each is a member with its own session.
     pub members: Vec<String>,
-    /// Folder in which the last incarnation and view of each member are kept; none: it is asked of the
-    /// replicas alone.
+    /// Folder that stores the last incarnation and view of each member; `None`: they come from the replicas
+    /// alone.
     pub session_folder: Option<PathBuf>,
     pub seed: u64,
     pub timing: Timing,
 }
 
-/// The replica that this process runs.
+/// A replica's number, the address it listens on and the folder of its store.
 #[derive(Clone, Debug)]
 pub struct ReplicaOptions {
     pub number: u64,
@@ -68,14 +66,14 @@
     pub store: PathBuf,
 }
 
-/// How quickly replicas notice that the leader is gone, in milliseconds, and how long their logs grow; alike at all
-/// replicas.
+/// Timing of leader failure detection, in milliseconds, and limits of the log length. All replicas must use the
+/// same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     pub heartbeat_ms: u64,
-    /// An election begins after a time drawn between these without word from the leader.
+    /// A replica starts an election after receiving nothing from the leader for a random time between these two.
     pub election_ms: (u64, u64),
-    /// Entries between two snapshots, and those kept behind the last for a replica that is a little late.
+    /// Entries between two snapshots, and entries retained before the last snapshot for replicas that lag slightly.
     pub log: (u64, u64),
 }
 
@@ -85,7 +83,7 @@
     }
 }
 
-/// What a front end's driver tells its session; the newest counts.
+/// State that a front end's driver reports through its session; only the newest report is used.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SessionReport {
     pub confirmed: Version,
@@ -93,15 +91,15 @@
     pub demand: Vec<Demand>,
 }
 
-/// One front end's ends of its session.
+/// A front end's channels to its session.
 pub struct Session {
     pub status: watch::Receiver<ClusterStatus>,
-    /// This run, once it has joined.
+    /// The member that this run joined as; `None` until it has joined.
     pub member: watch::Receiver<Option<Member>>,
     pub report: watch::Sender<SessionReport>,
-    /// Retirements asked for; one that is known already changes nothing.
+    /// Requests for retirements; a retirement that is already known has no effect.
     pub retire: mpsc::Sender<Retirement>,
-    /// Questions about messages that are delivered again, and answers to others'.
+    /// Inquiries about redelivered messages, and answers to the inquiries of other front ends.
     pub inquiries: mpsc::Sender<InquiryMessage>,
     pub inquiry_events: mpsc::Receiver<InquiryEvent>,
 }
--- a/crates/consensus/src/replica/connection.rs
+++ b/crates/consensus/src/replica/connection.rs
@@ -1,6 +1,6 @@
-//! A front end's connection at a replica: frames in to the desk, frames out from it.
+//! A front end's connection at a replica: passes frames to and from the session service.
 
-use super::service::{Notes, ServiceMessage};
+use super::service::{ServiceMessage, ServiceSender};
 use crate::frames::{decode, split, Frames, WRITE_TIMEOUT};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -9,13 +9,13 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Frames that a front end has not taken yet; one that lets more come is cut off.
+/// Maximum number of frames queued for a front end; a front end that exceeds it is disconnected.
 pub const OUTPUT_CAPACITY: usize = 64;
-/// How long one may say nothing.
+/// A front end that sends nothing for this long is disconnected.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Serves one connection until either side ends it. The desk ends it by dropping its sender.
-pub async fn serve_session(connection: u64, frames: Frames, hello: SessionRequest, service: Notes) {
+/// Serves one connection until either side ends it. The session service ends it by dropping its sender.
+pub async fn serve_session(connection: u64, frames: Frames, hello: SessionRequest, service: ServiceSender) {
     let (out, mut outgoing) = mpsc::channel::<Bytes>(OUTPUT_CAPACITY);
     if service.send(ServiceMessage::Connected { connection, hello, out }).await.is_err() {
         return;
@@ -27,7 +27,7 @@
                 let Ok(Some(Ok(frame))) = frame else { break };
                 let Some(request) = decode::<SessionRequest>(&frame) else {
                     tracing::warn!(target: "stagehoist_consensus", event = "session", connection,
-                        "a frame that says nothing");
+                        "malformed frame from front end; closing connection");
                     break;
                 };
                 if service.send(ServiceMessage::Received { connection, request }).await.is_err() {
@@ -44,7 +44,7 @@
                     SinkExt::<Bytes>::flush(&mut sink).await
                 });
                 if !matches!(written.await, Ok(Ok(()))) {
-                    tracing::warn!(target: "stagehoist_consensus", event = "session", connection, "it does not read");
+                    tracing::warn!(target: "stagehoist_consensus", event = "session", connection, "front end did not read in time; closing connection");
                     break;
                 }
             }
--- a/crates/consensus/src/replica/leading.rs
+++ b/crates/consensus/src/replica/leading.rs
@@ -1,25 +1,25 @@
-//! From when a replica that Raft counts as the leader may lead its sessions.
+//! Decides when a replica that Raft considers the leader may serve sessions as the leader.
 //!
-//! One that was killed and comes back before another was elected is the leader again at once, in its old term and without an
-//! election. Its log has entries that were agreed on, shown to members and perhaps acted on, while its record stands where it
-//! was last written. What it promised by that record would vouch for a view that its own earlier run overtook: a front end
-//! that was cut off would take a function that is retired for one that is not.
+//! A leader that is killed and restarts before another replica is elected is the leader again immediately, in its old
+//! term and without an election. Its log may contain entries that were committed, shown to members and acted on, while
+//! its applied state is as old as the last write of it. A lease granted on that state would confirm a view that the
+//! replica's previous run had already replaced: a partitioned front end would treat a retired function as not retired.
 
 #[cfg(test)]
 mod tests;
 
-/// Term and place of an entry.
+/// Term and index of an entry.
 pub type At = (u64, u64);
 
-/// How far the cluster state must come, while Raft counts this replica as the leader of a term.
+/// The entry up to which the cluster state must be applied, while Raft considers this replica the leader of a term.
 #[derive(Debug, Default)]
 pub struct Leading {
     from: Option<At>,
 }
 
 impl Leading {
-    /// Whether it may lead now. `elected`: Raft counts it as the leader of this term; `logged`: the last place of its log;
-    /// `applied`: the last entry in its record.
+    /// Whether this replica may lead now. `elected`: Raft considers it the leader of this term; `logged`: the last index
+    /// of its log; `applied`: the last entry applied to its cluster state.
     pub fn may(&mut self, elected: bool, term: u64, logged: Option<u64>, applied: Option<At>) -> bool {
         if !elected {
             self.from = None;
@@ -29,7 +29,7 @@
             Some(from) if from.0 == term => from,
             _ => *self.from.insert((term, logged.unwrap_or(0))),
         };
-        // Both: an entry of its own term, and all that its log had when it began.
+        // Requires both an applied entry of the replica's own term and all entries that its log had when the term began.
         applied.is_some_and(|applied| applied.0 == term && applied.1 >= from.1)
     }
 }
--- a/crates/consensus/src/replica/leading/tests.rs
+++ b/crates/consensus/src/replica/leading/tests.rs
@@ -6,7 +6,7 @@
 fn one_that_leads_on_after_a_restart_waits_for_what_its_log_had() {
     let mut leading = Leading::default();
     assert!(!leading.may(false, 1, Some(8), Some((1, 6))));
-    // Entries 7 and 8 are of its own term too, and may have been shown to members before it was killed.
+    // Entries 7 and 8 are also of its own term, and members may have received their effects before the kill.
     assert!(!leading.may(true, 1, Some(8), Some((1, 6))));
     assert!(!leading.may(true, 1, Some(9), Some((1, 7))));
     assert!(leading.may(true, 1, Some(9), Some((1, 8))), "what came since need not be there");
--- a/crates/consensus/src/replica/listener.rs
+++ b/crates/consensus/src/replica/listener.rs
@@ -1,9 +1,9 @@
-//! The one address of a replica: peers and front ends come here; their first frame tells which they are.
+//! A replica's listener. Peers and front ends connect to the same address; the first frame identifies them.
 
 use super::connection::serve_session;
 use super::messages::{RequestFrame, ResponseFrame};
 use super::peer_handler::PeerHandler;
-use super::service::Notes;
+use super::service::ServiceSender;
 use crate::frames::{
     decode, decode_first, encode, frames, First, Frames, MAX_FIRST_FRAME, MAX_PEER_FRAME, PEER_PROTOCOL,
     WRITE_TIMEOUT,
@@ -15,15 +15,20 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// Connections at a time, of peers and front ends.
+/// Maximum number of concurrent connections of peers and front ends.
 pub const MAX_CONNECTIONS: usize = 2048;
 const FIRST_FRAME_TIMEOUT: Duration = Duration::from_secs(2);
-/// A peer is heard several times in each election time; one that says nothing for this long is gone.
+/// A serve_peer sends several frames per election timeout; a connection without a frame for this long is closed.
 const PEER_SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Accepts until it is dropped, and with it all connections.
-pub async fn accept_connections(listener: TcpListener, own: u64, host: PeerHandler, service: Notes) {
-    let host = Arc::new(host);
+/// Accepts connections until this future is dropped, which also closes all connections.
+pub async fn accept_connections(
+    listener: TcpListener,
+    own: u64,
+    handler: PeerHandler,
+    service: ServiceSender,
+) {
+    let handler = Arc::new(handler);
     let mut tasks = JoinSet::new();
     let mut connection = 0;
     loop {
@@ -32,15 +37,15 @@
                 Ok((stream, from)) if tasks.len() >= MAX_CONNECTIONS => {
                     tracing::warn!(target: "stagehoist_consensus", event = "session", %from,
                         most = MAX_CONNECTIONS,
-                        "too many connections");
+                        "connection limit reached; connection dropped");
                     drop(stream);
                 }
                 Ok((stream, _)) => {
                     connection += 1;
-                    tasks.spawn(greet(stream, connection, own, host.clone(), service.clone()));
+                    tasks.spawn(handle_connection(stream, connection, own, handler.clone(), service.clone()));
                 }
                 Err(e) => {
-                    tracing::warn!(target: "stagehoist_consensus", why = %e, "can't accept");
+                    tracing::warn!(target: "stagehoist_consensus", why = %e, "can't accept connection");
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
             },
@@ -49,28 +54,36 @@
     }
 }
 
-async fn greet(stream: TcpStream, connection: u64, own: u64, host: Arc<PeerHandler>, service: Notes) {
+async fn handle_connection(
+    stream: TcpStream,
+    connection: u64,
+    own: u64,
+    handler: Arc<PeerHandler>,
+    service: ServiceSender,
+) {
     let mut frames = frames(stream, MAX_FIRST_FRAME);
     let Ok(Some(Ok(first))) = timeout(FIRST_FRAME_TIMEOUT, frames.next()).await else { return };
     match decode_first(&first) {
         Some(First::Member(hello)) => serve_session(connection, frames, hello, service).await,
         Some(First::Peer { protocol: PEER_PROTOCOL, from, to }) if to == own && from != own => {
             frames.codec_mut().set_max_frame_length(MAX_PEER_FRAME);
-            peer(frames, from, &host).await;
+            serve_peer(frames, from, &handler).await;
         }
         Some(First::Peer { protocol, from, to }) => {
-            tracing::error!(target: "stagehoist_consensus", protocol, from, to, own, "a replica was rejected");
+            tracing::error!(target: "stagehoist_consensus", protocol, from, to, own, "peer connection rejected: wrong protocol or replica number");
+        }
+        None => {
+            tracing::warn!(target: "stagehoist_consensus", connection, "malformed first frame; connection closed")
         }
-        None => tracing::warn!(target: "stagehoist_consensus", connection, "a first frame that says nothing"),
     }
 }
 
-/// Answers a peer's calls in order.
-async fn peer(mut frames: Frames, from: u64, host: &PeerHandler) {
+/// Answers a serve_peer's calls in order.
+async fn serve_peer(mut frames: Frames, from: u64, handler: &PeerHandler) {
     while let Ok(Some(Ok(frame))) = timeout(PEER_SILENCE_TIMEOUT, frames.next()).await {
-        let Some(call) = decode::<RequestFrame>(&frame) else { return };
-        let body = host.answer(from, call.body).await;
-        let Ok(answer) = encode(&ResponseFrame { number: call.number, body }) else { return };
+        let Some(request) = decode::<RequestFrame>(&frame) else { return };
+        let body = handler.answer(from, request.body).await;
+        let Ok(answer) = encode(&ResponseFrame { number: request.number, body }) else { return };
         if !matches!(timeout(WRITE_TIMEOUT, frames.send(answer)).await, Ok(Ok(()))) {
             return;
         }
--- a/crates/consensus/src/replica/membership.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -1,4 +1,4 @@
-//! What a leader does for the membership of the replicas.
+//! The leader's maintenance of the replica membership.
 
 use super::messages::{PeerRequest, PeerResponse};
 use super::network::Peers;
@@ -10,14 +10,14 @@
 use tokio::time::{sleep, timeout};
 
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Looks in a row that must find the same difference.
+/// Consecutive checks that must find a difference before the membership is changed.
 const CHECKS_BEFORE_CHANGE: u32 = 3;
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a leader is silent for another to be elected, at most.
+/// Maximum time that a leader withholds heartbeats so that another replica is elected.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Brings Raft's membership in line with the replicas that this process is notified of, while it leads.
+/// While this replica leads, changes Raft's membership to the configured replicas.
 pub async fn maintain_membership(raft: Raft, told: BTreeSet<u64>, peers: Peers) {
     let mut differed = 0;
     loop {
@@ -29,32 +29,32 @@
             continue;
         }
         differed += 1;
-        // One that can't be reached, or may not vote yet, could leave the change half made.
-        if differed < CHECKS_BEFORE_CHANGE || !all_open(&peers, told.difference(&present)).await {
+        // A new replica that is unreachable or may not vote yet could leave the change incomplete.
+        if differed < CHECKS_BEFORE_CHANGE || !all_participating(&peers, told.difference(&present)).await {
             continue;
         }
         differed = 0;
         tracing::warn!(target: "stagehoist_consensus", event = "membership", ?present, ?told,
-            "changing the keepers");
+            "changing the membership of keepers");
         let changed = timeout(CHANGE_TIMEOUT, change(&raft, &present, &told)).await;
         match changed {
             Ok(Ok(())) => {
                 tracing::info!(target: "stagehoist_consensus", event = "membership", ?told, "changed")
             }
             Ok(Err(why)) => {
-                tracing::warn!(target: "stagehoist_consensus", event = "membership", why, "not changed")
+                tracing::warn!(target: "stagehoist_consensus", event = "membership", why, "membership change failed")
             }
             Err(_) => {
-                tracing::warn!(target: "stagehoist_consensus", event = "membership", "not changed in time")
+                tracing::warn!(target: "stagehoist_consensus", event = "membership", "membership change timed out")
             }
         }
     }
 }
 
-async fn all_open(peers: &Peers, new: impl Iterator<Item = &u64>) -> bool {
+async fn all_participating(peers: &Peers, new: impl Iterator<Item = &u64>) -> bool {
     for number in new {
         match peers.call(*number, PeerRequest::Status, ANSWER_TIMEOUT).await {
-            Some(PeerResponse::Status(stand)) if stand.is_participating => {}
+            Some(PeerResponse::Status(status)) if status.is_participating => {}
             _ => return false,
         }
     }
@@ -69,8 +69,8 @@
     Ok(())
 }
 
-/// A leader falls silent for a moment, so that another is elected with a later term: a replica that lost its
-/// log waits for one.
+/// Withholds the leader's heartbeats briefly on request, so that a replica is elected in a later term: a replica that
+/// lost its log waits for one.
 pub async fn yield_term(raft: Raft, mut raised: mpsc::Receiver<u64>) {
     let mut metrics = raft.metrics();
     while let Some(above) = raised.recv().await {
@@ -78,11 +78,11 @@
         if !leads(&metrics.borrow_and_update()) {
             continue;
         }
-        tracing::info!(target: "stagehoist_consensus", event = "membership", above, "yielding for a later term");
+        tracing::info!(target: "stagehoist_consensus", event = "membership", above, "withholding heartbeats so that a leader is elected in a later term");
         raft.runtime_config().heartbeat(false);
         let _ = timeout(SILENCE_TIMEOUT, metrics.wait_for(|m| !leads(m))).await;
         raft.runtime_config().heartbeat(true);
-        // What was asked meanwhile was asked for the same reason.
+        // Requests that arrived meanwhile had the same reason.
         while raised.try_recv().is_ok() {}
     }
 }
--- a/crates/consensus/src/replica/messages.rs
+++ b/crates/consensus/src/replica/messages.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 
 use crate::types::TypeConfig;
 use openraft::error::InstallSnapshotError;
@@ -11,7 +11,7 @@
 /// A request to another replica.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RequestFrame {
-    /// The answer names it.
+    /// Number that the response repeats.
     pub number: u64,
     pub body: PeerRequest,
 }
@@ -23,21 +23,21 @@
     pub body: PeerResponse,
 }
 
-/// What replicas request of each other. The order of variants is part of the wire.
+/// Requests between replicas. The order of variants is part of the wire format.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum PeerRequest {
     Append(AppendEntriesRequest<TypeConfig>),
     Vote(VoteRequest<u64>),
     Snapshot(InstallSnapshotRequest<TypeConfig>),
-    /// How the other stands.
+    /// Requests the status of the other replica.
     Status,
-    /// A replica that lost what it knew up to this term waits for a later one.
+    /// The sender lost its vote and log up to this term and waits for a leader of a later one.
     RaiseTerm {
         above: u64,
     },
 }
 
-/// What replicas respond to each other. The order of variants is part of the wire.
+/// Responses between replicas. The order of variants is part of the wire format.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum PeerResponse {
     Append(AppendEntriesResponse<u64>),
@@ -45,19 +45,19 @@
     Snapshot(Result<InstallSnapshotResponse<u64>, InstallSnapshotError>),
     Status(ReplicaStatus),
     Acknowledged,
-    /// It takes no part now.
+    /// The replica does not participate at present.
     NotParticipating,
 }
 
-/// How a replica stands.
+/// The status of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
-    /// It began with nothing and has nothing from a leader yet.
+    /// It started empty and has received nothing from a leader yet.
     pub is_new: bool,
-    /// It votes and follows.
+    /// It votes and follows leaders.
     pub is_participating: bool,
     /// The highest term that it knows.
     pub term: u64,
-    /// The one that asks is a voter of the membership here.
+    /// The requesting replica is a voter in the membership known here.
     pub is_voter: bool,
 }
--- a/crates/consensus/src/replica/network.rs
+++ b/crates/consensus/src/replica/network.rs
@@ -1,4 +1,4 @@
-//! A replica's connections to the others: one to each, kept, made anew when it breaks.
+//! A replica's connections to the other replicas: one persistent connection to each, reopened after it breaks.
 
 use super::messages::{PeerRequest, PeerResponse, RequestFrame, ResponseFrame};
 use crate::frames::{
@@ -21,64 +21,64 @@
 use tokio::task::JoinSet;
 use tokio::time::{timeout, Instant};
 
-/// Calls to one replica that wait to be sent, and that wait for their answers.
+/// Maximum numbers of requests to one replica that are queued and that are in flight.
 const MAX_WAITING: usize = 64;
 const MAX_IN_FLIGHT: usize = 256;
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
 
-type Waiting = (PeerRequest, oneshot::Sender<PeerResponse>);
-type Refusal<E> = RPCError<u64, EmptyNode, RaftError<u64, E>>;
+type QueuedRequest = (PeerRequest, oneshot::Sender<PeerResponse>);
+type RaftRpcError<E> = RPCError<u64, EmptyNode, RaftError<u64, E>>;
 
-/// Ways to the other replicas.
+/// Handles for requests to the other replicas.
 #[derive(Clone)]
 pub struct Peers {
-    links: BTreeMap<u64, mpsc::Sender<Waiting>>,
+    queues: BTreeMap<u64, mpsc::Sender<QueuedRequest>>,
     pause: Duration,
 }
 
 impl Peers {
-    /// Starts a task for each other replica. `pause` is the time between tries of one that can't be reached.
+    /// Starts a task for each other replica. `pause` is the time between attempts to reach an unreachable replica.
     pub fn start(
         own: u64,
-        keepers: &BTreeMap<u64, String>,
+        replicas: &BTreeMap<u64, String>,
         pause: Duration,
         tasks: &mut JoinSet<()>,
     ) -> Peers {
-        let mut links = BTreeMap::new();
-        for (number, address) in keepers.iter().filter(|(n, _)| **n != own) {
+        let mut queues = BTreeMap::new();
+        for (number, address) in replicas.iter().filter(|(n, _)| **n != own) {
             let (calls, waiting) = mpsc::channel(MAX_WAITING);
-            tasks.spawn(link(own, *number, address.clone(), waiting));
-            links.insert(*number, calls);
+            tasks.spawn(run_peer_connection(own, *number, address.clone(), waiting));
+            queues.insert(*number, calls);
         }
-        Peers { links, pause }
+        Peers { queues, pause }
     }
 
     /// Numbers of the other replicas.
     pub fn numbers(&self) -> Vec<u64> {
-        self.links.keys().copied().collect()
+        self.queues.keys().copied().collect()
     }
 
-    /// One call; none where no answer came in time.
-    pub async fn call(&self, to: u64, body: PeerRequest, most: Duration) -> Option<PeerResponse> {
-        let (answer, came) = oneshot::channel();
-        self.links.get(&to)?.try_send((body, answer)).ok()?;
-        timeout(most, came).await.ok()?.ok()
+    /// Sends one request; `None` if no response arrives in time.
+    pub async fn call(&self, to: u64, body: PeerRequest, time_limit: Duration) -> Option<PeerResponse> {
+        let (answer, response) = oneshot::channel();
+        self.queues.get(&to)?.try_send((body, answer)).ok()?;
+        timeout(time_limit, response).await.ok()?.ok()
     }
 }
 
-/// Owns the connection to one replica; ends when nobody can call any more.
-async fn link(own: u64, to: u64, address: String, mut waiting: mpsc::Receiver<Waiting>) {
+/// Owns the connection to one replica; ends when all request senders are dropped.
+async fn run_peer_connection(own: u64, to: u64, address: String, mut waiting: mpsc::Receiver<QueuedRequest>) {
     let mut backoff = BACKOFF.0;
     let mut next_try = Instant::now();
     while let Some(call) = waiting.recv().await {
-        // Calls that come while it can't be reached are answered at once, by the drop of their sender.
+        // During backoff a request fails immediately, because its response sender is dropped.
         if Instant::now() < next_try {
             continue;
         }
         match connect(own, to, &address).await {
             Some(stream) => {
                 backoff = BACKOFF.0;
-                talk(stream, call, &mut waiting).await;
+                exchange_messages(stream, call, &mut waiting).await;
                 next_try = Instant::now() + backoff;
             }
             None => {
@@ -97,15 +97,19 @@
     Some(frames)
 }
 
-/// Sends calls and hands out answers until the connection breaks or stalls.
-async fn talk(frames: Frames, first: Waiting, waiting: &mut mpsc::Receiver<Waiting>) {
+/// Sends requests and passes on their responses until the connection breaks or stalls.
+async fn exchange_messages(
+    frames: Frames,
+    first: QueuedRequest,
+    waiting: &mut mpsc::Receiver<QueuedRequest>,
+) {
     let (mut sink, mut stream) = frames.split();
     let mut open: BTreeMap<u64, oneshot::Sender<PeerResponse>> = BTreeMap::new();
     let mut number = 0;
     let mut next = Some(first);
     loop {
         if let Some((body, answer)) = next.take() {
-            open.retain(|_, waits| !waits.is_closed());
+            open.retain(|_, response_sender| !response_sender.is_closed());
             if open.len() >= MAX_IN_FLIGHT {
                 return;
             }
@@ -124,8 +128,8 @@
             frame = stream.next() => {
                 let Some(Ok(frame)) = frame else { return };
                 let Some(answer) = decode::<ResponseFrame>(&frame) else { return };
-                if let Some(waits) = open.remove(&answer.number) {
-                    let _ = waits.send(answer.body);
+                if let Some(response_sender) = open.remove(&answer.number) {
+                    let _ = response_sender.send(answer.body);
                 }
             }
         }
@@ -140,7 +144,7 @@
     }
 }
 
-/// Raft's way to one replica.
+/// Raft's network client for one replica.
 pub struct Peer {
     peers: Peers,
     to: u64,
@@ -149,15 +153,15 @@
 impl Peer {
     async fn request<E: std::error::Error>(
         &self,
-        ask: PeerRequest,
+        request: PeerRequest,
         option: RPCOption,
-    ) -> Result<PeerResponse, Refusal<E>> {
-        let most = option.hard_ttl();
-        self.peers.call(self.to, ask, most).await.ok_or_else(|| unreachable("no answer"))
+    ) -> Result<PeerResponse, RaftRpcError<E>> {
+        let time_limit = option.hard_ttl();
+        self.peers.call(self.to, request, time_limit).await.ok_or_else(|| unreachable("no response in time"))
     }
 }
 
-fn unreachable<E: std::error::Error>(why: &str) -> Refusal<E> {
+fn unreachable<E: std::error::Error>(why: &str) -> RaftRpcError<E> {
     RPCError::Unreachable(Unreachable::new(&std::io::Error::other(why.to_string())))
 }
 
@@ -166,10 +170,10 @@
         &mut self,
         rpc: AppendEntriesRequest<TypeConfig>,
         option: RPCOption,
-    ) -> Result<AppendEntriesResponse<u64>, Refusal<openraft::error::Infallible>> {
+    ) -> Result<AppendEntriesResponse<u64>, RaftRpcError<openraft::error::Infallible>> {
         match self.request(PeerRequest::Append(rpc), option).await? {
             PeerResponse::Append(answer) => Ok(answer),
-            _ => Err(unreachable("it takes no part")),
+            _ => Err(unreachable("the replica does not participate")),
         }
     }
 
@@ -177,10 +181,10 @@
         &mut self,
         rpc: VoteRequest<u64>,
         option: RPCOption,
-    ) -> Result<VoteResponse<u64>, Refusal<openraft::error::Infallible>> {
+    ) -> Result<VoteResponse<u64>, RaftRpcError<openraft::error::Infallible>> {
         match self.request(PeerRequest::Vote(rpc), option).await? {
             PeerResponse::Vote(answer) => Ok(answer),
-            _ => Err(unreachable("it takes no part")),
+            _ => Err(unreachable("the replica does not participate")),
         }
     }
 
@@ -188,13 +192,13 @@
         &mut self,
         rpc: InstallSnapshotRequest<TypeConfig>,
         option: RPCOption,
-    ) -> Result<InstallSnapshotResponse<u64>, Refusal<InstallSnapshotError>> {
+    ) -> Result<InstallSnapshotResponse<u64>, RaftRpcError<InstallSnapshotError>> {
         match self.request(PeerRequest::Snapshot(rpc), option).await? {
             PeerResponse::Snapshot(Ok(answer)) => Ok(answer),
             PeerResponse::Snapshot(Err(e)) => {
                 Err(RPCError::RemoteError(RemoteError::new(self.to, RaftError::APIError(e))))
             }
-            _ => Err(unreachable("it takes no part")),
+            _ => Err(unreachable("the replica does not participate")),
         }
     }
 
--- a/crates/consensus/src/replica/participation.rs
+++ b/crates/consensus/src/replica/participation.rs
@@ -1,16 +1,14 @@
-//! What a replica may take part in, after it lost what it knew.
+//! Limits a replica's participation after it lost its store.
 //!
-//! A replica may have forgotten a vote, or entries that count as agreed on because it held them. Let `bound`
-//! be the highest term it
-//! took part in. It refuses every leader of a term up to `bound` and every request for its vote, until it
-//! has applied
-//! an entry of a leader of a later term. That leader was elected without it (it does not vote, and before
-//! the loss it knew of no
-//! such term), so by a majority of the others; each entry that was agreed on with this replica's help up to
-//! `bound` was also held
-//! by one of that majority when it voted. So that leader's log had them all, and so has this replica's once
-//! it applied
-//! an entry of that leader's own. From then on it is a replica like any other.
+//! A replica may have lost a vote, or entries that count as committed because it stored them. Let `bound` be the
+//! highest term in which it participated. It rejects every leader of a term up to `bound` and every vote request until
+//! it has applied an entry of a leader of a later term.
+//!
+//! That leader was elected without this replica, which does not vote and knew of no such term before the loss. So a
+//! majority formed by the other replicas elected it. Each entry that was committed with this replica's help up to
+//! `bound` was also stored by a member of that majority when it voted, so the leader's log has all of these entries.
+//! Once this replica has applied an entry of that leader's term, its log has them too, and it participates without
+//! limits.
 
 use crate::types::LogId;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -21,7 +19,7 @@
 /// Whether a replica takes part in elections and replication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Not yet known what was lost.
+    /// It is not known yet what was lost.
     Undecided,
     Returning {
         bound: u64,
@@ -34,12 +32,12 @@
 pub struct Participation(Arc<Mutex<State>>);
 
 impl Participation {
-    /// A replica in this state.
+    /// Creates a handle with this state.
     pub fn new(state: State) -> Participation {
         Participation(Arc::new(Mutex::new(state)))
     }
 
-    /// The present state.
+    /// Returns the current state.
     pub fn state(&self) -> State {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -54,7 +52,7 @@
         self.state() == State::Open
     }
 
-    /// Whether a leader of this term may be followed.
+    /// Whether the replica may follow a leader of this term.
     pub fn may_follow(&self, term: u64) -> bool {
         match self.state() {
             State::Undecided => false,
@@ -63,7 +61,7 @@
         }
     }
 
-    /// Whether what was lost has come back by now.
+    /// Whether a returning replica has recovered what it lost.
     pub fn is_back(&self, applied: Option<LogId>) -> bool {
         match self.state() {
             State::Returning { bound } => applied.is_some_and(|l| l.leader_id.term > bound),
--- a/crates/consensus/src/replica/peer_handler.rs
+++ b/crates/consensus/src/replica/peer_handler.rs
@@ -1,4 +1,4 @@
-//! A replica's answers to the others.
+//! Handles requests from other replicas.
 
 use super::messages::{PeerRequest, PeerResponse, ReplicaStatus};
 use super::participation::{Participation, State};
@@ -6,21 +6,21 @@
 use openraft::error::RaftError;
 use tokio::sync::mpsc;
 
-/// What a replica does with the calls of another.
+/// Answers the requests of other replicas.
 pub struct PeerHandler {
     pub raft: Raft,
     pub participation: Participation,
-    /// Where a leader hears that another waits for a later term.
+    /// Notifies this replica, if it leads, that another one waits for a later term.
     pub term_raises: mpsc::Sender<u64>,
 }
 
-/// Longest snapshot taken, in bytes.
+/// Maximum length of an accepted snapshot in bytes.
 const MAX_SNAPSHOT: u64 = 64 << 20;
 
 impl PeerHandler {
     /// Answers a request of another replica.
-    pub async fn answer(&self, from: u64, ask: PeerRequest) -> PeerResponse {
-        match ask {
+    pub async fn answer(&self, from: u64, request: PeerRequest) -> PeerResponse {
+        match request {
             PeerRequest::Append(rpc) if self.participation.may_follow(rpc.vote.leader_id.term) => self
                 .raft
                 .append_entries(rpc)
@@ -57,7 +57,7 @@
             _ => (false, 0),
         };
         ReplicaStatus {
-            // The first entry is the membership that all begin with; whatever follows came from a leader.
+            // Entry 0 is the membership that all replicas start with; all later entries come from a leader.
             is_new: metrics.last_log_index.unwrap_or(0) == 0 && !is_returning,
             is_participating: self.participation.may_vote(),
             term: metrics.current_term.max(bound),
--- a/crates/consensus/src/replica/service.rs
+++ b/crates/consensus/src/replica/service.rs
@@ -1,6 +1,5 @@
-//! The desk: owner of the sessions and of what only a leader knows. Everything reaches it as notes; it says
-//! nothing while it
-//! does not lead but who does.
+//! The session service: owns the sessions and the state that only a leader has. It receives all input as messages.
+//! While it does not lead, it only names the leader.
 
 use super::participation::Participation;
 use super::service_state::SessionService;
@@ -12,13 +11,13 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Notes that wait for the desk; connections wait with what they read beyond that.
-pub const NOTES_MOST: usize = 1024;
-/// How often figures are told; and least time until time alone brings something.
+/// Maximum number of messages queued for the session service; when the queue is full, connections wait.
+pub const MAX_QUEUED_MESSAGES: usize = 1024;
+/// Interval at which statistics are published, and minimum delay of a timer.
 const TICK: Duration = Duration::from_millis(100);
-const PAUSE_LEAST: Micros = 1000;
+const MIN_PAUSE: Micros = 1000;
 
-pub type Notes = mpsc::Sender<ServiceMessage>;
+pub type ServiceSender = mpsc::Sender<ServiceMessage>;
 
 /// What connections of front ends bring to the session service.
 pub enum ServiceMessage {
@@ -27,7 +26,7 @@
     Disconnected { connection: u64 },
 }
 
-/// What a desk works with.
+/// What the session service needs from its replica.
 pub struct ServiceContext {
     pub number: u64,
     pub raft: Raft,
@@ -39,11 +38,11 @@
     pub statistics: watch::Sender<Statistics>,
 }
 
-/// Runs the desk until every sender of notes is gone.
-pub async fn run_service(context: ServiceContext, mut notes: mpsc::Receiver<ServiceMessage>) {
+/// Runs the session service until all message senders are dropped.
+pub async fn run_service(context: ServiceContext, mut messages: mpsc::Receiver<ServiceMessage>) {
     let mut applied = context.applied.clone();
     let mut metrics = context.raft.metrics();
-    let mut fresh = metrics.clone();
+    let mut metrics_changes = metrics.clone();
     let mut acks = Acks::default();
     let mut service = SessionService::new(context);
     let mut batch = Vec::new();
@@ -51,25 +50,24 @@
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let mut ticked = false;
-        let pause =
-            service.next_due().map(|at| at.saturating_sub(service.now).max(PAUSE_LEAST).unsigned_abs());
+        let pause = service.next_due().map(|at| at.saturating_sub(service.now).max(MIN_PAUSE).unsigned_abs());
         tokio::select! {
-            got = notes.recv_many(&mut batch, NOTES_MOST) => if got == 0 { return },
+            received = messages.recv_many(&mut batch, MAX_QUEUED_MESSAGES) => if received == 0 { return },
             done = service.agreed() => service.on_agreed(done),
             changed = applied.changed() => if changed.is_err() { return },
-            // Each answer of a majority shows here; how fine its time is known hangs on the looks between.
-            changed = fresh.changed() => if changed.is_err() { return },
-            () = passed(pause) => {}
+            // Changes with each acknowledgement by a majority. Waking up on each change bounds the error of its time.
+            changed = metrics_changes.changed() => if changed.is_err() { return },
+            () = sleep_micros(pause) => {}
             _ = tick.tick() => ticked = true,
         }
-        fresh.mark_unchanged();
+        metrics_changes.mark_unchanged();
         service.now = (service.context.now)();
         acks.update(&mut metrics, service.now);
         service.acknowledged_at = acks.acknowledged_at;
         service.state = applied.borrow_and_update().clone();
         service.on_metrics(&metrics.borrow());
-        for note in batch.drain(..) {
-            match note {
+        for message in batch.drain(..) {
+            match message {
                 ServiceMessage::Connected { connection, hello, out } => {
                     service.on_connected(connection, hello, out)
                 }
@@ -81,15 +79,15 @@
     }
 }
 
-/// So many microseconds; never, where none are told.
-async fn passed(pause: Option<u64>) {
+/// Sleeps for a number of microseconds; `None`: forever.
+async fn sleep_micros(pause: Option<u64>) {
     match pause {
         Some(pause) => tokio::time::sleep(Duration::from_micros(pause)).await,
         None => std::future::pending().await,
     }
 }
 
-/// When a majority is known to have answered, by this process's clock and never too late.
+/// Time of the last known acknowledgement by a majority, by this process's clock; never later than the true time.
 struct Acks {
     acknowledged_at: Micros,
     checked_at: Micros,
@@ -102,9 +100,9 @@
 }
 
 impl Acks {
-    /// Raft tells the age of the answer at the time of its report, in whole milliseconds. A report that is
-    /// new was made after the
-    /// last look, so counting back from that look gives a time that is not after the true one.
+    /// Raft reports the age of the acknowledgement in whole milliseconds, at the time of its report. A new report was
+    /// made after the last check, so subtracting the age from the time of that check gives a time that is not later
+    /// than the true one.
     fn update(&mut self, metrics: &mut watch::Receiver<Metrics>, now: Micros) {
         if metrics.has_changed().unwrap_or(false) {
             let age = metrics.borrow_and_update().millis_since_quorum_ack;
--- a/crates/consensus/src/replica/service_state.rs
+++ b/crates/consensus/src/replica/service_state.rs
@@ -1,4 +1,4 @@
-//! What the desk does with each note.
+//! How the session service handles each message.
 
 mod inquiries;
 mod output;
@@ -24,22 +24,22 @@
 pub struct ServiceConnection {
     output: mpsc::Sender<Bytes>,
     member: Option<Member>,
-    /// The last run under its name, when it came.
+    /// Incarnation of the last run under its name, at the time of the connection.
     before: Option<u64>,
-    /// The view that was sent last.
+    /// Version of the view that was sent last.
     sent: Option<Version>,
 }
 
-/// Who waits for a change: a connection for its welcome, or to be closed once it left.
+/// What waits for a change: a connection for its welcome, or a connection to be closed once its member has left.
 enum Proposer {
     Nobody,
     Join(u64),
     Leave(u64),
-    /// Told if it is refused.
+    /// The connection is notified if the retirement is rejected.
     Retire(u64),
 }
 
-/// The entry under way: for whom its changes are, and what came of them; none where that is not known.
+/// Outcome of the entry in proposal; `None` if it is not known.
 type Agreed = Option<BatchOutcome>;
 type ProposalInFlight = Pin<Box<dyn Future<Output = Agreed> + Send>>;
 
@@ -57,16 +57,16 @@
     by_name: BTreeMap<String, u64>,
     queue: VecDeque<(Proposer, Command)>,
     in_flight: Option<(Vec<(Proposer, Command)>, ProposalInFlight)>,
-    /// The newest view as it goes out, and the one that all were handed.
+    /// The newest view, encoded, and the version that was sent to all members.
     view: (Version, Bytes),
     published: Version,
-    /// A retirement found no room, and none was taken since.
+    /// A retirement was deferred for lack of capacity, and none has been accepted since.
     is_full: bool,
     statistics: Statistics,
 }
 
 impl SessionService {
-    /// A service without connections that does not lead.
+    /// Creates a service that has no connections and does not lead.
     pub fn new(context: ServiceContext) -> SessionService {
         SessionService {
             context,
@@ -88,21 +88,21 @@
         }
     }
 
-    /// What came of the entry under way; never, where there is none.
+    /// Waits for the outcome of the entry in proposal; forever, if there is none.
     pub async fn agreed(&mut self) -> Agreed {
         match &mut self.in_flight {
-            Some((_, flight)) => flight.await,
+            Some((_, proposal)) => proposal.await,
             None => std::future::pending().await,
         }
     }
 
-    /// How this replica stands by Raft's account. It leads once its record has come far enough ([`Leading`]).
+    /// Applies Raft's metrics. The replica leads once its applied state is recent enough ([`Leading`]).
     pub fn on_metrics(&mut self, metrics: &Metrics) {
         let term = metrics.current_term;
         let elected = metrics.state == ServerState::Leader
             && metrics.vote.committed
             && metrics.vote.leader_id.node_id == self.context.number;
-        // In one term there is one leader, so that the term tells whose an entry is.
+        // A term has at most one leader, so an entry's term identifies the leader that wrote it.
         let applied = self.state.last.map(|l| (l.leader_id.term, l.index));
         let leads = self.leading.may(elected, metrics.vote.leader_id.term, metrics.last_log_index, applied);
         if self.leadership.is_some() && (!leads || term != self.term) {
@@ -111,7 +111,7 @@
         if metrics.current_leader != self.leader {
             self.leader = metrics.current_leader;
             tracing::info!(target: "stagehoist_consensus", event = "following", keeper = self.context.number, term,
-                leader = self.leader, "who leads has changed");
+                leader = self.leader, "leader changed");
         }
         self.term = term;
         self.statistics.last_entry = metrics.last_log_index.unwrap_or(0);
@@ -133,19 +133,19 @@
         self.in_flight = None;
         tracing::info!(target: "stagehoist_consensus", event = "following", keeper = self.context.number,
             term = self.term,
-            "no longer leading");
+            "leadership lost");
         for connection in self.connections.keys().copied().collect::<Vec<_>>() {
             self.reject(connection, SessionResponse::Elsewhere { leader });
         }
     }
 
-    /// A connection's first message.
+    /// Handles a connection's first message.
     pub fn on_connected(&mut self, connection: u64, hello: SessionRequest, out: mpsc::Sender<Bytes>) {
         self.statistics.messages_received += 1;
         self.connections
             .insert(connection, ServiceConnection { output: out, member: None, before: None, sent: None });
         let SessionRequest::Hello { protocol, name, member, at_least, edition, pools } = hello else {
-            return self.close(connection, "no hello");
+            return self.close(connection, "first message is not a hello");
         };
         if protocol != PROTOCOL {
             let why = format!("protocol {protocol}; here it is {PROTOCOL}");
@@ -173,7 +173,7 @@
 
     fn welcome(&mut self, connection: u64, member: Member) {
         if let Some(old) = self.by_name.insert(member.name.clone(), connection) {
-            self.close(old, "its front end came anew");
+            self.close(old, "replaced by a new connection of the same front end");
         }
         tracing::info!(target: "stagehoist_consensus", event = "session", name = %member.name,
             incarnation = member.incarnation, "joined");
@@ -186,7 +186,7 @@
         self.send_view(connection);
     }
 
-    /// A front end sent a request.
+    /// Handles a request of a front end.
     pub fn on_request(&mut self, connection: u64, request: SessionRequest) {
         self.statistics.messages_received += 1;
         let Some(at) = self.connections.get(&connection) else { return };
@@ -202,12 +202,12 @@
             (SessionRequest::Answer { to, number, known }, Some(member)) => {
                 self.forward_answer(member, &to, number, known)
             }
-            (SessionRequest::Hello { .. }, _) | (_, None) => self.close(connection, "out of order"),
+            (SessionRequest::Hello { .. }, _) | (_, None) => self.close(connection, "unexpected message"),
         }
     }
 
     fn report(&mut self, connection: u64, member: &Member, report: &Report) {
-        // The view first: the grant is for the newest.
+        // Sends the view first, because the grant applies to the newest view.
         self.send_view(connection);
         let Some(lead) = &mut self.leadership else { return };
         let granted = lead.report(&self.state.state, member, report, self.now, self.acknowledged_at);
@@ -217,14 +217,14 @@
         }
     }
 
-    /// When time alone may bring something; never, while changes are under way: what is due would be proposed
-    /// again.
+    /// When the next timer is due; `None` while changes are queued or in proposal, as due commands would be proposed
+    /// twice.
     pub fn next_due(&self) -> Option<Micros> {
-        let is_open = self.in_flight.is_none() && self.queue.is_empty();
-        self.leadership.as_ref().filter(|_| is_open)?.next_due(&self.state.state, self.now)
+        let is_idle = self.in_flight.is_none() && self.queue.is_empty();
+        self.leadership.as_ref().filter(|_| is_idle)?.next_due(&self.state.state, self.now)
     }
 
-    /// What follows from all that came in this turn.
+    /// Proposes queued changes, sends changed views and updates statistics after a batch of messages.
     pub fn finish(&mut self, ticked: bool) {
         if let Some(lead) = &mut self.leadership {
             if self.in_flight.is_none() && self.queue.is_empty() {
@@ -243,10 +243,10 @@
         self.statistics.sessions = self.by_name.len();
         if ticked {
             let figures = &self.statistics;
-            self.context.statistics.send_if_modified(|told| {
-                let differs = told != figures;
+            self.context.statistics.send_if_modified(|published| {
+                let differs = published != figures;
                 if differs {
-                    told.clone_from(figures);
+                    published.clone_from(figures);
                 }
                 differs
             });
--- a/crates/consensus/src/replica/service_state/inquiries.rs
+++ b/crates/consensus/src/replica/service_state/inquiries.rs
@@ -1,4 +1,4 @@
-//! Questions about messages that front ends put to each other: the leader only passes them on.
+//! Inquiries about messages between front ends, which the leader only forwards.
 
 #[cfg(test)]
 mod tests;
@@ -9,19 +9,21 @@
 use stagehoist_cluster_state::{Member, MessageKey, MessageKnowledge, Micros, SessionResponse};
 use std::collections::BTreeSet;
 
-/// Its word of who has to answer counts while a majority answered it within this; with the 100 ms that an asker gives it, less
-/// than the shortest time to an election.
+/// The leader's list of members that must answer is valid only if a majority acknowledged the leader within this time.
+/// Together with the 100 ms that an inquirer allows, this is less than the shortest election timeout.
 const MAJORITY_TRUSTED: Micros = 250_000;
 
-/// Those of the names that a question goes to: who has not said yet; empty: all. Both grow with the fleet.
+/// The names in `of` to which an inquiry is forwarded: those in `to`, which have not answered yet, or all if `to` is
+/// empty. Uses a set, as both lists grow with the fleet.
 fn remaining_members<'a, T: Ord>(of: &'a [T], to: &[T]) -> Vec<&'a T> {
     let open: BTreeSet<&T> = to.iter().collect();
     of.iter().filter(|name| open.is_empty() || open.contains(name)).collect()
 }
 
 impl SessionService {
-    /// Passes a question on, and tells who has to answer it: every name in the cluster state but the asker's own. Silent where that
-    /// can't be told: another may lead by now, or names were forgotten.
+    /// Forwards an inquiry, and reports which members must answer it: every name in the cluster state except the
+    /// inquirer's. Does nothing if this list may be wrong, because another replica may lead by now or names were
+    /// forgotten.
     pub(super) fn on_inquiry(
         &mut self,
         connection: u64,
@@ -31,7 +33,7 @@
         keys: Vec<MessageKey>,
     ) {
         if keys.len() > MAX_KEYS {
-            return self.close(connection, "it asks for too much");
+            return self.close(connection, "inquiry has too many keys");
         }
         let state = &self.state.state;
         let trusted =
@@ -49,7 +51,7 @@
         asked.into_iter().for_each(|connection| self.try_send(connection, &question));
     }
 
-    /// Passes an answer on to the run that asked.
+    /// Forwards an answer to the run that inquired.
     pub(super) fn forward_answer(
         &mut self,
         from: Member,
@@ -63,8 +65,9 @@
         }
     }
 
-    /// Questions never crowd out views and promises; they are asked again. Half the room stays free: one turn of the desk
-    /// takes in more answers than there is room, and a view or promise that finds none ends the connection.
+    /// Sends a message only if at least half of the output queue stays free; inquiries are retried. One batch of the
+    /// service can contain more answers than the queue has capacity, and a view or grant that finds the queue full ends
+    /// the connection.
     fn try_send(&mut self, connection: u64, message: &SessionResponse) {
         if self.connections.get(&connection).is_some_and(|c| c.output.capacity() > OUTPUT_CAPACITY / 2) {
             self.send(connection, message);
--- a/crates/consensus/src/replica/service_state/output.rs
+++ b/crates/consensus/src/replica/service_state/output.rs
@@ -1,4 +1,4 @@
-//! What the desk sends, and how it ends a connection.
+//! Sends messages to front ends and closes connections.
 
 use super::SessionService;
 use crate::frames::encode;
@@ -6,7 +6,7 @@
 use stagehoist_cluster_state::SessionResponse;
 
 impl SessionService {
-    /// Sends the newest view, where it was not sent yet.
+    /// Sends the newest view if it was not sent yet.
     pub(super) fn send_view(&mut self, connection: u64) {
         let view = &self.state.state.view;
         let Some(at) = self.connections.get_mut(&connection) else { return };
@@ -22,7 +22,7 @@
         self.send_frame(connection, frame);
     }
 
-    /// Sends a view that changed to whoever has joined; who joins later is shown it then.
+    /// Sends a changed view to all joined members; a member that joins later receives it then.
     pub(super) fn send_views(&mut self) {
         let newest = self.state.state.view.version;
         if self.published == newest {
@@ -51,7 +51,7 @@
         if at.output.try_send(frame).is_ok() {
             self.statistics.messages_sent += 1;
         } else {
-            self.close(connection, "it does not read");
+            self.close(connection, "output queue full: front end is not reading");
         }
     }
 
@@ -60,7 +60,7 @@
         self.close(connection, "rejected");
     }
 
-    /// Ends a connection: what was handed over still goes out.
+    /// Closes a connection; frames that are already queued are still sent.
     pub fn close(&mut self, connection: u64, why: &str) {
         let Some(at) = self.connections.remove(&connection) else { return };
         if let Some(member) = at.member {
--- a/crates/consensus/src/replica/service_state/proposals.rs
+++ b/crates/consensus/src/replica/service_state/proposals.rs
@@ -1,4 +1,4 @@
-//! How the desk gets changes agreed on: one entry at a time, with all that came since the one before.
+//! Proposes changes: one entry at a time, with the changes that were queued since the previous one.
 
 use super::{Agreed, Proposer, SessionService};
 use crate::frames::{encode, MAX_REQUEST};
@@ -7,46 +7,46 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Changes that wait to be proposed, and most in one entry.
+/// Maximum numbers of changes in the queue and in one entry.
 pub(super) const MAX_QUEUE: usize = 4096;
 const MAX_BATCH: usize = MAX_CHANGES as usize / 2;
-/// Length of an entry in bytes, but for one change that is longer alone.
+/// Maximum length of an entry in bytes, unless a single change is longer.
 const MAX_ENTRY_SIZE: usize = 2 * MAX_REQUEST;
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl SessionService {
-    /// Whether a front end of this name has a place where permits are allocated; those whose joining is under way count.
+    /// Whether permit allocation has capacity for a front end of this name, counting front ends that are joining.
     pub(super) fn admits(&self, name: &str) -> bool {
-        let Some(dealer) = self.leadership.as_ref().and_then(Leader::allocator) else { return true };
+        let Some(allocator) = self.leadership.as_ref().and_then(Leader::allocator) else { return true };
         let state = &self.state.state;
-        let flying = self.in_flight.iter().flat_map(|(asked, _)| asked);
-        let coming = flying.chain(&self.queue).filter_map(|(_, command)| match command {
+        let proposed = self.in_flight.iter().flat_map(|(changes, _)| changes);
+        let joining = proposed.chain(&self.queue).filter_map(|(_, command)| match command {
             Command::Join { name, .. } => Some(name.as_str()),
             _ => None,
         });
         let is_present = |n: &str| state.members.get(n).is_some_and(|run| run.left.is_none());
-        let coming: BTreeSet<&str> = coming.filter(|n| *n != name && !is_present(n)).collect();
-        dealer.admits_with(state, name, coming.len())
+        let joining: BTreeSet<&str> = joining.filter(|n| *n != name && !is_present(n)).collect();
+        allocator.admits_with(state, name, joining.len())
     }
 
-    pub(super) fn propose(&mut self, who: Proposer, command: Command) {
+    pub(super) fn propose(&mut self, proposer: Proposer, command: Command) {
         if self.queue.len() < MAX_QUEUE {
-            self.queue.push_back((who, command));
-        } else if let Proposer::Join(connection) | Proposer::Leave(connection) = who {
-            self.close(connection, "too much waits");
+            self.queue.push_back((proposer, command));
+        } else if let Proposer::Join(connection) | Proposer::Leave(connection) = proposer {
+            self.close(connection, "proposal queue full");
         }
     }
 
-    /// The entry under way is agreed on, or it is not known whether it will be.
+    /// Handles the end of the proposal in proposal: its entry is committed, or its outcome is unknown.
     pub fn on_agreed(&mut self, done: Agreed) {
-        let Some((asked, _)) = self.in_flight.take() else { return };
+        let Some((changes, _)) = self.in_flight.take() else { return };
         self.state = self.context.applied.borrow().clone();
         let results = done.map(|d| d.0).unwrap_or_default();
-        for (at, (who, command)) in asked.into_iter().enumerate() {
-            match (who, results.get(at)) {
+        for (at, (proposer, command)) in changes.into_iter().enumerate() {
+            match (proposer, results.get(at)) {
                 (Proposer::Retire(connection), Some(CommandOutcome::Rejected { reason: why })) => {
-                    if let Command::Retire(asked) = &command {
-                        self.reject_retirement(connection, asked.clone(), why);
+                    if let Command::Retire(retirement) = &command {
+                        self.reject_retirement(connection, retirement.clone(), why);
                     }
                 }
                 (Proposer::Retire(_), Some(CommandOutcome::Changed)) => self.is_full = false,
@@ -58,12 +58,12 @@
                 (Proposer::Join(connection), Some(CommandOutcome::Rejected { reason: why })) => {
                     self.reject(connection, SessionResponse::Rejected { reason: why.clone() });
                 }
-                // Its front end comes again; a run that was counted in vain is not missed.
-                (Proposer::Join(connection), None) => self.close(connection, "not agreed on"),
+                // The front end connects again; an unused incarnation does no harm.
+                (Proposer::Join(connection), None) => self.close(connection, "join not committed"),
                 (Proposer::Leave(connection), _) => self.close(connection, "left"),
                 (Proposer::Nobody, Some(CommandOutcome::Rejected { reason: why })) => {
                     tracing::warn!(target: "stagehoist_consensus", event = "retirement", why,
-                        "a change is refused");
+                        "change rejected by the cluster state");
                 }
                 _ => {}
             }
@@ -72,7 +72,7 @@
             {
                 tracing::info!(target: "stagehoist_consensus", event = "retirement", %function, generation,
                     ?but_for,
-                    "in force");
+                    "retirement in force");
             }
         }
     }
@@ -84,15 +84,15 @@
             length <= MAX_ENTRY_SIZE
         };
         let fitting = self.queue.iter().take(MAX_BATCH).take_while(|c| fits(c)).count().max(1);
-        let asked: Vec<_> = self.queue.drain(..fitting.min(self.queue.len())).collect();
-        let batch = Batch(asked.iter().map(|(_, c)| c.clone()).collect());
+        let changes: Vec<_> = self.queue.drain(..fitting.min(self.queue.len())).collect();
+        let batch = Batch(changes.iter().map(|(_, c)| c.clone()).collect());
         self.statistics.proposals += 1;
-        self.statistics.changes += asked.len() as u64;
+        self.statistics.changes += changes.len() as u64;
         let raft = self.context.raft.clone();
-        let flight = async move {
+        let proposal = async move {
             let written = tokio::time::timeout(PROPOSAL_TIMEOUT, raft.client_write(batch)).await;
             Some(written.ok()?.ok()?.data)
         };
-        self.in_flight = Some((asked, Box::pin(flight)));
+        self.in_flight = Some((changes, Box::pin(proposal)));
     }
 }
--- a/crates/consensus/src/replica/service_state/retirements.rs
+++ b/crates/consensus/src/replica/service_state/retirements.rs
@@ -1,45 +1,45 @@
-//! Retirements that front ends ask for, and what becomes of those that are not taken.
+//! Handles retirements that front ends request, including rejected and deferred ones.
 
 use super::{Proposer, SessionService};
 use crate::frames::MAX_RESPONSE;
 use stagehoist_cluster_state::{Command, Retirement, SessionResponse};
 
 impl SessionService {
-    pub(super) fn retire(&mut self, connection: u64, asked: Retirement) {
-        if self.state.state.view.retired(&asked.function, asked.generation).is_some() {
+    pub(super) fn retire(&mut self, connection: u64, retirement: Retirement) {
+        if self.state.state.view.retired(&retirement.function, retirement.generation).is_some() {
             return;
         }
         if self.view.1.len() > MAX_RESPONSE / 2 {
-            return self.reject_retirement(connection, asked, "the record is full");
+            return self.reject_retirement(connection, retirement, "the cluster state is full");
         }
-        tracing::info!(target: "stagehoist_consensus", event = "retirement", function = %asked.function,
-            generation = asked.generation, "proposed");
-        self.propose(Proposer::Retire(connection), Command::Retire(asked));
+        tracing::info!(target: "stagehoist_consensus", event = "retirement", function = %retirement.function,
+            generation = retirement.generation, "proposed");
+        self.propose(Proposer::Retire(connection), Command::Retire(retirement));
     }
 
-    /// The cluster state refused it: for good where the retirement itself is at fault.
-    pub(super) fn reject_retirement(&mut self, connection: u64, asked: Retirement, why: &str) {
-        match asked.fault() {
-            Some(why) => self.send_retirement_rejected(connection, asked, why),
-            None => self.defer_retirement(&asked, why),
+    /// Handles a retirement that the cluster state rejected; permanent only if the retirement itself is invalid.
+    pub(super) fn reject_retirement(&mut self, connection: u64, retirement: Retirement, why: &str) {
+        match retirement.fault() {
+            Some(why) => self.send_retirement_rejected(connection, retirement, why),
+            None => self.defer_retirement(&retirement, why),
         }
     }
 
-    /// There is no room until others are forgotten. Whoever asked isn't told that it can't be taken, and asks again.
-    fn defer_retirement(&mut self, asked: &Retirement, why: &str) {
+    /// Defers a retirement until other tombstones are forgotten. The front end gets no rejection, so it retries.
+    fn defer_retirement(&mut self, retirement: &Retirement, why: &str) {
         let tombstones = self.state.state.view.tombstones.len();
         if std::mem::replace(&mut self.is_full, true) {
             return;
         }
-        tracing::warn!(target: "stagehoist_consensus", event = "retirement", function = %asked.function,
-            generation = asked.generation, tombstones, why, "not taken; there is no room for now");
+        tracing::warn!(target: "stagehoist_consensus", event = "retirement", function = %retirement.function,
+            generation = retirement.generation, tombstones, why, "retirement deferred: no capacity in the cluster state");
     }
 
-    /// Tells who asked for a retirement that it can't be taken.
-    fn send_retirement_rejected(&mut self, connection: u64, asked: Retirement, why: String) {
-        tracing::warn!(target: "stagehoist_consensus", event = "retirement", function = %asked.function,
-            generation = asked.generation, why, "refused");
-        let (function, generation) = (asked.function, asked.generation);
+    /// Notifies the front end that its retirement is rejected permanently.
+    fn send_retirement_rejected(&mut self, connection: u64, retirement: Retirement, why: String) {
+        tracing::warn!(target: "stagehoist_consensus", event = "retirement", function = %retirement.function,
+            generation = retirement.generation, why, "refused");
+        let (function, generation) = (retirement.function, retirement.generation);
         self.send(connection, &SessionResponse::RetirementRejected { function, generation, reason: why });
     }
 }
--- a/crates/consensus/src/session.rs
+++ b/crates/consensus/src/session.rs
@@ -1,4 +1,4 @@
-//! A front end's session: finds the leader, reports, and tells the front end how things stand.
+//! A front end's session: finds the leader, sends reports and publishes the cluster status to the front end.
 
 mod exchange;
 mod permits;
@@ -23,13 +23,13 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
 
-/// Least time between two reports.
+/// Minimum time between two reports.
 const REPORT_GAP: Duration = Duration::from_millis(5);
 const WELCOME_TIMEOUT: Duration = Duration::from_secs(5);
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(300));
 
-/// What a session is made with.
+/// Configuration and channels of a session.
 pub struct SessionClient {
     pub name: String,
     pub replicas: BTreeMap<u64, String>,
@@ -48,7 +48,7 @@
     pub stop: watch::Receiver<bool>,
 }
 
-/// Why a connection is over.
+/// Why a connection ended.
 enum End {
     Elsewhere(Option<u64>),
     Refused,
@@ -65,12 +65,13 @@
     may_retire: bool,
     may_inquire: bool,
     inquiries: InquiryRounds,
-    /// The last run under the name before this process's first, where that is still what came before.
+    /// Incarnation of the last run under this name before this process's first run; `None` if unknown, or if another
+    /// run joined between two runs of this process.
     before: Option<u64>,
     welcomed: bool,
-    /// What the last report told.
+    /// The report that was sent last.
     reported: SessionReport,
-    /// The newest grant with fewer permits than the one before, until a report names it.
+    /// Number of the newest grant with fewer permits than the previous one, until a report confirms it as applied.
     released_grant: Option<u64>,
 }
 
@@ -81,7 +82,7 @@
     holder.on_view(client.file.memory.view.clone());
     client.status.send_replace(holder.status().clone());
     let mut numbers: Vec<u64> = client.replicas.keys().copied().collect();
-    // Not all begin with the same one.
+    // Front ends start with different replicas, to spread their connections.
     let first = random.random_range(0..numbers.len().max(1));
     numbers.rotate_left(first);
     let mut stop = client.stop.clone();
@@ -108,14 +109,14 @@
             turn += 1;
             numbers[turn % numbers.len()]
         });
-        let end = state.connect(number).await;
+        let end = state.run_connection(number).await;
         state.holder.on_connection_lost();
         if std::mem::take(&mut state.welcomed) {
             backoff = BACKOFF.0;
         }
         match end {
             End::Stopped => return,
-            // Told where, and not sent round in a circle.
+            // The replica named the leader. The backoff limit prevents an endless loop of redirects.
             End::Elsewhere(Some(leader))
                 if backoff < BACKOFF.1 && state.client.replicas.contains_key(&leader) =>
             {
@@ -140,7 +141,7 @@
         }
     }
 
-    async fn connect(&mut self, number: u64) -> End {
+    async fn run_connection(&mut self, number: u64) -> End {
         let Some(address) = self.client.replicas.get(&number) else { return End::Broken };
         let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
             return End::Broken;
@@ -159,7 +160,7 @@
             return End::Broken;
         }
         match timeout(WELCOME_TIMEOUT, self.welcome(&mut frames)).await {
-            Ok(Ok(())) => self.talk(frames).await,
+            Ok(Ok(())) => self.exchange_messages(frames).await,
             Ok(Err(end)) => end,
             Err(_) => End::Broken,
         }
@@ -188,7 +189,7 @@
     async fn joined(&mut self, member: Member, terms: LeaseTerms, before: Option<u64>) -> Result<(), End> {
         if terms != self.client.terms {
             tracing::error!(target: "stagehoist_consensus", event = "session", name = %self.client.name, ?terms,
-                own = ?self.client.terms, "the keepers are told other terms");
+                own = ?self.client.terms, "lease terms differ from those of the keepers");
             return Err(End::Refused);
         }
         let incarnation = member.incarnation;
@@ -198,12 +199,12 @@
         if self.joined.as_ref() != Some(&member) {
             self.before = match &self.joined {
                 None => before,
-                // Another run under the name between two of this process: what it did is not known.
+                // Another run may have joined under this name between two runs of this process; its actions are unknown.
                 Some(last) => self.before.filter(|_| before == Some(last.incarnation)),
             };
-            let heard = InquiryEvent::Joined { run: member.incarnation, before: self.before };
-            // A front end without intents does not listen.
-            let _ = self.client.inquiry_events.try_send(heard);
+            let event = InquiryEvent::Joined { run: member.incarnation, before: self.before };
+            // A front end without intents does not receive inquiry events, so a failed send is ignored.
+            let _ = self.client.inquiry_events.try_send(event);
         }
         self.client.member.send_replace(Some(member.clone()));
         self.joined = Some(member);
@@ -213,31 +214,31 @@
 }
 
 impl State {
-    /// Writes what is to be known after a kill, on a thread that may wait for the disk: sessions beside this one go
-    /// on. Whether it is there.
+    /// Writes the memory that must survive a kill and returns whether it is on disk. Runs on a blocking thread, so
+    /// that other sessions continue during the disk write.
     async fn save(&mut self, change: impl FnOnce(&mut SessionMemory) + Send + 'static) -> bool {
-        let mut kept = self.client.file.clone();
-        let written = tokio::task::spawn_blocking(move || kept.change(change).map(|()| kept)).await;
-        match written.map_err(std::io::Error::other).and_then(|kept| kept) {
-            Ok(kept) => {
-                self.client.file = kept;
+        let mut file = self.client.file.clone();
+        let written = tokio::task::spawn_blocking(move || file.change(change).map(|()| file)).await;
+        match written.map_err(std::io::Error::other).and_then(|file| file) {
+            Ok(file) => {
+                self.client.file = file;
                 true
             }
             Err(e) => {
                 tracing::error!(target: "stagehoist_consensus", event = "store", name = %self.client.name,
-                    why = %e, "can't keep the session's memory");
+                    why = %e, "can't write the session file");
                 false
             }
         }
     }
 }
 
-/// Without the guard that a watch hands out, which no task may hold while it waits.
+/// Waits until stopped. Drops the guard that the watch returns, as a task must not hold it across an await.
 async fn stopped(stop: &mut watch::Receiver<bool>) {
     let _ = stop.wait_for(|s| *s).await;
 }
 
-/// A member's seed: the process's, told apart by name.
+/// Derives a member's seed from the process's seed and the member's name.
 pub fn seed(seed: u64, name: &str) -> u64 {
     seed ^ crate::store::sum(name.as_bytes())
 }
--- a/crates/consensus/src/session/exchange.rs
+++ b/crates/consensus/src/session/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange of a session once the leader has welcomed it: reports and grants, views, retirements, inquiries.
+//! A session's message exchange after the leader's welcome: reports and grants, views, retirements, inquiries.
 
 use super::{stopped, End, State, LEAVE_TIMEOUT};
 use crate::frames::{decode, encode, Frames, WRITE_TIMEOUT};
@@ -12,11 +12,11 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Shortest silence of a leader, in lease time, after which another may lead.
+/// Minimum time without a grant after which another leader may exist; a longer lease extends it.
 const MIN_SILENCE: Duration = Duration::from_secs(1);
-/// The lease that is assumed where the configured one does not fit.
+/// Lease used if the configured one does not fit in a `u64`.
 const DEFAULT_LEASE_MICROS: u64 = 1_000_000;
-/// Percent of the report period that a report is sent after, drawn, so that front ends do not report together.
+/// Random percentage of the report period between two reports, so that front ends do not all report at once.
 const REPORT_JITTER: std::ops::RangeInclusive<u32> = 80..=100;
 
 type Output = SplitSink<Frames, Bytes>;
@@ -36,22 +36,22 @@
         ReportSchedule { lease, next_at: now, reported_at: now, granted_at: now }
     }
 
-    /// A leader that gives no lease may be cut off from the others; another may lead by now.
+    /// Whether the leader has granted no lease for too long: it may be partitioned, and another replica may lead.
     fn is_leader_silent(&self) -> bool {
         self.granted_at.elapsed() > self.lease.max(MIN_SILENCE)
     }
 }
 
 impl State {
-    /// Exchanges messages with the leader until the connection is over.
-    pub(super) async fn talk(&mut self, frames: Frames) -> End {
+    /// Exchanges messages with the leader until the connection ends.
+    pub(super) async fn exchange_messages(&mut self, frames: Frames) -> End {
         let (mut output, mut responses) = frames.split();
         let lease = u64::try_from(self.client.terms.lease).unwrap_or(DEFAULT_LEASE_MICROS);
         let mut schedule = ReportSchedule::new(Duration::from_micros(lease));
         self.retirements.begin();
         let mut stop = self.client.stop.clone();
         loop {
-            let (until_inquiry, inquires) = (self.next_inquiry(), self.inquiries.next_due().is_some());
+            let (until_inquiry, has_inquiry) = (self.next_inquiry(), self.inquiries.next_due().is_some());
             let retirement_due = self.retirements.due();
             let may_retire = self.may_retire && self.retirements.has_capacity();
             let message = tokio::select! {
@@ -75,7 +75,7 @@
                 }
                 retirement = self.client.retire.recv(), if may_retire => self.on_retirement(retirement),
                 inquiry = self.client.inquiries.recv(), if self.may_inquire => self.on_inquiry(inquiry),
-                () = sleep(until_inquiry), if inquires => self.inquiries.next_request((self.client.now)()),
+                () = sleep(until_inquiry), if has_inquiry => self.inquiries.next_request((self.client.now)()),
                 () = sleep_until(retirement_due.unwrap_or(schedule.next_at)), if retirement_due.is_some() => {
                     self.retirements.next_due(&mut self.random).map(SessionRequest::Retire)
                 }
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The leader sent a frame; the end of the exchange where it brings that.
+    /// Handles a frame from the leader; returns why the exchange ends, if the frame ends it.
     async fn on_response(&mut self, frame: &[u8], schedule: &mut ReportSchedule) -> Option<End> {
         match decode::<SessionResponse>(frame) {
             Some(SessionResponse::Grant(grant)) => {
@@ -129,7 +129,7 @@
         None
     }
 
-    /// The front end has a new report; it is sent early where it is urgent.
+    /// Handles a new report of the front end; schedules it earlier if it is urgent.
     fn on_report_changed(&mut self, schedule: &mut ReportSchedule) {
         let report = self.client.report.borrow_and_update().clone();
         if let Some(delay) = self.report_delay(&report) {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The front end wants a function retired; `None`: it will want nothing more.
+    /// Handles a retirement from the front end; `None`: the channel is closed.
     fn on_retirement(&mut self, retirement: Option<Retirement>) -> Option<SessionRequest> {
         let Some(retirement) = retirement else {
             self.may_retire = false;
@@ -150,7 +150,7 @@
         Some(SessionRequest::Retire(retirement))
     }
 
-    /// The front end inquires or answers an inquiry; `None`: it will do neither any more.
+    /// Handles an inquiry or an answer from the front end; `None`: the channel is closed.
     fn on_inquiry(&mut self, message: Option<InquiryMessage>) -> Option<SessionRequest> {
         match message {
             Some(InquiryMessage::Answer { to, number, known }) => {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The next report, and the time of the one after it.
+    /// Returns the next report and schedules the one after it.
     fn next_report(&mut self, schedule: &mut ReportSchedule) -> SessionRequest {
         schedule.reported_at = Instant::now();
         let period = self.period(schedule.lease) * self.random.random_range(REPORT_JITTER) / 100;
@@ -185,7 +185,7 @@
         Duration::from_micros(due.max(0) as u64)
     }
 
-    /// A front end that does not listen misses it: whoever asked times out in time.
+    /// Passes an event to the front end. If its queue is full the event is lost, and the inquirer's timeout covers that.
     fn pass_event(&self, event: Option<InquiryEvent>) {
         if let Some(event) = event {
             let _ = self.client.inquiry_events.try_send(event);
@@ -204,14 +204,14 @@
         }
     }
 
-    /// A view came: kept on disk first, then shown.
+    /// Writes a received view to disk, then publishes it; false if the write failed.
     async fn save_view(&mut self, view: stagehoist_cluster_state::ClusterView) -> bool {
         if view.version > self.holder.version() {
-            let shown = view.clone();
+            let published_view = view.clone();
             if !self.save(move |m| m.view = view).await {
                 return false;
             }
-            self.holder.on_view(shown);
+            self.holder.on_view(published_view);
             self.publish();
         }
         let view = self.holder.status().view.clone();
@@ -235,20 +235,20 @@
     }
 }
 
-/// Tells the leader that this run ends, and waits until that is agreed on.
+/// Notifies the leader that this run ends, and waits until that is committed.
 async fn leave(output: &mut Output, responses: &mut Responses) {
     let Ok(frame) = encode(&SessionRequest::Leave) else { return };
     let left = async {
         output.send(frame).await?;
-        // The replica ends the connection once it is agreed on.
+        // The replica closes the connection once the leave is committed.
         while let Some(Ok(_)) = responses.next().await {}
         Ok::<(), std::io::Error>(())
     };
-    // A leader that does not answer in time is left all the same.
+    // The session ends even if the leader does not answer in time.
     let _ = timeout(LEAVE_TIMEOUT, left).await;
 }
 
-/// Sends a request; false where the connection is broken.
+/// Sends a request; false if the connection is broken.
 async fn send(output: &mut Output, message: &SessionRequest) -> bool {
     let Ok(frame) = encode(message) else { return false };
     matches!(timeout(WRITE_TIMEOUT, output.send(frame)).await, Ok(Ok(())))
--- a/crates/consensus/src/session/retirements/tests.rs
+++ b/crates/consensus/src/session/retirements/tests.rs
@@ -45,17 +45,17 @@
     drawn.sort_unstable();
     drawn.dedup();
     assert!(drawn.len() > 5, "spread: {drawn:?}");
-    // One of them is taken: those that are left come soon.
+    // One retirement is accepted, so the remaining ones are retried soon.
     retiring.on_view(&view(&["a", "x"]), &mut random);
     assert!(retiring.due().unwrap() <= Instant::now() + RETRY_PAUSES.0);
     retiring.next_due(&mut random);
     retiring.next_due(&mut random);
     retiring.next_due(&mut random);
     retiring.next_due(&mut random);
-    // A tombstone is forgotten: there may be room.
+    // A tombstone is forgotten, so there may be capacity.
     retiring.on_view(&view(&["x"]), &mut random);
     assert!(retiring.due().unwrap() <= Instant::now() + RETRY_PAUSES.0);
-    // One is refused for good, the other shown: nothing is left to ask.
+    // One is rejected permanently and the view contains the other, so none is left to propose.
     retiring.on_rejected("b", 1);
     retiring.on_view(&view(&["c"]), &mut random);
     assert!(retiring.due().is_none() && retiring.next_due(&mut random).is_none());
--- a/crates/consensus/src/session_file.rs
+++ b/crates/consensus/src/session_file.rs
@@ -1,7 +1,7 @@
-//! What a front end keeps of its session on disk: its incarnation and the last view it was shown.
+//! The file in which a front end stores its incarnation and the last view it received.
 //!
-//! Both are there, flushed, before anyone is notified of them: a tombstone that was confirmed is known again
-//! after any kill.
+//! Both are flushed to disk before anyone is notified of them, so that a confirmed tombstone is still known after
+//! any kill.
 
 use crate::store::sum;
 use serde::{Deserialize, Serialize};
@@ -14,14 +14,14 @@
 #[cfg(test)]
 mod tests;
 
-/// What a front end remembers of its session over a restart.
+/// Session state of a front end that survives a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionMemory {
     pub incarnation: u64,
     pub view: ClusterView,
 }
 
-/// The file of one member; nothing is kept where there is none.
+/// The session file of one member; without a path nothing is stored.
 #[derive(Clone, Debug)]
 pub struct SessionFile {
     path: Option<PathBuf>,
@@ -29,7 +29,7 @@
 }
 
 impl SessionFile {
-    /// Reads what is kept; a damaged file is quarantined by name and counts as none.
+    /// Reads the session file; a damaged file is renamed into quarantine and treated as missing.
     pub fn open(folder: Option<&Path>, member: &str) -> Result<SessionFile> {
         let Some(folder) = folder else {
             return Ok(SessionFile { path: None, memory: SessionMemory::default() });
@@ -40,9 +40,9 @@
             Ok(bytes) => match parse(&bytes) {
                 Some(memory) => memory,
                 None => {
-                    let aside = set_aside(&path)?;
+                    let aside = quarantine(&path)?;
                     tracing::error!(target: "stagehoist_consensus", event = "store", path = %path.display(),
-                        aside = %aside.display(), "the session file is damaged and quarantined");
+                        aside = %aside.display(), "damaged session file quarantined");
                     SessionMemory::default()
                 }
             },
@@ -52,7 +52,7 @@
         Ok(SessionFile { path: Some(path), memory })
     }
 
-    /// Writes a change; on disk once this returns. Where it fails the memory is as before.
+    /// Writes a change, which is on disk once this returns. On failure the memory stays unchanged.
     pub fn change(&mut self, change: impl FnOnce(&mut SessionMemory)) -> Result<()> {
         let mut memory = self.memory.clone();
         change(&mut memory);
@@ -84,14 +84,15 @@
     postcard::from_bytes(body).ok()
 }
 
-fn set_aside(path: &Path) -> Result<PathBuf> {
+fn quarantine(path: &Path) -> Result<PathBuf> {
     let free = (1..10_000).map(|n| path.with_extension(format!("damaged-{n}"))).find(|p| !p.exists());
-    let aside = free.ok_or_else(|| Error::other("no name is free"))?;
+    let aside = free.ok_or_else(|| Error::other("no free file name for the quarantined session file"))?;
     std::fs::rename(path, &aside)?;
     Ok(aside)
 }
 
-/// A name that is a file's wherever: what is no letter, digit or dash is written as its bytes.
+/// A file name that is valid on every platform: each byte other than a lowercase ASCII letter, digit or dash is
+/// written in hexadecimal.
 fn file_name(member: &str) -> String {
     let mut name = String::new();
     for byte in member.bytes() {
--- a/crates/consensus/src/start.rs
+++ b/crates/consensus/src/start.rs
@@ -1,4 +1,4 @@
-//! Start and end of a process's part in the agreement.
+//! Start and shutdown of a process's replica and sessions.
 
 use crate::replica::{run, Parts};
 use crate::session::{seed, session, SessionClient};
@@ -14,17 +14,17 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// Retirements that a session has not taken yet.
+/// Retirements queued for a session.
 const MAX_RETIREMENTS: usize = 64;
-/// Words about intents that wait on either side; what finds no room is asked again or not known.
+/// Inquiry messages queued in each direction; one that finds the queue full is sent again or answered as not known.
 const MAX_MESSAGES: usize = 256;
-/// How long sessions may take to leave, and Raft to end.
+/// Time limits for sessions to leave and for Raft to shut down.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A process's part in the agreement, on a thread of its own.
+/// A process's running sessions and replica, on a dedicated thread.
 pub struct Running {
-    /// By the front end's name.
+    /// Sessions by the front end's name.
     pub sessions: BTreeMap<String, Session>,
     figures: watch::Receiver<Statistics>,
     stop: watch::Sender<bool>,
@@ -32,12 +32,12 @@
 }
 
 impl Running {
-    /// Figures of this process's replica; all zero where it has none.
+    /// Statistics of this process's replica; all zero if it has none.
     pub fn figures(&self) -> watch::Receiver<Statistics> {
         self.figures.clone()
     }
 
-    /// Members leave in order, tasks end, the thread is joined: within about five seconds.
+    /// Shuts down within about five seconds: members leave, tasks end and the thread is joined.
     pub fn stop(mut self) {
         self.end();
     }
@@ -46,7 +46,7 @@
         self.stop.send_replace(true);
         if let Some(thread) = self.thread.take() {
             if thread.join().is_err() {
-                tracing::error!(target: "stagehoist_consensus", "the replica's thread failed");
+                tracing::error!(target: "stagehoist_consensus", "the consensus thread panicked");
             }
         }
     }
@@ -58,22 +58,23 @@
     }
 }
 
-/// Starts the sessions of a process, and its replica where it is one.
+/// Starts the sessions of a process, and its replica if one is configured.
 ///
 /// # Errors
-/// What can be told at once: a number that is not told, an address or a store that can't be had.
+/// Faults that show immediately: an unconfigured replica number, an address that can't be bound, or a store that
+/// can't be opened.
 pub fn start(options: Options, now: Now) -> Result<Running, ConsensusError> {
-    let pace = options.timing;
+    let timing = options.timing;
     if options.replicas.is_empty() {
         return Err(ConsensusError::NoReplicas);
     }
-    if pace.heartbeat_ms == 0
-        || pace.election_ms.0 < 2 * pace.heartbeat_ms
-        || pace.election_ms.1 <= pace.election_ms.0
+    if timing.heartbeat_ms == 0
+        || timing.election_ms.0 < 2 * timing.heartbeat_ms
+        || timing.election_ms.1 <= timing.election_ms.0
     {
         return Err(ConsensusError::Timing {
-            heartbeat_ms: pace.heartbeat_ms,
-            election_ms: pace.election_ms,
+            heartbeat_ms: timing.heartbeat_ms,
+            election_ms: timing.election_ms,
         });
     }
     let parts = parts(&options)?;
@@ -81,17 +82,17 @@
     let mut sessions = BTreeMap::new();
     let mut clients = Vec::new();
     for name in &options.members {
-        let (session, client) = make(&options, name, &now, &stopped)?;
+        let (session, client) = make_session(&options, name, &now, &stopped)?;
         sessions.insert(name.clone(), session);
         clients.push(client);
     }
-    let (figures_in, figures) = watch::channel(Statistics::default());
+    let (statistics_sender, figures) = watch::channel(Statistics::default());
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(ConsensusError::Thread)?;
-    let (ready, readied) = std::sync::mpsc::channel();
+    let (ready, ready_receiver) = std::sync::mpsc::channel();
     let work = move || {
-        runtime.block_on(life(options, parts, now, clients, figures_in, stopped, ready));
-        // Tasks of Raft that still wait are dropped with the runtime, and the store with them.
+        runtime.block_on(run_thread(options, parts, now, clients, statistics_sender, stopped, ready));
+        // Drops Raft tasks that still wait, together with the runtime and the store.
         runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
     };
     let thread = std::thread::Builder::new()
@@ -99,45 +100,45 @@
         .spawn(work)
         .map_err(ConsensusError::Thread)?;
     let running = Running { sessions, figures, stop, thread: Some(thread) };
-    match readied.recv() {
+    match ready_receiver.recv() {
         Ok(Ok(())) => Ok(running),
         Ok(Err(e)) => Err(e),
-        Err(_) => Err(ConsensusError::Agreement("the replica's thread failed".into())),
+        Err(_) => Err(ConsensusError::Agreement("the consensus thread exited during startup".into())),
     }
 }
 
 fn parts(options: &Options) -> Result<Option<Parts>, ConsensusError> {
-    let Some(keep) = &options.replica else { return Ok(None) };
-    if !options.replicas.contains_key(&keep.number) {
-        return Err(ConsensusError::NotAReplica { number: keep.number });
+    let Some(replica) = &options.replica else { return Ok(None) };
+    if !options.replicas.contains_key(&replica.number) {
+        return Err(ConsensusError::NotAReplica { number: replica.number });
     }
-    let listen = |source| ConsensusError::Listen { address: keep.listen.clone(), source };
-    let listener = TcpListener::bind(&keep.listen).map_err(listen)?;
+    let listen = |source| ConsensusError::Listen { address: replica.listen.clone(), source };
+    let listener = TcpListener::bind(&replica.listen).map_err(listen)?;
     listener.set_nonblocking(true).map_err(listen)?;
-    let (store, start) = store::open(&keep.store)?;
-    Ok(Some(Parts { number: keep.number, store, start, listener }))
+    let (store, start) = store::open(&replica.store)?;
+    Ok(Some(Parts { number: replica.number, store, start, listener }))
 }
 
-fn make(
+fn make_session(
     options: &Options,
     name: &str,
     now: &Now,
     stop: &watch::Receiver<bool>,
 ) -> Result<(Session, SessionClient), ConsensusError> {
     let folder = options.session_folder.as_deref();
-    let kept = SessionFile::open(folder, name).map_err(|source| ConsensusError::Incarnations {
+    let session_file = SessionFile::open(folder, name).map_err(|source| ConsensusError::Incarnations {
         path: folder.map(Into::into).unwrap_or_default(),
         source,
     })?;
-    // What was known is shown from the first moment on, as stale.
+    // The stored view is published immediately, marked as stale.
     let mut holder = LeaseHolder::new(options.terms);
-    holder.on_view(kept.memory.view.clone());
-    let (standing_in, standing) = watch::channel(holder.status().clone());
-    let (member_in, member) = watch::channel(None);
-    let (told, told_out) = watch::channel(SessionReport::default());
-    let (retire, retire_out) = mpsc::channel::<Retirement>(MAX_RETIREMENTS);
-    let (said, said_out) = mpsc::channel(MAX_MESSAGES);
-    let (heard_in, heard) = mpsc::channel(MAX_MESSAGES);
+    holder.on_view(session_file.memory.view.clone());
+    let (status_sender, status_receiver) = watch::channel(holder.status().clone());
+    let (member_sender, member) = watch::channel(None);
+    let (report_sender, report_receiver) = watch::channel(SessionReport::default());
+    let (retire, retire_receiver) = mpsc::channel::<Retirement>(MAX_RETIREMENTS);
+    let (inquiry_sender, inquiry_receiver) = mpsc::channel(MAX_MESSAGES);
+    let (event_sender, event_receiver) = mpsc::channel(MAX_MESSAGES);
     let client = SessionClient {
         name: name.into(),
         replicas: options.replicas.clone(),
@@ -146,25 +147,32 @@
         pools: options.pools.clone(),
         now: now.clone(),
         seed: seed(options.seed, name),
-        file: kept,
-        status: standing_in,
-        member: member_in,
-        report: told_out,
-        retire: retire_out,
-        inquiries: said_out,
-        inquiry_events: heard_in,
+        file: session_file,
+        status: status_sender,
+        member: member_sender,
+        report: report_receiver,
+        retire: retire_receiver,
+        inquiries: inquiry_receiver,
+        inquiry_events: event_sender,
         stop: stop.clone(),
     };
     Ok((
-        Session { status: standing, member, report: told, retire, inquiries: said, inquiry_events: heard },
+        Session {
+            status: status_receiver,
+            member,
+            report: report_sender,
+            retire,
+            inquiries: inquiry_sender,
+            inquiry_events: event_receiver,
+        },
         client,
     ))
 }
 
 type Ready = std::sync::mpsc::Sender<Result<(), ConsensusError>>;
 
-/// The whole life of the thread.
-async fn life(
+/// Runs the replica and the sessions until stopped.
+async fn run_thread(
     options: Options,
     parts: Option<Parts>,
     now: Now,
--- a/crates/consensus/src/statistics.rs
+++ b/crates/consensus/src/statistics.rs
@@ -1,26 +1,26 @@
-//! Figures of a process's part in the agreement, for gauges.
+//! Statistics of a process's replica, for gauges.
 
-/// Counts since the start, and how things stand.
+/// Counters since the start, and the replica's current state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Statistics {
-    /// This process's replica leads.
+    /// Whether this process's replica leads.
     pub is_leader: bool,
-    /// This replica votes: it lost nothing, or what it lost has come back.
+    /// Whether this replica votes: it lost no state, or has recovered the state that it lost.
     pub is_voter: bool,
-    /// The replica that leads, as far as this one knows.
+    /// The current leader, as far as this replica knows.
     pub leader: Option<u64>,
     pub term: u64,
-    /// Numbers of the last entry of this replica's log, and of the last that a snapshot took the place of.
+    /// Index of the last entry in this replica's log, and of the last entry that was purged after a snapshot.
     pub last_entry: u64,
     pub purged: u64,
-    /// Sessions at this replica.
+    /// Open sessions at this replica.
     pub sessions: usize,
-    /// Promises given.
+    /// Lease grants sent.
     pub promised: u64,
-    /// Entries proposed, and the changes in them.
+    /// Entries proposed, and the changes in these entries.
     pub proposals: u64,
     pub changes: u64,
-    /// Messages of sessions at this replica, in and out.
+    /// Session messages that this replica received and sent.
     pub messages_received: u64,
     pub messages_sent: u64,
 }
--- a/crates/consensus/src/store/fingerprint.rs
+++ b/crates/consensus/src/store/fingerprint.rs
@@ -1,13 +1,10 @@
-//! A few bytes beside the store, by which a store that was lost or set back is recognized.
+//! The guard file beside the store, which detects a store that was lost or rolled back.
 //!
-//! A replica that forgot its vote or the end of its log could vote twice in a term, or let a leader be
-//! elected that lacks what
-//! was agreed on. So the highest term it knew and the end of its log are written here too, in a file of
-//! their own.
-//! The store is written first, this file next, and only then is anything answered: the file never tells
-//! more than the store
-//! held. The other way round where the log gets shorter. Two slots, written in turn, each with a sum: a
-//! torn write costs one.
+//! A replica that lost its vote or the end of its log could vote twice in a term, or help elect a leader that lacks
+//! committed entries. So the highest term the replica knew and the end of its log are also written to a separate file.
+//! The store is written first, this file second, and only then does the replica answer, so the file never records more
+//! than the store held. When the log gets shorter, the order is reversed. The file has two slots, written alternately,
+//! each with a checksum, so a torn write damages only one.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Result, Seek, SeekFrom, Write};
@@ -19,16 +16,16 @@
 const SLOT: usize = 48;
 const MAGIC: u64 = 0x5354_4b50_4755_4152;
 
-/// What a replica had at least.
+/// Lower bound of the state that a replica has stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fingerprint {
-    /// The highest term that it took part in.
+    /// The highest term in which it participated.
     pub term: u64,
-    /// Term and index of the last entry of its log; zeros where it had none.
+    /// Term and index of the last entry of its log; zeros if the log was empty.
     pub last: (u64, u64),
 }
 
-/// The file of fingerprints.
+/// The guard file, which contains the fingerprints.
 #[derive(Debug)]
 pub struct StoreFingerprint {
     file: File,
@@ -37,19 +34,19 @@
 }
 
 impl StoreFingerprint {
-    /// Opens the file, or makes one. A file of which no slot is whole counts as none.
+    /// Opens the file, or creates it. A file without an undamaged slot is treated as missing.
     pub fn open(path: &Path) -> Result<StoreFingerprint> {
         let mut file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
         let mut bytes = Vec::new();
         (&mut file).take(2 * SLOT as u64).read_to_end(&mut bytes)?;
-        let newest = bytes.chunks_exact(SLOT).filter_map(read).max_by_key(|(turn, _)| *turn);
+        let newest = bytes.chunks_exact(SLOT).filter_map(read).max_by_key(|(sequence, _)| *sequence);
         if let Some(folder) = path.parent() {
             File::open(folder)?.sync_all()?;
         }
         Ok(StoreFingerprint {
             file,
-            sequence: newest.map_or(0, |(turn, _)| turn),
-            fingerprint: newest.map(|(_, mark)| mark),
+            sequence: newest.map_or(0, |(sequence, _)| sequence),
+            fingerprint: newest.map(|(_, fingerprint)| fingerprint),
         })
     }
 
@@ -58,15 +55,15 @@
         self.fingerprint
     }
 
-    /// Writes an intent; on disk once this returns. The term never falls.
-    pub fn set(&mut self, mut mark: Fingerprint) -> Result<()> {
-        mark.term = mark.term.max(self.fingerprint.map_or(0, |m| m.term));
-        if self.fingerprint == Some(mark) {
+    /// Writes a fingerprint, which is on disk once this returns. The term never decreases.
+    pub fn set(&mut self, mut fingerprint: Fingerprint) -> Result<()> {
+        fingerprint.term = fingerprint.term.max(self.fingerprint.map_or(0, |m| m.term));
+        if self.fingerprint == Some(fingerprint) {
             return Ok(());
         }
         self.sequence += 1;
         let mut slot = Vec::with_capacity(SLOT);
-        for word in [MAGIC, self.sequence, mark.term, mark.last.0, mark.last.1] {
+        for word in [MAGIC, self.sequence, fingerprint.term, fingerprint.last.0, fingerprint.last.1] {
             slot.extend_from_slice(&word.to_le_bytes());
         }
         let sum = sum(&slot);
@@ -74,7 +71,7 @@
         self.file.seek(SeekFrom::Start((self.sequence % 2) * SLOT as u64))?;
         self.file.write_all(&slot)?;
         self.file.sync_data()?;
-        self.fingerprint = Some(mark);
+        self.fingerprint = Some(fingerprint);
         Ok(())
     }
 }
@@ -87,7 +84,7 @@
     Some((word(1)?, Fingerprint { term: word(2)?, last: (word(3)?, word(4)?) }))
 }
 
-/// FNV-1a: it tells a torn write, not a malicious one.
+/// Computes the FNV-1a checksum, which detects torn writes but not malicious ones.
 pub fn sum(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
--- a/crates/consensus/src/store/fingerprint/tests.rs
+++ b/crates/consensus/src/store/fingerprint/tests.rs
@@ -12,7 +12,7 @@
     guard.set(Fingerprint { term: 2, last: (3, 11) }).unwrap();
     let whole = StoreFingerprint::open(&path).unwrap().fingerprint();
     assert_eq!(whole, Some(Fingerprint { term: 3, last: (3, 11) }));
-    // The second intent went to the first slot.
+    // The second fingerprint was written to the first slot.
     let mut bytes = std::fs::read(&path).unwrap();
     bytes[20] ^= 1;
     std::fs::write(&path, &bytes).unwrap();
--- a/crates/consensus/src/store/log.rs
+++ b/crates/consensus/src/store/log.rs
@@ -1,4 +1,4 @@
-//! The log as Raft asks for it.
+//! Implements Raft's log storage.
 
 use super::{fault, key, Outcome, Store, LOG};
 use crate::types::{Entry, LogId, RaftStorageError, TypeConfig, Vote};
@@ -19,7 +19,7 @@
         Ok(entries)
     }
 
-    /// The entry before a place, or the last that was purged.
+    /// Returns the id of the entry before an index, or of the last purged entry.
     fn before(&self, index: u64) -> Outcome<Option<LogId>> {
         let read = self.db.begin_read()?;
         let table = read.open_table(LOG)?;
@@ -31,14 +31,14 @@
     }
 }
 
-/// Writes; on disk once they return.
+/// Write operations; each is on disk once it returns.
 impl Store {
     pub(super) fn set_vote(&self, vote: &Vote) -> Outcome<()> {
         self.write(Durability::Immediate, |w| w.put(key::VOTE, vote))?;
         self.record_fingerprint(self.last()?)
     }
 
-    /// All that is handed over together is one commit.
+    /// Appends all entries in one commit.
     pub(super) fn append_entries(&self, entries: Vec<Entry>) -> Outcome<()> {
         let mut last = None;
         self.write(Durability::Immediate, |w| {
@@ -51,13 +51,14 @@
         Ok(())
     }
 
-    /// Takes off the end, from this entry on. The guard first: it never tells of more than the store holds.
+    /// Removes the end of the log, from this entry on. Writes the guard file first, so that it never records more than the
+    /// store holds.
     pub(super) fn truncate_from(&self, from: LogId) -> Outcome<()> {
         self.record_fingerprint(self.before(from.index)?)?;
         self.write(Durability::Immediate, |w| w.remove(from.index..))
     }
 
-    /// Takes off the beginning, up to this entry.
+    /// Removes the beginning of the log, up to and including this entry.
     pub(super) fn purge_to(&self, upto: LogId) -> Outcome<()> {
         self.write(Durability::Immediate, |w| {
             w.put(key::PURGED, &upto)?;
@@ -97,7 +98,7 @@
     }
 
     async fn save_committed(&mut self, committed: Option<LogId>) -> Result<(), RaftStorageError> {
-        // For a quick start only: what was committed is sent anew by the leader.
+        // Not flushed: it only speeds up a restart, as the leader sends the commit index again.
         self.run_blocking(move |store| store.write(Durability::None, |w| w.put(key::COMMITTED, &committed)))
             .await
     }
--- a/crates/consensus/src/store/mod.rs
+++ b/crates/consensus/src/store/mod.rs
@@ -1,10 +1,8 @@
-//! A replica's store: log, vote and applied record in one redb database, a guard beside it.
+//! A replica's store: log, vote and applied state in one redb database, with a guard file beside it.
 //!
-//! What Raft acknowledges is in a commit that was flushed to disk. The applied record is written without a
-//! flush of its own:
-//! commits are one history, so a crash takes back its newest part at most as far as the last flushed one,
-//! and entries are
-//! purged by a later, flushed one.
+//! Whatever Raft acknowledges is in a commit that was flushed to disk. The applied state is written without a flush.
+//! Commits are ordered, so a crash loses at most the commits after the last flushed one. The applied state is not lost
+//! together with its entries, because entries are purged by a later, flushed commit.
 
 mod fingerprint;
 mod log;
@@ -34,7 +32,7 @@
     pub const COMMITTED: &str = "committed";
     pub const STATE: &str = "state";
     pub const SNAPSHOT: &str = "snapshot";
-    /// The term up to which this replica neither votes nor follows; it lost what it knew of it.
+    /// The term up to which this replica neither votes nor follows, because it lost its vote and log up to it.
     pub const BOUND: &str = "bound";
 }
 
@@ -42,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub struct Store {
     db: Arc<Database>,
-    /// Held for single writes, one at a time.
+    /// The guard file; locked during each write to it.
     guard: Arc<Mutex<StoreFingerprint>>,
 }
 
@@ -57,16 +55,16 @@
     Format(#[from] postcard::Error),
 }
 
-macro_rules! faults {
+macro_rules! impl_from_errors {
     ($($kind:ident),*) => { $(impl From<redb::$kind> for StoreError {
         fn from(fault: redb::$kind) -> StoreError { StoreError::Db(Box::new(fault.into())) }
     })* };
 }
-faults!(StorageError, TransactionError, TableError, CommitError);
+impl_from_errors!(StorageError, TransactionError, TableError, CommitError);
 
 type Outcome<T> = Result<T, StoreError>;
 
-/// For Raft, which stops at a store that fails.
+/// Converts an error for Raft, which stops on a storage error.
 fn fault(fault: StoreError) -> RaftStorageError {
     StorageIOError::write(AnyError::new(&fault)).into()
 }
@@ -75,8 +73,8 @@
     fn get<T: DeserializeOwned>(&self, key: &str) -> Outcome<Option<T>> {
         let read = self.db.begin_read()?;
         let table = read.open_table(META)?;
-        let found = table.get(key)?;
-        Ok(match found {
+        let value = table.get(key)?;
+        Ok(match value {
             Some(bytes) => Some(postcard::from_bytes(bytes.value())?),
             None => None,
         })
@@ -89,9 +87,9 @@
         Ok(transaction.commit()?)
     }
 
-    /// Does what may wait for the disk on a thread for such work: heartbeats and sessions go on meanwhile, on the
-    /// replica's own. Whoever asks waits for the end before the next, so the order is theirs; redb takes one commit
-    /// at a time.
+    /// Runs work that may wait for the disk on a blocking thread, so that heartbeats and sessions continue on the
+    /// replica's thread. Callers await each operation before the next, which determines the order; redb runs one
+    /// write transaction at a time.
     async fn run_blocking<T: Send + 'static>(
         &self,
         work: impl FnOnce(&Store) -> Outcome<T> + Send + 'static,
@@ -103,7 +101,7 @@
         }
     }
 
-    /// The last entry of the log, or the last that was purged.
+    /// Returns the id of the last entry of the log, or of the last purged entry.
     fn last(&self) -> Outcome<Option<LogId>> {
         let read = self.db.begin_read()?;
         let table = read.open_table(LOG)?;
@@ -118,20 +116,23 @@
         self.get(key::VOTE)
     }
 
-    /// Writes beside the store what it now holds.
+    /// Records the current state of the store in the guard file.
     fn record_fingerprint(&self, last: Option<LogId>) -> Outcome<()> {
         let term = self.vote()?.map_or(0, |v| v.leader_id.term);
         let last = last.map_or((0, 0), |l| (l.leader_id.term, l.index));
-        let mut guard = self.guard.lock().map_err(|_| std::io::Error::other("the guard's holder failed"))?;
+        let mut guard = self
+            .guard
+            .lock()
+            .map_err(|_| std::io::Error::other("a thread panicked while writing the guard file"))?;
         Ok(guard.set(Fingerprint { term, last })?)
     }
 
-    /// Where this replica lost what it knew: the term up to which it takes no part.
+    /// Returns the term up to which this replica does not participate; `None` if it lost no state.
     pub fn bound(&self) -> Outcome<Option<u64>> {
         self.get(key::BOUND)
     }
 
-    /// Written by whoever may wait for the disk.
+    /// Writes the bound; blocks until it is on disk.
     fn set_bound(&self, bound: Option<u64>) -> Outcome<()> {
         self.write(Durability::Immediate, |w| match bound {
             Some(bound) => w.put(key::BOUND, &bound),
@@ -139,13 +140,13 @@
         })
     }
 
-    /// Writes the term up to which this replica takes no part, or that there is none.
+    /// Writes the term up to which this replica does not participate; `None` clears it.
     pub async fn save_bound(&self, bound: Option<u64>) -> Result<(), RaftStorageError> {
         self.run_blocking(move |store| store.set_bound(bound)).await
     }
 }
 
-/// One commit.
+/// A write transaction.
 struct Write<'a>(&'a redb::WriteTransaction);
 
 impl Write<'_> {
--- a/crates/consensus/src/store/state_machine.rs
+++ b/crates/consensus/src/store/state_machine.rs
@@ -1,4 +1,4 @@
-//! The cluster state as Raft applies it, and its snapshots.
+//! The replicated state machine: applies entries to the cluster state, and writes and installs its snapshots.
 
 use super::{fault, key, Outcome, Store, StoreError};
 use crate::types::{Applied, BatchOutcome, Entry, LogId, Members, RaftStorageError, TypeConfig, MAX_CHANGES};
@@ -13,7 +13,7 @@
 
 type Meta = SnapshotMeta<u64, openraft::EmptyNode>;
 
-/// All that a snapshot holds.
+/// The content of a snapshot.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct State {
     pub(super) last: Option<LogId>,
@@ -29,11 +29,11 @@
 }
 
 impl StateMachine {
-    /// The cluster state as far as the store holds it.
+    /// Loads the applied state from the store.
     pub fn new(store: Store) -> Outcome<(StateMachine, watch::Receiver<Applied>)> {
         let state: State = store.get(key::STATE)?.unwrap_or_default();
-        let (told, applied) = watch::channel(state.applied());
-        Ok((StateMachine { store, state, applied: told }, applied))
+        let (applied_sender, applied) = watch::channel(state.applied());
+        Ok((StateMachine { store, state, applied: applied_sender }, applied))
     }
 }
 
@@ -46,7 +46,7 @@
         self.last = Some(entry.log_id);
         match entry.payload {
             EntryPayload::Blank => BatchOutcome(Vec::new()),
-            // Each change has a number of its own; nobody sees half an entry.
+            // Each change has a unique number. The state is published only after the whole entry is applied.
             EntryPayload::Normal(batch) => {
                 let numbers = entry.log_id.index * MAX_CHANGES..;
                 BatchOutcome(numbers.zip(&batch.0).map(|(n, c)| self.state.apply(n, c)).collect())
@@ -66,7 +66,7 @@
     }
 }
 
-/// Writes a snapshot of the state that it was asked for.
+/// Writes a snapshot of the state at the time the builder was requested.
 pub struct Builder {
     store: Store,
     state: State,
@@ -78,8 +78,8 @@
         self.store
             .run_blocking(move |store| {
                 let snapshot = state.snapshot()?;
-                let kept = (&snapshot.meta, snapshot.snapshot.get_ref());
-                store.write(Durability::Immediate, |w| w.put(key::SNAPSHOT, &kept))?;
+                let stored = (&snapshot.meta, snapshot.snapshot.get_ref());
+                store.write(Durability::Immediate, |w| w.put(key::SNAPSHOT, &stored))?;
                 Ok(snapshot)
             })
             .await
@@ -98,13 +98,13 @@
         I: IntoIterator<Item = Entry> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
-        let done = entries.into_iter().map(|entry| self.state.apply(entry)).collect();
+        let outcomes = entries.into_iter().map(|entry| self.state.apply(entry)).collect();
         let state = postcard::to_stdvec(&self.state).map_err(StoreError::from).map_err(fault)?;
         self.store
             .run_blocking(move |s| s.write(Durability::None, |w| w.put_bytes(key::STATE, &state)))
             .await?;
         self.applied.send_replace(self.state.applied());
-        Ok(done)
+        Ok(outcomes)
     }
 
     async fn get_snapshot_builder(&mut self) -> Builder {
@@ -135,7 +135,7 @@
     }
 
     async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<TypeConfig>>, RaftStorageError> {
-        let kept: Option<(Meta, Vec<u8>)> = self.store.get(key::SNAPSHOT).map_err(fault)?;
-        Ok(kept.map(|(meta, bytes)| Snapshot { meta, snapshot: Box::new(Cursor::new(bytes)) }))
+        let stored: Option<(Meta, Vec<u8>)> = self.store.get(key::SNAPSHOT).map_err(fault)?;
+        Ok(stored.map(|(meta, bytes)| Snapshot { meta, snapshot: Box::new(Cursor::new(bytes)) }))
     }
 }
--- a/crates/consensus/src/store/tests/golden.rs
+++ b/crates/consensus/src/store/tests/golden.rs
@@ -1,5 +1,4 @@
-//! A replica's store and snapshot that the build before the renaming of the packages wrote: they are opened, compared
-//! and continued. `tests/golden/store` and `tests/golden/snapshot.txt` never change with the code.
+//! Opens, compares and continues a replica's store and snapshot written by the build before the packages were renamed. `tests/golden/store` and `tests/golden/snapshot.txt` never change with the code.
 
 use super::super::{open, Start, StateMachine, Store};
 use crate::types::{Batch, Entry, LogId, Vote};
@@ -9,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// Folder to which a new golden store is written, where it is set.
+/// Environment variable with the folder for a new golden store; unset: none is written.
 const WRITE_TO: &str = "STAGEHOIST_WRITE_GOLDEN_STORE";
 const FILES: [&str; 2] = ["record.redb", "guard"];
 
--- a/crates/consensus/src/store/tests/mod.rs
+++ b/crates/consensus/src/store/tests/mod.rs
@@ -1,4 +1,4 @@
-//! What was acknowledged is there after any loss of power, and a disk that stalls holds up its own writes only.
+//! Acknowledged writes survive any power loss, and a stalled disk blocks only the writes to it.
 
 mod golden;
 
@@ -27,7 +27,7 @@
     Some(Store { db: Arc::new(db), guard })
 }
 
-/// What was acknowledged, and what was under way when the disk died.
+/// The acknowledged writes, and the write in flight when the disk failed.
 #[derive(Default)]
 struct Model {
     term: u64,
@@ -35,7 +35,7 @@
     entries: BTreeMap<u64, Entry>,
     applied: u64,
     purged: u64,
-    /// From here on the end of the log may be gone.
+    /// Index from which the end of the log may be lost.
     cutting: Option<u64>,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// Works until the disk dies, as Raft does.
+/// Writes as Raft does, until the disk fails.
 async fn work(disk: &Disk, guard: &Path, draw: &mut Random) -> Model {
     let mut model = Model { term: 1, ..Model::default() };
     let Some(mut store) = open(disk, guard) else { return model };
@@ -69,7 +69,7 @@
             0 | 1 => {
                 let vote = Vote::new(model.term + 1, draw.below(3));
                 let went = store.save_vote(&vote).await.is_ok();
-                // It may be there without a word.
+                // It may be on disk without having been acknowledged.
                 model.term += 1;
                 model.vote = if went { Some(vote) } else { model.vote };
                 went
@@ -110,10 +110,10 @@
     model
 }
 
-/// What is missing of what was acknowledged.
+/// Returns which acknowledged write is missing.
 fn missing(model: &Model, disk: &Disk, guard: &Path) -> Option<String> {
     let Some(store) = open(disk, guard) else {
-        // It died while it was made: nothing was acknowledged yet.
+        // The disk failed while the store was created, so nothing was acknowledged yet.
         let nothing = model.vote.is_none() && model.end() == 0;
         return (!nothing).then(|| "it does not open".into());
     };
@@ -135,7 +135,7 @@
     if let Some(gone) = gone {
         return Some(format!("entry {gone}, applied up to {from}"));
     }
-    // Applied again from there on, the cluster state is what it would be from the first entry on.
+    // Applying the remaining entries must give the same cluster state as applying all entries from the first.
     let mut whole = State::default();
     for entry in model.entries.values().filter(|e| e.log_id.index <= from.max(model.end())) {
         whole.apply(entry.clone());
@@ -146,10 +146,10 @@
     (model.cutting.is_none() && state.state != whole.state).then(|| "the record differs".into())
 }
 
-/// Deaths after which something was missing, over drawn moments.
+/// Counts the disk failures, at random times, after which an acknowledged write was missing.
 fn lost(lies: bool, seeds: u64) -> Vec<String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    // The guard's own syncs are not what is tested here.
+    // The syncs of the guard file are not tested here.
     let folder = tempfile::tempdir_in("/dev/shm").or_else(|_| tempfile::tempdir()).unwrap();
     let deaths = (0..seeds).filter_map(|seed| {
         let mut draw = Random(seed);
@@ -159,7 +159,7 @@
         disk.state().ignores_syncs = lies;
         let model = runtime.block_on(work(&disk, &guard, &mut draw));
         let after = disk.after_power_loss(&mut draw);
-        // Where the store can't be read at all redb may panic; `open` takes that for damage.
+        // redb may panic on an unreadable store; `open` treats that as damage.
         let missing = catch_unwind(AssertUnwindSafe(|| missing(&model, &after, &guard)));
         missing.unwrap_or_else(|_| Some("it can't be read".into())).map(|what| format!("seed {seed}: {what}"))
     });
--- a/crates/consensus/src/tests.rs
+++ b/crates/consensus/src/tests.rs
@@ -1,5 +1,5 @@
 //! Golden bytes: the first frames of connections, every message between replicas and a front end's session file, as
-//! the build before the renaming of the packages wrote them. `tests/golden/*` never change with the code.
+//! written by the build before the packages were renamed. `tests/golden/*` never change with the code.
 
 use crate::frames::{decode_first, encode_first, First, PEER_PROTOCOL};
 use crate::replica::messages::{PeerRequest, PeerResponse, ReplicaStatus, RequestFrame, ResponseFrame};
@@ -26,7 +26,7 @@
         writeln!(self.text, "{name} {hex}").unwrap();
     }
 
-    /// Encodes a value as a line, and checks that the bytes are read back as the same value.
+    /// Encodes a value as a line, and checks that the bytes decode to the same value.
     fn add<T: Serialize + DeserializeOwned + Debug>(&mut self, name: &str, value: &T) {
         let bytes = crate::frames::encode(value).unwrap();
         let read: T = crate::frames::decode(&bytes).unwrap();
--- a/crates/consensus/src/types.rs
+++ b/crates/consensus/src/types.rs
@@ -1,17 +1,18 @@
-//! What Raft carries here.
+//! Types of the entries, outcomes and state that Raft replicates.
 
 use serde::{Deserialize, Serialize};
 use stagehoist_cluster_state::{ClusterState, Command, CommandOutcome};
 use std::sync::Arc;
 
-/// Numbers of changes that each entry takes up, so that each change has its own: the cluster state compares them.
+/// Change numbers reserved for each entry, so that each change has a unique number; the cluster state compares
+/// these numbers.
 pub const MAX_CHANGES: u64 = 1024;
 
-/// Changes that are agreed on as one entry: what came while the entry before was under way.
+/// Changes committed as one entry: those queued while the previous entry was in flight.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Batch(pub Vec<Command>);
 
-/// What came of each.
+/// The outcome of each change of a batch, in the same order.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BatchOutcome(pub Vec<CommandOutcome>);
 
@@ -20,7 +21,7 @@
         D = Batch,
         R = BatchOutcome,
         NodeId = u64,
-        // Addresses are each process's own: it may reach a replica at another one than others do.
+        // Addresses are configured per process: two processes may reach the same replica at different addresses.
         Node = openraft::EmptyNode,
         SnapshotData = std::io::Cursor<Vec<u8>>,
 );
@@ -33,7 +34,7 @@
 pub type RaftStorageError = openraft::StorageError<u64>;
 pub type Metrics = openraft::RaftMetrics<u64, openraft::EmptyNode>;
 
-/// The cluster state as this replica has applied it.
+/// The cluster state up to the last entry that this replica applied.
 #[derive(Clone, Debug, Default)]
 pub struct Applied {
     pub last: Option<LogId>,
--- a/crates/consensus/tests/agree.rs
+++ b/crates/consensus/tests/agree.rs
@@ -13,8 +13,8 @@
     fleet.until("a leader", |f| f.leader().is_some());
     fleet.session(3).retire.try_send(retirement("f", RetirementMode::Strict)).unwrap();
     fleet.until("in force", |f| f.sessions().iter().all(|s| in_force(s, "f")));
-    // They are told ten times a second.
-    fleet.until("its figures", |f| {
+    // Statistics are published ten times a second.
+    fleet.until("its statistics", |f| {
         let Some(leader) = f.leader() else { return false };
         let figures = f.running[&leader].figures().borrow().clone();
         figures.sessions == 3 && figures.promised > 0 && figures.proposals > 0
@@ -31,12 +31,12 @@
     fleet.until("in force", |f| f.sessions().iter().all(|s| in_force(s, "f")));
     fleet.stop(first);
     fleet.until("another leader", |f| f.leader().is_some_and(|l| l != first));
-    // One that never saw it is shown it by the new leader.
+    // A member that never received the retirement receives it from the new leader.
     let late = start(fleet.options(&["late".into()]), clock()).unwrap();
     wait("the late one is shown it", || shown(&late.sessions["late"], "f").is_some());
     late.stop();
     fleet.session(other).retire.try_send(retirement("g", RetirementMode::Strict)).unwrap();
-    fleet.until("the next one in force", |f| f.sessions().iter().all(|s| in_force(s, "g")));
+    fleet.until("the next retirement in force", |f| f.sessions().iter().all(|s| in_force(s, "g")));
 }
 
 #[test]
@@ -52,8 +52,8 @@
     let until = session.status.borrow().fresh_until;
     session.retire.try_send(retirement("f", RetirementMode::Strict)).unwrap();
     std::thread::sleep(Duration::from_millis(1500));
-    assert_eq!(session.status.borrow().fresh_until, until, "a promise without a majority");
-    assert!(shown(session, "f").is_none(), "agreed without a majority");
+    assert_eq!(session.status.borrow().fresh_until, until, "lease granted without a majority");
+    assert!(shown(session, "f").is_none(), "change committed without a majority");
     fleet.start(3);
     wait("promises again", || is_fresh(session, &now));
     wait("what was asked for meanwhile", || shown(session, "f").is_some());
@@ -70,7 +70,7 @@
         fleet.sessions().iter().map(|s| s.member.borrow().clone().unwrap().incarnation).collect();
     (1..=3).for_each(|n| fleet.stop(n));
     fleet.start(1);
-    // What it was shown is known before any word, as stale.
+    // The stored view is available before any message from a leader, marked as stale.
     assert!(in_force(fleet.session(1), "f"));
     assert!(!is_fresh(fleet.session(1), &clock()));
     fleet.start(2);
@@ -79,7 +79,7 @@
     let again: Vec<u64> =
         fleet.sessions().iter().map(|s| s.member.borrow().clone().unwrap().incarnation).collect();
     assert!(runs.iter().zip(&again).all(|(before, after)| after > before), "{runs:?} {again:?}");
-    // From the replicas' own stores, not from a member's memory.
+    // The view comes from the replicas' stores, not from a member's session file.
     let options = Options { session_folder: None, ..fleet.options(&["new".into()]) };
     let new = start(options, clock()).unwrap();
     wait("shown to a new one", || in_force(&new.sessions["new"], "f"));
@@ -94,7 +94,7 @@
     let was = changes();
     fleet.session(1).retire.try_send(retirement(&"f".repeat(300), RetirementMode::Strict)).unwrap();
     wait("it is proposed", || changes() > was);
-    // What is not shown in the view is asked for twice a second.
+    // A retirement that the view does not contain is proposed again twice a second.
     wait("asked for no more", || {
         let was = changes();
         std::thread::sleep(Duration::from_millis(1300));
--- a/crates/consensus/tests/away.rs
+++ b/crates/consensus/tests/away.rs
@@ -1,4 +1,4 @@
-//! A replica that was away for longer than the others keep their logs.
+//! A replica that was stopped for longer than the others retain their logs.
 
 mod common;
 
@@ -20,11 +20,11 @@
         fleet.session(1).retire.try_send(retirement(&function, RetirementMode::Strict)).unwrap();
         fleet.until(&function, |f| f.sessions().iter().all(|s| in_force(s, &function)));
     }
-    // What it lacks is in no log any more.
-    fleet.until("logs are short", |f| (1..=2).all(|n| figures(f, n).purged > last));
+    // No log contains the entries that it lacks any more.
+    fleet.until("logs are purged", |f| (1..=2).all(|n| figures(f, n).purged > last));
     fleet.start(3);
-    fleet.until("it follows", |f| f.votes(3) && figures(f, 3).purged > last);
-    // Now it is needed.
+    fleet.until("the replica follows", |f| f.votes(3) && figures(f, 3).purged > last);
+    // The majority now needs this replica.
     fleet.stop(1);
     fleet.session(3).retire.try_send(retirement("g", RetirementMode::Available)).unwrap();
     fleet.until("agreed", |f| shown(f.session(2), "g").is_some());
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Several replicas in one test process, with a relay before each.
+//! Several replicas in one test process, each behind a relay.
 #![allow(dead_code)]
 
 pub mod relay;
@@ -13,14 +13,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A limit in real time that only a fault reaches.
+/// A time limit that is reached only on a fault.
 pub const LIMIT: Duration = Duration::from_secs(20);
 
 pub fn terms() -> LeaseTerms {
     LeaseTerms { lease: 1_000_000, drift_ppm: 1000, quorum: 500_000, tombstone_retention: 600_000_000 }
 }
 
-/// What all are told alike.
+/// Settings that all processes share.
 pub fn options() -> Options {
     Options {
         allocation: None,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Threads of this process that run a part in the agreement.
+/// The consensus threads of this process.
 fn threads() -> BTreeSet<String> {
     let tasks = std::fs::read_dir("/proc/self/task").unwrap();
     let tasks = tasks.map(|t| t.unwrap().path());
@@ -50,7 +50,7 @@
     Arc::new(move || i64::try_from(began.elapsed().as_micros()).unwrap())
 }
 
-/// A port that nobody listens on, out of the range that connections going out take theirs from.
+/// Returns a port without a listener, outside the range of ephemeral ports for outgoing connections.
 fn port() -> u16 {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
     let base = 12_000 + u16::try_from(std::process::id() % 200).unwrap() * 80;
@@ -62,7 +62,7 @@
     }
 }
 
-/// Replicas 1 to n, each behind a relay; every process reaches every replica by its relay.
+/// Replicas 1 to n, each behind a relay; every process reaches every replica through its relay.
 pub struct Fleet {
     pub folder: tempfile::TempDir,
     pub keepers: BTreeMap<u64, String>,
@@ -76,7 +76,7 @@
 
 impl Fleet {
     pub fn new(keepers: u64) -> Fleet {
-        // Told by the usual variable; nothing otherwise.
+        // Logs as the usual environment variable says; nothing if it is not set.
         let filter = tracing_subscriber::EnvFilter::from_default_env();
         let _ = tracing_subscriber::fmt()
             .with_env_filter(filter)
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Replicas started, each with a member `mN`.
+    /// Starts replicas, each with a member `mN`.
     pub fn started(keepers: u64) -> Fleet {
         let mut fleet = Fleet::new(keepers);
         fleet.start_all();
@@ -112,7 +112,7 @@
         self.until_all_vote();
     }
 
-    /// Waits until every running replica takes part fully and all name one leader.
+    /// Waits until every running replica participates fully and all name the same leader.
     pub fn until_all_vote(&self) {
         self.until("all vote", |f| f.running.keys().all(|n| f.votes(*n)) && f.agreed_leader().is_some());
     }
@@ -158,8 +158,8 @@
         self.running.iter().find(|(_, r)| leads(r)).map(|(n, _)| *n)
     }
 
-    /// The leader, where all running replicas name the same one in the same term: right after an election a replica
-    /// that led before may still count itself as the leader.
+    /// Returns the leader if all running replicas name the same one in the same term: right after an election the
+    /// previous leader may still consider itself the leader.
     pub fn agreed_leader(&self) -> Option<u64> {
         let mut known = self.running.values().map(|running| {
             let figures = running.figures();
@@ -171,7 +171,7 @@
         self.leader().filter(|leader| is_agreed && first.0 == Some(*leader))
     }
 
-    /// Whether a replica takes part fully: with one other of three it is a majority.
+    /// Whether a replica participates fully, so that it forms a majority with one other of three.
     pub fn votes(&self, number: u64) -> bool {
         self.running[&number].figures().borrow().is_voter
     }
@@ -184,7 +184,7 @@
         &self.running[&number].sessions[&format!("m{number}")]
     }
 
-    /// Waits for something while every front end confirms what it is shown.
+    /// Waits for a condition while every front end confirms the views it receives.
     pub fn until(&self, what: &str, is_so: impl Fn(&Fleet) -> bool) {
         let sessions = self.sessions();
         wait(what, || {
@@ -202,10 +202,10 @@
     }
 }
 
-/// As a front end that serves nothing of what the view names.
+/// Confirms the view, as a front end does that serves none of the retired functions.
 pub fn confirm(session: &Session) {
     let version = session.status.borrow().view.version;
-    session.report.send_if_modified(|told| std::mem::replace(&mut told.confirmed, version) != version);
+    session.report.send_if_modified(|report| std::mem::replace(&mut report.confirmed, version) != version);
 }
 
 pub fn is_fresh(session: &Session, now: &Now) -> bool {
@@ -221,7 +221,7 @@
     session.status.borrow().view.retired(function, 1).cloned()
 }
 
-/// In force, with nobody left out.
+/// Whether the retirement is in force for all members without exception.
 pub fn in_force(session: &Session, function: &str) -> bool {
     shown(session, function)
         .is_some_and(|t| matches!(t.state, TombstoneState::InForce { but_for } if but_for.is_empty()))
--- a/crates/consensus/tests/common/relay.rs
+++ b/crates/consensus/tests/common/relay.rs
@@ -1,4 +1,4 @@
-//! A relay on the loopback: passes bytes both ways until it is cut, or stalled.
+//! A relay on the loopback interface that passes bytes in both directions until it is cut or stalled.
 
 use std::future::Future;
 use std::net::TcpListener as Listener;
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Way {
     Open,
-    /// Connections end, and none comes about.
+    /// Connections are closed, and no new ones are opened.
     Cut,
-    /// Connections stand and come about; nothing passes.
+    /// Connections stay open and new ones are accepted, but no bytes pass.
     Stalled,
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// Goes on with it while the way is open, until it is cut.
+/// Runs the copy while the relay is open; stops when it is cut.
 async fn pass<T>(passing: impl Future<Output = T>, mut goes: watch::Receiver<Way>) {
     let mut passing = std::pin::pin!(passing);
     loop {
--- a/crates/consensus/tests/cut.rs
+++ b/crates/consensus/tests/cut.rs
@@ -1,4 +1,4 @@
-//! A member that is cut off, and a strict retirement.
+//! A strict retirement while a member is partitioned.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A member that reaches the replicas by relays of its own.
+/// A member that reaches the replicas through its own relays.
 fn split(fleet: &Fleet) -> (Options, Vec<Relay>) {
     let mut options = fleet.options(&["apart".into()]);
     let relays: Vec<_> = fleet.keepers.values().map(|to| Relay::new(to)).collect();
@@ -19,36 +19,37 @@
 
 #[test]
 fn a_strict_retirement_is_in_force_only_once_the_promise_to_one_cut_off_ran_out() {
-    comes_in_force_after_its_promise(Way::Cut);
+    check_in_force_after_lease(Way::Cut);
 }
 
 #[test]
 fn a_strict_retirement_is_in_force_only_once_the_promise_to_one_whose_ways_stall_ran_out() {
-    comes_in_force_after_its_promise(Way::Stalled);
+    check_in_force_after_lease(Way::Stalled);
 }
 
-fn comes_in_force_after_its_promise(way: Way) {
+fn check_in_force_after_lease(way: Way) {
     let fleet = Fleet::started(3);
     let (options, relays) = split(&fleet);
     let now = clock();
     let split = start(options, now.clone()).unwrap();
     let session = &split.sessions["apart"];
-    wait("a promise to it", || is_fresh(session, &now));
+    wait("a lease for the partitioned member", || is_fresh(session, &now));
     relays.iter().for_each(|r| r.set(way));
     fleet.session(1).retire.try_send(retirement("f", RetirementMode::Strict)).unwrap();
     let mut was_fresh = 0;
-    wait("in force at the others", || {
-        // Looked at in this order: what is fresh after it was seen in force would be a call served after.
+    wait("in force at the other members", || {
+        // The order matters: a status still fresh after the retirement was observed in force would allow a call to be served
+        // after it.
         let is_in_force = fleet.sessions().iter().any(|s| in_force(s, "f"));
         let fresh = is_fresh(session, &now);
-        assert!(!(is_in_force && fresh), "in force while the one cut off may still serve");
+        assert!(!(is_in_force && fresh), "in force while the partitioned member may still serve");
         was_fresh += u32::from(fresh);
         fleet.sessions().iter().for_each(|s| confirm(s));
         is_in_force
     });
     assert!(was_fresh > 0 && shown(session, "f").is_none());
     relays.iter().for_each(|r| r.cut(false));
-    wait("it is shown it once it is back", || in_force(session, "f"));
+    wait("the member receives the retirement after reconnecting", || in_force(session, "f"));
     split.stop();
 }
 
@@ -59,24 +60,24 @@
     let now = clock();
     let split = start(options, now.clone()).unwrap();
     let session = &split.sessions["apart"];
-    wait("a promise to it", || is_fresh(session, &now));
+    wait("a lease for the partitioned member", || is_fresh(session, &now));
     relays.iter().for_each(|r| r.cut(true));
     fleet.session(1).retire.try_send(retirement("f", RetirementMode::Available)).unwrap();
-    fleet.until("in force but for it", |f| {
+    fleet.until("in force except for the partitioned member", |f| {
         let state = shown(f.session(2), "f").map(|t| t.state);
         matches!(state, Some(TombstoneState::InForce { but_for }) if but_for.iter().any(|m| m.name == "apart"))
     });
     relays.iter().for_each(|r| r.cut(false));
-    fleet.until("in force at all", |f| {
+    fleet.until("in force for all members", |f| {
         confirm(session);
         in_force(f.session(2), "f")
     });
     split.stop();
 }
 
-/// Replica 1 leads and is cut off from the others, not from one of its members. Whether that member took its view for
-/// the newest when the others had the retirement in force.
-fn is_promised_beyond_it(quorum: i64) -> bool {
+/// Partitions the leader, replica 1, from the other replicas but not from one of its members. Returns whether that
+/// member considered its view the newest when the others had the retirement in force.
+fn is_lease_extended_past_retirement(quorum: i64) -> bool {
     let mut fleet = Fleet::new(3);
     let own: BTreeMap<u64, Relay> = [2, 3].into_iter().map(|n| (n, Relay::new(fleet.listens(n)))).collect();
     let doctored = LeaseTerms { quorum, ..terms() };
@@ -88,11 +89,11 @@
     fleet.start(2);
     fleet.start(3);
     fleet.until_all_vote();
-    // Whoever leads in its place stops, until it leads.
+    // Stops whichever other replica leads, until replica 1 leads.
     for _ in 0..20 {
         let Some(first) = fleet.leader().filter(|l| *l != 1) else { break };
         fleet.stop(first);
-        fleet.until("another leads", |f| f.leader().is_some());
+        fleet.until("another leader", |f| f.leader().is_some());
         fleet.start(first);
         fleet.until_all_vote();
     }
@@ -101,10 +102,10 @@
     let split = Options { replicas: here, terms: doctored, ..fleet.options(&["apart".into()]) };
     let split = start(split, now.clone()).unwrap();
     let session = &split.sessions["apart"];
-    wait("a promise to it", || is_fresh(session, &now));
+    wait("a lease for the partitioned member", || is_fresh(session, &now));
     own.values().chain([&fleet.relays[&1]]).for_each(|r| r.cut(true));
     fleet.session(2).retire.try_send(retirement("f", RetirementMode::Strict)).unwrap();
-    fleet.until("in force at the others", |f| in_force(f.session(2), "f"));
+    fleet.until("in force at the other members", |f| in_force(f.session(2), "f"));
     let (began, mut was_fresh) = (Instant::now(), false);
     while began.elapsed() < Duration::from_millis(300) {
         was_fresh |= is_fresh(session, &now);
@@ -117,10 +118,10 @@
 
 #[test]
 fn a_leader_cut_off_from_the_others_promises_nothing_beyond_a_retirement_of_theirs() {
-    assert!(!is_promised_beyond_it(terms().quorum));
+    assert!(!is_lease_extended_past_retirement(terms().quorum));
 }
 
 #[test]
 fn without_its_bound_on_the_last_word_of_a_majority_such_a_leader_would() {
-    assert!(is_promised_beyond_it(3_600_000_000));
+    assert!(is_lease_extended_past_retirement(3_600_000_000));
 }
--- a/crates/consensus/tests/full.rs
+++ b/crates/consensus/tests/full.rs
@@ -1,4 +1,4 @@
-//! A record that has no room for now: what is asked for meanwhile is taken once there is.
+//! A cluster state that is full: retirements requested meanwhile are accepted once there is capacity.
 
 mod common;
 
@@ -8,16 +8,16 @@
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
-/// The cluster state is full where its view is longer, in bytes.
+/// Length of the view in bytes above which the cluster state is full.
 const FULL: usize = 2 << 20;
-/// How long a retirement is remembered, in microseconds.
+/// How long a retirement's tombstone is retained, in microseconds.
 const REMEMBER: i64 = 4_000_000;
 
 fn length(session: &Session) -> usize {
     postcard::to_stdvec(&*session.status.borrow().view).unwrap().len()
 }
 
-/// As long as one may be.
+/// A retirement of the maximum length.
 fn long(n: usize) -> Retirement {
     Retirement {
         successor: Some("s".repeat(256)),
@@ -36,12 +36,12 @@
     let mut sent = 0;
     while length(fleet.session(1)) <= FULL {
         let shown = fleet.session(1).status.borrow().view.tombstones.len();
-        // Few at a time at last, so that little is under way when it is full.
+        // Small batches near the end, so that few retirements are in flight when the cluster state is full.
         let step = if length(fleet.session(1)) < FULL - 150_000 { 64 } else { 16 };
         while sent < shown + step && fleet.session(1).retire.try_send(long(sent)).is_ok() {
             sent += 1;
         }
-        fleet.until("taken or forgotten", |f| f.session(1).status.borrow().view.tombstones.len() != shown);
+        fleet.until("accepted or forgotten", |f| f.session(1).status.borrow().view.tombstones.len() != shown);
     }
     for late in ["late-0", "late-1"] {
         fleet.session(1).retire.try_send(retirement(late, RetirementMode::Available)).unwrap();
@@ -55,7 +55,7 @@
         }
         seen.borrow().contains(late)
     };
-    assert!(shown(fleet.session(1), "late-0").is_none(), "the record was not full");
-    fleet.until("taken later", |f| ["late-0", "late-1"].iter().all(|l| is_in_force(f.session(1), l)));
+    assert!(shown(fleet.session(1), "late-0").is_none(), "the cluster state was not full");
+    fleet.until("accepted later", |f| ["late-0", "late-1"].iter().all(|l| is_in_force(f.session(1), l)));
     assert!(shown(fleet.session(1), "never").is_none());
 }
--- a/crates/consensus/tests/hostile.rs
+++ b/crates/consensus/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Connections that do not keep to the protocol: closed, and nobody else is harmed.
+//! Connections that violate the protocol are closed, and other connections are not affected.
 
 mod common;
 
@@ -14,7 +14,7 @@
     bytes
 }
 
-/// As `frames::First::Member` is written.
+/// Has the same encoding as `frames::First::Member`.
 fn first(message: &SessionRequest) -> Vec<u8> {
     let mut body = b"stk1\x01".to_vec();
     body.extend(postcard::to_stdvec(message).unwrap());
@@ -26,13 +26,13 @@
     SessionRequest::Hello { protocol, name, member: None, at_least: 0, edition: 0, pools: Vec::new() }
 }
 
-/// In force, but perhaps for one that never confirmed.
+/// Whether the retirement is in force and the fleet's own members (`mN`) have all confirmed it.
 fn is_held(session: &Session, function: &str) -> bool {
     let state = common::shown(session, function).map(|t| t.state);
     matches!(state, Some(TombstoneState::InForce { but_for }) if but_for.iter().all(|m| !m.name.starts_with('m')))
 }
 
-/// Everything that comes until the other side closes.
+/// Reads all bytes until the other side closes.
 fn closed(stream: &mut TcpStream) -> Vec<u8> {
     stream.set_read_timeout(Some(common::LIMIT)).unwrap();
     let mut bytes = Vec::new();
@@ -61,19 +61,19 @@
     assert!(send(&frame(b"GET / HTTP/1.1\r\n\r\n")).is_empty());
     assert!(send(&u32::MAX.to_be_bytes()).is_empty());
     assert!(send(&frame(b"stk1\x07nothing")).is_empty());
-    assert!(send(b"").is_empty(), "one that says nothing is closed in time");
+    assert!(send(b"").is_empty(), "an idle connection was not closed in time");
     let refused = send(&first(&hello(PROTOCOL + 1, "x")));
     assert!(refused.windows(8).any(|w| w == b"protocol"), "{refused:?}");
-    // A peer of another protocol (number 9), then one that claims this replica's own number.
+    // A peer with another protocol version (9), then one that claims this replica's own number.
     assert!(send(&frame(b"stk1\x00\x09\x01\x02")).is_empty());
     assert!(send(&frame(&[b"stk1\x00\x01".as_slice(), &[leader as u8, leader as u8]].concat())).is_empty());
-    // In a session: a report of garbage.
+    // Within a session: a malformed report.
     let mut stream = connect();
     stream.write_all(&first(&hello(PROTOCOL, "y"))).unwrap();
     stream.write_all(&frame(&[9; 40])).unwrap();
     closed(&mut stream);
     fleet.session(1).retire.try_send(retirement("f", RetirementMode::Available)).unwrap();
-    fleet.until("the others go on", |f| f.sessions().iter().all(|s| is_held(s, "f")));
+    fleet.until("the other members continue", |f| f.sessions().iter().all(|s| is_held(s, "f")));
 }
 
 #[test]
@@ -83,7 +83,7 @@
     let leader = fleet.leader().unwrap();
     let mut stream = TcpStream::connect(fleet.listens(leader)).unwrap();
     stream.write_all(&first(&hello(PROTOCOL, "deaf"))).unwrap();
-    // A long record first, then views of it that fill whatever lies between: each is sent whole.
+    // Creates a large cluster state, then changes whose full views fill all buffers between the two sides.
     let one = |n: usize| Retirement {
         reason: "r".repeat(1000),
         ..retirement(&format!("f{n}"), RetirementMode::Available)
@@ -97,10 +97,12 @@
         fleet.session(1).retire.try_send(one(n)).unwrap();
         fleet.until("shown", |f| shown(f, n));
     }
-    // Not before it was cut off: one that begins to read is none of those that do not.
-    fleet.until("it is cut off", |f| f.running[&leader].figures().borrow().sessions == 3);
-    let whole = closed(&mut stream).len();
-    // 40 views of more than 300,000 bytes each were there to be read.
-    assert!(whole < 40 * 300_000, "{whole} bytes were kept for one that does not read");
-    fleet.until("the others go on", |f| f.sessions().iter().all(|s| is_held(s, "f339")));
+    // Reads only after the disconnect, as a front end that starts to read earlier would not be disconnected.
+    fleet.until("the connection that does not read is closed", |f| {
+        f.running[&leader].figures().borrow().sessions == 3
+    });
+    let buffered = closed(&mut stream).len();
+    // 40 views of more than 300,000 bytes each were sent.
+    assert!(buffered < 40 * 300_000, "{buffered} bytes were buffered for a connection that does not read");
+    fleet.until("the other members continue", |f| f.sessions().iter().all(|s| is_held(s, "f339")));
 }
--- a/crates/consensus/tests/lost.rs
+++ b/crates/consensus/tests/lost.rs
@@ -1,4 +1,4 @@
-//! Replicas whose stores are damaged, set back or gone.
+//! Replicas whose stores are damaged, rolled back or missing.
 
 mod common;
 
@@ -15,7 +15,7 @@
     }
 }
 
-fn set_aside(fleet: &Fleet, number: u64) -> usize {
+fn quarantined_stores(fleet: &Fleet, number: u64) -> usize {
     let names = std::fs::read_dir(fleet.store(number)).unwrap();
     names.filter(|n| n.as_ref().unwrap().file_name().to_string_lossy().contains(".damaged-")).count()
 }
@@ -25,24 +25,24 @@
     fleet.until(function, |f| f.sessions().iter().all(|s| is_held(s, function)));
 }
 
-/// In force at all that run here: one that was stopped may not have found a leader to leave at.
+/// Whether the retirement is in force at all running members: a stopped one may have found no leader to leave at.
 fn is_held(session: &Session, function: &str) -> bool {
     let state = shown(session, function).map(|t| t.state);
     matches!(state, Some(TombstoneState::InForce { but_for }) if but_for.iter().all(|m| m.name == "m1" || m.name == "m3"))
 }
 
-/// Replicas 1 and 2 go on, 3 is stopped, its store treated, and started again; then 1 stops, so that 3 is
-/// needed.
-fn comes_back(treat: impl Fn(&Path), is_set_aside: bool) {
+/// Stops replica 3, modifies its store and starts it again while 1 and 2 continue; then stops 1, so that the majority
+/// needs 3.
+fn check_recovery(modify_store: impl Fn(&Path), is_quarantined: bool) {
     let mut fleet = Fleet::started(3);
     retire(&fleet, 3, "a");
     fleet.stop(3);
-    treat(&fleet.store(3));
+    modify_store(&fleet.store(3));
     fleet.start(3);
-    assert_eq!(set_aside(&fleet, 3) > 0, is_set_aside);
+    assert_eq!(quarantined_stores(&fleet, 3) > 0, is_quarantined);
     retire(&fleet, 3, "b");
-    // It votes and holds the cluster state once what it lost came back: with one other it is a majority.
-    fleet.until("it is back", |f| f.votes(3));
+    // Replica 3 votes and has the cluster state once it recovered what it lost; with one other it forms a majority.
+    fleet.until("the replica votes again", |f| f.votes(3));
     fleet.stop(1);
     retire(&fleet, 3, "c");
     assert!(["a", "b", "c"].iter().all(|f| is_held(fleet.session(3), f)));
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_keeper_with_a_damaged_store_is_brought_back_by_the_others() {
-    comes_back(
+    check_recovery(
         |store| {
             let path = store.join("record.redb");
             let mut bytes = std::fs::read(&path).unwrap();
@@ -63,7 +63,7 @@
 
 #[test]
 fn a_keeper_whose_store_was_cut_short_is_brought_back_by_the_others() {
-    comes_back(
+    check_recovery(
         |store| {
             let path = store.join("record.redb");
             let length = std::fs::metadata(&path).unwrap().len();
@@ -75,12 +75,12 @@
 
 #[test]
 fn a_keeper_whose_disk_is_empty_is_brought_back_by_the_others() {
-    comes_back(|store| std::fs::remove_dir_all(store).unwrap(), false);
+    check_recovery(|store| std::fs::remove_dir_all(store).unwrap(), false);
 }
 
 #[test]
 fn a_keeper_whose_store_alone_is_gone_is_brought_back_by_the_others() {
-    comes_back(|store| std::fs::remove_file(store.join("record.redb")).unwrap(), true);
+    check_recovery(|store| std::fs::remove_file(store.join("record.redb")).unwrap(), true);
 }
 
 #[test]
@@ -92,26 +92,27 @@
     copy(&fleet.store(3), &old);
     fleet.start(3);
     retire(&fleet, 3, "b");
-    // The others suffice for "b"; the copy is older only once this replica has it as well (1,024 changes to an entry).
+    // The other replicas can commit "b" alone; the copy is older only once this replica has it too (1,024 change numbers
+    // per entry).
     let entry = common::shown(fleet.session(3), "b").unwrap().proposed / 1024;
-    fleet.until("its log has it", |f| f.running[&3].figures().borrow().last_entry >= entry);
+    fleet.until("the log contains the retirement", |f| f.running[&3].figures().borrow().last_entry >= entry);
     fleet.stop(3);
-    // As it was: taken for whole.
+    // An unmodified store is accepted as intact.
     fleet.start(3);
-    assert_eq!(set_aside(&fleet, 3), 0);
+    assert_eq!(quarantined_stores(&fleet, 3), 0);
     fleet.stop(3);
     std::fs::copy(old.join("record.redb"), fleet.store(3).join("record.redb")).unwrap();
     fleet.start(3);
-    assert_eq!(set_aside(&fleet, 3), 1);
+    assert_eq!(quarantined_stores(&fleet, 3), 1);
     retire(&fleet, 3, "c");
-    fleet.until("it is back", |f| f.votes(3));
-    // Store and guard set back together can't be told: this is what the guard is for.
+    fleet.until("the replica votes again", |f| f.votes(3));
+    // A store and guard file rolled back together are not detected; the guard file detects a rolled-back store alone.
     fleet.stop(3);
     std::fs::copy(old.join("record.redb"), fleet.store(3).join("record.redb")).unwrap();
     std::fs::copy(old.join("guard"), fleet.store(3).join("guard")).unwrap();
     let options = fleet.keeper_options(3);
     let running = stagehoist_consensus::start(options, common::clock()).unwrap();
-    assert_eq!(set_aside(&fleet, 3), 1);
+    assert_eq!(quarantined_stores(&fleet, 3), 1);
     running.stop();
 }
 
@@ -123,7 +124,7 @@
     (1..=3).for_each(|n| fleet.start(n));
     fleet.until("all vote", |f| (1..=3).all(|n| f.votes(n)));
     retire(&fleet, 1, "a");
-    // Told of the fourth by a restart of one after the other.
+    // Restarts the replicas one after the other with the fourth in their configuration.
     fleet.keepers = all;
     for number in 1..=3 {
         fleet.stop(number);
@@ -132,9 +133,9 @@
     }
     fleet.start(4);
     retire(&fleet, 4, "b");
-    // It hears of a leader once it is taken in. With four, two are no majority; with 1 gone and 4 in its
-    // place, three are.
-    fleet.until("it is taken in", |f| f.votes(4) && f.running[&4].figures().borrow().leader.is_some());
+    // The fourth replica learns of a leader once it is added. Of four, two are no majority; with 1 stopped and 4 added,
+    // three are.
+    fleet.until("the replica is added", |f| f.votes(4) && f.running[&4].figures().borrow().leader.is_some());
     std::thread::sleep(std::time::Duration::from_secs(1));
     fleet.stop(1);
     retire(&fleet, 4, "c");
--- a/crates/consensus/tests/many.rs
+++ b/crates/consensus/tests/many.rs
@@ -1,4 +1,5 @@
-//! Many sessions at three replicas; the front ends are in a process of their own, so that each side's cost is known.
+//! Many sessions at three replicas. The front ends run in a separate process, so that the cost of each side can be
+//! measured.
 
 mod common;
 
@@ -12,28 +13,28 @@
 use std::time::{Duration, Instant};
 
 const SESSIONS: usize = 350;
-/// Where the process of the front ends finds the replicas.
+/// Environment variable with the replicas' addresses for the front-end process.
 const KEEPERS: &str = "STAGEHOIST_TEST_KEEPERS";
-/// What a test's harness writes before a line may stand in front of ours.
-const SAYS: &str = "says ";
+/// Marks this test's lines, as the test runner may write text before them on the same line.
+const OUTPUT_PREFIX: &str = "says ";
 
-/// Seconds that a thread of this process was run.
-fn spent(thread: &str) -> f64 {
+/// CPU time of a thread of this process in seconds.
+fn cpu_seconds(thread: &str) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/self/task/{thread}/schedstat")).unwrap();
     stat.split_whitespace().next().unwrap().parse::<u64>().unwrap() as f64 / 1e9
 }
 
-/// A figure of this process in KiB.
-fn memory(what: &str) -> u64 {
+/// A memory figure of this process in KiB.
+fn memory(field: &str) -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
-    let line = status.lines().find(|l| l.starts_with(what)).unwrap();
+    let line = status.lines().find(|l| l.starts_with(field)).unwrap();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
 struct Many {
     child: Child,
-    told: ChildStdin,
-    says: BufReader<ChildStdout>,
+    input: ChildStdin,
+    output: BufReader<ChildStdout>,
 }
 
 impl Many {
@@ -44,24 +45,24 @@
             .args(["--exact", "the_front_ends", "--ignored", "--nocapture"])
             .env(KEEPERS, keepers.join(" "));
         let mut child = command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().unwrap();
-        let (told, says) = (child.stdin.take().unwrap(), BufReader::new(child.stdout.take().unwrap()));
-        Many { child, told, says }
+        let (input, output) = (child.stdin.take().unwrap(), BufReader::new(child.stdout.take().unwrap()));
+        Many { child, input, output }
     }
 
-    /// What it says next: a time in milliseconds.
+    /// Reads the next output of the process: a time in milliseconds.
     fn ms(&mut self) -> f64 {
         let mut line = String::new();
         loop {
             line.clear();
-            assert!(self.says.read_line(&mut line).unwrap() > 0, "the front ends ended");
-            if let Some((_, ms)) = line.split_once(SAYS) {
+            assert!(self.output.read_line(&mut line).unwrap() > 0, "the front-end process exited");
+            if let Some((_, ms)) = line.split_once(OUTPUT_PREFIX) {
                 return ms.trim().parse().unwrap();
             }
         }
     }
 
-    fn go_on(&mut self) {
-        self.told.write_all(b"\n").unwrap();
+    fn send_line(&mut self) {
+        self.input.write_all(b"\n").unwrap();
     }
 }
 
@@ -72,7 +73,7 @@
     }
 }
 
-/// Does something while the replicas' own front ends confirm what they are shown.
+/// Runs a step while the replicas' own front ends confirm the views they receive.
 fn confirming<T>(fleet: &Fleet, work: impl FnOnce() -> T) -> T {
     let is_over = AtomicBool::new(false);
     std::thread::scope(|s| {
@@ -88,7 +89,7 @@
     })
 }
 
-/// The other process: joins; retires one function when told; ends when told.
+/// The front-end process: joins, retires one function on the first input line and exits on the second.
 #[test]
 #[ignore = "a process of the test below"]
 fn the_front_ends() {
@@ -103,9 +104,9 @@
     let (began, now) = (Instant::now(), clock());
     let many = start(options, now.clone()).unwrap();
     let sessions: Vec<_> = many.sessions.values().collect();
-    let says = |since: Instant| println!("{SAYS}{}", since.elapsed().as_secs_f64() * 1000.0);
+    let output = |since: Instant| println!("{OUTPUT_PREFIX}{}", since.elapsed().as_secs_f64() * 1000.0);
     wait("a promise to all", || sessions.iter().all(|s| is_fresh(s, &now)));
-    says(began);
+    output(began);
     let mut line = String::new();
     for function in ["f", "g", "h"] {
         std::io::stdin().read_line(&mut line).unwrap();
@@ -115,7 +116,7 @@
             sessions.iter().for_each(|s| confirm(s));
             sessions.iter().all(|s| in_force(s, function))
         });
-        says(began);
+        output(began);
     }
     std::io::stdin().read_line(&mut line).unwrap();
     many.stop();
@@ -129,9 +130,9 @@
     let before = memory("VmHWM");
     let mut many = Many::start(&fleet);
     println!("{SESSIONS} with a promise after {:.0} ms", many.ms());
-    let (was, spent_was, at) = (figures(), spent(&fleet.threads[&leader]), Instant::now());
+    let (was, spent_was, at) = (figures(), cpu_seconds(&fleet.threads[&leader]), Instant::now());
     std::thread::sleep(Duration::from_secs(4));
-    let (is, spent_is, took) = (figures(), spent(&fleet.threads[&leader]), at.elapsed().as_secs_f64());
+    let (is, spent_is, took) = (figures(), cpu_seconds(&fleet.threads[&leader]), at.elapsed().as_secs_f64());
     println!(
         "at ease: {:.0} messages in and {:.0} out a second, {:.0} promises; the leader's thread {:.4} cores",
         (is.messages_received - was.messages_received) as f64 / took,
@@ -141,14 +142,17 @@
     );
     assert!(is.sessions >= SESSIONS && is.promised > was.promised);
     for _ in 0..3 {
-        let spent_was = spent(&fleet.threads[&leader]);
+        let spent_was = cpu_seconds(&fleet.threads[&leader]);
         let ms = confirming(&fleet, || {
-            many.go_on();
+            many.send_line();
             many.ms()
         });
-        let spent = spent(&fleet.threads[&leader]) - spent_was;
-        println!("in force at {SESSIONS} after {ms:.0} ms; the leader's thread {:.0} ms", spent * 1000.0);
+        let cpu_seconds = cpu_seconds(&fleet.threads[&leader]) - spent_was;
+        println!(
+            "in force at {SESSIONS} after {ms:.0} ms; the leader's thread {:.0} ms",
+            cpu_seconds * 1000.0
+        );
     }
     println!("three keepers and their relays: {} KiB more at most", memory("VmHWM") - before);
-    many.go_on();
+    many.send_line();
 }
