--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -17,7 +17,7 @@
     Store { path: PathBuf, reason: String },
     #[error("can't store incarnations in {path}: {source}")]
     Incarnations { path: PathBuf, source: std::io::Error },
-    #[error("invalid timing: heartbeat {heartbeat_ms} ms must be at most half of the shortest election timeout, and election timeouts {election_ms:?} ms must increase")]
+    #[error("invalid timing: heartbeat {heartbeat_ms} ms must be positive and at most half of the shortest election timeout, and the election timeouts {election_ms:?} ms must increase")]
     Timing { heartbeat_ms: u64, election_ms: (u64, u64) },
     #[error("can't start the keeper's thread: {0}")]
     Thread(std::io::Error),
--- a/crates/consensus/src/frames.rs
+++ b/crates/consensus/src/frames.rs
@@ -28,17 +28,17 @@
 const MAGIC: [u8; 4] = *b"stk1";
 
 pub type Frames = Framed<TcpStream, LengthDelimitedCodec>;
-pub type Reading = Framed<OwnedReadHalf, LengthDelimitedCodec>;
-pub type Writing = FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>;
+pub type FrameReader = Framed<OwnedReadHalf, LengthDelimitedCodec>;
+pub type FrameWriter = FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>;
 
 /// The first frame on a connection, which identifies the sender.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum First {
+pub enum FirstFrame {
     Peer { protocol: u16, from: u64, to: u64 },
     Member(SessionRequest),
 }
 
-/// Splits a connection into frames of at max_length `max_length` bytes.
+/// Splits a connection into frames of at most `max_length` bytes.
 pub fn frames(stream: TcpStream, max_length: usize) -> Frames {
     // Messages are small and the receiver waits for them, so Nagle's algorithm would only add latency.
     let _ = stream.set_nodelay(true);
@@ -47,7 +47,7 @@
 
 /// Splits a front end's connection at a replica into two halves, as requests have a lower length limit than
 /// responses.
-pub fn split(frames: Frames) -> (Reading, Writing) {
+pub fn split(frames: Frames) -> (FrameReader, FrameWriter) {
     let parts = frames.into_parts();
     let (read, write) = parts.io.into_split();
     let codec = |max_length| LengthDelimitedCodec::builder().max_frame_length(max_length).new_codec();
@@ -68,13 +68,13 @@
 }
 
 /// Encodes the content of a connection's first frame.
-pub fn encode_first(first: &First) -> Result<Bytes, postcard::Error> {
+pub fn encode_first(first: &FirstFrame) -> Result<Bytes, postcard::Error> {
     let mut bytes = MAGIC.to_vec();
     bytes.extend(postcard::to_stdvec(first)?);
     Ok(bytes.into())
 }
 
 /// Decodes a connection's first frame; `None` if it is malformed or belongs to another protocol.
-pub fn decode_first(frame: &[u8]) -> Option<First> {
+pub fn decode_first(frame: &[u8]) -> Option<FirstFrame> {
     decode(frame.strip_prefix(&MAGIC)?)
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -51,8 +51,8 @@
     pub allocation: Option<AllocationLimits>,
     /// Names of the front ends in this process; each is a member with its own session.
     pub members: Vec<String>,
-    /// Folder that stores the last incarnation and view of each member; `None`: they come from the replicas
-    /// alone.
+    /// Folder that stores the last incarnation and view of each member; `None`: nothing is stored, and the
+    /// replicas provide them.
     pub session_folder: Option<PathBuf>,
     pub seed: u64,
     pub timing: Timing,
--- a/crates/consensus/src/replica/connection.rs
+++ b/crates/consensus/src/replica/connection.rs
@@ -16,8 +16,8 @@
 
 /// Serves one connection until either side ends it. The session service ends it by dropping its sender.
 pub async fn serve_session(connection: u64, frames: Frames, hello: SessionRequest, service: ServiceSender) {
-    let (out, mut outgoing) = mpsc::channel::<Bytes>(OUTPUT_CAPACITY);
-    if service.send(ServiceMessage::Connected { connection, hello, out }).await.is_err() {
+    let (responses, mut outgoing) = mpsc::channel::<Bytes>(OUTPUT_CAPACITY);
+    if service.send(ServiceMessage::Connected { connection, hello, responses }).await.is_err() {
         return;
     }
     let (mut stream, mut sink) = split(frames);
--- a/crates/consensus/src/replica/formation.rs
+++ b/crates/consensus/src/replica/formation.rs
@@ -20,7 +20,7 @@
 
 /// What a replica without a usable store does, based on the status that the other replicas report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Choice {
+enum RecoveryAction {
     /// No replica has any state: form the first membership.
     Form,
     /// The others have a membership without this replica: wait to be added. It has no state that could be lost.
@@ -32,24 +32,24 @@
 }
 
 /// Decides by the number of other configured replicas and the status of those that answered.
-fn choose(start: Start, others: usize, answers: &BTreeMap<u64, ReplicaStatus>) -> Choice {
+fn choose_action(start: Start, others: usize, answers: &BTreeMap<u64, ReplicaStatus>) -> RecoveryAction {
     if start == Start::Pristine {
         if answers.values().all(|a| a.is_new) && 2 * (answers.len() + 1) > others + 1 {
-            return Choice::Form;
+            return RecoveryAction::Form;
         }
         // This replica never voted in that membership or has been removed from it. If removed, each change that it
         // helped to commit has reached a majority of the others.
         let without = answers.values().filter(|a| !a.is_new && !a.is_voter && a.is_participating).count();
         if 2 * without > others {
-            return Choice::Join;
+            return RecoveryAction::Join;
         }
     }
     // A candidate knows the term in which this replica voted for it, so the highest term of all others is an upper
     // bound.
     if answers.len() == others && others > 0 {
-        return Choice::Return(answers.values().map(|a| a.term).max().unwrap_or(0));
+        return RecoveryAction::Return(answers.values().map(|a| a.term).max().unwrap_or(0));
     }
-    Choice::Wait
+    RecoveryAction::Wait
 }
 
 /// Runs until the replica participates fully.
@@ -68,8 +68,8 @@
     let mut requests = 0u32;
     while participation.state() == State::Undecided {
         let answers = request_status(&peers).await;
-        match choose(start, peers.numbers().len(), &answers) {
-            Choice::Form => {
+        match choose_action(start, peers.numbers().len(), &answers) {
+            RecoveryAction::Form => {
                 participation.set(State::Open);
                 // All replicas propose the same set; Raft accepts it only if there is no membership yet.
                 let nodes = numbers.iter().map(|n| (*n, openraft::EmptyNode::default()));
@@ -77,14 +77,14 @@
                     tracing::debug!(target: "stagehoist_consensus", why = %e, "membership not initialized because one already exists");
                 }
             }
-            Choice::Join => participation.set(State::Open),
-            Choice::Return(bound) => match store.save_bound(Some(bound)).await {
+            RecoveryAction::Join => participation.set(State::Open),
+            RecoveryAction::Return(bound) => match store.save_bound(Some(bound)).await {
                 Ok(()) => participation.set(State::Returning { bound }),
                 Err(e) => {
                     tracing::error!(target: "stagehoist_consensus", event = "store", why = %e, "can't write the recovery bound to the store");
                 }
             },
-            Choice::Wait => {
+            RecoveryAction::Wait => {
                 if requests.is_multiple_of(LOG_INTERVAL_ROUNDS) {
                     tracing::warn!(target: "stagehoist_consensus", event = "store", answered = answers.len(),
                         of = peers.numbers().len(), "store is empty or lost; waiting for status from the other keepers");
@@ -96,12 +96,15 @@
     }
     if let State::Returning { bound } = participation.state() {
         tracing::warn!(target: "stagehoist_consensus", event = "store", bound, "log lost; recovering from the other keepers");
-        while !participation.is_back(applied.borrow_and_update().last) {
+        while !participation.has_recovered(applied.borrow_and_update().last) {
             for number in peers.numbers() {
                 peers.call(number, PeerRequest::RaiseTerm { above: bound }, ANSWER_TIMEOUT).await;
             }
-            let _ = tokio::time::timeout(RAISE_INTERVAL, applied.wait_for(|a| participation.is_back(a.last)))
-                .await;
+            let _ = tokio::time::timeout(
+                RAISE_INTERVAL,
+                applied.wait_for(|a| participation.has_recovered(a.last)),
+            )
+            .await;
         }
         while let Err(e) = store.save_bound(None).await {
             tracing::error!(target: "stagehoist_consensus", event = "store", why = %e, "can't clear the recovery bound in the store");
--- a/crates/consensus/src/replica/leading.rs
+++ b/crates/consensus/src/replica/leading.rs
@@ -9,18 +9,24 @@
 mod tests;
 
 /// Term and index of an entry.
-pub type At = (u64, u64);
+pub type EntryPosition = (u64, u64);
 
 /// The entry up to which the cluster state must be applied, while Raft considers this replica the leader of a term.
 #[derive(Debug, Default)]
 pub struct Leading {
-    from: Option<At>,
+    from: Option<EntryPosition>,
 }
 
 impl Leading {
     /// Whether this replica may lead now. `elected`: Raft considers it the leader of this term; `logged`: the last index
     /// of its log; `applied`: the last entry applied to its cluster state.
-    pub fn may(&mut self, elected: bool, term: u64, logged: Option<u64>, applied: Option<At>) -> bool {
+    pub fn may_lead(
+        &mut self,
+        elected: bool,
+        term: u64,
+        logged: Option<u64>,
+        applied: Option<EntryPosition>,
+    ) -> bool {
         if !elected {
             self.from = None;
             return false;
--- a/crates/consensus/src/replica/listener.rs
+++ b/crates/consensus/src/replica/listener.rs
@@ -5,7 +5,7 @@
 use super::peer_handler::PeerHandler;
 use super::service::ServiceSender;
 use crate::frames::{
-    decode, decode_first, encode, frames, First, Frames, MAX_FIRST_FRAME, MAX_PEER_FRAME, PEER_PROTOCOL,
+    decode, decode_first, encode, frames, FirstFrame, Frames, MAX_FIRST_FRAME, MAX_PEER_FRAME, PEER_PROTOCOL,
     WRITE_TIMEOUT,
 };
 use futures_util::{SinkExt, StreamExt};
@@ -18,7 +18,7 @@
 /// Maximum number of concurrent connections of peers and front ends.
 pub const MAX_CONNECTIONS: usize = 2048;
 const FIRST_FRAME_TIMEOUT: Duration = Duration::from_secs(2);
-/// A serve_peer sends several frames per election timeout; a connection without a frame for this long is closed.
+/// A peer sends several frames per election timeout; a connection without a frame for this long is closed.
 const PEER_SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Accepts connections until this future is dropped, which also closes all connections.
@@ -64,12 +64,12 @@
     let mut frames = frames(stream, MAX_FIRST_FRAME);
     let Ok(Some(Ok(first))) = timeout(FIRST_FRAME_TIMEOUT, frames.next()).await else { return };
     match decode_first(&first) {
-        Some(First::Member(hello)) => serve_session(connection, frames, hello, service).await,
-        Some(First::Peer { protocol: PEER_PROTOCOL, from, to }) if to == own && from != own => {
+        Some(FirstFrame::Member(hello)) => serve_session(connection, frames, hello, service).await,
+        Some(FirstFrame::Peer { protocol: PEER_PROTOCOL, from, to }) if to == own && from != own => {
             frames.codec_mut().set_max_frame_length(MAX_PEER_FRAME);
             serve_peer(frames, from, &handler).await;
         }
-        Some(First::Peer { protocol, from, to }) => {
+        Some(FirstFrame::Peer { protocol, from, to }) => {
             tracing::error!(target: "stagehoist_consensus", protocol, from, to, own, "peer connection rejected: wrong protocol or replica number");
         }
         None => {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Answers a serve_peer's calls in order.
+/// Answers a peer's requests in order.
 async fn serve_peer(mut frames: Frames, from: u64, handler: &PeerHandler) {
     while let Ok(Some(Ok(frame))) = timeout(PEER_SILENCE_TIMEOUT, frames.next()).await {
         let Some(request) = decode::<RequestFrame>(&frame) else { return };
--- a/crates/consensus/src/replica/membership.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -61,11 +61,11 @@
     true
 }
 
-async fn change(raft: &Raft, present: &BTreeSet<u64>, told: &BTreeSet<u64>) -> Result<(), String> {
-    for number in told.difference(present) {
+async fn change(raft: &Raft, present: &BTreeSet<u64>, configured: &BTreeSet<u64>) -> Result<(), String> {
+    for number in configured.difference(present) {
         raft.add_learner(*number, EmptyNode::default(), false).await.map_err(|e| e.to_string())?;
     }
-    raft.change_membership(told.clone(), false).await.map_err(|e| e.to_string())?;
+    raft.change_membership(configured.clone(), false).await.map_err(|e| e.to_string())?;
     Ok(())
 }
 
--- a/crates/consensus/src/replica/messages.rs
+++ b/crates/consensus/src/replica/messages.rs
@@ -52,12 +52,12 @@
 /// The status of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
-    /// It started empty and has received nothing from a leader yet.
+    /// Whether the replica started empty and has received nothing from a leader yet.
     pub is_new: bool,
-    /// It votes and follows leaders.
+    /// Whether the replica votes and follows leaders.
     pub is_participating: bool,
     /// The highest term that it knows.
     pub term: u64,
-    /// The requesting replica is a voter in the membership known here.
+    /// Whether the requesting replica is a voter in the membership known here.
     pub is_voter: bool,
 }
--- a/crates/consensus/src/replica/network.rs
+++ b/crates/consensus/src/replica/network.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{PeerRequest, PeerResponse, RequestFrame, ResponseFrame};
 use crate::frames::{
-    decode, encode, encode_first, frames, First, Frames, CONNECT_TIMEOUT, MAX_PEER_FRAME, PEER_PROTOCOL,
+    decode, encode, encode_first, frames, FirstFrame, Frames, CONNECT_TIMEOUT, MAX_PEER_FRAME, PEER_PROTOCOL,
     WRITE_TIMEOUT,
 };
 use crate::types::TypeConfig;
@@ -92,7 +92,7 @@
 async fn connect(own: u64, to: u64, address: &str) -> Option<Frames> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
     let mut frames = frames(stream, MAX_PEER_FRAME);
-    let hello = encode_first(&First::Peer { protocol: PEER_PROTOCOL, from: own, to }).ok()?;
+    let hello = encode_first(&FirstFrame::Peer { protocol: PEER_PROTOCOL, from: own, to }).ok()?;
     timeout(WRITE_TIMEOUT, frames.send(hello)).await.ok()?.ok()?;
     Some(frames)
 }
--- a/crates/consensus/src/replica/participation.rs
+++ b/crates/consensus/src/replica/participation.rs
@@ -62,7 +62,7 @@
     }
 
     /// Whether a returning replica has recovered what it lost.
-    pub fn is_back(&self, applied: Option<LogId>) -> bool {
+    pub fn has_recovered(&self, applied: Option<LogId>) -> bool {
         match self.state() {
             State::Returning { bound } => applied.is_some_and(|l| l.leader_id.term > bound),
             _ => false,
--- a/crates/consensus/src/replica/service.rs
+++ b/crates/consensus/src/replica/service.rs
@@ -21,7 +21,7 @@
 
 /// What connections of front ends bring to the session service.
 pub enum ServiceMessage {
-    Connected { connection: u64, hello: SessionRequest, out: mpsc::Sender<Bytes> },
+    Connected { connection: u64, hello: SessionRequest, responses: mpsc::Sender<Bytes> },
     Received { connection: u64, request: SessionRequest },
     Disconnected { connection: u64 },
 }
@@ -53,7 +53,7 @@
         let pause = service.next_due().map(|at| at.saturating_sub(service.now).max(MIN_PAUSE).unsigned_abs());
         tokio::select! {
             received = messages.recv_many(&mut batch, MAX_QUEUED_MESSAGES) => if received == 0 { return },
-            done = service.agreed() => service.on_agreed(done),
+            done = service.proposal_outcome() => service.on_proposal_outcome(done),
             changed = applied.changed() => if changed.is_err() { return },
             // Changes with each acknowledgement by a majority. Waking up on each change bounds the error of its time.
             changed = metrics_changes.changed() => if changed.is_err() { return },
@@ -68,8 +68,8 @@
         service.on_metrics(&metrics.borrow());
         for message in batch.drain(..) {
             match message {
-                ServiceMessage::Connected { connection, hello, out } => {
-                    service.on_connected(connection, hello, out)
+                ServiceMessage::Connected { connection, hello, responses } => {
+                    service.on_connected(connection, hello, responses)
                 }
                 ServiceMessage::Received { connection, request } => service.on_request(connection, request),
                 ServiceMessage::Disconnected { connection } => service.close(connection, "gone"),
--- a/crates/consensus/src/replica/service_state.rs
+++ b/crates/consensus/src/replica/service_state.rs
@@ -39,9 +39,9 @@
     Retire(u64),
 }
 
-/// Outcome of the entry in proposal; `None` if it is not known.
-type Agreed = Option<BatchOutcome>;
-type ProposalInFlight = Pin<Box<dyn Future<Output = Agreed> + Send>>;
+/// Outcome of the entry in flight; `None` if it is not known.
+type ProposalOutcome = Option<BatchOutcome>;
+type ProposalInFlight = Pin<Box<dyn Future<Output = ProposalOutcome> + Send>>;
 
 /// The sessions of front ends with this replica, and what it decides while it leads.
 pub struct SessionService {
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Waits for the outcome of the entry in proposal; forever, if there is none.
-    pub async fn agreed(&mut self) -> Agreed {
+    /// Waits for the outcome of the entry in flight; forever, if there is none.
+    pub async fn proposal_outcome(&mut self) -> ProposalOutcome {
         match &mut self.in_flight {
             Some((_, proposal)) => proposal.await,
             None => std::future::pending().await,
@@ -104,9 +104,10 @@
             && metrics.vote.leader_id.node_id == self.context.number;
         // A term has at most one leader, so an entry's term identifies the leader that wrote it.
         let applied = self.state.last.map(|l| (l.leader_id.term, l.index));
-        let leads = self.leading.may(elected, metrics.vote.leader_id.term, metrics.last_log_index, applied);
+        let leads =
+            self.leading.may_lead(elected, metrics.vote.leader_id.term, metrics.last_log_index, applied);
         if self.leadership.is_some() && (!leads || term != self.term) {
-            self.on_leader(metrics.current_leader);
+            self.on_leadership_lost(metrics.current_leader);
         }
         if metrics.current_leader != self.leader {
             self.leader = metrics.current_leader;
@@ -127,7 +128,7 @@
         }
     }
 
-    fn on_leader(&mut self, leader: Option<u64>) {
+    fn on_leadership_lost(&mut self, leader: Option<u64>) {
         self.leadership = None;
         self.queue.clear();
         self.in_flight = None;
@@ -140,10 +141,12 @@
     }
 
     /// Handles a connection's first message.
-    pub fn on_connected(&mut self, connection: u64, hello: SessionRequest, out: mpsc::Sender<Bytes>) {
+    pub fn on_connected(&mut self, connection: u64, hello: SessionRequest, responses: mpsc::Sender<Bytes>) {
         self.statistics.messages_received += 1;
-        self.connections
-            .insert(connection, ServiceConnection { output: out, member: None, before: None, sent: None });
+        self.connections.insert(
+            connection,
+            ServiceConnection { output: responses, member: None, before: None, sent: None },
+        );
         let SessionRequest::Hello { protocol, name, member, at_least, edition, pools } = hello else {
             return self.close(connection, "first message is not a hello");
         };
@@ -217,7 +220,7 @@
         }
     }
 
-    /// When the next timer is due; `None` while changes are queued or in proposal, as due commands would be proposed
+    /// When the next timer is due; `None` while changes are queued or in flight, as due commands would be proposed
     /// twice.
     pub fn next_due(&self) -> Option<Micros> {
         let is_idle = self.in_flight.is_none() && self.queue.is_empty();
--- a/crates/consensus/src/replica/service_state/inquiries.rs
+++ b/crates/consensus/src/replica/service_state/inquiries.rs
@@ -11,7 +11,7 @@
 
 /// The leader's list of members that must answer is valid only if a majority acknowledged the leader within this time.
 /// Together with the 100 ms that an inquirer allows, this is less than the shortest election timeout.
-const MAJORITY_TRUSTED: Micros = 250_000;
+const MAJORITY_ACK_VALIDITY: Micros = 250_000;
 
 /// The names in `of` to which an inquiry is forwarded: those in `to`, which have not answered yet, or all if `to` is
 /// empty. Uses a set, as both lists grow with the fleet.
@@ -28,7 +28,7 @@
         &mut self,
         connection: u64,
         from: Member,
-        (number, turn): (u64, u32),
+        (number, inquiry_round): (u64, u32),
         to: &[String],
         keys: Vec<MessageKey>,
     ) {
@@ -36,19 +36,19 @@
             return self.close(connection, "inquiry has too many keys");
         }
         let state = &self.state.state;
-        let trusted =
-            self.now.saturating_sub(self.acknowledged_at) <= self.context.terms.quorum.min(MAJORITY_TRUSTED);
-        if self.leadership.is_none() || !trusted || state.forgotten > 0 {
+        let has_majority = self.now.saturating_sub(self.acknowledged_at)
+            <= self.context.terms.quorum.min(MAJORITY_ACK_VALIDITY);
+        if self.leadership.is_none() || !has_majority || state.forgotten > 0 {
             return;
         }
         let of: Vec<String> = state.members.keys().filter(|name| **name != from.name).cloned().collect();
-        let asked: Vec<u64> = remaining_members(&of, to)
+        let connections: Vec<u64> = remaining_members(&of, to)
             .into_iter()
             .filter_map(|name| self.by_name.get(name).copied())
             .collect();
-        self.send(connection, &SessionResponse::InquiryMembers { number, round: turn, members: of });
-        let question = SessionResponse::Inquire { from, number, keys };
-        asked.into_iter().for_each(|connection| self.try_send(connection, &question));
+        self.send(connection, &SessionResponse::InquiryMembers { number, round: inquiry_round, members: of });
+        let inquiry = SessionResponse::Inquire { from, number, keys };
+        connections.into_iter().for_each(|connection| self.try_send(connection, &inquiry));
     }
 
     /// Forwards an answer to the run that inquired.
--- a/crates/consensus/src/replica/service_state/inquiries/tests.rs
+++ b/crates/consensus/src/replica/service_state/inquiries/tests.rs
@@ -41,9 +41,9 @@
     // All but every third, last first, and one that the cluster state does not hold.
     let to: Vec<Counted> = (0..4097).rev().filter(|n| n % 3 != 0).map(Counted).collect();
     COMPARED.set(0);
-    let asked: Vec<usize> = remaining_members(&of, &to).into_iter().map(|c| c.0).collect();
+    let connections: Vec<usize> = remaining_members(&of, &to).into_iter().map(|c| c.0).collect();
     let compared = COMPARED.get();
-    assert_eq!(asked, (0..4096).filter(|n| n % 3 != 0).collect::<Vec<_>>());
+    assert_eq!(connections, (0..4096).filter(|n| n % 3 != 0).collect::<Vec<_>>());
     // Of 4096 names one by one against 2731 there are millions.
     assert!(compared < 4096 * 50, "{compared} comparisons");
 }
--- a/crates/consensus/src/replica/service_state/proposals.rs
+++ b/crates/consensus/src/replica/service_state/proposals.rs
@@ -1,6 +1,6 @@
 //! Proposes changes: one entry at a time, with the changes that were queued since the previous one.
 
-use super::{Agreed, Proposer, SessionService};
+use super::{ProposalOutcome, Proposer, SessionService};
 use crate::frames::{encode, MAX_REQUEST};
 use crate::types::{Batch, MAX_CHANGES};
 use stagehoist_cluster_state::{Command, CommandOutcome, Leader, SessionResponse};
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Handles the end of the proposal in proposal: its entry is committed, or its outcome is unknown.
-    pub fn on_agreed(&mut self, done: Agreed) {
+    /// Handles the end of the proposal in flight: its entry is committed, or its outcome is unknown.
+    pub fn on_proposal_outcome(&mut self, done: ProposalOutcome) {
         let Some((changes, _)) = self.in_flight.take() else { return };
         self.state = self.context.applied.borrow().clone();
         let results = done.map(|d| d.0).unwrap_or_default();
--- a/crates/consensus/src/session.rs
+++ b/crates/consensus/src/session.rs
@@ -5,7 +5,7 @@
 mod retirements;
 
 use crate::frames::{
-    decode, encode_first, frames, First, Frames, CONNECT_TIMEOUT, MAX_RESPONSE, WRITE_TIMEOUT,
+    decode, encode_first, frames, FirstFrame, Frames, CONNECT_TIMEOUT, MAX_RESPONSE, WRITE_TIMEOUT,
 };
 use crate::session_file::{SessionFile, SessionMemory};
 use crate::{Now, SessionReport};
@@ -155,7 +155,7 @@
             edition: self.client.edition,
             pools: self.client.pools.clone(),
         };
-        let Ok(hello) = encode_first(&First::Member(hello)) else { return End::Refused };
+        let Ok(hello) = encode_first(&FirstFrame::Member(hello)) else { return End::Refused };
         if !matches!(timeout(WRITE_TIMEOUT, frames.send(hello)).await, Ok(Ok(()))) {
             return End::Broken;
         }
--- a/crates/consensus/src/session/exchange.rs
+++ b/crates/consensus/src/session/exchange.rs
@@ -56,7 +56,7 @@
             let may_retire = self.may_retire && self.retirements.has_capacity();
             let message = tokio::select! {
                 () = stopped(&mut stop) => {
-                    leave(&mut output, &mut responses).await;
+                    send_leave(&mut output, &mut responses).await;
                     return End::Stopped;
                 }
                 frame = responses.next() => {
@@ -87,7 +87,7 @@
                 }
             };
             if let Some(message) = message {
-                if !send(&mut output, &message).await {
+                if !send_request(&mut output, &message).await {
                     return End::Broken;
                 }
             }
@@ -225,10 +225,10 @@
 
     pub(super) fn publish(&mut self) {
         let newest = self.holder.status();
-        self.client.status.send_if_modified(|standing| {
-            let differs = standing != newest;
+        self.client.status.send_if_modified(|status| {
+            let differs = status != newest;
             if differs {
-                standing.clone_from(newest);
+                status.clone_from(newest);
             }
             differs
         });
@@ -236,7 +236,7 @@
 }
 
 /// Notifies the leader that this run ends, and waits until that is committed.
-async fn leave(output: &mut Output, responses: &mut Responses) {
+async fn send_leave(output: &mut Output, responses: &mut Responses) {
     let Ok(frame) = encode(&SessionRequest::Leave) else { return };
     let left = async {
         output.send(frame).await?;
@@ -249,7 +249,7 @@
 }
 
 /// Sends a request; false if the connection is broken.
-async fn send(output: &mut Output, message: &SessionRequest) -> bool {
+async fn send_request(output: &mut Output, message: &SessionRequest) -> bool {
     let Ok(frame) = encode(message) else { return false };
     matches!(timeout(WRITE_TIMEOUT, output.send(frame)).await, Ok(Ok(())))
 }
--- a/crates/consensus/src/session/permits.rs
+++ b/crates/consensus/src/session/permits.rs
@@ -13,8 +13,8 @@
 /// Maximum time between two reports if there are pools; it bounds how long permits that other front ends need stay
 /// unreleased.
 const PERMIT_REPORT_INTERVAL: Duration = Duration::from_millis(50);
-/// Minimum time between a report and one sent because calls demand_delay to wait. Under load calls begin to wait all the
-/// time, so these reports are spaced wider.
+/// Minimum time between a report and one sent because calls began to wait. Under load calls begin to wait all
+/// the time, so these reports are spaced wider.
 const WAITING_GAP: Duration = Duration::from_millis(20);
 
 impl State {
@@ -37,7 +37,7 @@
         self.publish();
     }
 
-    /// How delay after the last report this one is sent; `None`: at the next regular time.
+    /// How soon after the last report this one is sent; `None`: at the next regular time.
     pub(super) fn report_delay(&mut self, report: &SessionReport) -> Option<Duration> {
         let last = &self.reported;
         // The leader reallocates released permits once a report confirms that the smaller grant is applied.
@@ -57,7 +57,7 @@
     ((&d.pool, &d.tenant), d.in_use, d.waiting)
 }
 
-/// How delay a report of changed demand is sent: for an owner owner demand demand_delay, or owner calls demand_delay to wait. Each
+/// How soon a report of changed demand is sent: for an owner whose demand began, or whose calls began to wait. Each
 /// owner is looked up once.
 fn demand_delay<K: Hash + Eq>(
     last: impl Iterator<Item = DemandKey<K>>,
--- a/crates/consensus/src/session/retirements/tests.rs
+++ b/crates/consensus/src/session/retirements/tests.rs
@@ -32,16 +32,16 @@
     for function in ["a", "b", "c"] {
         retiring.proposed(retirement(function));
     }
-    let (mut pause, mut asked, mut drawn) = (RETRY_PAUSES.0, Vec::new(), Vec::new());
+    let (mut pause, mut proposed, mut drawn) = (RETRY_PAUSES.0, Vec::new(), Vec::new());
     for _ in 0..60 {
         let before = Instant::now();
-        asked.push(retiring.next_due(&mut random).unwrap().function);
+        proposed.push(retiring.next_due(&mut random).unwrap().function);
         let due = retiring.due().unwrap();
         pause = (pause * 2).min(Duration::from_secs(5));
         assert!(due >= before + pause / 2 && due <= Instant::now() + pause, "{pause:?}");
         drawn.push((due - before).as_millis() / 250);
     }
-    assert_eq!(asked[..4], ["a", "b", "c", "a"], "one after the other");
+    assert_eq!(proposed[..4], ["a", "b", "c", "a"], "proposed in rotation");
     drawn.sort_unstable();
     drawn.dedup();
     assert!(drawn.len() > 5, "spread: {drawn:?}");
--- a/crates/consensus/src/session_file/tests.rs
+++ b/crates/consensus/src/session_file/tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 #[test]
-fn what_was_kept_is_read_again_and_a_damaged_file_is_set_aside() {
+fn stored_memory_is_read_again_and_a_damaged_file_is_quarantined() {
     let folder = tempfile::tempdir().unwrap();
-    let mut kept = SessionFile::open(Some(folder.path()), "A/1").unwrap();
-    kept.change(|m| m.incarnation = 7).unwrap();
+    let mut session_file = SessionFile::open(Some(folder.path()), "A/1").unwrap();
+    session_file.change(|m| m.incarnation = 7).unwrap();
     assert_eq!(SessionFile::open(Some(folder.path()), "A/1").unwrap().memory.incarnation, 7);
     assert_eq!(SessionFile::open(Some(folder.path()), "a/1").unwrap().memory.incarnation, 0);
     let path = folder.path().join(file_name("A/1"));
--- a/crates/consensus/src/store/log.rs
+++ b/crates/consensus/src/store/log.rs
@@ -1,6 +1,6 @@
 //! Implements Raft's log storage.
 
-use super::{fault, key, Outcome, Store, LOG};
+use super::{key, to_raft_error, Store, StoreResult, LOG};
 use crate::types::{Entry, LogId, RaftStorageError, TypeConfig, Vote};
 use openraft::storage::{LogFlushed, RaftLogStorage};
 use openraft::{LogState, OptionalSend, RaftLogReader};
@@ -9,7 +9,7 @@
 use std::ops::RangeBounds;
 
 impl Store {
-    pub(super) fn entries(&self, range: impl RangeBounds<u64>) -> Outcome<Vec<Entry>> {
+    pub(super) fn entries(&self, range: impl RangeBounds<u64>) -> StoreResult<Vec<Entry>> {
         let read = self.db.begin_read()?;
         let table = read.open_table(LOG)?;
         let mut entries = Vec::new();
@@ -20,7 +20,7 @@
     }
 
     /// Returns the id of the entry before an index, or of the last purged entry.
-    fn before(&self, index: u64) -> Outcome<Option<LogId>> {
+    fn before(&self, index: u64) -> StoreResult<Option<LogId>> {
         let read = self.db.begin_read()?;
         let table = read.open_table(LOG)?;
         let entry = table.range(..index)?.next_back();
@@ -33,13 +33,13 @@
 
 /// Write operations; each is on disk once it returns.
 impl Store {
-    pub(super) fn set_vote(&self, vote: &Vote) -> Outcome<()> {
+    pub(super) fn set_vote(&self, vote: &Vote) -> StoreResult<()> {
         self.write(Durability::Immediate, |w| w.put(key::VOTE, vote))?;
         self.record_fingerprint(self.last()?)
     }
 
     /// Appends all entries in one commit.
-    pub(super) fn append_entries(&self, entries: Vec<Entry>) -> Outcome<()> {
+    pub(super) fn append_entries(&self, entries: Vec<Entry>) -> StoreResult<()> {
         let mut last = None;
         self.write(Durability::Immediate, |w| {
             last = w.append(entries)?;
@@ -53,13 +53,13 @@
 
     /// Removes the end of the log, from this entry on. Writes the guard file first, so that it never records more than the
     /// store holds.
-    pub(super) fn truncate_from(&self, from: LogId) -> Outcome<()> {
+    pub(super) fn truncate_from(&self, from: LogId) -> StoreResult<()> {
         self.record_fingerprint(self.before(from.index)?)?;
         self.write(Durability::Immediate, |w| w.remove(from.index..))
     }
 
     /// Removes the beginning of the log, up to and including this entry.
-    pub(super) fn purge_to(&self, upto: LogId) -> Outcome<()> {
+    pub(super) fn purge_to(&self, upto: LogId) -> StoreResult<()> {
         self.write(Durability::Immediate, |w| {
             w.put(key::PURGED, &upto)?;
             w.remove(..=upto.index)
@@ -72,7 +72,7 @@
         &mut self,
         range: RB,
     ) -> Result<Vec<Entry>, RaftStorageError> {
-        self.entries(range).map_err(fault)
+        self.entries(range).map_err(to_raft_error)
     }
 }
 
@@ -80,8 +80,8 @@
     type LogReader = Store;
 
     async fn get_log_state(&mut self) -> Result<LogState<TypeConfig>, RaftStorageError> {
-        let last_purged_log_id = self.get(key::PURGED).map_err(fault)?;
-        Ok(LogState { last_purged_log_id, last_log_id: self.last().map_err(fault)? })
+        let last_purged_log_id = self.get(key::PURGED).map_err(to_raft_error)?;
+        Ok(LogState { last_purged_log_id, last_log_id: self.last().map_err(to_raft_error)? })
     }
 
     async fn get_log_reader(&mut self) -> Store {
@@ -94,7 +94,7 @@
     }
 
     async fn read_vote(&mut self) -> Result<Option<Vote>, RaftStorageError> {
-        self.vote().map_err(fault)
+        self.vote().map_err(to_raft_error)
     }
 
     async fn save_committed(&mut self, committed: Option<LogId>) -> Result<(), RaftStorageError> {
@@ -104,7 +104,7 @@
     }
 
     async fn read_committed(&mut self) -> Result<Option<LogId>, RaftStorageError> {
-        Ok(self.get::<Option<LogId>>(key::COMMITTED).map_err(fault)?.flatten())
+        Ok(self.get::<Option<LogId>>(key::COMMITTED).map_err(to_raft_error)?.flatten())
     }
 
     async fn append<I>(
--- a/crates/consensus/src/store/mod.rs
+++ b/crates/consensus/src/store/mod.rs
@@ -1,7 +1,7 @@
 //! A replica's store: log, vote and applied state in one redb database, with a guard file beside it.
 //!
 //! Whatever Raft acknowledges is in a commit that was flushed to disk. The applied state is written without a flush.
-//! Commits are ordered, so a crash loses at most the commits after the last flushed one. The applied state is not lost
+//! Commits are ordered, so a crash loses at most the commits after the last flushed one. The applied state can't be lost
 //! together with its entries, because entries are purged by a later, flushed commit.
 
 mod fingerprint;
@@ -57,20 +57,20 @@
 
 macro_rules! impl_from_errors {
     ($($kind:ident),*) => { $(impl From<redb::$kind> for StoreError {
-        fn from(fault: redb::$kind) -> StoreError { StoreError::Db(Box::new(fault.into())) }
+        fn from(error: redb::$kind) -> StoreError { StoreError::Db(Box::new(error.into())) }
     })* };
 }
 impl_from_errors!(StorageError, TransactionError, TableError, CommitError);
 
-type Outcome<T> = Result<T, StoreError>;
+type StoreResult<T> = Result<T, StoreError>;
 
 /// Converts an error for Raft, which stops on a storage error.
-fn fault(fault: StoreError) -> RaftStorageError {
-    StorageIOError::write(AnyError::new(&fault)).into()
+fn to_raft_error(error: StoreError) -> RaftStorageError {
+    StorageIOError::write(AnyError::new(&error)).into()
 }
 
 impl Store {
-    fn get<T: DeserializeOwned>(&self, key: &str) -> Outcome<Option<T>> {
+    fn get<T: DeserializeOwned>(&self, key: &str) -> StoreResult<Option<T>> {
         let read = self.db.begin_read()?;
         let table = read.open_table(META)?;
         let value = table.get(key)?;
@@ -80,7 +80,11 @@
         })
     }
 
-    fn write(&self, durability: Durability, work: impl FnOnce(&mut Write) -> Outcome<()>) -> Outcome<()> {
+    fn write(
+        &self,
+        durability: Durability,
+        work: impl FnOnce(&mut Write) -> StoreResult<()>,
+    ) -> StoreResult<()> {
         let mut transaction = self.db.begin_write()?;
         transaction.set_durability(durability);
         work(&mut Write(&transaction))?;
@@ -92,17 +96,17 @@
     /// write transaction at a time.
     async fn run_blocking<T: Send + 'static>(
         &self,
-        work: impl FnOnce(&Store) -> Outcome<T> + Send + 'static,
+        work: impl FnOnce(&Store) -> StoreResult<T> + Send + 'static,
     ) -> Result<T, RaftStorageError> {
         let store = self.clone();
         match tokio::task::spawn_blocking(move || work(&store)).await {
-            Ok(done) => done.map_err(fault),
-            Err(e) => Err(fault(std::io::Error::other(e).into())),
+            Ok(done) => done.map_err(to_raft_error),
+            Err(e) => Err(to_raft_error(std::io::Error::other(e).into())),
         }
     }
 
     /// Returns the id of the last entry of the log, or of the last purged entry.
-    fn last(&self) -> Outcome<Option<LogId>> {
+    fn last(&self) -> StoreResult<Option<LogId>> {
         let read = self.db.begin_read()?;
         let table = read.open_table(LOG)?;
         let last = table.last()?;
@@ -112,12 +116,12 @@
         }
     }
 
-    fn vote(&self) -> Outcome<Option<Vote>> {
+    fn vote(&self) -> StoreResult<Option<Vote>> {
         self.get(key::VOTE)
     }
 
     /// Records the current state of the store in the guard file.
-    fn record_fingerprint(&self, last: Option<LogId>) -> Outcome<()> {
+    fn record_fingerprint(&self, last: Option<LogId>) -> StoreResult<()> {
         let term = self.vote()?.map_or(0, |v| v.leader_id.term);
         let last = last.map_or((0, 0), |l| (l.leader_id.term, l.index));
         let mut guard = self
@@ -128,12 +132,12 @@
     }
 
     /// Returns the term up to which this replica does not participate; `None` if it lost no state.
-    pub fn bound(&self) -> Outcome<Option<u64>> {
+    pub fn bound(&self) -> StoreResult<Option<u64>> {
         self.get(key::BOUND)
     }
 
     /// Writes the bound; blocks until it is on disk.
-    fn set_bound(&self, bound: Option<u64>) -> Outcome<()> {
+    fn set_bound(&self, bound: Option<u64>) -> StoreResult<()> {
         self.write(Durability::Immediate, |w| match bound {
             Some(bound) => w.put(key::BOUND, &bound),
             None => w.clear(key::BOUND),
@@ -150,21 +154,21 @@
 struct Write<'a>(&'a redb::WriteTransaction);
 
 impl Write<'_> {
-    fn put<T: Serialize>(&mut self, key: &str, value: &T) -> Outcome<()> {
+    fn put<T: Serialize>(&mut self, key: &str, value: &T) -> StoreResult<()> {
         self.put_bytes(key, &postcard::to_stdvec(value)?)
     }
 
-    fn put_bytes(&mut self, key: &str, bytes: &[u8]) -> Outcome<()> {
+    fn put_bytes(&mut self, key: &str, bytes: &[u8]) -> StoreResult<()> {
         self.0.open_table(META)?.insert(key, bytes)?;
         Ok(())
     }
 
-    fn clear(&mut self, key: &str) -> Outcome<()> {
+    fn clear(&mut self, key: &str) -> StoreResult<()> {
         self.0.open_table(META)?.remove(key)?;
         Ok(())
     }
 
-    fn append(&mut self, entries: impl IntoIterator<Item = Entry>) -> Outcome<Option<LogId>> {
+    fn append(&mut self, entries: impl IntoIterator<Item = Entry>) -> StoreResult<Option<LogId>> {
         let mut table = self.0.open_table(LOG)?;
         let mut last = None;
         for entry in entries {
@@ -174,7 +178,7 @@
         Ok(last)
     }
 
-    fn remove(&mut self, entries: impl std::ops::RangeBounds<u64>) -> Outcome<()> {
+    fn remove(&mut self, entries: impl std::ops::RangeBounds<u64>) -> StoreResult<()> {
         Ok(self.0.open_table(LOG)?.retain_in(entries, |_, _| false)?)
     }
 }
--- a/crates/consensus/src/store/open.rs
+++ b/crates/consensus/src/store/open.rs
@@ -32,7 +32,7 @@
     Returning(Option<u64>),
 }
 
-enum Found {
+enum OpenedStore {
     Intact(Database),
     /// The store can't be used, for this reason.
     Damaged(String),
@@ -45,16 +45,16 @@
     std::fs::create_dir_all(folder).map_err(|e| store_error(e.to_string()))?;
     let guard =
         StoreFingerprint::open(&folder.join(GUARD)).map_err(|e| store_error(format!("guard file: {e}")))?;
-    let mark = guard.fingerprint();
+    let fingerprint = guard.fingerprint();
     let existed = path.exists();
-    let found = catch_unwind(AssertUnwindSafe(|| try_open(&path)));
-    let found = found.unwrap_or_else(|_| Ok(Found::Damaged("the store can't be read".into())))?;
+    let opened = catch_unwind(AssertUnwindSafe(|| open_database(&path)));
+    let opened = opened.unwrap_or_else(|_| Ok(OpenedStore::Damaged("the store can't be read".into())))?;
     let guard = Arc::new(Mutex::new(guard));
-    let damage = match found {
-        Found::Intact(db) => {
+    let damage = match opened {
+        OpenedStore::Intact(db) => {
             let store = Store { db: Arc::new(db), guard: guard.clone() };
-            let start = if existed || mark.is_none() {
-                catch_unwind(AssertUnwindSafe(|| check_start(&store, mark)))
+            let start = if existed || fingerprint.is_none() {
+                catch_unwind(AssertUnwindSafe(|| check_start(&store, fingerprint)))
                     .unwrap_or_else(|_| Err("the store can't be read".into()))
             } else {
                 Err("the store is missing".into())
@@ -64,17 +64,17 @@
                 Err(why) => why,
             }
         }
-        Found::Damaged(why) => why,
+        OpenedStore::Damaged(why) => why,
     };
     let aside = quarantine(&path).map_err(|e| store_error(e.to_string()))?;
     tracing::error!(target: "stagehoist_consensus", event = "store", path = %path.display(),
         aside = %aside.display(), why = %damage, "store quarantined");
-    let db = match try_open(&path)? {
-        Found::Intact(db) => Arc::new(db),
-        Found::Damaged(why) => return Err(store_error(why)),
+    let db = match open_database(&path)? {
+        OpenedStore::Intact(db) => Arc::new(db),
+        OpenedStore::Damaged(why) => return Err(store_error(why)),
     };
     let store = Store { db, guard };
-    let bound = mark.map(|m| m.term);
+    let bound = fingerprint.map(|m| m.term);
     let recorded = match bound {
         Some(_) => store.set_bound(bound).and_then(|()| store.record_fingerprint(None)),
         None => Ok(()),
@@ -83,7 +83,7 @@
     Ok((store, Start::Returning(bound)))
 }
 
-fn try_open(path: &Path) -> Result<Found, ConsensusError> {
+fn open_database(path: &Path) -> Result<OpenedStore, ConsensusError> {
     let store_error = |why: String| ConsensusError::Store { path: path.to_path_buf(), reason: why };
     let mut db = match Database::create(path) {
         Ok(db) => db,
@@ -93,12 +93,12 @@
         Err(DatabaseError::Storage(redb::StorageError::Io(e))) if !is_content_error(&e) => {
             return Err(store_error(e.to_string()))
         }
-        Err(e) => return Ok(Found::Damaged(e.to_string())),
+        Err(e) => return Ok(OpenedStore::Damaged(e.to_string())),
     };
-    // The store is small enough for a full check. redb repairs a part with a damage checksum by returning to the previous
+    // The store is small enough for a full check. redb repairs a part with a wrong checksum by returning to the previous
     // commit, which the comparison with the guard file then detects.
     if let Err(e) = db.check_integrity() {
-        return Ok(Found::Damaged(e.to_string()));
+        return Ok(OpenedStore::Damaged(e.to_string()));
     }
     let created = (|| -> Result<(), StoreError> {
         let write = db.begin_write()?;
@@ -107,8 +107,8 @@
         Ok(write.commit()?)
     })();
     Ok(match created {
-        Ok(()) => Found::Intact(db),
-        Err(e) => Found::Damaged(e.to_string()),
+        Ok(()) => OpenedStore::Intact(db),
+        Err(e) => OpenedStore::Damaged(e.to_string()),
     })
 }
 
@@ -117,7 +117,7 @@
 }
 
 /// Checks whether the replica may continue with a store; the error is the reason why not.
-pub(super) fn check_start(store: &Store, mark: Option<Fingerprint>) -> Result<Start, String> {
+pub(super) fn check_start(store: &Store, fingerprint: Option<Fingerprint>) -> Result<Start, String> {
     type Ends = (Option<Vote>, Option<LogId>, Option<u64>);
     let all = (|| -> Result<Ends, StoreError> {
         let read = store.db.begin_read()?;
@@ -131,15 +131,15 @@
     let (vote, last, bound) = all.map_err(|e| e.to_string())?;
     let term = vote.map_or(0, |v| v.leader_id.term).max(bound.unwrap_or(0));
     let end = last.map_or((0, 0), |l| (l.leader_id.term, l.index));
-    if mark.is_some_and(|m| term < m.term || end < m.last) {
+    if fingerprint.is_some_and(|m| term < m.term || end < m.last) {
         return Err(format!(
-            "the store is older than its guard file: term {term}, end {end:?}, guard {mark:?}"
+            "the store is older than its guard file: term {term}, end {end:?}, guard {fingerprint:?}"
         ));
     }
     let empty = vote.is_none() && last.is_none();
     match bound {
         Some(bound) => Ok(Start::Returning(Some(bound))),
-        None if empty && mark.is_none() => Ok(Start::Pristine),
+        None if empty && fingerprint.is_none() => Ok(Start::Pristine),
         None if empty => Err("the store is empty but has a guard file".into()),
         None => {
             // The guard file may have been lost, so it is written again.
--- a/crates/consensus/src/store/state_machine.rs
+++ b/crates/consensus/src/store/state_machine.rs
@@ -1,6 +1,6 @@
 //! The replicated state machine: applies entries to the cluster state, and writes and installs its snapshots.
 
-use super::{fault, key, Outcome, Store, StoreError};
+use super::{key, to_raft_error, Store, StoreError, StoreResult};
 use crate::types::{Applied, BatchOutcome, Entry, LogId, Members, RaftStorageError, TypeConfig, MAX_CHANGES};
 use openraft::storage::RaftStateMachine;
 use openraft::{EntryPayload, OptionalSend, RaftSnapshotBuilder, Snapshot, SnapshotMeta};
@@ -30,7 +30,7 @@
 
 impl StateMachine {
     /// Loads the applied state from the store.
-    pub fn new(store: Store) -> Outcome<(StateMachine, watch::Receiver<Applied>)> {
+    pub fn new(store: Store) -> StoreResult<(StateMachine, watch::Receiver<Applied>)> {
         let state: State = store.get(key::STATE)?.unwrap_or_default();
         let (applied_sender, applied) = watch::channel(state.applied());
         Ok((StateMachine { store, state, applied: applied_sender }, applied))
@@ -58,7 +58,7 @@
         }
     }
 
-    fn snapshot(&self) -> Outcome<Snapshot<TypeConfig>> {
+    fn snapshot(&self) -> StoreResult<Snapshot<TypeConfig>> {
         let snapshot_id = self.last.map_or_else(|| "0".into(), |l| format!("{}-{}", l.leader_id, l.index));
         let meta =
             SnapshotMeta { last_log_id: self.last, last_membership: self.members.clone(), snapshot_id };
@@ -99,7 +99,7 @@
         I::IntoIter: OptionalSend,
     {
         let outcomes = entries.into_iter().map(|entry| self.state.apply(entry)).collect();
-        let state = postcard::to_stdvec(&self.state).map_err(StoreError::from).map_err(fault)?;
+        let state = postcard::to_stdvec(&self.state).map_err(StoreError::from).map_err(to_raft_error)?;
         self.store
             .run_blocking(move |s| s.write(Durability::None, |w| w.put_bytes(key::STATE, &state)))
             .await?;
@@ -135,7 +135,7 @@
     }
 
     async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<TypeConfig>>, RaftStorageError> {
-        let stored: Option<(Meta, Vec<u8>)> = self.store.get(key::SNAPSHOT).map_err(fault)?;
+        let stored: Option<(Meta, Vec<u8>)> = self.store.get(key::SNAPSHOT).map_err(to_raft_error)?;
         Ok(stored.map(|(meta, bytes)| Snapshot { meta, snapshot: Box::new(Cursor::new(bytes)) }))
     }
 }
--- a/crates/consensus/src/store/tests/mod.rs
+++ b/crates/consensus/src/store/tests/mod.rs
@@ -59,41 +59,43 @@
 }
 
 /// Writes as Raft does, until the disk fails.
-async fn work(disk: &Disk, guard: &Path, draw: &mut Random) -> Model {
+async fn write_until_failure(disk: &Disk, guard: &Path, random: &mut Random) -> Model {
     let mut model = Model { term: 1, ..Model::default() };
     let Some(mut store) = open(disk, guard) else { return model };
-    let Ok((mut machine, _told)) = StateMachine::new(store.clone()) else { return model };
+    let Ok((mut machine, _applied)) = StateMachine::new(store.clone()) else { return model };
     for _ in 0..30 {
         let (end, applied) = (model.end(), model.applied);
-        let went = match draw.below(8) {
+        let succeeded = match random.below(8) {
             0 | 1 => {
-                let vote = Vote::new(model.term + 1, draw.below(3));
-                let went = store.save_vote(&vote).await.is_ok();
+                let vote = Vote::new(model.term + 1, random.below(3));
+                let succeeded = store.save_vote(&vote).await.is_ok();
                 // It may be on disk without having been acknowledged.
                 model.term += 1;
-                model.vote = if went { Some(vote) } else { model.vote };
-                went
+                model.vote = if succeeded { Some(vote) } else { model.vote };
+                succeeded
             }
             2..=4 => {
-                let new: Vec<Entry> = (end + 1..end + 2 + draw.below(3)).map(|i| model.entry(i)).collect();
-                let went = store.append_entries(new.clone()).is_ok();
-                model.entries.extend(went.then_some(new).into_iter().flatten().map(|e| (e.log_id.index, e)));
-                went
+                let new: Vec<Entry> = (end + 1..end + 2 + random.below(3)).map(|i| model.entry(i)).collect();
+                let succeeded = store.append_entries(new.clone()).is_ok();
+                model
+                    .entries
+                    .extend(succeeded.then_some(new).into_iter().flatten().map(|e| (e.log_id.index, e)));
+                succeeded
             }
             5 => {
                 let new: Vec<Entry> = model.entries.range(applied + 1..).map(|(_, e)| e.clone()).collect();
-                let went = new.is_empty() || machine.apply(new).await.is_ok();
-                model.applied = if went { end } else { applied };
-                went
+                let succeeded = new.is_empty() || machine.apply(new).await.is_ok();
+                model.applied = if succeeded { end } else { applied };
+                succeeded
             }
             6 if end > applied => {
                 model.cutting = Some(end);
-                let went = store.truncate(model.entries[&end].log_id).await.is_ok();
-                if went {
+                let succeeded = store.truncate(model.entries[&end].log_id).await.is_ok();
+                if succeeded {
                     model.cutting = None;
                     model.entries.remove(&end);
                 }
-                went
+                succeeded
             }
             7 if applied > model.purged => {
                 let built = machine.get_snapshot_builder().await.build_snapshot().await.is_ok();
@@ -102,7 +104,7 @@
             }
             _ => true,
         };
-        if !went {
+        if !succeeded {
             break;
         }
     }
@@ -115,12 +117,12 @@
     let Some(store) = open(disk, guard) else {
         // The disk failed while the store was created, so nothing was acknowledged yet.
         let nothing = model.vote.is_none() && model.end() == 0;
-        return (!nothing).then(|| "it does not open".into());
+        return (!nothing).then(|| "the store does not open".into());
     };
-    let mark = store.guard.lock().unwrap().fingerprint();
-    match check_start(&store, mark) {
+    let fingerprint = store.guard.lock().unwrap().fingerprint();
+    match check_start(&store, fingerprint) {
         Ok(Start::Intact | Start::Pristine) => {}
-        other => return Some(format!("judged as {other:?}")),
+        other => return Some(format!("check_start returned {other:?}")),
     }
     let vote = store.vote().unwrap();
     if model.vote.is_some_and(|known| vote.is_none_or(|v| v.leader_id.term < known.leader_id.term)) {
@@ -136,44 +138,46 @@
         return Some(format!("entry {gone}, applied up to {from}"));
     }
     // Applying the remaining entries must give the same cluster state as applying all entries from the first.
-    let mut whole = State::default();
+    let mut expected = State::default();
     for entry in model.entries.values().filter(|e| e.log_id.index <= from.max(model.end())) {
-        whole.apply(entry.clone());
+        expected.apply(entry.clone());
     }
     for entry in entries.values().filter(|e| (from + 1..=model.end()).contains(&e.log_id.index)) {
         state.apply(entry.clone());
     }
-    (model.cutting.is_none() && state.state != whole.state).then(|| "the record differs".into())
+    (model.cutting.is_none() && state.state != expected.state).then(|| "the cluster state differs".into())
 }
 
 /// Counts the disk failures, at random times, after which an acknowledged write was missing.
-fn lost(lies: bool, seeds: u64) -> Vec<String> {
+fn find_losses(ignores_syncs: bool, seeds: u64) -> Vec<String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     // The syncs of the guard file are not tested here.
     let folder = tempfile::tempdir_in("/dev/shm").or_else(|_| tempfile::tempdir()).unwrap();
-    let deaths = (0..seeds).filter_map(|seed| {
-        let mut draw = Random(seed);
+    let losses = (0..seeds).filter_map(|seed| {
+        let mut random = Random(seed);
         let guard = folder.path().join(format!("{seed}"));
         let disk = Disk::default();
-        disk.state().operations_left = Some(draw.below(180));
-        disk.state().ignores_syncs = lies;
-        let model = runtime.block_on(work(&disk, &guard, &mut draw));
-        let after = disk.after_power_loss(&mut draw);
+        disk.state().operations_left = Some(random.below(180));
+        disk.state().ignores_syncs = ignores_syncs;
+        let model = runtime.block_on(write_until_failure(&disk, &guard, &mut random));
+        let after = disk.after_power_loss(&mut random);
         // redb may panic on an unreadable store; `open` treats that as damage.
         let missing = catch_unwind(AssertUnwindSafe(|| missing(&model, &after, &guard)));
-        missing.unwrap_or_else(|_| Some("it can't be read".into())).map(|what| format!("seed {seed}: {what}"))
+        missing
+            .unwrap_or_else(|_| Some("the store can't be read".into()))
+            .map(|what| format!("seed {seed}: {what}"))
     });
-    deaths.collect()
+    losses.collect()
 }
 
 #[test]
 fn vote_log_and_applied_record_are_there_after_200_losses_of_power() {
-    assert_eq!(lost(false, 200), Vec::<String>::new());
+    assert_eq!(find_losses(false, 200), Vec::<String>::new());
 }
 
 #[test]
-fn a_disk_that_lies_about_syncs_is_seen_to_lose_something() {
-    assert!(lost(true, 20).len() > 5);
+fn a_disk_that_ignores_syncs_is_detected_as_losing_writes() {
+    assert!(find_losses(true, 20).len() > 5);
 }
 
 #[test]
@@ -197,7 +201,7 @@
         let inline = *counted.borrow() - split;
         assert!(
             split >= 3 && inline == 0,
-            "{split} turns of others meanwhile; {inline} where it is written inline"
+            "the other task was polled {split} times during a blocking-thread write and {inline} times during an inline write"
         );
         others.abort();
     });
--- a/crates/consensus/src/tests.rs
+++ b/crates/consensus/src/tests.rs
@@ -1,7 +1,7 @@
 //! Golden bytes: the first frames of connections, every message between replicas and a front end's session file, as
 //! written by the build before the packages were renamed. `tests/golden/*` never change with the code.
 
-use crate::frames::{decode_first, encode_first, First, PEER_PROTOCOL};
+use crate::frames::{decode_first, encode_first, FirstFrame, PEER_PROTOCOL};
 use crate::replica::messages::{PeerRequest, PeerResponse, ReplicaStatus, RequestFrame, ResponseFrame};
 use crate::session_file::{SessionFile, SessionMemory};
 use crate::types::{Batch, BatchOutcome, Entry, LogId, Vote};
@@ -103,8 +103,8 @@
 
 fn first_frames(golden: &mut Golden) {
     let first = [
-        ("first-peer", First::Peer { protocol: PEER_PROTOCOL, from: 1, to: 2 }),
-        ("first-member", First::Member(SessionRequest::Leave)),
+        ("first-peer", FirstFrame::Peer { protocol: PEER_PROTOCOL, from: 1, to: 2 }),
+        ("first-member", FirstFrame::Member(SessionRequest::Leave)),
     ];
     for (name, frame) in first {
         let bytes = encode_first(&frame).unwrap();
@@ -130,8 +130,8 @@
         incarnation: 7,
         view: ClusterView { version: 12, edition: 2, ..ClusterView::default() },
     };
-    let mut kept = SessionFile::open(Some(folder.path()), "A/1").unwrap();
-    kept.change(|m| *m = memory.clone()).unwrap();
+    let mut session_file = SessionFile::open(Some(folder.path()), "A/1").unwrap();
+    session_file.change(|m| *m = memory.clone()).unwrap();
     let name = "_41_2f1.session";
     let bytes = std::fs::read(folder.path().join(name)).unwrap();
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
--- a/crates/consensus/tests/agree.rs
+++ b/crates/consensus/tests/agree.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_retirement_told_at_one_keeper_is_in_force_at_all() {
+fn a_retirement_sent_to_one_keeper_is_in_force_at_all() {
     let fleet = Fleet::started(3);
     fleet.until("a leader", |f| f.leader().is_some());
     fleet.session(3).retire.try_send(retirement("f", RetirementMode::Strict)).unwrap();
@@ -33,7 +33,7 @@
     fleet.until("another leader", |f| f.leader().is_some_and(|l| l != first));
     // A member that never received the retirement receives it from the new leader.
     let late = start(fleet.options(&["late".into()]), clock()).unwrap();
-    wait("the late one is shown it", || shown(&late.sessions["late"], "f").is_some());
+    wait("the new member receives the retirement", || shown(&late.sessions["late"], "f").is_some());
     late.stop();
     fleet.session(other).retire.try_send(retirement("g", RetirementMode::Strict)).unwrap();
     fleet.until("the next retirement in force", |f| f.sessions().iter().all(|s| in_force(s, "g")));
@@ -56,7 +56,7 @@
     assert!(shown(session, "f").is_none(), "change committed without a majority");
     fleet.start(3);
     wait("promises again", || is_fresh(session, &now));
-    wait("what was asked for meanwhile", || shown(session, "f").is_some());
+    wait("the retirement requested without a majority", || shown(session, "f").is_some());
     member.stop();
 }
 
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn faults_are_told_at_once() {
+fn start_errors_are_returned_immediately() {
     let fleet = Fleet::started(1);
     let err = |options: Options| start(options, clock()).err().unwrap();
     assert!(matches!(err(fleet.keeper_options(1)), ConsensusError::Listen { .. }));
--- a/crates/consensus/tests/away.rs
+++ b/crates/consensus/tests/away.rs
@@ -9,7 +9,7 @@
 #[test]
 fn a_keeper_that_was_away_for_long_is_brought_back_by_a_snapshot() {
     let mut fleet = Fleet::new(3);
-    fleet.pace.log = (20, 5);
+    fleet.timing.log = (20, 5);
     fleet.start_all();
     let figures = |f: &Fleet, n: u64| f.running[&n].figures().borrow().clone();
     fleet.until("joined", |f| f.sessions().iter().all(|s| s.member.borrow().is_some()));
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -69,7 +69,7 @@
     listen: BTreeMap<u64, String>,
     pub relays: BTreeMap<u64, Relay>,
     pub running: BTreeMap<u64, Running>,
-    pub pace: Timing,
+    pub timing: Timing,
     /// The thread of each replica.
     pub threads: BTreeMap<u64, String>,
 }
@@ -93,7 +93,7 @@
             listen,
             relays,
             running: BTreeMap::new(),
-            pace: Timing::default(),
+            timing: Timing::default(),
             threads: BTreeMap::new(),
         }
     }
@@ -130,14 +130,15 @@
             replicas: self.keepers.clone(),
             members: members.to_vec(),
             session_folder: Some(self.folder.path().join("incarnations")),
-            timing: self.pace,
+            timing: self.timing,
             ..options()
         }
     }
 
     pub fn keeper_options(&self, number: u64) -> Options {
-        let keep = ReplicaOptions { number, listen: self.listen[&number].clone(), store: self.store(number) };
-        Options { replica: Some(keep), ..self.options(&[format!("m{number}")]) }
+        let replica =
+            ReplicaOptions { number, listen: self.listen[&number].clone(), store: self.store(number) };
+        Options { replica: Some(replica), ..self.options(&[format!("m{number}")]) }
     }
 
     pub fn start(&mut self, number: u64) {
@@ -185,19 +186,19 @@
     }
 
     /// Waits for a condition while every front end confirms the views it receives.
-    pub fn until(&self, what: &str, is_so: impl Fn(&Fleet) -> bool) {
+    pub fn until(&self, description: &str, condition: impl Fn(&Fleet) -> bool) {
         let sessions = self.sessions();
-        wait(what, || {
+        wait(description, || {
             sessions.iter().for_each(|s| confirm(s));
-            is_so(self)
+            condition(self)
         });
     }
 }
 
-pub fn wait(what: &str, mut is_so: impl FnMut() -> bool) {
+pub fn wait(description: &str, mut condition: impl FnMut() -> bool) {
     let began = Instant::now();
-    while !is_so() {
-        assert!(began.elapsed() < LIMIT, "not within {LIMIT:?}: {what}");
+    while !condition() {
+        assert!(began.elapsed() < LIMIT, "not within {LIMIT:?}: {description}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
--- a/crates/consensus/tests/common/relay.rs
+++ b/crates/consensus/tests/common/relay.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum RelayState {
     Open,
     /// Connections are closed, and no new ones are opened.
     Cut,
@@ -18,8 +18,8 @@
 
 pub struct Relay {
     pub address: String,
-    way: watch::Sender<Way>,
-    ends: watch::Sender<bool>,
+    state: watch::Sender<RelayState>,
+    stop: watch::Sender<bool>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -28,63 +28,68 @@
         let listener = Listener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        let (way, goes) = watch::channel(Way::Open);
-        let (ends, ended) = watch::channel(false);
+        let (state, state_receiver) = watch::channel(RelayState::Open);
+        let (stop, stopped) = watch::channel(false);
         let to = to.to_string();
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-            runtime.block_on(relay(listener, to, goes, ended));
+            runtime.block_on(relay(listener, to, state_receiver, stopped));
         });
-        Relay { address, way, ends, thread: Some(thread) }
+        Relay { address, state, stop, thread: Some(thread) }
     }
 
     pub fn cut(&self, is_cut: bool) {
-        self.set(if is_cut { Way::Cut } else { Way::Open });
+        self.set(if is_cut { RelayState::Cut } else { RelayState::Open });
     }
 
-    pub fn set(&self, way: Way) {
-        self.way.send_replace(way);
+    pub fn set(&self, state: RelayState) {
+        self.state.send_replace(state);
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.ends.send_replace(true);
+        self.stop.send_replace(true);
         self.thread.take().unwrap().join().unwrap();
     }
 }
 
-async fn relay(listener: Listener, to: String, goes: watch::Receiver<Way>, mut ended: watch::Receiver<bool>) {
+async fn relay(
+    listener: Listener,
+    to: String,
+    state_receiver: watch::Receiver<RelayState>,
+    mut stopped: watch::Receiver<bool>,
+) {
     let listener = TcpListener::from_std(listener).unwrap();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 let Ok((mut stream, _)) = accepted else { continue };
-                let (to, goes) = (to.clone(), goes.clone());
-                if *goes.borrow() == Way::Cut {
+                let (to, state_receiver) = (to.clone(), state_receiver.clone());
+                if *state_receiver.borrow() == RelayState::Cut {
                     continue;
                 }
                 tokio::spawn(async move {
                     let Ok(mut out) = TcpStream::connect(&to).await else { return };
                     let _ = (stream.set_nodelay(true), out.set_nodelay(true));
-                    pass(copy_bidirectional(&mut stream, &mut out), goes).await;
+                    run_while_open(copy_bidirectional(&mut stream, &mut out), state_receiver).await;
                 });
             }
-            _ = ended.wait_for(|e| *e) => return,
+            _ = stopped.wait_for(|e| *e) => return,
         }
     }
 }
 
 /// Runs the copy while the relay is open; stops when it is cut.
-async fn pass<T>(passing: impl Future<Output = T>, mut goes: watch::Receiver<Way>) {
-    let mut passing = std::pin::pin!(passing);
+async fn run_while_open<T>(copy: impl Future<Output = T>, mut state_receiver: watch::Receiver<RelayState>) {
+    let mut copy = std::pin::pin!(copy);
     loop {
-        let way = *goes.borrow_and_update();
+        let state = *state_receiver.borrow_and_update();
         tokio::select! {
-            _ = &mut passing, if way == Way::Open => return,
-            changed = goes.changed() => if changed.is_err() { return },
+            _ = &mut copy, if state == RelayState::Open => return,
+            changed = state_receiver.changed() => if changed.is_err() { return },
         }
-        if *goes.borrow() == Way::Cut {
+        if *state_receiver.borrow() == RelayState::Cut {
             return;
         }
     }
--- a/crates/consensus/tests/cut.rs
+++ b/crates/consensus/tests/cut.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::relay::{Relay, Way};
+use common::relay::{Relay, RelayState};
 use common::{clock, confirm, in_force, is_fresh, retirement, shown, terms, wait, Fleet};
 use stagehoist_cluster_state::{LeaseTerms, RetirementMode, TombstoneState};
 use stagehoist_consensus::{start, Options};
@@ -19,22 +19,22 @@
 
 #[test]
 fn a_strict_retirement_is_in_force_only_once_the_promise_to_one_cut_off_ran_out() {
-    check_in_force_after_lease(Way::Cut);
+    check_in_force_after_lease(RelayState::Cut);
 }
 
 #[test]
 fn a_strict_retirement_is_in_force_only_once_the_promise_to_one_whose_ways_stall_ran_out() {
-    check_in_force_after_lease(Way::Stalled);
+    check_in_force_after_lease(RelayState::Stalled);
 }
 
-fn check_in_force_after_lease(way: Way) {
+fn check_in_force_after_lease(state: RelayState) {
     let fleet = Fleet::started(3);
     let (options, relays) = split(&fleet);
     let now = clock();
     let split = start(options, now.clone()).unwrap();
     let session = &split.sessions["apart"];
     wait("a lease for the partitioned member", || is_fresh(session, &now));
-    relays.iter().for_each(|r| r.set(way));
+    relays.iter().for_each(|r| r.set(state));
     fleet.session(1).retire.try_send(retirement("f", RetirementMode::Strict)).unwrap();
     let mut was_fresh = 0;
     wait("in force at the other members", || {
--- a/crates/consensus/tests/hostile.rs
+++ b/crates/consensus/tests/hostile.rs
@@ -14,7 +14,7 @@
     bytes
 }
 
-/// Has the same encoding as `frames::First::Member`.
+/// Has the same encoding as `frames::FirstFrame::Member`.
 fn first(message: &SessionRequest) -> Vec<u8> {
     let mut body = b"stk1\x01".to_vec();
     body.extend(postcard::to_stdvec(message).unwrap());
--- a/crates/consensus/tests/lost.rs
+++ b/crates/consensus/tests/lost.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_store_set_back_to_an_older_copy_is_told_by_its_guard() {
+fn a_store_rolled_back_to_an_older_copy_is_detected_by_its_guard() {
     let mut fleet = Fleet::started(3);
     retire(&fleet, 1, "a");
     fleet.stop(3);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn keepers_are_added_and_removed_by_what_they_are_told() {
+fn keepers_are_added_and_removed_as_configured() {
     let mut fleet = Fleet::new(4);
     let all = fleet.keepers.clone();
     fleet.keepers.remove(&4);
--- a/crates/consensus/tests/many.rs
+++ b/crates/consensus/tests/many.rs
@@ -74,24 +74,24 @@
 }
 
 /// Runs a step while the replicas' own front ends confirm the views they receive.
-fn confirming<T>(fleet: &Fleet, work: impl FnOnce() -> T) -> T {
-    let is_over = AtomicBool::new(false);
+fn with_confirmations<T>(fleet: &Fleet, work: impl FnOnce() -> T) -> T {
+    let is_done = AtomicBool::new(false);
     std::thread::scope(|s| {
         s.spawn(|| {
-            while !is_over.load(Ordering::Relaxed) {
+            while !is_done.load(Ordering::Relaxed) {
                 fleet.sessions().into_iter().for_each(confirm);
                 std::thread::sleep(Duration::from_millis(2));
             }
         });
         let done = std::panic::catch_unwind(std::panic::AssertUnwindSafe(work));
-        is_over.store(true, Ordering::Relaxed);
+        is_done.store(true, Ordering::Relaxed);
         done.unwrap()
     })
 }
 
 /// The front-end process: joins, retires one function on the first input line and exits on the second.
 #[test]
-#[ignore = "a process of the test below"]
+#[ignore = "started as a separate process by the test below"]
 fn the_front_ends() {
     let keepers = std::env::var(KEEPERS).unwrap();
     let keepers: BTreeMap<u64, String> = keepers
@@ -105,14 +105,14 @@
     let many = start(options, now.clone()).unwrap();
     let sessions: Vec<_> = many.sessions.values().collect();
     let output = |since: Instant| println!("{OUTPUT_PREFIX}{}", since.elapsed().as_secs_f64() * 1000.0);
-    wait("a promise to all", || sessions.iter().all(|s| is_fresh(s, &now)));
+    wait("a lease for every session", || sessions.iter().all(|s| is_fresh(s, &now)));
     output(began);
     let mut line = String::new();
     for function in ["f", "g", "h"] {
         std::io::stdin().read_line(&mut line).unwrap();
         let began = Instant::now();
         sessions[0].retire.try_send(retirement(function, RetirementMode::Strict)).unwrap();
-        wait("in force at all", || {
+        wait("in force for all sessions", || {
             sessions.iter().for_each(|s| confirm(s));
             sessions.iter().all(|s| in_force(s, function))
         });
@@ -143,7 +143,7 @@
     assert!(is.sessions >= SESSIONS && is.promised > was.promised);
     for _ in 0..3 {
         let spent_was = cpu_seconds(&fleet.threads[&leader]);
-        let ms = confirming(&fleet, || {
+        let ms = with_confirmations(&fleet, || {
             many.send_line();
             many.ms()
         });
