--- a/crates/consensus/src/replica/formation.rs
+++ b/crates/consensus/src/replica/formation.rs
@@ -98,7 +98,7 @@
         tracing::warn!(target: "stagehoist_consensus", event = "store", bound, "log lost; recovering from the other keepers");
         while !participation.has_recovered(applied.borrow_and_update().last) {
             for number in peers.numbers() {
-                peers.call(number, PeerRequest::RaiseTerm { above: bound }, ANSWER_TIMEOUT).await;
+                peers.send_request(number, PeerRequest::RaiseTerm { above: bound }, ANSWER_TIMEOUT).await;
             }
             let _ = tokio::time::timeout(
                 RAISE_INTERVAL,
@@ -118,7 +118,7 @@
 
 async fn request_status(peers: &Peers) -> BTreeMap<u64, ReplicaStatus> {
     let requests = peers.numbers().into_iter().map(|n| async move {
-        match peers.call(n, PeerRequest::Status, ANSWER_TIMEOUT).await {
+        match peers.send_request(n, PeerRequest::Status, ANSWER_TIMEOUT).await {
             Some(PeerResponse::Status(status)) => Some((n, status)),
             _ => None,
         }
--- a/crates/consensus/src/replica/formation/tests.rs
+++ b/crates/consensus/src/replica/formation/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_first_membership_is_formed_once_a_majority_has_nothing_and_nobody_has_something() {
+fn the_first_membership_is_formed_if_a_majority_answered_and_all_are_new() {
     let fresh = (true, 0, false);
     assert_eq!(choose_action(Start::Pristine, 0, &answers(&[])), RecoveryAction::Form);
     assert_eq!(choose_action(Start::Pristine, 2, &answers(&[])), RecoveryAction::Wait);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn one_that_lost_its_disk_is_bounded_by_all_others_and_one_never_taken_in_just_joins() {
+fn a_lost_disk_takes_its_bound_from_all_others_and_a_new_replica_joins() {
     let voter = (false, 5, true);
     assert_eq!(choose_action(Start::Pristine, 2, &answers(&[voter])), RecoveryAction::Wait);
     assert_eq!(
--- a/crates/consensus/src/replica/leading/tests.rs
+++ b/crates/consensus/src/replica/leading/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn one_that_leads_on_after_a_restart_waits_for_what_its_log_had() {
+fn a_leader_that_restarts_waits_until_its_log_is_applied() {
     let mut leading = Leading::default();
     assert!(!leading.may_lead(false, 1, Some(8), Some((1, 6))));
     // Entries 7 and 8 are also of its own term, and members may have received their effects before the kill.
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn one_that_was_elected_waits_for_an_entry_of_its_own_term() {
+fn an_elected_leader_waits_for_an_entry_of_its_own_term() {
     let mut leading = Leading::default();
     assert!(leading.may_lead(true, 1, Some(3), Some((1, 3))));
     assert!(!leading.may_lead(true, 2, Some(8), Some((1, 8))), "a later term requires an entry of its own");
--- a/crates/consensus/src/replica/membership.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -53,7 +53,7 @@
 
 async fn all_participating(peers: &Peers, new: impl Iterator<Item = &u64>) -> bool {
     for number in new {
-        match peers.call(*number, PeerRequest::Status, ANSWER_TIMEOUT).await {
+        match peers.send_request(*number, PeerRequest::Status, ANSWER_TIMEOUT).await {
             Some(PeerResponse::Status(status)) if status.is_participating => {}
             _ => return false,
         }
@@ -71,9 +71,9 @@
 
 /// Withholds the leader's heartbeats briefly on request, so that a replica is elected in a later term: a replica that
 /// lost its log waits for one.
-pub async fn yield_term(raft: Raft, mut raised: mpsc::Receiver<u64>) {
+pub async fn yield_term(raft: Raft, mut requests: mpsc::Receiver<u64>) {
     let mut metrics = raft.metrics();
-    while let Some(above) = raised.recv().await {
+    while let Some(above) = requests.recv().await {
         let leads = |m: &crate::types::Metrics| m.state == ServerState::Leader && m.current_term <= above;
         if !leads(&metrics.borrow_and_update()) {
             continue;
@@ -83,6 +83,6 @@
         let _ = timeout(SILENCE_TIMEOUT, metrics.wait_for(|m| !leads(m))).await;
         raft.runtime_config().heartbeat(true);
         // Requests that arrived meanwhile had the same reason.
-        while raised.try_recv().is_ok() {}
+        while requests.try_recv().is_ok() {}
     }
 }
--- a/crates/consensus/src/replica/network.rs
+++ b/crates/consensus/src/replica/network.rs
@@ -22,7 +22,7 @@
 use tokio::time::{timeout, Instant};
 
 /// Maximum numbers of requests to one replica that are queued and that are in flight.
-const MAX_WAITING: usize = 64;
+const MAX_QUEUED: usize = 64;
 const MAX_IN_FLIGHT: usize = 256;
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
 
@@ -46,9 +46,9 @@
     ) -> Peers {
         let mut queues = BTreeMap::new();
         for (number, address) in replicas.iter().filter(|(n, _)| **n != own) {
-            let (calls, waiting) = mpsc::channel(MAX_WAITING);
-            tasks.spawn(run_peer_connection(own, *number, address.clone(), waiting));
-            queues.insert(*number, calls);
+            let (requests, request_receiver) = mpsc::channel(MAX_QUEUED);
+            tasks.spawn(run_peer_connection(own, *number, address.clone(), request_receiver));
+            queues.insert(*number, requests);
         }
         Peers { queues, pause }
     }
@@ -59,18 +59,28 @@
     }
 
     /// Sends one request; `None` if no response arrives in time.
-    pub async fn call(&self, to: u64, body: PeerRequest, time_limit: Duration) -> Option<PeerResponse> {
-        let (answer, response) = oneshot::channel();
-        self.queues.get(&to)?.try_send((body, answer)).ok()?;
+    pub async fn send_request(
+        &self,
+        to: u64,
+        body: PeerRequest,
+        time_limit: Duration,
+    ) -> Option<PeerResponse> {
+        let (response_sender, response) = oneshot::channel();
+        self.queues.get(&to)?.try_send((body, response_sender)).ok()?;
         timeout(time_limit, response).await.ok()?.ok()
     }
 }
 
 /// Owns the connection to one replica; ends when all request senders are dropped.
-async fn run_peer_connection(own: u64, to: u64, address: String, mut waiting: mpsc::Receiver<QueuedRequest>) {
+async fn run_peer_connection(
+    own: u64,
+    to: u64,
+    address: String,
+    mut request_receiver: mpsc::Receiver<QueuedRequest>,
+) {
     let mut backoff = BACKOFF.0;
     let mut next_try = Instant::now();
-    while let Some(call) = waiting.recv().await {
+    while let Some(request) = request_receiver.recv().await {
         // During backoff a request fails immediately, because its response sender is dropped.
         if Instant::now() < next_try {
             continue;
@@ -78,7 +88,7 @@
         match connect(own, to, &address).await {
             Some(stream) => {
                 backoff = BACKOFF.0;
-                exchange_messages(stream, call, &mut waiting).await;
+                exchange_messages(stream, request, &mut request_receiver).await;
                 next_try = Instant::now() + backoff;
             }
             None => {
@@ -101,35 +111,35 @@
 async fn exchange_messages(
     frames: Frames,
     first: QueuedRequest,
-    waiting: &mut mpsc::Receiver<QueuedRequest>,
+    request_receiver: &mut mpsc::Receiver<QueuedRequest>,
 ) {
     let (mut sink, mut stream) = frames.split();
-    let mut open: BTreeMap<u64, oneshot::Sender<PeerResponse>> = BTreeMap::new();
+    let mut in_flight: BTreeMap<u64, oneshot::Sender<PeerResponse>> = BTreeMap::new();
     let mut number = 0;
     let mut next = Some(first);
     loop {
-        if let Some((body, answer)) = next.take() {
-            open.retain(|_, response_sender| !response_sender.is_closed());
-            if open.len() >= MAX_IN_FLIGHT {
+        if let Some((body, response_sender)) = next.take() {
+            in_flight.retain(|_, response_sender| !response_sender.is_closed());
+            if in_flight.len() >= MAX_IN_FLIGHT {
                 return;
             }
             number += 1;
             let Ok(frame) = encode(&RequestFrame { number, body }) else { continue };
-            open.insert(number, answer);
+            in_flight.insert(number, response_sender);
             if !matches!(timeout(WRITE_TIMEOUT, sink.send(frame)).await, Ok(Ok(()))) {
                 return;
             }
         }
         tokio::select! {
-            call = waiting.recv() => match call {
-                Some(call) => next = Some(call),
+            request = request_receiver.recv() => match request {
+                Some(request) => next = Some(request),
                 None => return,
             },
             frame = stream.next() => {
                 let Some(Ok(frame)) = frame else { return };
-                let Some(answer) = decode::<ResponseFrame>(&frame) else { return };
-                if let Some(response_sender) = open.remove(&answer.number) {
-                    let _ = response_sender.send(answer.body);
+                let Some(response) = decode::<ResponseFrame>(&frame) else { return };
+                if let Some(response_sender) = in_flight.remove(&response.number) {
+                    let _ = response_sender.send(response.body);
                 }
             }
         }
@@ -157,7 +167,10 @@
         option: RPCOption,
     ) -> Result<PeerResponse, RaftRpcError<E>> {
         let time_limit = option.hard_ttl();
-        self.peers.call(self.to, request, time_limit).await.ok_or_else(|| unreachable("no response in time"))
+        self.peers
+            .send_request(self.to, request, time_limit)
+            .await
+            .ok_or_else(|| unreachable("no response in time"))
     }
 }
 
--- a/crates/consensus/src/replica/participation/tests.rs
+++ b/crates/consensus/src/replica/participation/tests.rs
@@ -4,7 +4,7 @@
 use openraft::LeaderId;
 
 #[test]
-fn one_that_lost_its_log_votes_again_only_with_an_entry_of_a_later_term() {
+fn a_replica_that_lost_its_log_votes_again_only_with_an_entry_of_a_later_term() {
     let participation = Participation::new(State::Undecided);
     assert!(!participation.may_vote() && !participation.may_follow(9));
     participation.set(State::Returning { bound: 4 });
--- a/crates/consensus/src/replica/service.rs
+++ b/crates/consensus/src/replica/service.rs
@@ -75,7 +75,7 @@
                 ServiceMessage::Disconnected { connection } => service.close(connection, "gone"),
             }
         }
-        service.finish(ticked);
+        service.finish_batch(ticked);
     }
 }
 
--- a/crates/consensus/src/replica/service_state.rs
+++ b/crates/consensus/src/replica/service_state.rs
@@ -118,10 +118,10 @@
         self.statistics.last_entry = metrics.last_log_index.unwrap_or(0);
         self.statistics.purged = metrics.purged.map_or(0, |l| l.index);
         if leads && self.leadership.is_none() {
-            let lead = Leader::new(self.context.terms, self.now);
+            let leadership = Leader::new(self.context.terms, self.now);
             self.leadership = Some(match self.context.allocation {
-                Some(limits) => lead.with_allocation(limits),
-                None => lead,
+                Some(limits) => leadership.with_allocation(limits),
+                None => leadership,
             });
             tracing::info!(target: "stagehoist_consensus", event = "leading", keeper = self.context.number, term,
                 "leading");
@@ -165,8 +165,8 @@
         if edition > self.state.state.view.edition {
             self.propose(Proposer::Nobody, Command::Pools { edition, pools });
         }
-        if let Some(at) = self.connections.get_mut(&connection) {
-            at.before = self.state.state.members.get(&name).map(|run| run.incarnation);
+        if let Some(state) = self.connections.get_mut(&connection) {
+            state.before = self.state.state.members.get(&name).map(|run| run.incarnation);
         }
         match member.filter(|m| m.name == name && self.state.state.is_present(m)) {
             Some(member) => self.welcome(connection, member),
@@ -181,9 +181,9 @@
         tracing::info!(target: "stagehoist_consensus", event = "session", name = %member.name,
             incarnation = member.incarnation, "joined");
         let mut before = None;
-        if let Some(at) = self.connections.get_mut(&connection) {
-            at.member = Some(member.clone());
-            before = at.before;
+        if let Some(state) = self.connections.get_mut(&connection) {
+            state.member = Some(member.clone());
+            before = state.before;
         }
         self.send(connection, &SessionResponse::Welcome { member, terms: self.context.terms, before });
         self.send_view(connection);
@@ -192,8 +192,8 @@
     /// Handles a request of a front end.
     pub fn on_request(&mut self, connection: u64, request: SessionRequest) {
         self.statistics.messages_received += 1;
-        let Some(at) = self.connections.get(&connection) else { return };
-        match (request, at.member.clone()) {
+        let Some(state) = self.connections.get(&connection) else { return };
+        match (request, state.member.clone()) {
             (SessionRequest::Report(report), Some(member)) => self.report(connection, &member, &report),
             (SessionRequest::Retire(retirement), Some(_)) => self.retire(connection, retirement),
             (SessionRequest::Leave, Some(member)) => {
@@ -212,8 +212,8 @@
     fn report(&mut self, connection: u64, member: &Member, report: &Report) {
         // Sends the view first, because the grant applies to the newest view.
         self.send_view(connection);
-        let Some(lead) = &mut self.leadership else { return };
-        let granted = lead.report(&self.state.state, member, report, self.now, self.acknowledged_at);
+        let Some(leadership) = &mut self.leadership else { return };
+        let granted = leadership.report(&self.state.state, member, report, self.now, self.acknowledged_at);
         if let Some(grant) = granted {
             self.statistics.promised += 1;
             self.send(connection, &SessionResponse::Grant(grant));
@@ -228,10 +228,10 @@
     }
 
     /// Proposes queued changes, sends changed views and updates statistics after a batch of messages.
-    pub fn finish(&mut self, ticked: bool) {
-        if let Some(lead) = &mut self.leadership {
+    pub fn finish_batch(&mut self, ticked: bool) {
+        if let Some(leadership) = &mut self.leadership {
             if self.in_flight.is_none() && self.queue.is_empty() {
-                let due = lead.due_commands(&self.state.state, self.now);
+                let due = leadership.due_commands(&self.state.state, self.now);
                 self.queue.extend(due.into_iter().map(|c| (Proposer::Nobody, c)).take(MAX_QUEUE));
             }
             if self.in_flight.is_none() && !self.queue.is_empty() {
@@ -245,11 +245,11 @@
         self.statistics.term = self.term;
         self.statistics.sessions = self.by_name.len();
         if ticked {
-            let figures = &self.statistics;
+            let newest = &self.statistics;
             self.context.statistics.send_if_modified(|published| {
-                let differs = published != figures;
+                let differs = published != newest;
                 if differs {
-                    published.clone_from(figures);
+                    published.clone_from(newest);
                 }
                 differs
             });
--- a/crates/consensus/src/replica/service_state/inquiries.rs
+++ b/crates/consensus/src/replica/service_state/inquiries.rs
@@ -13,11 +13,11 @@
 /// Together with the 100 ms that an inquirer allows, this is less than the shortest election timeout.
 const MAJORITY_ACK_VALIDITY: Micros = 250_000;
 
-/// The names in `of` to which an inquiry is forwarded: those in `to`, which have not answered yet, or all if `to` is
+/// The members in `names` to which an inquiry is forwarded: those in `to`, which have not answered yet, or all if `to` is
 /// empty. Uses a set, as both lists grow with the fleet.
-fn remaining_members<'a, T: Ord>(of: &'a [T], to: &[T]) -> Vec<&'a T> {
-    let open: BTreeSet<&T> = to.iter().collect();
-    of.iter().filter(|name| open.is_empty() || open.contains(name)).collect()
+fn remaining_members<'a, T: Ord>(names: &'a [T], to: &[T]) -> Vec<&'a T> {
+    let remaining: BTreeSet<&T> = to.iter().collect();
+    names.iter().filter(|name| remaining.is_empty() || remaining.contains(name)).collect()
 }
 
 impl SessionService {
@@ -41,12 +41,15 @@
         if self.leadership.is_none() || !has_majority || state.forgotten > 0 {
             return;
         }
-        let of: Vec<String> = state.members.keys().filter(|name| **name != from.name).cloned().collect();
-        let connections: Vec<u64> = remaining_members(&of, to)
+        let names: Vec<String> = state.members.keys().filter(|name| **name != from.name).cloned().collect();
+        let connections: Vec<u64> = remaining_members(&names, to)
             .into_iter()
             .filter_map(|name| self.by_name.get(name).copied())
             .collect();
-        self.send(connection, &SessionResponse::InquiryMembers { number, round: inquiry_round, members: of });
+        self.send(
+            connection,
+            &SessionResponse::InquiryMembers { number, round: inquiry_round, members: names },
+        );
         let inquiry = SessionResponse::Inquire { from, number, keys };
         connections.into_iter().for_each(|connection| self.try_send(connection, &inquiry));
     }
--- a/crates/consensus/src/replica/service_state/inquiries/tests.rs
+++ b/crates/consensus/src/replica/service_state/inquiries/tests.rs
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn who_is_asked_is_found_in_few_comparisons() {
-    let of: Vec<Counted> = (0..4096).map(Counted).collect();
+fn remaining_members_are_found_in_few_comparisons() {
+    let names: Vec<Counted> = (0..4096).map(Counted).collect();
     // All but every third, last first, and one that the cluster state does not hold.
     let to: Vec<Counted> = (0..4097).rev().filter(|n| n % 3 != 0).map(Counted).collect();
     COMPARED.set(0);
-    let connections: Vec<usize> = remaining_members(&of, &to).into_iter().map(|c| c.0).collect();
+    let connections: Vec<usize> = remaining_members(&names, &to).into_iter().map(|c| c.0).collect();
     let compared = COMPARED.get();
     assert_eq!(connections, (0..4096).filter(|n| n % 3 != 0).collect::<Vec<_>>());
     // Of 4096 names one by one against 2731 there are millions.
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn all_are_asked_where_none_is_told() {
-    let of = [Counted(1), Counted(2)];
-    assert_eq!(remaining_members(&of, &[]).len(), 2);
-    assert!(remaining_members(&of, &[Counted(3)]).is_empty());
+fn an_empty_list_selects_all_members() {
+    let names = [Counted(1), Counted(2)];
+    assert_eq!(remaining_members(&names, &[]).len(), 2);
+    assert!(remaining_members(&names, &[Counted(3)]).is_empty());
 }
--- a/crates/consensus/src/replica/service_state/output.rs
+++ b/crates/consensus/src/replica/service_state/output.rs
@@ -9,11 +9,11 @@
     /// Sends the newest view if it was not sent yet.
     pub(super) fn send_view(&mut self, connection: u64) {
         let view = &self.state.state.view;
-        let Some(at) = self.connections.get_mut(&connection) else { return };
-        if at.sent == Some(view.version) {
+        let Some(state) = self.connections.get_mut(&connection) else { return };
+        if state.sent == Some(view.version) {
             return;
         }
-        at.sent = Some(view.version);
+        state.sent = Some(view.version);
         if self.view.0 != view.version || self.view.1.is_empty() {
             let Ok(frame) = encode(&SessionResponse::View(view.clone())) else { return };
             self.view = (view.version, frame);
@@ -47,8 +47,8 @@
     }
 
     pub(super) fn send_frame(&mut self, connection: u64, frame: Bytes) {
-        let Some(at) = self.connections.get(&connection) else { return };
-        if at.output.try_send(frame).is_ok() {
+        let Some(state) = self.connections.get(&connection) else { return };
+        if state.output.try_send(frame).is_ok() {
             self.statistics.messages_sent += 1;
         } else {
             self.close(connection, "output queue full: front end is not reading");
@@ -62,8 +62,8 @@
 
     /// Closes a connection; frames that are already queued are still sent.
     pub fn close(&mut self, connection: u64, why: &str) {
-        let Some(at) = self.connections.remove(&connection) else { return };
-        if let Some(member) = at.member {
+        let Some(state) = self.connections.remove(&connection) else { return };
+        if let Some(member) = state.member {
             if self.by_name.get(&member.name) == Some(&connection) {
                 self.by_name.remove(&member.name);
             }
--- a/crates/consensus/src/session.rs
+++ b/crates/consensus/src/session.rs
@@ -49,14 +49,14 @@
 }
 
 /// Why a connection ended.
-enum End {
+enum ConnectionEnd {
     Elsewhere(Option<u64>),
     Refused,
     Broken,
     Stopped,
 }
 
-struct State {
+struct SessionState {
     client: SessionClient,
     holder: LeaseHolder,
     random: ChaCha8Rng,
@@ -76,7 +76,7 @@
 }
 
 /// Runs a session until it is stopped.
-pub async fn session(client: SessionClient) {
+pub async fn run_session(client: SessionClient) {
     let mut random = ChaCha8Rng::seed_from_u64(client.seed);
     let mut holder = LeaseHolder::new(client.terms);
     holder.on_view(client.file.memory.view.clone());
@@ -86,7 +86,7 @@
     let first = random.random_range(0..numbers.len().max(1));
     numbers.rotate_left(first);
     let mut stop = client.stop.clone();
-    let mut state = State {
+    let mut state = SessionState {
         client,
         holder,
         random,
@@ -100,14 +100,14 @@
         reported: SessionReport::default(),
         released_grant: None,
     };
-    let (mut turn, mut next, mut backoff) = (0, None, BACKOFF.0);
+    let (mut position, mut next, mut backoff) = (0, None, BACKOFF.0);
     loop {
         if *stop.borrow() || numbers.is_empty() {
             return;
         }
         let number = next.take().unwrap_or_else(|| {
-            turn += 1;
-            numbers[turn % numbers.len()]
+            position += 1;
+            numbers[position % numbers.len()]
         });
         let end = state.run_connection(number).await;
         state.holder.on_connection_lost();
@@ -115,25 +115,25 @@
             backoff = BACKOFF.0;
         }
         match end {
-            End::Stopped => return,
+            ConnectionEnd::Stopped => return,
             // The replica named the leader. The backoff limit prevents an endless loop of redirects.
-            End::Elsewhere(Some(leader))
+            ConnectionEnd::Elsewhere(Some(leader))
                 if backoff < BACKOFF.1 && state.client.replicas.contains_key(&leader) =>
             {
                 next = Some(leader);
                 backoff = (backoff * 2).min(BACKOFF.1);
             }
-            End::Elsewhere(_) | End::Broken => {
+            ConnectionEnd::Elsewhere(_) | ConnectionEnd::Broken => {
                 let pause = state.random.random_range(backoff / 2..=backoff);
                 backoff = (backoff * 2).min(BACKOFF.1);
                 state.pause(pause, &mut stop).await;
             }
-            End::Refused => state.pause(BACKOFF.1 * 10, &mut stop).await,
+            ConnectionEnd::Refused => state.pause(BACKOFF.1 * 10, &mut stop).await,
         }
     }
 }
 
-impl State {
+impl SessionState {
     async fn pause(&mut self, pause: Duration, stop: &mut watch::Receiver<bool>) {
         tokio::select! {
             () = sleep(pause) => {}
@@ -141,10 +141,10 @@
         }
     }
 
-    async fn run_connection(&mut self, number: u64) -> End {
-        let Some(address) = self.client.replicas.get(&number) else { return End::Broken };
+    async fn run_connection(&mut self, number: u64) -> ConnectionEnd {
+        let Some(address) = self.client.replicas.get(&number) else { return ConnectionEnd::Broken };
         let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
-            return End::Broken;
+            return ConnectionEnd::Broken;
         };
         let mut frames = frames(stream, MAX_RESPONSE);
         let hello = SessionRequest::Hello {
@@ -155,46 +155,51 @@
             edition: self.client.edition,
             pools: self.client.pools.clone(),
         };
-        let Ok(hello) = encode_first(&FirstFrame::Member(hello)) else { return End::Refused };
+        let Ok(hello) = encode_first(&FirstFrame::Member(hello)) else { return ConnectionEnd::Refused };
         if !matches!(timeout(WRITE_TIMEOUT, frames.send(hello)).await, Ok(Ok(()))) {
-            return End::Broken;
+            return ConnectionEnd::Broken;
         }
         match timeout(WELCOME_TIMEOUT, self.welcome(&mut frames)).await {
             Ok(Ok(())) => self.exchange_messages(frames).await,
             Ok(Err(end)) => end,
-            Err(_) => End::Broken,
+            Err(_) => ConnectionEnd::Broken,
         }
     }
 
-    async fn welcome(&mut self, frames: &mut Frames) -> Result<(), End> {
+    async fn welcome(&mut self, frames: &mut Frames) -> Result<(), ConnectionEnd> {
         let mut stop = self.client.stop.clone();
         let frame = tokio::select! {
             frame = frames.next() => frame,
-            () = stopped(&mut stop) => return Err(End::Stopped),
+            () = stopped(&mut stop) => return Err(ConnectionEnd::Stopped),
         };
         match frame.and_then(Result::ok).and_then(|f| decode(&f)) {
             Some(SessionResponse::Welcome { member, terms, before }) => {
-                self.joined(member, terms, before).await
+                self.on_welcome(member, terms, before).await
             }
-            Some(SessionResponse::Elsewhere { leader }) => Err(End::Elsewhere(leader)),
+            Some(SessionResponse::Elsewhere { leader }) => Err(ConnectionEnd::Elsewhere(leader)),
             Some(SessionResponse::Rejected { reason: why }) => {
                 tracing::error!(target: "stagehoist_consensus", event = "session", name = %self.client.name,
                     why, "refused");
-                Err(End::Refused)
+                Err(ConnectionEnd::Refused)
             }
-            _ => Err(End::Broken),
+            _ => Err(ConnectionEnd::Broken),
         }
     }
 
-    async fn joined(&mut self, member: Member, terms: LeaseTerms, before: Option<u64>) -> Result<(), End> {
+    async fn on_welcome(
+        &mut self,
+        member: Member,
+        terms: LeaseTerms,
+        before: Option<u64>,
+    ) -> Result<(), ConnectionEnd> {
         if terms != self.client.terms {
             tracing::error!(target: "stagehoist_consensus", event = "session", name = %self.client.name, ?terms,
                 own = ?self.client.terms, "lease terms differ from those of the keepers");
-            return Err(End::Refused);
+            return Err(ConnectionEnd::Refused);
         }
         let incarnation = member.incarnation;
         if !self.save(move |m| m.incarnation = m.incarnation.max(incarnation)).await {
-            return Err(End::Broken);
+            return Err(ConnectionEnd::Broken);
         }
         if self.joined.as_ref() != Some(&member) {
             self.before = match &self.joined {
@@ -213,7 +218,7 @@
     }
 }
 
-impl State {
+impl SessionState {
     /// Writes the memory that must survive a kill and returns whether it is on disk. Runs on a blocking thread, so
     /// that other sessions continue during the disk write.
     async fn save(&mut self, change: impl FnOnce(&mut SessionMemory) + Send + 'static) -> bool {
@@ -239,6 +244,6 @@
 }
 
 /// Derives a member's seed from the process's seed and the member's name.
-pub fn seed(seed: u64, name: &str) -> u64 {
+pub fn member_seed(seed: u64, name: &str) -> u64 {
     seed ^ crate::store::sum(name.as_bytes())
 }
--- a/crates/consensus/src/session/exchange.rs
+++ b/crates/consensus/src/session/exchange.rs
@@ -1,6 +1,6 @@
 //! A session's message exchange after the leader's welcome: reports and grants, views, retirements, inquiries.
 
-use super::{stopped, End, State, LEAVE_TIMEOUT};
+use super::{stopped, ConnectionEnd, SessionState, LEAVE_TIMEOUT};
 use crate::frames::{decode, encode, Frames, WRITE_TIMEOUT};
 use bytes::Bytes;
 use futures_util::stream::{SplitSink, SplitStream};
@@ -42,9 +42,9 @@
     }
 }
 
-impl State {
+impl SessionState {
     /// Exchanges messages with the leader until the connection ends.
-    pub(super) async fn exchange_messages(&mut self, frames: Frames) -> End {
+    pub(super) async fn exchange_messages(&mut self, frames: Frames) -> ConnectionEnd {
         let (mut output, mut responses) = frames.split();
         let lease = u64::try_from(self.client.terms.lease).unwrap_or(DEFAULT_LEASE_MICROS);
         let mut schedule = ReportSchedule::new(Duration::from_micros(lease));
@@ -57,10 +57,10 @@
             let message = tokio::select! {
                 () = stopped(&mut stop) => {
                     send_leave(&mut output, &mut responses).await;
-                    return End::Stopped;
+                    return ConnectionEnd::Stopped;
                 }
                 frame = responses.next() => {
-                    let Some(Ok(frame)) = frame else { return End::Broken };
+                    let Some(Ok(frame)) = frame else { return ConnectionEnd::Broken };
                     match self.on_response(&frame, &mut schedule).await {
                         Some(end) => return end,
                         None => None,
@@ -68,7 +68,7 @@
                 }
                 changed = self.client.report.changed() => {
                     if changed.is_err() {
-                        return End::Stopped;
+                        return ConnectionEnd::Stopped;
                     }
                     self.on_report_changed(&mut schedule);
                     None
@@ -81,21 +81,21 @@
                 }
                 () = sleep_until(schedule.next_at) => {
                     if schedule.is_leader_silent() {
-                        return End::Broken;
+                        return ConnectionEnd::Broken;
                     }
                     Some(self.next_report(&mut schedule))
                 }
             };
             if let Some(message) = message {
                 if !send_request(&mut output, &message).await {
-                    return End::Broken;
+                    return ConnectionEnd::Broken;
                 }
             }
         }
     }
 
     /// Handles a frame from the leader; returns why the exchange ends, if the frame ends it.
-    async fn on_response(&mut self, frame: &[u8], schedule: &mut ReportSchedule) -> Option<End> {
+    async fn on_response(&mut self, frame: &[u8], schedule: &mut ReportSchedule) -> Option<ConnectionEnd> {
         match decode::<SessionResponse>(frame) {
             Some(SessionResponse::Grant(grant)) => {
                 schedule.granted_at = Instant::now();
@@ -103,7 +103,7 @@
             }
             Some(SessionResponse::View(view)) => {
                 if !self.save_view(view).await {
-                    return Some(End::Broken);
+                    return Some(ConnectionEnd::Broken);
                 }
             }
             Some(SessionResponse::RetirementRejected { function, generation, reason }) => {
@@ -111,8 +111,8 @@
                 tracing::error!(target: "stagehoist_consensus", event = "retirement",
                     name = %self.client.name, function, generation, why = reason, "retirement rejected");
             }
-            Some(SessionResponse::Elsewhere { leader }) => return Some(End::Elsewhere(leader)),
-            Some(SessionResponse::Rejected { .. }) => return Some(End::Refused),
+            Some(SessionResponse::Elsewhere { leader }) => return Some(ConnectionEnd::Elsewhere(leader)),
+            Some(SessionResponse::Rejected { .. }) => return Some(ConnectionEnd::Refused),
             Some(SessionResponse::InquiryMembers { number, round, members }) => {
                 let event = self.inquiries.on_members(number, round, members, (self.client.now)());
                 self.pass_event(event);
@@ -124,7 +124,7 @@
             Some(SessionResponse::Inquire { from, number, keys }) => {
                 self.pass_event(Some(InquiryEvent::Inquired { from, number, keys }));
             }
-            Some(SessionResponse::Welcome { .. }) | None => return Some(End::Broken),
+            Some(SessionResponse::Welcome { .. }) | None => return Some(ConnectionEnd::Broken),
         }
         None
     }
--- a/crates/consensus/src/session/permits.rs
+++ b/crates/consensus/src/session/permits.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use super::{State, REPORT_GAP};
+use super::{SessionState, REPORT_GAP};
 use crate::SessionReport;
 use stagehoist_cluster_state::{Demand, Grant};
 use std::collections::HashMap;
@@ -17,7 +17,7 @@
 /// the time, so these reports are spaced wider.
 const WAITING_GAP: Duration = Duration::from_millis(20);
 
-impl State {
+impl SessionState {
     /// Maximum time between two reports.
     pub(super) fn period(&self, lease: Duration) -> Duration {
         let max_period = if self.client.pools.is_empty() { Duration::MAX } else { PERMIT_REPORT_INTERVAL };
--- a/crates/consensus/src/session/retirements/tests.rs
+++ b/crates/consensus/src/session/retirements/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn pauses_grow_to_a_bound_are_spread_and_begin_anew_where_there_is_room() {
+fn pauses_grow_to_a_maximum_are_jittered_and_reset_when_there_is_capacity() {
     let mut random = ChaCha8Rng::seed_from_u64(7);
     let mut retiring = RetirementQueue::new();
     for function in ["a", "b", "c"] {
--- a/crates/consensus/src/start.rs
+++ b/crates/consensus/src/start.rs
@@ -1,7 +1,7 @@
 //! Start and shutdown of a process's replica and sessions.
 
 use crate::replica::{run, Parts};
-use crate::session::{seed, session, SessionClient};
+use crate::session::{member_seed, run_session, SessionClient};
 use crate::session_file::SessionFile;
 use crate::store;
 use crate::{ConsensusError, Now, Options, Session, SessionReport, Statistics};
@@ -146,7 +146,7 @@
         edition: options.edition,
         pools: options.pools.clone(),
         now: now.clone(),
-        seed: seed(options.seed, name),
+        seed: member_seed(options.seed, name),
         file: session_file,
         status: status_sender,
         member: member_sender,
@@ -177,13 +177,13 @@
     parts: Option<Parts>,
     now: Now,
     clients: Vec<SessionClient>,
-    figures: watch::Sender<Statistics>,
+    statistics: watch::Sender<Statistics>,
     mut stop: watch::Receiver<bool>,
     ready: Ready,
 ) {
     let mut tasks = JoinSet::new();
     let raft = match parts {
-        Some(parts) => match run(&options, parts, now, figures, &mut tasks).await {
+        Some(parts) => match run(&options, parts, now, statistics, &mut tasks).await {
             Ok(raft) => Some(raft),
             Err(e) => {
                 let _ = ready.send(Err(e));
@@ -196,7 +196,7 @@
     drop(ready);
     let mut sessions = JoinSet::new();
     for client in clients {
-        sessions.spawn(session(client));
+        sessions.spawn(run_session(client));
     }
     let _ = stop.wait_for(|s| *s).await;
     let _ = timeout(LEAVE_TIMEOUT, async { while sessions.join_next().await.is_some() {} }).await;
--- a/crates/consensus/tests/agree.rs
+++ b/crates/consensus/tests/agree.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn without_a_majority_nothing_is_promised_and_with_one_again_it_is() {
+fn leases_are_granted_only_with_a_majority() {
     let mut fleet = Fleet::started(3);
     let now = clock();
     let member = start(fleet.options(&["m".into()]), now.clone()).unwrap();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn tombstones_and_incarnations_outlive_a_stop_of_everything() {
+fn tombstones_and_incarnations_survive_a_stop_of_all_processes() {
     let mut fleet = Fleet::started(3);
     fleet.until("joined", |f| f.sessions().iter().all(|s| s.member.borrow().is_some()));
     fleet.session(1).retire.try_send(retirement("f", RetirementMode::Strict)).unwrap();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_retirement_that_the_record_refuses_is_not_asked_for_again_and_again() {
+fn a_retirement_that_the_cluster_state_rejects_is_not_retried() {
     let fleet = Fleet::started(3);
     fleet.until("joined", |f| f.sessions().iter().all(|s| s.member.borrow().is_some()));
     let changes = || fleet.running.values().map(|r| r.figures().borrow().changes).sum::<u64>();
--- a/crates/consensus/tests/away.rs
+++ b/crates/consensus/tests/away.rs
@@ -7,7 +7,7 @@
 use stagehoist_consensus::{start, Options};
 
 #[test]
-fn a_keeper_that_was_away_for_long_is_brought_back_by_a_snapshot() {
+fn a_keeper_that_was_stopped_for_long_recovers_from_a_snapshot() {
     let mut fleet = Fleet::new(3);
     fleet.timing.log = (20, 5);
     fleet.start_all();
--- a/crates/consensus/tests/cut.rs
+++ b/crates/consensus/tests/cut.rs
@@ -18,12 +18,12 @@
 }
 
 #[test]
-fn a_strict_retirement_is_in_force_only_once_the_promise_to_one_cut_off_ran_out() {
+fn a_strict_retirement_is_in_force_only_after_the_lease_of_a_partitioned_member_expired() {
     check_in_force_after_lease(RelayState::Cut);
 }
 
 #[test]
-fn a_strict_retirement_is_in_force_only_once_the_promise_to_one_whose_ways_stall_ran_out() {
+fn a_strict_retirement_is_in_force_only_after_the_lease_of_a_stalled_member_expired() {
     check_in_force_after_lease(RelayState::Stalled);
 }
 
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_available_retirement_names_the_one_cut_off_until_it_confirms() {
+fn an_available_retirement_names_a_partitioned_member_until_it_confirms() {
     let fleet = Fleet::started(3);
     let (options, relays) = split(&fleet);
     let now = clock();
@@ -117,11 +117,11 @@
 }
 
 #[test]
-fn a_leader_cut_off_from_the_others_promises_nothing_beyond_a_retirement_of_theirs() {
+fn a_partitioned_leader_grants_no_lease_past_a_retirement_of_the_others() {
     assert!(!is_lease_extended_past_retirement(terms().quorum));
 }
 
 #[test]
-fn without_its_bound_on_the_last_word_of_a_majority_such_a_leader_would() {
+fn without_the_majority_acknowledgement_bound_a_partitioned_leader_grants_such_a_lease() {
     assert!(is_lease_extended_past_retirement(3_600_000_000));
 }
--- a/crates/consensus/tests/full.rs
+++ b/crates/consensus/tests/full.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_retirement_refused_by_a_full_record_is_taken_once_there_is_room() {
+fn a_retirement_deferred_by_a_full_cluster_state_is_accepted_once_there_is_capacity() {
     let mut fleet = Fleet::new(1);
     let options =
         Options { terms: LeaseTerms { tombstone_retention: REMEMBER, ..terms() }, ..fleet.keeper_options(1) };
--- a/crates/consensus/tests/hostile.rs
+++ b/crates/consensus/tests/hostile.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn garbage_oversized_frames_and_other_protocols_are_closed_and_harm_no_one() {
+fn malformed_oversized_and_foreign_frames_close_only_their_connection() {
     let fleet = Fleet::started(3);
     fleet.until("a leader", |f| f.leader().is_some());
     let leader = fleet.leader().unwrap();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn one_that_does_not_read_is_cut_off_and_the_others_go_on() {
+fn a_connection_that_does_not_read_is_closed_and_the_others_continue() {
     let fleet = Fleet::started(3);
     fleet.until("a leader", |f| f.leader().is_some());
     let leader = fleet.leader().unwrap();
--- a/crates/consensus/tests/lost.rs
+++ b/crates/consensus/tests/lost.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_keeper_with_a_damaged_store_is_brought_back_by_the_others() {
+fn a_keeper_with_a_damaged_store_recovers_from_the_others() {
     check_recovery(
         |store| {
             let path = store.join("record.redb");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_keeper_whose_store_was_cut_short_is_brought_back_by_the_others() {
+fn a_keeper_with_a_truncated_store_recovers_from_the_others() {
     check_recovery(
         |store| {
             let path = store.join("record.redb");
@@ -74,12 +74,12 @@
 }
 
 #[test]
-fn a_keeper_whose_disk_is_empty_is_brought_back_by_the_others() {
+fn a_keeper_with_an_empty_disk_recovers_from_the_others() {
     check_recovery(|store| std::fs::remove_dir_all(store).unwrap(), false);
 }
 
 #[test]
-fn a_keeper_whose_store_alone_is_gone_is_brought_back_by_the_others() {
+fn a_keeper_with_a_guard_but_no_store_recovers_from_the_others() {
     check_recovery(|store| std::fs::remove_file(store.join("record.redb")).unwrap(), true);
 }
 
