--- a/crates/consensus/src/start.rs
+++ b/crates/consensus/src/start.rs
@@ -26,15 +26,15 @@
 pub struct Running {
     /// Sessions by the front end's name.
     pub sessions: BTreeMap<String, Session>,
-    figures: watch::Receiver<Statistics>,
+    statistics: watch::Receiver<Statistics>,
     stop: watch::Sender<bool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Running {
     /// Statistics of this process's replica; all zero if it has none.
-    pub fn figures(&self) -> watch::Receiver<Statistics> {
-        self.figures.clone()
+    pub fn statistics(&self) -> watch::Receiver<Statistics> {
+        self.statistics.clone()
     }
 
     /// Shuts down within about five seconds: members leave, tasks end and the thread is joined.
@@ -86,7 +86,7 @@
         sessions.insert(name.clone(), session);
         clients.push(client);
     }
-    let (statistics_sender, figures) = watch::channel(Statistics::default());
+    let (statistics_sender, statistics) = watch::channel(Statistics::default());
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(ConsensusError::Thread)?;
     let (ready, ready_receiver) = std::sync::mpsc::channel();
@@ -99,7 +99,7 @@
         .name("stagehoist-consensus".into())
         .spawn(work)
         .map_err(ConsensusError::Thread)?;
-    let running = Running { sessions, figures, stop, thread: Some(thread) };
+    let running = Running { sessions, statistics, stop, thread: Some(thread) };
     match ready_receiver.recv() {
         Ok(Ok(())) => Ok(running),
         Ok(Err(e)) => Err(e),
--- a/crates/consensus/tests/agree.rs
+++ b/crates/consensus/tests/agree.rs
@@ -16,8 +16,8 @@
     // Statistics are published ten times a second.
     fleet.until("its statistics", |f| {
         let Some(leader) = f.leader() else { return false };
-        let figures = f.running[&leader].figures().borrow().clone();
-        figures.sessions == 3 && figures.promised > 0 && figures.proposals > 0
+        let statistics = f.running[&leader].statistics().borrow().clone();
+        statistics.sessions == 3 && statistics.promised > 0 && statistics.proposals > 0
     });
 }
 
@@ -90,7 +90,7 @@
 fn a_retirement_that_the_cluster_state_rejects_is_not_retried() {
     let fleet = Fleet::started(3);
     fleet.until("joined", |f| f.sessions().iter().all(|s| s.member.borrow().is_some()));
-    let changes = || fleet.running.values().map(|r| r.figures().borrow().changes).sum::<u64>();
+    let changes = || fleet.running.values().map(|r| r.statistics().borrow().changes).sum::<u64>();
     let was = changes();
     fleet.session(1).retire.try_send(retirement(&"f".repeat(300), RetirementMode::Strict)).unwrap();
     wait("it is proposed", || changes() > was);
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -155,7 +155,7 @@
     }
 
     pub fn leader(&self) -> Option<u64> {
-        let leads = |r: &Running| r.figures().borrow().is_leader;
+        let leads = |r: &Running| r.statistics().borrow().is_leader;
         self.running.iter().find(|(_, r)| leads(r)).map(|(n, _)| *n)
     }
 
@@ -163,9 +163,9 @@
     /// previous leader may still consider itself the leader.
     pub fn agreed_leader(&self) -> Option<u64> {
         let mut known = self.running.values().map(|running| {
-            let figures = running.figures();
-            let figures = figures.borrow();
-            (figures.leader, figures.term)
+            let statistics = running.statistics();
+            let statistics = statistics.borrow();
+            (statistics.leader, statistics.term)
         });
         let first = known.next()?;
         let is_agreed = known.all(|other| other == first);
@@ -174,7 +174,7 @@
 
     /// Whether a replica participates fully, so that it forms a majority with one other of three.
     pub fn votes(&self, number: u64) -> bool {
-        self.running[&number].figures().borrow().is_voter
+        self.running[&number].statistics().borrow().is_voter
     }
 
     pub fn sessions(&self) -> Vec<&Session> {
--- a/crates/consensus/tests/hostile.rs
+++ b/crates/consensus/tests/hostile.rs
@@ -99,7 +99,7 @@
     }
     // Reads only after the disconnect, as a front end that starts to read earlier would not be disconnected.
     fleet.until("the connection that does not read is closed", |f| {
-        f.running[&leader].figures().borrow().sessions == 3
+        f.running[&leader].statistics().borrow().sessions == 3
     });
     let buffered = closed(&mut stream).len();
     // 40 views of more than 300,000 bytes each were sent.
--- a/crates/consensus/tests/lost.rs
+++ b/crates/consensus/tests/lost.rs
@@ -95,7 +95,9 @@
     // The other replicas can commit "b" alone; the copy is older only once this replica has it too (1,024 change numbers
     // per entry).
     let entry = common::shown(fleet.session(3), "b").unwrap().proposed / 1024;
-    fleet.until("the log contains the retirement", |f| f.running[&3].figures().borrow().last_entry >= entry);
+    fleet.until("the log contains the retirement", |f| {
+        f.running[&3].statistics().borrow().last_entry >= entry
+    });
     fleet.stop(3);
     // An unmodified store is accepted as intact.
     fleet.start(3);
@@ -135,7 +137,9 @@
     retire(&fleet, 4, "b");
     // The fourth replica learns of a leader once it is added. Of four, two are no majority; with 1 stopped and 4 added,
     // three are.
-    fleet.until("the replica is added", |f| f.votes(4) && f.running[&4].figures().borrow().leader.is_some());
+    fleet.until("the replica is added", |f| {
+        f.votes(4) && f.running[&4].statistics().borrow().leader.is_some()
+    });
     std::thread::sleep(std::time::Duration::from_secs(1));
     fleet.stop(1);
     retire(&fleet, 4, "c");
--- a/crates/consensus/tests/many.rs
+++ b/crates/consensus/tests/many.rs
@@ -126,13 +126,14 @@
 fn every_one_of_350_sessions_is_shown_a_change_and_confirms_it() {
     let fleet = Fleet::started(3);
     let leader = fleet.leader().unwrap();
-    let figures = || fleet.running[&leader].figures().borrow().clone();
+    let statistics = || fleet.running[&leader].statistics().borrow().clone();
     let before = memory("VmHWM");
     let mut many = Many::start(&fleet);
     println!("{SESSIONS} with a promise after {:.0} ms", many.ms());
-    let (was, spent_was, at) = (figures(), cpu_seconds(&fleet.threads[&leader]), Instant::now());
+    let (was, spent_was, at) = (statistics(), cpu_seconds(&fleet.threads[&leader]), Instant::now());
     std::thread::sleep(Duration::from_secs(4));
-    let (is, spent_is, took) = (figures(), cpu_seconds(&fleet.threads[&leader]), at.elapsed().as_secs_f64());
+    let (is, spent_is, took) =
+        (statistics(), cpu_seconds(&fleet.threads[&leader]), at.elapsed().as_secs_f64());
     println!(
         "at ease: {:.0} messages in and {:.0} out a second, {:.0} promises; the leader's thread {:.4} cores",
         (is.messages_received - was.messages_received) as f64 / took,
--- a/crates/scale-tests/src/record/replica.rs
+++ b/crates/scale-tests/src/record/replica.rs
@@ -60,7 +60,7 @@
     let keep = ReplicaOptions { number: told.number, listen: told.listen, store: told.store.clone() };
     let options = Options { replica: Some(keep), ..told.settings.options(told.replicas, Vec::new()) };
     let running = start(options, clock())?;
-    let figures = running.figures();
+    let figures = running.statistics();
     let peak = Arc::new(Mutex::new(Peak::default()));
     let (seen, sees) = (peak.clone(), figures.clone());
     std::thread::spawn(move || watch_peaks(&seen, &sees));
