--- a/crates/consensus/src/store/mod.rs
+++ b/crates/consensus/src/store/mod.rs
@@ -124,10 +124,9 @@
     fn record_fingerprint(&self, last: Option<LogId>) -> StoreResult<()> {
         let term = self.vote()?.map_or(0, |v| v.leader_id.term);
         let last = last.map_or((0, 0), |l| (l.leader_id.term, l.index));
-        let mut guard = self
-            .guard
-            .lock()
-            .map_err(|_| std::io::Error::other("a thread panicked while writing the guard file"))?;
+        let mut guard = self.guard.lock().map_err(|_| {
+            std::io::Error::other("a thread panicked while holding the lock of the guard file")
+        })?;
         Ok(guard.set(Fingerprint { term, last })?)
     }
 
--- a/crates/consensus/tests/cut.rs
+++ b/crates/consensus/tests/cut.rs
@@ -79,12 +79,14 @@
 /// member considered its view the newest when the others had the retirement in force.
 fn is_lease_extended_past_retirement(quorum: i64) -> bool {
     let mut fleet = Fleet::new(3);
-    let own: BTreeMap<u64, Relay> = [2, 3].into_iter().map(|n| (n, Relay::new(fleet.listens(n)))).collect();
-    let doctored = LeaseTerms { quorum, ..terms() };
-    let here: BTreeMap<u64, String> = [(1, fleet.listens(1).to_string())].into();
+    let leader_relays: BTreeMap<u64, Relay> =
+        [2, 3].into_iter().map(|n| (n, Relay::new(fleet.listens(n)))).collect();
+    let modified_terms = LeaseTerms { quorum, ..terms() };
+    let leader_only: BTreeMap<u64, String> = [(1, fleet.listens(1).to_string())].into();
     let mut options = fleet.keeper_options(1);
-    options.replicas = own.iter().map(|(n, r)| (*n, r.address.clone())).chain(here.clone()).collect();
-    options.terms = doctored;
+    options.replicas =
+        leader_relays.iter().map(|(n, r)| (*n, r.address.clone())).chain(leader_only.clone()).collect();
+    options.terms = modified_terms;
     fleet.running.insert(1, start(options, clock()).unwrap());
     fleet.start(2);
     fleet.start(3);
@@ -99,11 +101,11 @@
     }
     assert_eq!(fleet.leader(), Some(1));
     let now = clock();
-    let split = Options { replicas: here, terms: doctored, ..fleet.options(&["apart".into()]) };
+    let split = Options { replicas: leader_only, terms: modified_terms, ..fleet.options(&["apart".into()]) };
     let split = start(split, now.clone()).unwrap();
     let session = &split.sessions["apart"];
-    wait("a lease for the partitioned member", || is_fresh(session, &now));
-    own.values().chain([&fleet.relays[&1]]).for_each(|r| r.cut(true));
+    wait("a lease for the leader's member", || is_fresh(session, &now));
+    leader_relays.values().chain([&fleet.relays[&1]]).for_each(|r| r.cut(true));
     fleet.session(2).retire.try_send(retirement("f", RetirementMode::Strict)).unwrap();
     fleet.until("in force at the other members", |f| in_force(f.session(2), "f"));
     let (began, mut was_fresh) = (Instant::now(), false);
