--- a/crates/consensus/src/replica/service_state/inquiries.rs
+++ b/crates/consensus/src/replica/service_state/inquiries.rs
@@ -1,4 +1,4 @@
-//! Questions about messages that front ends put to each other: the leader only passes them on.
+//! Inquiries about messages between front ends, which the leader only forwards.
 
 #[cfg(test)]
 mod tests;
@@ -9,47 +9,52 @@
 use stagehoist_cluster_state::{Member, MessageKey, MessageKnowledge, Micros, SessionResponse};
 use std::collections::BTreeSet;
 
-/// Its word of who has to answer counts while a majority answered it within this; with the 100 ms that an asker gives it, less
-/// than the shortest time to an election.
-const MAJORITY_TRUSTED: Micros = 250_000;
+/// The leader's list of members that must answer is valid only if a majority acknowledged the leader within this time.
+/// Together with the 100 ms that an inquirer allows, this is less than the shortest election timeout.
+const MAJORITY_ACK_VALIDITY: Micros = 250_000;
 
-/// Those of the names that a question goes to: who has not said yet; empty: all. Both grow with the fleet.
-fn remaining_members<'a, T: Ord>(of: &'a [T], to: &[T]) -> Vec<&'a T> {
-    let open: BTreeSet<&T> = to.iter().collect();
-    of.iter().filter(|name| open.is_empty() || open.contains(name)).collect()
+/// The members in `names` to which an inquiry is forwarded: those in `to`, which have not answered yet, or all if `to` is
+/// empty. Uses a set, as both lists grow with the fleet.
+fn remaining_members<'a, T: Ord>(names: &'a [T], to: &[T]) -> Vec<&'a T> {
+    let remaining: BTreeSet<&T> = to.iter().collect();
+    names.iter().filter(|name| remaining.is_empty() || remaining.contains(name)).collect()
 }
 
 impl SessionService {
-    /// Passes a question on, and tells who has to answer it: every name in the cluster state but the asker's own. Silent where that
-    /// can't be told: another may lead by now, or names were forgotten.
+    /// Forwards an inquiry, and reports which members must answer it: every name in the cluster state except the
+    /// inquirer's. Does nothing if this list may be wrong, because another replica may lead by now or names were
+    /// forgotten.
     pub(super) fn on_inquiry(
         &mut self,
         connection: u64,
         from: Member,
-        (number, turn): (u64, u32),
+        (number, inquiry_round): (u64, u32),
         to: &[String],
         keys: Vec<MessageKey>,
     ) {
         if keys.len() > MAX_KEYS {
-            return self.close(connection, "it asks for too much");
+            return self.close(connection, "inquiry has too many keys");
         }
         let state = &self.state.state;
-        let trusted =
-            self.now.saturating_sub(self.acknowledged_at) <= self.context.terms.quorum.min(MAJORITY_TRUSTED);
-        if self.leadership.is_none() || !trusted || state.forgotten > 0 {
+        let has_majority = self.now.saturating_sub(self.acknowledged_at)
+            <= self.context.terms.quorum.min(MAJORITY_ACK_VALIDITY);
+        if self.leadership.is_none() || !has_majority || state.forgotten > 0 {
             return;
         }
-        let of: Vec<String> = state.members.keys().filter(|name| **name != from.name).cloned().collect();
-        let asked: Vec<u64> = remaining_members(&of, to)
+        let names: Vec<String> = state.members.keys().filter(|name| **name != from.name).cloned().collect();
+        let connections: Vec<u64> = remaining_members(&names, to)
             .into_iter()
             .filter_map(|name| self.by_name.get(name).copied())
             .collect();
-        self.send(connection, &SessionResponse::InquiryMembers { number, round: turn, members: of });
-        let question = SessionResponse::Inquire { from, number, keys };
-        asked.into_iter().for_each(|connection| self.try_send(connection, &question));
+        self.send(
+            connection,
+            &SessionResponse::InquiryMembers { number, round: inquiry_round, members: names },
+        );
+        let inquiry = SessionResponse::Inquire { from, number, keys };
+        connections.into_iter().for_each(|connection| self.try_send(connection, &inquiry));
     }
 
-    /// Passes an answer on to the run that asked.
+    /// Forwards an answer to the run that inquired.
     pub(super) fn forward_answer(
         &mut self,
         from: Member,
@@ -63,8 +68,9 @@
         }
     }
 
-    /// Questions never crowd out views and promises; they are asked again. Half the room stays free: one turn of the desk
-    /// takes in more answers than there is room, and a view or promise that finds none ends the connection.
+    /// Sends a message only if at least half of the output queue stays free; inquiries are retried. One batch of the
+    /// service can contain more answers than the queue has capacity, and a view or grant that finds the queue full ends
+    /// the connection.
     fn try_send(&mut self, connection: u64, message: &SessionResponse) {
         if self.connections.get(&connection).is_some_and(|c| c.output.capacity() > OUTPUT_CAPACITY / 2) {
             self.send(connection, message);
--- a/crates/consensus/src/replica/service_state/output.rs
+++ b/crates/consensus/src/replica/service_state/output.rs
@@ -1,4 +1,4 @@
-//! What the desk sends, and how it ends a connection.
+//! Sends messages to front ends and closes connections.
 
 use super::SessionService;
 use crate::frames::encode;
@@ -6,14 +6,14 @@
 use stagehoist_cluster_state::SessionResponse;
 
 impl SessionService {
-    /// Sends the newest view, where it was not sent yet.
+    /// Sends the newest view if it was not sent yet.
     pub(super) fn send_view(&mut self, connection: u64) {
         let view = &self.state.state.view;
-        let Some(at) = self.connections.get_mut(&connection) else { return };
-        if at.sent == Some(view.version) {
+        let Some(state) = self.connections.get_mut(&connection) else { return };
+        if state.sent == Some(view.version) {
             return;
         }
-        at.sent = Some(view.version);
+        state.sent = Some(view.version);
         if self.view.0 != view.version || self.view.1.is_empty() {
             let Ok(frame) = encode(&SessionResponse::View(view.clone())) else { return };
             self.view = (view.version, frame);
@@ -22,7 +22,7 @@
         self.send_frame(connection, frame);
     }
 
-    /// Sends a view that changed to whoever has joined; who joins later is shown it then.
+    /// Sends a changed view to all joined members; a member that joins later receives it then.
     pub(super) fn send_views(&mut self) {
         let newest = self.state.state.view.version;
         if self.published == newest {
@@ -47,11 +47,11 @@
     }
 
     pub(super) fn send_frame(&mut self, connection: u64, frame: Bytes) {
-        let Some(at) = self.connections.get(&connection) else { return };
-        if at.output.try_send(frame).is_ok() {
+        let Some(state) = self.connections.get(&connection) else { return };
+        if state.output.try_send(frame).is_ok() {
             self.statistics.messages_sent += 1;
         } else {
-            self.close(connection, "it does not read");
+            self.close(connection, "output queue full: front end is not reading");
         }
     }
 
@@ -60,10 +60,10 @@
         self.close(connection, "rejected");
     }
 
-    /// Ends a connection: what was handed over still goes out.
+    /// Closes a connection; frames that are already queued are still sent.
     pub fn close(&mut self, connection: u64, why: &str) {
-        let Some(at) = self.connections.remove(&connection) else { return };
-        if let Some(member) = at.member {
+        let Some(state) = self.connections.remove(&connection) else { return };
+        if let Some(member) = state.member {
             if self.by_name.get(&member.name) == Some(&connection) {
                 self.by_name.remove(&member.name);
             }
--- a/crates/consensus/src/session.rs
+++ b/crates/consensus/src/session.rs
@@ -1,11 +1,11 @@
-//! A front end's session: finds the leader, reports, and tells the front end how things stand.
+//! A front end's session: finds the leader, sends reports and publishes the cluster status to the front end.
 
 mod exchange;
 mod permits;
 mod retirements;
 
 use crate::frames::{
-    decode, encode_first, frames, First, Frames, CONNECT_TIMEOUT, MAX_RESPONSE, WRITE_TIMEOUT,
+    decode, encode_first, frames, FirstFrame, Frames, CONNECT_TIMEOUT, MAX_RESPONSE, WRITE_TIMEOUT,
 };
 use crate::session_file::{SessionFile, SessionMemory};
 use crate::{Now, SessionReport};
@@ -23,13 +23,13 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
 
-/// Least time between two reports.
+/// Minimum time between two reports.
 const REPORT_GAP: Duration = Duration::from_millis(5);
 const WELCOME_TIMEOUT: Duration = Duration::from_secs(5);
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(300));
 
-/// What a session is made with.
+/// Configuration and channels of a session.
 pub struct SessionClient {
     pub name: String,
     pub replicas: BTreeMap<u64, String>,
@@ -48,15 +48,15 @@
     pub stop: watch::Receiver<bool>,
 }
 
-/// Why a connection is over.
-enum End {
+/// Why a connection ended.
+enum ConnectionEnd {
     Elsewhere(Option<u64>),
     Refused,
     Broken,
     Stopped,
 }
 
-struct State {
+struct SessionState {
     client: SessionClient,
     holder: LeaseHolder,
     random: ChaCha8Rng,
@@ -65,27 +65,28 @@
     may_retire: bool,
     may_inquire: bool,
     inquiries: InquiryRounds,
-    /// The last run under the name before this process's first, where that is still what came before.
+    /// Incarnation of the last run under this name before this process's first run; `None` if unknown, or if another
+    /// run joined between two runs of this process.
     before: Option<u64>,
     welcomed: bool,
-    /// What the last report told.
+    /// The report that was sent last.
     reported: SessionReport,
-    /// The newest grant with fewer permits than the one before, until a report names it.
+    /// Number of the newest grant with fewer permits than the previous one, until a report confirms it as applied.
     released_grant: Option<u64>,
 }
 
 /// Runs a session until it is stopped.
-pub async fn session(client: SessionClient) {
+pub async fn run_session(client: SessionClient) {
     let mut random = ChaCha8Rng::seed_from_u64(client.seed);
     let mut holder = LeaseHolder::new(client.terms);
     holder.on_view(client.file.memory.view.clone());
     client.status.send_replace(holder.status().clone());
     let mut numbers: Vec<u64> = client.replicas.keys().copied().collect();
-    // Not all begin with the same one.
+    // Front ends start with different replicas, to spread their connections.
     let first = random.random_range(0..numbers.len().max(1));
     numbers.rotate_left(first);
     let mut stop = client.stop.clone();
-    let mut state = State {
+    let mut state = SessionState {
         client,
         holder,
         random,
@@ -99,40 +100,40 @@
         reported: SessionReport::default(),
         released_grant: None,
     };
-    let (mut turn, mut next, mut backoff) = (0, None, BACKOFF.0);
+    let (mut position, mut next, mut backoff) = (0, None, BACKOFF.0);
     loop {
         if *stop.borrow() || numbers.is_empty() {
             return;
         }
         let number = next.take().unwrap_or_else(|| {
-            turn += 1;
-            numbers[turn % numbers.len()]
+            position += 1;
+            numbers[position % numbers.len()]
         });
-        let end = state.connect(number).await;
+        let end = state.run_connection(number).await;
         state.holder.on_connection_lost();
         if std::mem::take(&mut state.welcomed) {
             backoff = BACKOFF.0;
         }
         match end {
-            End::Stopped => return,
-            // Told where, and not sent round in a circle.
-            End::Elsewhere(Some(leader))
+            ConnectionEnd::Stopped => return,
+            // The replica named the leader. The backoff limit prevents an endless loop of redirects.
+            ConnectionEnd::Elsewhere(Some(leader))
                 if backoff < BACKOFF.1 && state.client.replicas.contains_key(&leader) =>
             {
                 next = Some(leader);
                 backoff = (backoff * 2).min(BACKOFF.1);
             }
-            End::Elsewhere(_) | End::Broken => {
+            ConnectionEnd::Elsewhere(_) | ConnectionEnd::Broken => {
                 let pause = state.random.random_range(backoff / 2..=backoff);
                 backoff = (backoff * 2).min(BACKOFF.1);
                 state.pause(pause, &mut stop).await;
             }
-            End::Refused => state.pause(BACKOFF.1 * 10, &mut stop).await,
+            ConnectionEnd::Refused => state.pause(BACKOFF.1 * 10, &mut stop).await,
         }
     }
 }
 
-impl State {
+impl SessionState {
     async fn pause(&mut self, pause: Duration, stop: &mut watch::Receiver<bool>) {
         tokio::select! {
             () = sleep(pause) => {}
@@ -140,10 +141,10 @@
         }
     }
 
-    async fn connect(&mut self, number: u64) -> End {
-        let Some(address) = self.client.replicas.get(&number) else { return End::Broken };
+    async fn run_connection(&mut self, number: u64) -> ConnectionEnd {
+        let Some(address) = self.client.replicas.get(&number) else { return ConnectionEnd::Broken };
         let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
-            return End::Broken;
+            return ConnectionEnd::Broken;
         };
         let mut frames = frames(stream, MAX_RESPONSE);
         let hello = SessionRequest::Hello {
@@ -154,56 +155,61 @@
             edition: self.client.edition,
             pools: self.client.pools.clone(),
         };
-        let Ok(hello) = encode_first(&First::Member(hello)) else { return End::Refused };
+        let Ok(hello) = encode_first(&FirstFrame::Member(hello)) else { return ConnectionEnd::Refused };
         if !matches!(timeout(WRITE_TIMEOUT, frames.send(hello)).await, Ok(Ok(()))) {
-            return End::Broken;
+            return ConnectionEnd::Broken;
         }
         match timeout(WELCOME_TIMEOUT, self.welcome(&mut frames)).await {
-            Ok(Ok(())) => self.talk(frames).await,
+            Ok(Ok(())) => self.exchange_messages(frames).await,
             Ok(Err(end)) => end,
-            Err(_) => End::Broken,
+            Err(_) => ConnectionEnd::Broken,
         }
     }
 
-    async fn welcome(&mut self, frames: &mut Frames) -> Result<(), End> {
+    async fn welcome(&mut self, frames: &mut Frames) -> Result<(), ConnectionEnd> {
         let mut stop = self.client.stop.clone();
         let frame = tokio::select! {
             frame = frames.next() => frame,
-            () = stopped(&mut stop) => return Err(End::Stopped),
+            () = stopped(&mut stop) => return Err(ConnectionEnd::Stopped),
         };
         match frame.and_then(Result::ok).and_then(|f| decode(&f)) {
             Some(SessionResponse::Welcome { member, terms, before }) => {
-                self.joined(member, terms, before).await
+                self.on_welcome(member, terms, before).await
             }
-            Some(SessionResponse::Elsewhere { leader }) => Err(End::Elsewhere(leader)),
+            Some(SessionResponse::Elsewhere { leader }) => Err(ConnectionEnd::Elsewhere(leader)),
             Some(SessionResponse::Rejected { reason: why }) => {
                 tracing::error!(target: "stagehoist_consensus", event = "session", name = %self.client.name,
                     why, "refused");
-                Err(End::Refused)
+                Err(ConnectionEnd::Refused)
             }
-            _ => Err(End::Broken),
+            _ => Err(ConnectionEnd::Broken),
         }
     }
 
-    async fn joined(&mut self, member: Member, terms: LeaseTerms, before: Option<u64>) -> Result<(), End> {
+    async fn on_welcome(
+        &mut self,
+        member: Member,
+        terms: LeaseTerms,
+        before: Option<u64>,
+    ) -> Result<(), ConnectionEnd> {
         if terms != self.client.terms {
             tracing::error!(target: "stagehoist_consensus", event = "session", name = %self.client.name, ?terms,
-                own = ?self.client.terms, "the keepers are told other terms");
-            return Err(End::Refused);
+                own = ?self.client.terms, "lease terms differ from those of the keepers");
+            return Err(ConnectionEnd::Refused);
         }
         let incarnation = member.incarnation;
         if !self.save(move |m| m.incarnation = m.incarnation.max(incarnation)).await {
-            return Err(End::Broken);
+            return Err(ConnectionEnd::Broken);
         }
         if self.joined.as_ref() != Some(&member) {
             self.before = match &self.joined {
                 None => before,
-                // Another run under the name between two of this process: what it did is not known.
+                // Another run may have joined under this name between two runs of this process; its actions are unknown.
                 Some(last) => self.before.filter(|_| before == Some(last.incarnation)),
             };
-            let heard = InquiryEvent::Joined { run: member.incarnation, before: self.before };
-            // A front end without intents does not listen.
-            let _ = self.client.inquiry_events.try_send(heard);
+            let event = InquiryEvent::Joined { run: member.incarnation, before: self.before };
+            // A front end without intents does not receive inquiry events, so a failed send is ignored.
+            let _ = self.client.inquiry_events.try_send(event);
         }
         self.client.member.send_replace(Some(member.clone()));
         self.joined = Some(member);
@@ -212,32 +218,32 @@
     }
 }
 
-impl State {
-    /// Writes what is to be known after a kill, on a thread that may wait for the disk: sessions beside this one go
-    /// on. Whether it is there.
+impl SessionState {
+    /// Writes the memory that must survive a kill and returns whether it is on disk. Runs on a blocking thread, so
+    /// that other sessions continue during the disk write.
     async fn save(&mut self, change: impl FnOnce(&mut SessionMemory) + Send + 'static) -> bool {
-        let mut kept = self.client.file.clone();
-        let written = tokio::task::spawn_blocking(move || kept.change(change).map(|()| kept)).await;
-        match written.map_err(std::io::Error::other).and_then(|kept| kept) {
-            Ok(kept) => {
-                self.client.file = kept;
+        let mut file = self.client.file.clone();
+        let written = tokio::task::spawn_blocking(move || file.change(change).map(|()| file)).await;
+        match written.map_err(std::io::Error::other).and_then(|file| file) {
+            Ok(file) => {
+                self.client.file = file;
                 true
             }
             Err(e) => {
                 tracing::error!(target: "stagehoist_consensus", event = "store", name = %self.client.name,
-                    why = %e, "can't keep the session's memory");
+                    why = %e, "can't write the session file");
                 false
             }
         }
     }
 }
 
-/// Without the guard that a watch hands out, which no task may hold while it waits.
+/// Waits until stopped. Drops the guard that the watch returns, as a task must not hold it across an await.
 async fn stopped(stop: &mut watch::Receiver<bool>) {
     let _ = stop.wait_for(|s| *s).await;
 }
 
-/// A member's seed: the process's, told apart by name.
-pub fn seed(seed: u64, name: &str) -> u64 {
+/// Derives a member's seed from the process's seed and the member's name.
+pub fn member_seed(seed: u64, name: &str) -> u64 {
     seed ^ crate::store::sum(name.as_bytes())
 }
--- a/crates/consensus/src/store/log.rs
+++ b/crates/consensus/src/store/log.rs
@@ -1,6 +1,6 @@
-//! The log as Raft asks for it.
+//! Implements Raft's log storage.
 
-use super::{fault, key, Outcome, Store, LOG};
+use super::{key, to_raft_error, Store, StoreResult, LOG};
 use crate::types::{Entry, LogId, RaftStorageError, TypeConfig, Vote};
 use openraft::storage::{LogFlushed, RaftLogStorage};
 use openraft::{LogState, OptionalSend, RaftLogReader};
@@ -9,7 +9,7 @@
 use std::ops::RangeBounds;
 
 impl Store {
-    pub(super) fn entries(&self, range: impl RangeBounds<u64>) -> Outcome<Vec<Entry>> {
+    pub(super) fn entries(&self, range: impl RangeBounds<u64>) -> StoreResult<Vec<Entry>> {
         let read = self.db.begin_read()?;
         let table = read.open_table(LOG)?;
         let mut entries = Vec::new();
@@ -19,8 +19,8 @@
         Ok(entries)
     }
 
-    /// The entry before a place, or the last that was purged.
-    fn before(&self, index: u64) -> Outcome<Option<LogId>> {
+    /// Returns the id of the entry before an index, or of the last purged entry.
+    fn before(&self, index: u64) -> StoreResult<Option<LogId>> {
         let read = self.db.begin_read()?;
         let table = read.open_table(LOG)?;
         let entry = table.range(..index)?.next_back();
@@ -31,15 +31,15 @@
     }
 }
 
-/// Writes; on disk once they return.
+/// Write operations; each is on disk once it returns.
 impl Store {
-    pub(super) fn set_vote(&self, vote: &Vote) -> Outcome<()> {
+    pub(super) fn set_vote(&self, vote: &Vote) -> StoreResult<()> {
         self.write(Durability::Immediate, |w| w.put(key::VOTE, vote))?;
         self.record_fingerprint(self.last()?)
     }
 
-    /// All that is handed over together is one commit.
-    pub(super) fn append_entries(&self, entries: Vec<Entry>) -> Outcome<()> {
+    /// Appends all entries in one commit.
+    pub(super) fn append_entries(&self, entries: Vec<Entry>) -> StoreResult<()> {
         let mut last = None;
         self.write(Durability::Immediate, |w| {
             last = w.append(entries)?;
@@ -51,14 +51,15 @@
         Ok(())
     }
 
-    /// Takes off the end, from this entry on. The guard first: it never tells of more than the store holds.
-    pub(super) fn truncate_from(&self, from: LogId) -> Outcome<()> {
+    /// Removes the end of the log, from this entry on. Writes the guard file first, so that it never records more than the
+    /// store holds.
+    pub(super) fn truncate_from(&self, from: LogId) -> StoreResult<()> {
         self.record_fingerprint(self.before(from.index)?)?;
         self.write(Durability::Immediate, |w| w.remove(from.index..))
     }
 
-    /// Takes off the beginning, up to this entry.
-    pub(super) fn purge_to(&self, upto: LogId) -> Outcome<()> {
+    /// Removes the beginning of the log, up to and including this entry.
+    pub(super) fn purge_to(&self, upto: LogId) -> StoreResult<()> {
         self.write(Durability::Immediate, |w| {
             w.put(key::PURGED, &upto)?;
             w.remove(..=upto.index)
@@ -71,7 +72,7 @@
         &mut self,
         range: RB,
     ) -> Result<Vec<Entry>, RaftStorageError> {
-        self.entries(range).map_err(fault)
+        self.entries(range).map_err(to_raft_error)
     }
 }
 
@@ -79,8 +80,8 @@
     type LogReader = Store;
 
     async fn get_log_state(&mut self) -> Result<LogState<TypeConfig>, RaftStorageError> {
-        let last_purged_log_id = self.get(key::PURGED).map_err(fault)?;
-        Ok(LogState { last_purged_log_id, last_log_id: self.last().map_err(fault)? })
+        let last_purged_log_id = self.get(key::PURGED).map_err(to_raft_error)?;
+        Ok(LogState { last_purged_log_id, last_log_id: self.last().map_err(to_raft_error)? })
     }
 
     async fn get_log_reader(&mut self) -> Store {
@@ -93,17 +94,17 @@
     }
 
     async fn read_vote(&mut self) -> Result<Option<Vote>, RaftStorageError> {
-        self.vote().map_err(fault)
+        self.vote().map_err(to_raft_error)
     }
 
     async fn save_committed(&mut self, committed: Option<LogId>) -> Result<(), RaftStorageError> {
-        // For a quick start only: what was committed is sent anew by the leader.
+        // Not flushed: it only speeds up a restart, as the leader sends the commit index again.
         self.run_blocking(move |store| store.write(Durability::None, |w| w.put(key::COMMITTED, &committed)))
             .await
     }
 
     async fn read_committed(&mut self) -> Result<Option<LogId>, RaftStorageError> {
-        Ok(self.get::<Option<LogId>>(key::COMMITTED).map_err(fault)?.flatten())
+        Ok(self.get::<Option<LogId>>(key::COMMITTED).map_err(to_raft_error)?.flatten())
     }
 
     async fn append<I>(
