--- a/crates/sharding/src/assignment.rs
+++ b/crates/sharding/src/assignment.rs
@@ -1,25 +1,26 @@
-//! Workers, or front ends, in shards. Each zone is divided by itself: what a front end believes of another
-//! zone, old or from the other side of a cut, changes nothing in its own.
+//! Assigns workers or front ends to shards. Each zone is divided independently: outdated information about
+//! another zone, for instance during a network partition, changes nothing in a front end's own zone.
 
 use crate::division::{Division, Table};
-use crate::limits::{Part, MIN_LOAD, UNIT};
-use crate::pool::Before;
+use crate::limits::{Fraction, MIN_LOAD, UNIT};
+use crate::pool::PreviousHomes;
 use crate::zone::Zone;
 use crate::{Key, Shard};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Most members kept; of a longer list those with the greatest keys are left out, the same everywhere.
+/// Maximum number of members. Of a longer list the members with the greatest keys are left out, the same ones
+/// in every process.
 pub const MAX_MEMBERS: usize = 65_536;
-/// Most zones; members of further ones, by number, are left out.
+/// Maximum number of zones. Members of the zones with the highest numbers beyond it are left out.
 pub const MAX_ZONES: usize = 64;
-/// A zone of which more than one in so many members change at once is divided anew: allocation one member of a whole zone takes 2 us,
-/// a change of one 62 us.
-const ANEW: usize = 28;
-/// Greatest weight, in thousandths.
+/// A zone is rebuilt if more than one in this many of its members change at once: placing one member takes 2 us
+/// in a rebuild and 62 us as a single change.
+const REBUILD_RATIO: usize = 28;
+/// Maximum weight, in thousandths.
 const MAX_WEIGHT: f64 = 16_000_000.0;
 
-/// A worker or front end as a list tells it.
+/// A worker or front end of a member list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
     pub key: Key,
@@ -29,24 +30,25 @@
 }
 
 impl Member {
-    /// `capacity` is compared with that of others; what is no positive number counts as 1.
+    /// Creates a member whose weight is its `capacity` relative to other members; 1 if `capacity` isn't a finite
+    /// positive number.
     pub fn new(name: &str, zone: u16, capacity: f64) -> Member {
         Member::keyed(Key::of(name), zone, capacity)
     }
 
-    /// Of the usual size: front ends are counted and not weighed.
-    pub(crate) fn alike(self) -> Member {
+    /// Returns the member with the usual weight: front ends are counted and not weighed.
+    pub(crate) fn with_unit_weight(self) -> Member {
         Member { weight: UNIT, ..self }
     }
 
-    /// A member with a given key.
+    /// Creates a member from a key in place of a name.
     pub fn keyed(key: Key, zone: u16, capacity: f64) -> Member {
         let capacity = if capacity.is_finite() && capacity > 0.0 { capacity } else { 1.0 };
         Member { key, zone, weight: (capacity * UNIT as f64).round().clamp(1.0, MAX_WEIGHT) as i64 }
     }
 }
 
-/// A member's home before and after a change; None: it was not, or is no more, a member.
+/// A member's home before and after a change; `None` if it was not a member before or is none afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Move {
     pub key: Key,
@@ -54,42 +56,44 @@
     pub to: Option<Shard>,
 }
 
-/// A member was not taken in, as a bound is reached.
+/// A member was not added because the maximum number of members or zones is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("more than {MAX_MEMBERS} members or {MAX_ZONES} zones")]
 pub struct CapacityExceeded;
 
-/// Members and their shards. Each has one home; where a zone has few at home in a shard, those that want it
-/// most serve it beside their own, so that each shard has somebody in every zone that has anybody.
+/// Members and their shards. Each member has one home. Where too few members of a zone have their home in a
+/// shard, those with the highest scores for the shard serve it in addition to their own as substitutes, so that
+/// each shard has a member in every zone that has members.
 #[derive(Clone, Debug)]
 pub struct Assignment {
     table: Arc<Table>,
-    /// What of its share of a zone a shard has at least, emulated systems counted.
-    min_load: Part,
+    /// Minimum weight of a shard, including substitutes, as a fraction of its share of a zone.
+    min_load: Fraction,
     zones: BTreeMap<u16, Zone>,
     members: BTreeMap<Key, Member>,
 }
 
 impl Assignment {
-    /// An assignment without members.
+    /// Creates an assignment without members.
     pub fn new(division: &Division) -> Assignment {
         Assignment::with_min_load(division, MIN_LOAD)
     }
 
-    pub(crate) fn with_min_load(division: &Division, floor: Part) -> Assignment {
+    pub(crate) fn with_min_load(division: &Division, floor: Fraction) -> Assignment {
         let table = division.table.clone();
         Assignment { table, min_load: floor, zones: BTreeMap::new(), members: BTreeMap::new() }
     }
 
-    /// A whole list, in any order; of two members with one key the one with the smaller zone and weight
-    /// counts. Gives how many were left out over the bounds.
+    /// Assigns a full list, in any order. Of two members with the same key, the one with the smaller zone and
+    /// then the smaller weight is used. Returns also the number of members left out because of the maxima.
     pub fn of(division: &Division, list: impl IntoIterator<Item = Member>) -> (Assignment, usize) {
         let mut all = Assignment::new(division);
         let left_out = all.fill(list);
         (all, left_out)
     }
 
-    /// Nobody is a member yet: a whole list becomes all. Gives how many were left out over the bounds.
+    /// Assigns a full list while there are no members yet. Returns the number of members left out because of
+    /// the maxima.
     pub(crate) fn fill(&mut self, list: impl IntoIterator<Item = Member>) -> usize {
         let mut list: Vec<Member> = list.into_iter().collect();
         list.sort_by_key(|m| (m.key, m.zone, m.weight));
@@ -98,7 +102,7 @@
         zones.sort_unstable();
         zones.dedup();
         zones.truncate(MAX_ZONES);
-        let told = list.len();
+        let listed = list.len();
         list.retain(|m| zones.binary_search(&m.zone).is_ok());
         list.truncate(MAX_MEMBERS);
         for zone in zones {
@@ -106,20 +110,20 @@
             self.zones.insert(zone, Zone::new(&self.table, self.min_load, zone, members));
         }
         self.members = list.into_iter().map(|m| (m.key, m)).collect();
-        told - self.members.len()
+        listed - self.members.len()
     }
 
-    /// Members.
+    /// Returns the number of members.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there are no members.
+    /// Returns whether there are no members.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// One member comes or changes its weight or zone. Gives the homes that changed, its own among them.
+    /// Adds a member or changes its weight or zone. Returns all homes that changed, including its own.
     pub fn insert(&mut self, member: Member) -> Result<Vec<Move>, CapacityExceeded> {
         if self.members.get(&member.key) == Some(&member) {
             return Ok(Vec::new());
@@ -127,29 +131,30 @@
         if !self.has_capacity(&member) {
             return Err(CapacityExceeded);
         }
-        let before = self.put(member, &BTreeSet::new());
+        let before = self.upsert(member, &BTreeSet::new());
         Ok(self.moves(before))
     }
 
-    /// One member goes. Gives the homes that changed, its own among them.
+    /// Removes a member. Returns all homes that changed, including its own.
     pub fn remove(&mut self, key: Key) -> Vec<Move> {
         let before = self.take(key, &BTreeSet::new());
         self.moves(before)
     }
 
-    /// Many change at once; None: it goes. The same members as one by one, and so the same homes, but zones of which a great
-    /// part changes are divided anew. Gives how many were left out over the bounds.
+    /// Applies many changes at once; `None` removes a member. The resulting members and homes are the same as
+    /// with single changes, but zones of which many members change are rebuilt. Returns the number of members
+    /// left out because of the maxima.
     pub fn apply(&mut self, changes: &BTreeMap<Key, Option<Member>>) -> usize {
         if self.is_empty() {
             return self.fill(changes.values().flatten().copied());
         }
-        let anew = self.rebuild_zones(changes);
+        let rebuilt_zones = self.zones_to_rebuild(changes);
         for (key, _) in changes.iter().filter(|c| c.1.is_none()) {
-            self.take(*key, &anew);
+            self.take(*key, &rebuilt_zones);
         }
-        if !anew.is_empty() {
-            let still: BTreeSet<u16> = self.members.values().map(|m| m.zone).collect();
-            self.zones.retain(|zone, _| still.contains(zone));
+        if !rebuilt_zones.is_empty() {
+            let remaining_zones: BTreeSet<u16> = self.members.values().map(|m| m.zone).collect();
+            self.zones.retain(|zone, _| remaining_zones.contains(zone));
         }
         let mut left_out = 0;
         for member in changes.values().flatten() {
@@ -157,12 +162,13 @@
                 continue;
             }
             if self.has_capacity(member) {
-                self.put(*member, &anew);
+                self.upsert(*member, &rebuilt_zones);
             } else {
                 left_out += 1;
             }
         }
-        let mut zones: BTreeMap<u16, Vec<(Key, i64)>> = anew.into_iter().map(|z| (z, Vec::new())).collect();
+        let mut zones: BTreeMap<u16, Vec<(Key, i64)>> =
+            rebuilt_zones.into_iter().map(|z| (z, Vec::new())).collect();
         for member in self.members.values() {
             if let Some(zone) = zones.get_mut(&member.zone) {
                 zone.push((member.key, member.weight));
@@ -177,15 +183,16 @@
         left_out
     }
 
-    /// Zones of which so much changes that they are divided anew.
-    fn rebuild_zones(&self, changes: &BTreeMap<Key, Option<Member>>) -> BTreeSet<u16> {
+    /// Returns the zones of which so many members change that they are rebuilt.
+    fn zones_to_rebuild(&self, changes: &BTreeMap<Key, Option<Member>>) -> BTreeSet<u16> {
         let mut counts: BTreeMap<u16, usize> = BTreeMap::new();
         for (was, now) in changes.iter().map(|(key, now)| (self.members.get(key), now.as_ref())) {
             let zones: BTreeSet<u16> = was.into_iter().chain(now).map(|m| m.zone).collect();
             zones.into_iter().filter(|_| was != now).for_each(|z| *counts.entry(z).or_default() += 1);
         }
-        let many = |(zone, n): &(u16, usize)| n * ANEW > self.zones.get(zone).map_or(0, |z| z.pool.len());
-        counts.into_iter().filter(many).map(|c| c.0).collect()
+        let exceeds_ratio =
+            |(zone, n): &(u16, usize)| n * REBUILD_RATIO > self.zones.get(zone).map_or(0, |z| z.pool.len());
+        counts.into_iter().filter(exceeds_ratio).map(|c| c.0).collect()
     }
 
     fn has_capacity(&self, member: &Member) -> bool {
@@ -193,13 +200,13 @@
         (known || self.members.len() < MAX_MEMBERS) && (zone || self.zones.len() < MAX_ZONES)
     }
 
-    /// A member comes or changes; zones that are divided `anew` afterwards aren't kept up.
-    fn put(&mut self, member: Member, anew: &BTreeSet<u16>) -> Before {
-        let mut before = self.take(member.key, anew);
+    /// Adds or changes a member. Zones in `rebuilt_zones` aren't updated, as the caller rebuilds them afterwards.
+    fn upsert(&mut self, member: Member, rebuilt_zones: &BTreeSet<u16>) -> PreviousHomes {
+        let mut before = self.take(member.key, rebuilt_zones);
         let (table, floor) = (&self.table, self.min_load);
         let empty = || Zone::new(table, floor, member.zone, []);
         let zone = self.zones.entry(member.zone).or_insert_with(empty);
-        if !anew.contains(&member.zone) {
+        if !rebuilt_zones.contains(&member.zone) {
             for (key, from) in zone.insert(member.key, member.weight) {
                 before.entry(key).or_insert(from);
             }
@@ -208,10 +215,10 @@
         before
     }
 
-    fn take(&mut self, key: Key, anew: &BTreeSet<u16>) -> Before {
-        let Some(member) = self.members.remove(&key) else { return Before::new() };
-        let zone = self.zones.get_mut(&member.zone).filter(|_| !anew.contains(&member.zone));
-        let Some(zone) = zone else { return Before::new() };
+    fn take(&mut self, key: Key, rebuilt_zones: &BTreeSet<u16>) -> PreviousHomes {
+        let Some(member) = self.members.remove(&key) else { return PreviousHomes::new() };
+        let zone = self.zones.get_mut(&member.zone).filter(|_| !rebuilt_zones.contains(&member.zone));
+        let Some(zone) = zone else { return PreviousHomes::new() };
         let before = zone.remove(key);
         if zone.pool.len() == 0 {
             self.zones.remove(&member.zone);
@@ -219,35 +226,35 @@
         before
     }
 
-    fn moves(&self, before: Before) -> Vec<Move> {
+    fn moves(&self, before: PreviousHomes) -> Vec<Move> {
         let moved = before.into_iter().map(|(key, from)| Move { key, from, to: self.home(key) });
         moved.filter(|m| m.from != m.to).collect()
     }
 
-    /// The shard that a member belongs to.
+    /// Returns the home shard of a member.
     pub fn home(&self, key: Key) -> Option<Shard> {
         let member = self.members.get(&key)?;
         self.zones.get(&member.zone)?.pool.shard(key)
     }
 
-    /// All shards of a member, its home first.
+    /// Returns all shards of a member: its home first, then those that it serves as a substitute.
     pub fn shards(&self, key: Key) -> Vec<Shard> {
         let Some(home) = self.home(key) else { return Vec::new() };
         let zone = self.members.get(&key).and_then(|m| self.zones.get(&m.zone));
-        [home].into_iter().chain(zone.into_iter().flat_map(|z| z.beside(key))).collect()
+        [home].into_iter().chain(zone.into_iter().flat_map(|z| z.substitute_shards(key))).collect()
     }
 
-    /// All members of a shard, those at home and the emulated systems, in the order of zones and ranks.
+    /// Returns all members of a shard by zone: in each zone its own members by rank, then the substitutes.
     pub fn of_shard(&self, shard: Shard) -> Vec<Key> {
         self.zones.values().flat_map(|z| z.members(shard)).collect()
     }
 
-    /// How many members a shard has in each zone.
+    /// Returns the number of members that a shard has in each zone.
     pub fn zones_of(&self, shard: Shard) -> BTreeMap<u16, usize> {
         self.zones.iter().map(|(zone, z)| (*zone, z.members(shard).count())).filter(|z| z.1 > 0).collect()
     }
 
-    /// What the members at home in a shard weigh, 1 being the usual size.
+    /// Returns the weight of the members whose home is this shard; 1 is the usual size of a member.
     pub fn load(&self, shard: Shard) -> f64 {
         self.zones.values().map(|z| z.pool.load(shard)).sum::<i64>() as f64 / UNIT as f64
     }
--- a/crates/sharding/src/change.rs
+++ b/crates/sharding/src/change.rs
@@ -1,76 +1,79 @@
-//! From one division to another, in stages that settings tell.
+//! The change from one division to another, in phases set by the configuration.
 
 use crate::division::{Division, DivisionError};
 
-/// How far a change has come. Front ends may differ by one stage and no more: then every queue is consumed,
-/// and what is divided by the number of front ends keeps its sum ([`crate::Serving`]).
+/// The phase of a change. Front ends may differ by at most one phase: then every queue has a consumer, and
+/// limits divided by the number of front ends keep their sum ([`crate::Serving`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TransitionPhase {
-    /// Only the old division is served; what is divided is divided for both.
+    /// Only the old division is served; limits and quotas are already divided for both divisions.
     Announced,
-    /// Both are served; callers go over to the new one.
+    /// Both divisions are served; callers switch to the new one.
     Both,
-    /// Only the new one is served; what is divided is still divided for both.
+    /// Only the new division is served; limits and quotas are still divided for both.
     Closing,
 }
 
-/// The division in force, or two of which one replaces the other.
+/// The division in force or, during a change, the old and the new division.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Divisions {
-    first: Division,
+    current: Division,
     change: Option<(Division, TransitionPhase)>,
 }
 
 impl Divisions {
-    /// One division, with no change under way.
+    /// Creates a single division with no change in progress.
     pub fn only(division: Division) -> Divisions {
-        Divisions { first: division, change: None }
+        Divisions { current: division, change: None }
     }
 
-    /// A change from one division to another.
+    /// Creates a change from one division to another; the new generation must be greater.
     pub fn changing(
         old: Division,
         new: Division,
-        stage: TransitionPhase,
+        phase: TransitionPhase,
     ) -> Result<Divisions, DivisionError> {
         if new.generation() <= old.generation() {
-            return Err(DivisionError::GenerationBack { new: new.generation(), old: old.generation() });
+            return Err(DivisionError::GenerationNotIncreasing {
+                new: new.generation(),
+                old: old.generation(),
+            });
         }
-        Ok(Divisions { first: old, change: Some((new, stage)) })
+        Ok(Divisions { current: old, change: Some((new, phase)) })
     }
 
-    /// How far the change has come; `None` without one.
+    /// Returns the phase of the change; `None` if there is none.
     pub fn phase(&self) -> Option<TransitionPhase> {
         self.change.as_ref().map(|c| c.1)
     }
 
-    /// The one in force before the change, or at all.
+    /// Returns the division in force before the change, or the only one.
     pub fn old(&self) -> &Division {
-        &self.first
+        &self.current
     }
 
-    /// The one that comes in force.
+    /// Returns the division that replaces the old one.
     pub fn next(&self) -> Option<&Division> {
         self.change.as_ref().map(|c| &c.0)
     }
 
-    /// Both, or the only one.
+    /// Iterates over the old and the new division, or the only one.
     pub fn each(&self) -> impl Iterator<Item = &Division> {
-        [Some(&self.first), self.next()].into_iter().flatten()
+        [Some(&self.current), self.next()].into_iter().flatten()
     }
 
-    /// Those whose queues a front end consumes and whose workers it uses.
+    /// Iterates over the divisions whose queues a front end consumes and whose workers it uses.
     pub fn served(&self) -> impl Iterator<Item = &Division> {
         let old = self.phase() != Some(TransitionPhase::Closing);
         let new = self.phase().is_some_and(|s| s >= TransitionPhase::Both);
-        [Some(&self.first).filter(|_| old), self.next().filter(|_| new)].into_iter().flatten()
+        [Some(&self.current).filter(|_| old), self.next().filter(|_| new)].into_iter().flatten()
     }
 
-    /// Where a caller sends: to the new one from [`TransitionPhase::Both`] on.
+    /// Returns the division that callers send to: the new one from [`TransitionPhase::Both`] on.
     pub fn addressed(&self) -> &Division {
         match &self.change {
-            Some((new, stage)) if *stage >= TransitionPhase::Both => new,
-            _ => &self.first,
+            Some((new, phase)) if *phase >= TransitionPhase::Both => new,
+            _ => &self.current,
         }
     }
 }
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -1,14 +1,16 @@
-//! The fleet divided into shards that all agree on without asking each other: which shards a function, a
-//! worker and a front end belong to, computed from told lists and settings alone. Pure: no I/O, no clock, no
-//! randomness; the same lists give the same answer in every process, whatever the order in which they came
-//! (`docs/design/sharding.md`).
+//! Divides the fleet into shards without coordination: each process computes which shards a function, a
+//! worker and a front end belong to from the member lists and the settings alone. The package does no I/O and
+//! uses no clock and no randomness, so the same lists give the same assignment in every process, in whatever
+//! order the entries were received (`docs/design/sharding.md`).
 //!
-//! - [`Division`]: how many shards there are; [`Divisions`]: one in force, and the stages in which another
-//!   replaces it.
-//! - [`HomeShards`]: functions to shards. [`Assignment`]: workers, or front ends, to shards, zone by zone.
-//! - [`FrontEnds`]: the shards that one front end serves. [`Serving`]: what is divided by the front ends of a
-//!   shard.
-//! - [`Transition`]: what the decision module is given when a front end's subset of the workers changes.
+//! - [`Division`]: the number of shards and their weights. [`Divisions`]: the division in force and, during a
+//!   change, the division that replaces it and the phase of the change.
+//! - [`HomeShards`]: maps functions to shards. [`Assignment`]: maps workers or front ends to shards, separately
+//!   for each zone.
+//! - [`FrontEnds`]: the shards that one front end serves. [`Serving`]: the number of front ends by which limits
+//!   and quotas of a shard are divided.
+//! - [`Transition`]: the endpoint updates for the decision module when a front end's subset of the workers
+//!   changes.
 //!
 //! ```
 //! use stagehoist_sharding::{Assignment, Division, Key, Member};
@@ -41,5 +43,5 @@
 pub use serving::{max_serving, Serving, TenantParts};
 pub use transition::{ShardUpdate, Transition};
 
-/// Number of a shard, from 0.
+/// Index of a shard, from 0.
 pub type Shard = u32;
--- a/crates/sharding/src/ownership.rs
+++ b/crates/sharding/src/ownership.rs
@@ -1,4 +1,5 @@
-//! The shards of one front end. Several owners of a shard do no harm: they compete for its queue. None would.
+//! The shards that one front end owns. A shard may have several owners, which then compete for its queue, but
+//! never none, as its queue would have no consumer.
 
 use crate::assignment::{Assignment, Member};
 use crate::change::Divisions;
@@ -7,56 +8,56 @@
 use crate::limits::MIN_FRONT_END_LOAD;
 use crate::{Key, Shard};
 
-/// A front end as the list of members tells it.
+/// A front end of the member list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrontEnd {
     pub member: Member,
-    /// Generations that it says it serves: the first and the last.
+    /// The first and the last generation that it reports to serve.
     pub serves: (u32, u32),
 }
 
-/// The front ends that are known, in the shards of each division that one of them serves.
+/// The known front ends and their shards, for each division that the local front end serves.
 #[derive(Clone, Debug)]
 pub struct FrontEnds {
     own_key: Key,
-    /// By [`Divisions::served`].
+    /// Generation and assignment, in the order of [`Divisions::served`].
     served: Vec<(u32, Assignment)>,
-    /// Own shards of the divisions above, in ascending order.
+    /// The local front end's shards in each division of `served`, in ascending order.
     shards: Vec<Vec<Shard>>,
 }
 
-/// What a front end has to do with a function.
+/// How a function relates to a front end's shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FunctionPlacement {
-    /// A home of it is among the front end's shards.
+    /// A home of the function is among the front end's shards.
     Owned,
-    /// It is, but only in the division that is being replaced.
+    /// A home is among the front end's shards only in the division that is being replaced.
     Leaving,
-    /// It is not; a call of it belongs to this shard.
+    /// No home is among the front end's shards; the call belongs to this shard.
     Elsewhere(Shard),
 }
 
 impl FrontEnds {
-    /// `own` is counted whether the list names it or not, so that a front end always owns a shard. In a
-    /// division are those that say they serve its generation, so that each queue has consumers among those
-    /// that know of it.
+    /// Computes the shards of all front ends. `own` is counted even if it is not in the list, so that a front
+    /// end always owns a shard. A division includes only front ends that report to serve its generation, so that
+    /// each queue has a consumer that knows the division.
     pub fn of(divisions: &Divisions, own: Member, list: impl IntoIterator<Item = FrontEnd>) -> FrontEnds {
         let list: Vec<FrontEnd> = list.into_iter().filter(|f| f.member.key != own.key).collect();
         let assign = |d: &Division| {
             let serves = |f: &&FrontEnd| (f.serves.0..=f.serves.1).contains(&d.generation());
-            let others = list.iter().filter(serves).map(|f| f.member.alike());
+            let others = list.iter().filter(serves).map(|f| f.member.with_unit_weight());
             let mut all = Assignment::with_min_load(d, MIN_FRONT_END_LOAD);
-            // Over the bounds they aren't counted.
-            all.fill([own.alike()].into_iter().chain(others));
+            // Front ends beyond the maxima aren't counted.
+            all.fill([own.with_unit_weight()].into_iter().chain(others));
             (d.generation(), all)
         };
         let served: Vec<_> = divisions.served().map(assign).collect();
         let mut all = FrontEnds { own_key: own.key, served, shards: Vec::new() };
-        all.renew();
+        all.update_owned_shards();
         all
     }
 
-    fn renew(&mut self) {
+    fn update_owned_shards(&mut self) {
         let own = |(_, a): &(u32, Assignment)| {
             let mut shards = a.shards(self.own_key);
             shards.sort_unstable();
@@ -65,38 +66,39 @@
         self.shards = self.served.iter().map(own).collect();
     }
 
-    /// One front end came, changed or went. Gives whether own shards changed. Over the bounds it isn't
-    /// counted.
+    /// Adds, changes or removes one front end. Returns whether the local front end's shards changed. A front end
+    /// beyond the maxima isn't counted.
     pub fn changed(&mut self, key: Key, now: Option<FrontEnd>) -> bool {
         self.apply(&[(key, now)])
     }
 
-    /// The same of many at once.
+    /// Applies many changes at once, as [`FrontEnds::changed`] does for one.
     pub fn apply(&mut self, changes: &[(Key, Option<FrontEnd>)]) -> bool {
         for (generation, assignment) in &mut self.served {
             let serves = |f: &FrontEnd| (f.serves.0..=f.serves.1).contains(generation);
             let others = changes.iter().filter(|c| c.0 != self.own_key);
-            let changes = others.map(|(key, now)| (*key, now.filter(serves).map(|f| f.member.alike())));
-            // A full table goes on with those it has; the list's reader counts what it leaves out.
+            let changes =
+                others.map(|(key, now)| (*key, now.filter(serves).map(|f| f.member.with_unit_weight())));
+            // Once a maximum is reached, further members are left out; the reader of the list counts them.
             assignment.apply(&changes.collect());
         }
         let before = self.shards.clone();
-        self.renew();
+        self.update_owned_shards();
         before != self.shards
     }
 
-    /// Front ends by division served: generation and shards.
+    /// Iterates over the served divisions: generation and assignment of the front ends.
     pub fn served(&self) -> impl Iterator<Item = (u32, &Assignment)> {
         self.served.iter().map(|s| (s.0, &s.1))
     }
 
-    /// Own shards in a division served, in ascending order; none in another.
+    /// Returns the local front end's shards in a served division, in ascending order; empty for other divisions.
     pub fn own_key(&self, generation: u32) -> &[Shard] {
         let at = self.served.iter().position(|s| s.0 == generation);
         at.map_or(&[], |at| &self.shards[at])
     }
 
-    /// Shards whose queues are consumed, of all divisions served.
+    /// Returns the shards, of all served divisions, whose queues the local front end consumes.
     pub fn queues(&self) -> Vec<Shard> {
         let mut all = self.shards.concat();
         all.sort_unstable();
@@ -104,15 +106,16 @@
         all
     }
 
-    /// What this front end has to do with a function; `homes` are those of the divisions served, in their order.
+    /// Returns how a function relates to this front end's shards; `homes` has one entry per served division, in
+    /// the same order.
     pub fn place(&self, homes: &[&HomeShards], function: Key, call: u64) -> FunctionPlacement {
         let served = homes.iter().zip(&self.shards).map(|(homes, own)| (*homes, &own[..]));
         place(served, function, call)
     }
 }
 
-/// What a front end has to do with a function, by the homes and its own shards, in ascending order, of each division that it
-/// serves, the newest last.
+/// Returns how a function relates to a front end's shards. `served` yields, for each division that the front end
+/// serves, the home shards and its own shards in ascending order; the newest division is last.
 pub fn place<'a>(
     served: impl Iterator<Item = (&'a HomeShards, &'a [Shard])>,
     function: Key,
@@ -129,12 +132,12 @@
     place
 }
 
-/// The shards of a front end that has no list of front ends, from its number among the told many; in
-/// ascending order. Each shard is served by two of these numbers at least; nobody makes up for one that died,
-/// and zones are not looked at.
+/// Returns, in ascending order, the shards of a front end that has no list of front ends, from its rank among
+/// the configured number of front ends. Each shard is served by at least two ranks. The shards of a failed
+/// front end aren't reassigned, and zones are ignored.
 pub fn ranked(division: &Division, rank: u32, of: u32) -> Result<Vec<Shard>, DivisionError> {
     if rank >= of {
-        return Err(DivisionError::NoneOwned { rank, of });
+        return Err(DivisionError::NoOwnedShards { rank, of });
     }
     let shards = u64::from(division.shards());
     let each = (2 * shards).div_ceil(u64::from(of)).min(shards);
@@ -143,7 +146,7 @@
     Ok(own)
 }
 
-/// Front ends of each shard at most, where all own by their numbers.
+/// Returns the maximum number of front ends per shard if shards are owned by rank ([`ranked`]).
 pub fn max_ranked(division: &Division, of: u32) -> u32 {
     let (shards, of) = (u64::from(division.shards()), u64::from(of.max(1)));
     let each = (2 * shards).div_ceil(of).min(shards);
--- a/crates/sharding/src/serving.rs
+++ b/crates/sharding/src/serving.rs
@@ -1,33 +1,34 @@
-//! What is divided by the number of front ends: the ramp of cold workers, the ration of loads, retry budgets,
-//! tenants' quotas. Divided are they by those that serve a shard, so that the sums over the fleet keep their
-//! bounds.
+//! The number of front ends by which fleet-wide limits are divided: the slow start of cold workers, the load
+//! budget, retry budgets and tenants' quotas. Each is divided by the front ends that serve a shard, so that the
+//! sums over the fleet stay within their limits.
 
 use crate::change::{Divisions, TransitionPhase};
 use crate::division::Division;
 use crate::homes::HomeShards;
-use crate::limits::{rounding, share, turn, LIMIT, UNIT};
+use crate::limits::{rounding, rounding_offset, share, LIMIT, UNIT};
 use crate::ownership::{max_ranked, FrontEnds};
 use crate::{Key, Shard};
 use std::collections::BTreeMap;
 
-/// Most front ends that a shard of a division can have while the zones, by number, have at most so many each:
-/// exact for a list that is full, and never less for a shorter one. Front ends whose lists differ may be more
-/// for as long as they do.
+/// Returns the maximum number of front ends of a shard. `zones` holds the number of each zone and its maximum
+/// number of front ends. The result is exact for a full list and an upper bound for a shorter one. While the
+/// lists of front ends differ, a shard may have more.
 pub fn max_serving(division: &Division, shard: Shard, zones: &[(u16, u32)]) -> u32 {
     if shard >= division.shards() {
         return 0;
     }
     let of = |(zone, n): &(u16, u32)| {
         let share = share(&division.table, division.weight(shard), i64::from(*n) * UNIT, LIMIT);
-        let limit = share + rounding(&division.table, turn(&division.table, *zone), shard, UNIT);
-        // Whoever comes while less than the limit is there is taken in; where there are few, fewer stand in.
+        let limit = share + rounding(&division.table, rounding_offset(&division.table, *zone), shard, UNIT);
+        // A member is admitted while the load is below the limit. Substitutes only raise a shard to its minimum,
+        // which is less than the limit.
         ((limit + UNIT - 1) / UNIT).clamp(1, i64::from(*n)) as u32
     };
     zones.iter().filter(|z| z.1 > 0).map(of).fold(0, u32::saturating_add)
 }
 
-/// By how many a front end divides, from the told number of front ends of each zone and the divisions in
-/// force.
+/// Computes the divisors of a front end's limits from the configured number of front ends of each zone and the
+/// divisions in force.
 #[derive(Clone, Copy, Debug)]
 pub struct Serving<'a> {
     divisions: &'a Divisions,
@@ -37,25 +38,26 @@
 }
 
 impl<'a> Serving<'a> {
-    /// Counts for a fleet whose shards are owned by number.
+    /// Creates the computation from the configured maxima of the zones, without a list of front ends.
     pub fn new(divisions: &'a Divisions, zones: &'a [(u16, u32)]) -> Serving<'a> {
         Serving { divisions, zones, listed: None, ranked: None }
     }
 
-    /// Tenants' quotas are divided by those that the list tells, in full as long as all have the same list.
+    /// Divides tenants' quotas by the listed front ends. The quotas are used in full while all front ends have the
+    /// same list.
     pub fn listed(self, listed: &'a FrontEnds) -> Serving<'a> {
         Serving { listed: Some(listed), ..self }
     }
 
-    /// So many front ends own by their numbers alone.
+    /// Sets the number of front ends of a fleet whose shards are owned by rank.
     pub fn ranked(self, of: u32) -> Serving<'a> {
         Serving { ranked: Some(of), ..self }
     }
 
-    /// Most front ends that any worker or function has, over both divisions, where the worker's capacity is reported to each in
-    /// as many parts as it has shards.
+    /// Returns the maximum number of front ends of any worker or function, summed over both divisions. A worker's
+    /// capacity is reported to each front end in as many parts as the worker has shards.
     pub fn worst(&self) -> u32 {
-        let worst = |d: &Division| (0..d.shards()).map(|s| self.most_of(d, s)).max().unwrap_or(1);
+        let worst = |d: &Division| (0..d.shards()).map(|s| self.max_front_ends_of(d, s)).max().unwrap_or(1);
         self.divisions.each().map(worst).fold(0, u32::saturating_add).clamp(1, self.all().max(1))
     }
 
@@ -63,27 +65,28 @@
         self.ranked.unwrap_or_else(|| self.zones.iter().map(|z| z.1).fold(0, u32::saturating_add))
     }
 
-    fn most_of(&self, division: &Division, shard: Shard) -> u32 {
+    fn max_front_ends_of(&self, division: &Division, shard: Shard) -> u32 {
         let ranked = self.ranked.map(|of| max_ranked(division, of));
         ranked.unwrap_or_else(|| max_serving(division, shard, self.zones))
     }
 
-    /// Most front ends that may call a worker, or have calls of a function, in these shards of the old and of
-    /// the new division, whatever lists tell. During a change those of both are added up: the greater of both
-    /// would be too few, as those that serve a worker in the one needn't be those that serve it in the other.
+    /// Returns the maximum number of front ends that may call a worker, or receive calls of a function, in these
+    /// shards of the old and of the new division, independently of member lists. During a change the numbers of
+    /// both divisions are added: their maximum would be too small, as a worker may be served by different front
+    /// ends in each division.
     pub fn most(&self, shards: &[&[Shard]]) -> u32 {
         let of = |(d, shards): (&Division, &&[Shard])| {
-            shards.iter().map(|s| self.most_of(d, *s)).fold(0, u32::saturating_add)
+            shards.iter().map(|s| self.max_front_ends_of(d, *s)).fold(0, u32::saturating_add)
         };
         self.divisions.each().zip(shards).map(of).fold(0, u32::saturating_add).clamp(1, self.all().max(1))
     }
 
-    /// The part of a tenant's quota that a front end with these shards, in the old and in the new division,
-    /// may give: over all front ends together not more than 1, in each stage and between one stage and the
-    /// next.
+    /// Returns the fraction of a tenant's quota that a front end may grant if it owns these shards of the old and
+    /// of the new division. The sum over all front ends is at most 1, in each phase and also while front ends
+    /// are in two adjacent phases.
     pub fn share_of(&self, parts: &[&TenantParts], own: &[&[Shard]]) -> f64 {
         let of = |((d, parts), own): ((&Division, &&TenantParts), &&[Shard])| -> f64 {
-            own.iter().map(|s| parts.of(*s) / f64::from(self.among(d, *s).max(1))).sum()
+            own.iter().map(|s| parts.of(*s) / f64::from(self.front_ends_of(d, *s).max(1))).sum()
         };
         let mut each = self.divisions.each().zip(parts).zip(own).map(of);
         let (old, new) = (each.next().unwrap_or(0.0), each.next().unwrap_or(0.0));
@@ -95,19 +98,20 @@
         }
     }
 
-    fn among(&self, division: &Division, shard: Shard) -> u32 {
+    fn front_ends_of(&self, division: &Division, shard: Shard) -> u32 {
         let listed = self.listed.and_then(|l| l.served().find(|s| s.0 == division.generation()));
-        listed.map_or_else(|| self.most_of(division, shard), |l| l.1.of_shard(shard).len() as u32)
+        listed.map_or_else(|| self.max_front_ends_of(division, shard), |l| l.1.of_shard(shard).len() as u32)
     }
 }
 
-/// The part of a tenant's quota that each shard has, 1 in all.
+/// The fraction of a tenant's quota that each shard has; the sum is 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantParts(BTreeMap<Shard, f64>);
 
 impl TenantParts {
-    /// By the tenant's told functions and what each is of its traffic; a tenant whose functions are all in
-    /// one shard has its whole share there. Without told functions by the weights of shards.
+    /// Divides the quota by the tenant's configured functions and their fractions of its traffic. A tenant whose
+    /// functions are all in one shard has its whole quota there. Without configured functions the quota is
+    /// divided by the weights of shards.
     pub fn new(division: &Division, homes: &HomeShards, functions: &[(Key, f64)]) -> TenantParts {
         let mut parts = BTreeMap::new();
         let sizes = functions.iter().map(|f| (f.0, if f.1.is_finite() { f.1.max(0.0) } else { 0.0 }));
@@ -125,7 +129,7 @@
         TenantParts(parts)
     }
 
-    /// The tenant's part in a shard.
+    /// Returns the fraction of the tenant's quota in a shard.
     pub fn of(&self, shard: Shard) -> f64 {
         self.0.get(&shard).copied().unwrap_or(0.0)
     }
--- a/crates/sharding/src/transition.rs
+++ b/crates/sharding/src/transition.rs
@@ -1,11 +1,12 @@
-//! What the decision module is notified of the workers when a front end's subset of them changes. A worker that
-//! leaves the subset drains there, by the same row as a worker that drains by itself, so that nothing new
-//! goes to it and what is out ends; after a told time it is gone. One that comes in is reported as it stands.
+//! Builds the endpoint updates for the decision module when a front end's subset of the workers changes. A worker
+//! that leaves the subset is reported as draining, with the same row as a worker that drains by itself: it gets
+//! no new calls, and attempts in flight finish. After a configured time it is reported as gone. A worker that
+//! enters the subset is reported with its current lifecycle.
 
 use stagehoist::{Endpoint, EndpointUpdate, Lifecycle, Micros, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Rows for the module.
+/// An endpoint update for the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShardUpdate {
     pub kind: EndpointUpdate,
@@ -14,75 +15,76 @@
 
 #[derive(Clone, Debug)]
 struct Known {
-    /// As the list has it.
+    /// The worker's last row in the list.
     endpoint: Endpoint,
-    /// When it left the subset, where it was reported before and has not yet been told gone.
+    /// When the worker left the subset, if it hasn't been reported as gone yet.
     left_at: Option<Micros>,
     is_owned: bool,
 }
 
-/// The workers that the module was notified of, those of the subset and those that left it.
+/// The workers reported to the module: those of the subset and those that drain after they left it.
 #[derive(Clone, Debug)]
 pub struct Transition {
     max_drain: Micros,
     known: BTreeMap<WorkerId, Known>,
-    /// When those that left are told gone, in order.
+    /// When each worker that left is reported as gone, in order of time.
     due: BTreeSet<(Micros, WorkerId)>,
 }
 
 impl Transition {
-    /// A worker that left is reported gone after `drain_most`, in microseconds: longer than any attempt lasts.
-    pub fn new(drain_most: Micros) -> Transition {
-        Transition { max_drain: drain_most, known: BTreeMap::new(), due: BTreeSet::new() }
+    /// Creates a transition that reports a worker as gone `drain_timeout` microseconds after it left; this must be
+    /// longer than any attempt.
+    pub fn new(drain_timeout: Micros) -> Transition {
+        Transition { max_drain: drain_timeout, known: BTreeMap::new(), due: BTreeSet::new() }
     }
 
-    /// Rows as the list tells them, whole or what changed, of which `mine` says which are of the subset. Of
-    /// workers outside of it nothing is kept but for those that drain here; so the table is at most the
-    /// subset and what left it of late.
+    /// Applies rows of the list, a full snapshot or a delta; `is_in_subset` returns whether a worker is in the subset.
+    /// Workers outside of the subset aren't stored unless they drain here, so the table holds at most the subset
+    /// and the workers that left it recently.
     pub fn apply_list(
         &mut self,
-        form: EndpointUpdate,
+        update: EndpointUpdate,
         rows: &[Endpoint],
-        mine: impl Fn(WorkerId) -> bool,
+        is_in_subset: impl Fn(WorkerId) -> bool,
         now: Micros,
     ) -> ShardUpdate {
-        let mut told: BTreeMap<WorkerId, Endpoint> = BTreeMap::new();
+        let mut reported: BTreeMap<WorkerId, Endpoint> = BTreeMap::new();
         for row in rows {
-            if let Some(row) = self.row(row, mine(row.worker), now) {
-                told.insert(row.worker, row);
+            if let Some(row) = self.apply_row(row, is_in_subset(row.worker), now) {
+                reported.insert(row.worker, row);
             }
         }
-        if matches!(form, EndpointUpdate::Delta | EndpointUpdate::Failed) {
-            return ShardUpdate { kind: form, endpoints: told.into_values().collect() };
+        if matches!(update, EndpointUpdate::Delta | EndpointUpdate::Failed) {
+            return ShardUpdate { kind: update, endpoints: reported.into_values().collect() };
         }
         let listed: BTreeSet<WorkerId> = rows.iter().map(|r| r.worker).collect();
-        // What the whole list leaves out is gone; what left the subset and isn't due yet is in the list, so
-        // it was reported above.
+        // A worker missing from the full snapshot is gone. A worker that left the subset and still drains is in the
+        // snapshot, so it was reported above.
         let gone: Vec<WorkerId> = self.known.keys().filter(|w| !listed.contains(w)).copied().collect();
         gone.into_iter().for_each(|w| self.forget(w));
-        ShardUpdate { kind: form, endpoints: told.into_values().collect() }
+        ShardUpdate { kind: update, endpoints: reported.into_values().collect() }
     }
 
-    /// The subset changed, the list did not. `entered` are rows, as the list has them, of workers now in the
-    /// subset; `left` are those no longer in it.
+    /// Applies a change of the subset while the list is unchanged. `entered` holds the list's rows of workers now in
+    /// the subset; `left` holds the workers no longer in it.
     pub fn apply_move(&mut self, entered: &[Endpoint], left: &[WorkerId], now: Micros) -> ShardUpdate {
         let mut rows = Vec::with_capacity(entered.len() + left.len());
         for worker in left {
             let Some(row) = self.known.get(worker).map(|k| k.endpoint.clone()) else { continue };
-            rows.extend(self.row(&row, false, now));
+            rows.extend(self.apply_row(&row, false, now));
         }
         for row in entered {
-            rows.extend(self.row(row, true, now));
+            rows.extend(self.apply_row(row, true, now));
         }
         ShardUpdate { kind: EndpointUpdate::Delta, endpoints: rows }
     }
 
-    /// When [`Transition::expire`] next has something to tell.
+    /// Returns when [`Transition::expire`] next has workers to report as gone.
     pub fn due(&self) -> Option<Micros> {
         self.due.first().map(|d| d.0)
     }
 
-    /// Tells gone what left long enough ago; None: nothing.
+    /// Reports workers as gone whose drain time has elapsed; `None` if there are none.
     pub fn expire(&mut self, now: Micros) -> Option<ShardUpdate> {
         let mut rows = Vec::new();
         while let Some((_, worker)) = self.due.first().copied().filter(|d| d.0 <= now) {
@@ -93,22 +95,22 @@
         (!rows.is_empty()).then_some(ShardUpdate { kind: EndpointUpdate::Delta, endpoints: rows })
     }
 
-    /// Workers of the subset, and those that drain as they left it.
+    /// Returns the number of workers in the subset and of those that drain because they left it.
     pub fn counts(&self) -> (usize, usize) {
         (self.known.len() - self.due.len(), self.due.len())
     }
 
-    /// Takes in one row of the list; gives the row to tell, where there is one.
-    fn row(&mut self, row: &Endpoint, mine: bool, now: Micros) -> Option<Endpoint> {
+    /// Applies one row of the list; returns the row to report, if any.
+    fn apply_row(&mut self, row: &Endpoint, is_in_subset: bool, now: Micros) -> Option<Endpoint> {
         let worker = row.worker;
         if row.lifecycle == Lifecycle::Gone {
             let known = self.known.contains_key(&worker);
             self.forget(worker);
             return known.then(|| row.clone());
         }
-        if mine {
+        if is_in_subset {
             self.forget(worker);
-            self.known.insert(worker, Known { endpoint: row.clone(), left_at: None, is_owned: mine });
+            self.known.insert(worker, Known { endpoint: row.clone(), left_at: None, is_owned: is_in_subset });
             return Some(row.clone());
         }
         let known = self.known.get_mut(&worker)?;
--- a/crates/sharding/tests/errors.rs
+++ b/crates/sharding/tests/errors.rs
@@ -29,11 +29,11 @@
     let division = division(8);
     let workers = DivisionError::MoreShardsThanWorkers { shards: 8, workers: 7 };
     assert_eq!(division.check(Some(7), 24, 2, 4), Err(workers));
-    let few = DivisionError::TooFewFrontEnds { shards: 8, front_ends: 1, most: 4 };
+    let few = DivisionError::TooFewFrontEnds { shards: 8, front_ends: 1, max: 4 };
     assert_eq!(division.check(Some(24), 3, 2, 4), Err(few));
     assert_eq!(division.check(None, 4, 2, 4), Ok(()));
-    assert_eq!(ranked(&division, 3, 3), Err(DivisionError::NoneOwned { rank: 3, of: 3 }));
-    assert_eq!(ranked(&division, 0, 0), Err(DivisionError::NoneOwned { rank: 0, of: 0 }));
+    assert_eq!(ranked(&division, 3, 3), Err(DivisionError::NoOwnedShards { rank: 3, of: 3 }));
+    assert_eq!(ranked(&division, 0, 0), Err(DivisionError::NoOwnedShards { rank: 0, of: 0 }));
 }
 
 #[test]
@@ -42,9 +42,12 @@
     let bad = |spread| DivisionError::BadSpread { name: "f".into(), spread, shards: 8 };
     assert_eq!(of(&[hot("f", Some(0))]), Err(bad(0)));
     assert_eq!(of(&[hot("f", Some(9))]), Err(bad(9)));
-    assert_eq!(of(&[hot("f", None), hot("f", None)]), Err(DivisionError::ToldTwice { name: "f".into() }));
+    assert_eq!(
+        of(&[hot("f", None), hot("f", None)]),
+        Err(DivisionError::DuplicateFunction { name: "f".into() })
+    );
     let many: Vec<HotFunction> = (0..8_193).map(|i| hot(&i.to_string(), None)).collect();
-    assert_eq!(of(&many), Err(DivisionError::TooManyHot { told: 8_193, most: 8_192 }));
+    assert_eq!(of(&many), Err(DivisionError::TooManyHotFunctions { configured: 8_193, max: 8_192 }));
     for calls in [f64::NAN, f64::INFINITY, -1.0, 1e300, 0.0] {
         let odd = HotFunction { name: "f".into(), calls, spread: None };
         assert_eq!(of(&[odd]), Ok(()));
@@ -54,6 +57,6 @@
 #[test]
 fn a_change_goes_forward() {
     let (old, new) = (division(4), Division::new(5, 1).unwrap());
-    let back = DivisionError::GenerationBack { new: 1, old: 1 };
+    let back = DivisionError::GenerationNotIncreasing { new: 1, old: 1 };
     assert_eq!(Divisions::changing(old, new, TransitionPhase::Both), Err(back));
 }
