--- a/crates/sharding/tests/agreement.rs
+++ b/crates/sharding/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! The same lists give the same answer, whatever the order in which they came and the way to them.
+//! The same lists give the same assignment, independently of the order of entries and of earlier changes.
 
 mod common;
 
@@ -14,7 +14,7 @@
     list
 }
 
-fn same(a: &Assignment, b: &Assignment, division: &Division) {
+fn assert_same(a: &Assignment, b: &Assignment, division: &Division) {
     for shard in 0..division.shards() {
         assert_eq!(a.of_shard(shard), b.of_shard(shard), "shard {shard}");
         assert_eq!(a.load(shard), b.load(shard), "shard {shard}");
@@ -26,23 +26,23 @@
         cases: 96, failure_persistence: None, rng_seed: RngSeed::Fixed(36), ..ProptestConfig::default()
     })]
 
-    /// Any order; one by one or whole; with members that came and went in between.
+    /// Compares a full list with a shuffled one and with single changes that add and remove further members.
     #[test]
-    fn the_way_to_a_list_makes_no_difference(
+    fn order_of_changes_makes_no_difference(
         seed in any::<u64>(), n in 0u32..220, shards in 1u32..40, zones in 1u16..8, weigh in any::<bool>(),
     ) {
         let weights = BTreeMap::from([(shards / 2, if weigh { 7 } else { 1 })]);
         let division = Division::weighted(shards, 3, weights).unwrap();
         let mut rng = rng(seed);
         let (list, others) = (drawn("w", n, zones, seed), drawn("x", n / 2, zones, seed));
-        let (whole, left_out) = Assignment::of(&division, list.clone());
+        let (full, left_out) = Assignment::of(&division, list.clone());
         prop_assert_eq!(left_out, 0);
-        same(&whole, &Assignment::of(&division, shuffled(list.clone(), &mut rng)).0, &division);
+        assert_same(&full, &Assignment::of(&division, shuffled(list.clone(), &mut rng)).0, &division);
 
         let mut grown = Assignment::new(&division);
         let coming: Vec<Member> = list.iter().chain(&others).copied().collect();
         for member in shuffled(coming, &mut rng) {
-            // Another size or zone first.
+            // Inserts the member with another size and zone first.
             let early = Member::keyed(member.key, rng.random_range(0..zones), rng.random_range(0.1..4.0));
             grown.insert(early).unwrap();
             grown.insert(member).unwrap();
@@ -50,26 +50,27 @@
         for member in shuffled(others, &mut rng) {
             grown.remove(member.key);
         }
-        same(&whole, &grown, &division);
+        assert_same(&full, &grown, &division);
         prop_assert_eq!(grown.len(), n as usize);
     }
 
-    /// Many changes at once, a few or a great part of a zone: the same as a list of those that there are then.
+    /// Batches of changes, to few or to most members of a zone, give the same assignment as the full list of the
+    /// resulting members.
     #[test]
-    fn many_changes_at_once_and_a_whole_list_make_the_same(
+    fn batches_and_a_full_list_give_the_same_assignment(
         seed in any::<u64>(), n in 1u32..400, shards in 1u32..40, zones in 1u16..8,
     ) {
         let division = division(shards);
         let mut rng = rng(seed);
-        let mut there: BTreeMap<Key, Member> = BTreeMap::new();
-        let mut kept = Assignment::new(&division);
+        let mut members: BTreeMap<Key, Member> = BTreeMap::new();
+        let mut updated = Assignment::new(&division);
         for round in 0..8 {
-            // Of each ten so many change: from hardly any, over all of one zone, to nearly all.
+            // Probability that a member changes. Every third round changes members of one zone only.
             let part = [0.9, 0.01, 0.05, 0.2, 0.01, 0.6, 0.02, 1.0][round];
             let only = (round % 3 == 0).then(|| rng.random_range(0..zones));
             let mut changes: BTreeMap<Key, Option<Member>> = BTreeMap::new();
             for member in drawn("w", n, zones, seed) {
-                let zone = there.get(&member.key).map_or(member.zone, |m| m.zone);
+                let zone = members.get(&member.key).map_or(member.zone, |m| m.zone);
                 if !rng.random_bool(part) || only.is_some_and(|z| z != zone) {
                     continue;
                 }
@@ -77,24 +78,24 @@
                 let now = [None, Some(member), Some(other)][rng.random_range(0..3)];
                 changes.insert(member.key, now);
             }
-            prop_assert_eq!(kept.apply(&changes), 0);
+            prop_assert_eq!(updated.apply(&changes), 0);
             for (key, now) in changes {
                 match now {
-                    Some(member) => drop(there.insert(key, member)),
-                    None => drop(there.remove(&key)),
+                    Some(member) => drop(members.insert(key, member)),
+                    None => drop(members.remove(&key)),
                 }
             }
-            let (whole, left_out) = Assignment::of(&division, there.values().copied());
-            prop_assert_eq!((left_out, kept.len()), (0, there.len()));
-            same(&whole, &kept, &division);
+            let (full, left_out) = Assignment::of(&division, members.values().copied());
+            prop_assert_eq!((left_out, updated.len()), (0, members.len()));
+            assert_same(&full, &updated, &division);
             let zones = |a: &Assignment| (0..shards).map(|s| a.zones_of(s)).collect::<Vec<_>>();
-            prop_assert_eq!(zones(&whole), zones(&kept));
+            prop_assert_eq!(zones(&full), zones(&updated));
         }
     }
 
-    /// What is known of a change is what changed.
+    /// The reported moves are exactly the homes that changed.
     #[test]
-    fn moves_are_told_in_full(seed in any::<u64>(), n in 1u32..150, shards in 1u32..20) {
+    fn moves_are_reported_completely(seed in any::<u64>(), n in 1u32..150, shards in 1u32..20) {
         let division = division(shards);
         let list = drawn("w", n, 3, seed);
         let (mut now, _) = Assignment::of(&division, list.clone());
@@ -102,18 +103,18 @@
             for step in 0..2 {
                 let before: Vec<_> = list.iter().map(|m| (m.key, now.home(m.key))).collect();
                 let moves = if step == 0 { now.remove(member.key) } else { now.insert(*member).unwrap() };
-                let mut seen = BTreeMap::new();
+                let mut expected = BTreeMap::new();
                 for (key, from) in before.into_iter().filter(|(k, from)| now.home(*k) != *from) {
-                    seen.insert(key, (from, now.home(key)));
+                    expected.insert(key, (from, now.home(key)));
                 }
-                let told: BTreeMap<Key, _> = moves.iter().map(|m| (m.key, (m.from, m.to))).collect();
-                prop_assert_eq!(told, seen);
+                let reported: BTreeMap<Key, _> = moves.iter().map(|m| (m.key, (m.from, m.to))).collect();
+                prop_assert_eq!(reported, expected);
             }
         }
     }
 }
 
-/// Of functions too, hot ones among them.
+/// The order of hot functions in the settings doesn't affect the homes of functions.
 #[test]
 fn the_order_of_settings_makes_no_difference() {
     let mut rng = rng(5);
@@ -131,9 +132,10 @@
     }
 }
 
-/// A version that answers otherwise than the one before would divide a fleet in two: these answers stay.
+/// The assignment must not change between versions: during an upgrade, front ends of two versions would disagree
+/// on the shards.
 #[test]
-fn answers_are_the_same_in_every_version() {
+fn assignments_are_the_same_in_every_version() {
     let division = Division::new(300, 1).unwrap();
     let functions = HomeShards::new(&division, 0.0, &[]).unwrap();
     let of = |name: &str| functions.of(Key::of(name))[0];
--- a/crates/sharding/tests/common/mod.rs
+++ b/crates/sharding/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Fleets drawn by seed, and the plain ways that the package is compared with.
-#![allow(dead_code, reason = "each test file uses its part")]
+//! Seeded random fleets, and simple hashing schemes for comparison.
+#![allow(dead_code, reason = "each test file uses some of the items")]
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -14,12 +14,12 @@
     Division::new(shards, 1).unwrap()
 }
 
-/// `n` members in `zones` zones, of the usual size.
+/// Returns `n` members of the usual size, spread evenly over `zones` zones.
 pub fn even(what: &str, n: u32, zones: u16) -> Vec<Member> {
     (0..n).map(|i| Member::new(&format!("{what}-{i}"), (i % u32::from(zones)) as u16, 1.0)).collect()
 }
 
-/// Of sizes from a half to two, the zones of unequal size.
+/// Returns `n` random members with sizes from 0.5 to 2, in zones of unequal size.
 pub fn drawn(what: &str, n: u32, zones: u16, seed: u64) -> Vec<Member> {
     let mut rng = rng(seed);
     let size = [0.5, 1.0, 1.0, 1.0, 1.5, 2.0];
@@ -38,19 +38,19 @@
     members.iter().map(|m| (m.key, assignment.home(m.key))).collect()
 }
 
-/// Members that are in both and whose home differs.
+/// Returns the number of members that are in both maps with different homes.
 pub fn moved(a: &BTreeMap<Key, Option<Shard>>, b: &BTreeMap<Key, Option<Shard>>) -> usize {
     a.iter().filter(|(k, home)| b.get(k).is_some_and(|other| other != *home)).count()
 }
 
-/// Part of the traffic of each function by Zipf's law with an exponent, most called first.
+/// Returns each function's fraction of the traffic by Zipf's law, in descending order.
 pub fn zipf(functions: usize, exponent: f64) -> Vec<f64> {
     let raw: Vec<f64> = (1..=functions).map(|rank| (rank as f64).powf(-exponent)).collect();
     let all: f64 = raw.iter().sum();
     raw.into_iter().map(|x| x / all).collect()
 }
 
-/// Plain hashing by remainder, for comparison.
+/// Hashes a name to a shard by remainder, for comparison.
 pub fn modulo(name: &str, shards: u32) -> Shard {
     let fnv = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3);
     (name.bytes().fold(0xcbf2_9ce4_8422_2325, fnv) % u64::from(shards)) as Shard
--- a/crates/sharding/tests/errors.rs
+++ b/crates/sharding/tests/errors.rs
@@ -1,4 +1,4 @@
-//! Absurd settings are told apart, so that a check of the configuration can put a place on them.
+//! Each kind of invalid setting returns its own error, so that a configuration check can report its location.
 
 mod common;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn absurd_divisions() {
+fn invalid_divisions() {
     assert_eq!(Division::new(0, 1), Err(DivisionError::NoShards));
     let shards = MAX_SHARDS + 1;
     assert_eq!(Division::new(shards, 1), Err(DivisionError::TooManyShards { shards }));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_division_that_the_told_fleet_is_too_small_for() {
+fn fleet_too_small_for_division() {
     let division = division(8);
     let workers = DivisionError::MoreShardsThanWorkers { shards: 8, workers: 7 };
     assert_eq!(division.check(Some(7), 24, 2, 4), Err(workers));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn absurd_functions() {
+fn invalid_hot_functions() {
     let of = |list: &[HotFunction]| HomeShards::new(&division(8), 100.0, list).map(|_| ());
     let bad = |spread| DivisionError::BadSpread { name: "f".into(), spread, shards: 8 };
     assert_eq!(of(&[hot("f", Some(0))]), Err(bad(0)));
@@ -55,8 +55,8 @@
 }
 
 #[test]
-fn a_change_goes_forward() {
+fn new_generation_must_be_greater() {
     let (old, new) = (division(4), Division::new(5, 1).unwrap());
-    let back = DivisionError::GenerationNotIncreasing { new: 1, old: 1 };
-    assert_eq!(Divisions::changing(old, new, TransitionPhase::Both), Err(back));
+    let not_increasing = DivisionError::GenerationNotIncreasing { new: 1, old: 1 };
+    assert_eq!(Divisions::changing(old, new, TransitionPhase::Both), Err(not_increasing));
 }
--- a/crates/sharding/tests/transition.rs
+++ b/crates/sharding/tests/transition.rs
@@ -1,5 +1,5 @@
-//! What the decision module is given when a subset changes: by rows alone, and that the module then sends
-//! nothing new.
+//! Tests the endpoint updates for a change of the subset, and that the decision module then sends no new calls to
+//! workers that left.
 
 use stagehoist::*;
 use stagehoist_sharding::{ShardUpdate, Transition};
@@ -16,64 +16,64 @@
     workers.iter().map(|w| row(*w, Lifecycle::Ready)).collect()
 }
 
-fn seen(told: &ShardUpdate) -> Vec<(WorkerId, Lifecycle)> {
-    told.endpoints.iter().map(|r| (r.worker, r.lifecycle)).collect()
+fn lifecycles(update: &ShardUpdate) -> Vec<(WorkerId, Lifecycle)> {
+    update.endpoints.iter().map(|r| (r.worker, r.lifecycle)).collect()
 }
 
 use Lifecycle::{Draining, Gone, Ready};
 
 #[test]
-fn what_leaves_drains_and_then_is_gone() {
+fn worker_that_left_drains_and_is_then_gone() {
     let mut t = Transition::new(DRAIN);
     let first = t.apply_list(EndpointUpdate::Full, &ready(&[1, 2, 3, 4]), |w| w <= 2, 0);
-    assert_eq!((first.kind, seen(&first)), (EndpointUpdate::Full, vec![(1, Ready), (2, Ready)]));
-    let told = t.apply_move(&ready(&[3]), &[2], S);
-    assert_eq!((told.kind, seen(&told)), (EndpointUpdate::Delta, vec![(2, Draining), (3, Ready)]));
+    assert_eq!((first.kind, lifecycles(&first)), (EndpointUpdate::Full, vec![(1, Ready), (2, Ready)]));
+    let update = t.apply_move(&ready(&[3]), &[2], S);
+    assert_eq!((update.kind, lifecycles(&update)), (EndpointUpdate::Delta, vec![(2, Draining), (3, Ready)]));
     assert_eq!((t.counts(), t.due()), ((2, 1), Some(S + DRAIN)));
-    // A whole list in between still has it draining, and its time runs on.
-    let whole = t.apply_list(EndpointUpdate::Full, &ready(&[1, 2, 3, 4]), |w| w != 2 && w != 4, 5 * S);
-    assert_eq!(seen(&whole), [(1, Ready), (2, Draining), (3, Ready)]);
+    // A full snapshot in between reports the worker as draining still, and doesn't extend its drain time.
+    let snapshot = t.apply_list(EndpointUpdate::Full, &ready(&[1, 2, 3, 4]), |w| w != 2 && w != 4, 5 * S);
+    assert_eq!(lifecycles(&snapshot), [(1, Ready), (2, Draining), (3, Ready)]);
     assert_eq!(t.expire(S + DRAIN - 1), None);
-    assert_eq!(seen(&t.expire(S + DRAIN).unwrap()), [(2, Gone)]);
+    assert_eq!(lifecycles(&t.expire(S + DRAIN).unwrap()), [(2, Gone)]);
     assert_eq!((t.expire(S + DRAIN), t.counts(), t.due()), (None, (2, 0), None));
-    // Gone here, it isn't told any more.
-    let whole = t.apply_list(EndpointUpdate::Full, &ready(&[1, 2, 3, 4]), |w| w != 2 && w != 4, 20 * S);
-    assert_eq!(seen(&whole), [(1, Ready), (3, Ready)]);
+    // Once reported as gone, the worker isn't reported again.
+    let snapshot = t.apply_list(EndpointUpdate::Full, &ready(&[1, 2, 3, 4]), |w| w != 2 && w != 4, 20 * S);
+    assert_eq!(lifecycles(&snapshot), [(1, Ready), (3, Ready)]);
     assert_eq!(t.apply_move(&[], &[2, 77], 21 * S).endpoints, []);
 }
 
 #[test]
-fn what_comes_back_is_told_as_it_stands() {
+fn worker_that_returns_is_reported_with_its_lifecycle() {
     let mut t = Transition::new(DRAIN);
     t.apply_list(EndpointUpdate::Full, &ready(&[1, 2]), |_| true, 0);
     t.apply_move(&[], &[1], S);
-    assert_eq!(seen(&t.apply_move(&ready(&[1]), &[], 2 * S)), [(1, Ready)]);
+    assert_eq!(lifecycles(&t.apply_move(&ready(&[1]), &[], 2 * S)), [(1, Ready)]);
     assert_eq!((t.counts(), t.due(), t.expire(100 * S)), ((2, 0), None, None));
-    // It drains by itself: that too is reported as it stands, in the subset or outside.
+    // A worker that drains by itself is reported as draining in the subset and outside.
     t.apply_move(&[], &[1], 3 * S);
-    assert_eq!(seen(&t.apply_move(&[row(1, Draining)], &[], 4 * S)), [(1, Draining)]);
+    assert_eq!(lifecycles(&t.apply_move(&[row(1, Draining)], &[], 4 * S)), [(1, Draining)]);
     t.apply_move(&[], &[1], 5 * S);
-    let told = t.apply_list(EndpointUpdate::Delta, &[row(1, Draining)], |_| false, 6 * S);
-    assert_eq!((seen(&told), t.due()), (vec![(1, Draining)], Some(5 * S + DRAIN)));
+    let update = t.apply_list(EndpointUpdate::Delta, &[row(1, Draining)], |_| false, 6 * S);
+    assert_eq!((lifecycles(&update), t.due()), (vec![(1, Draining)], Some(5 * S + DRAIN)));
 }
 
 #[test]
-fn what_the_list_says_gone_is_gone_at_once() {
+fn worker_gone_from_the_list_is_gone_at_once() {
     let mut t = Transition::new(DRAIN);
     t.apply_list(EndpointUpdate::Full, &ready(&[1, 2, 3]), |_| true, 0);
     t.apply_move(&[], &[1, 2], S);
-    let told = t.apply_list(EndpointUpdate::Delta, &[row(1, Gone), row(9, Gone)], |_| false, 2 * S);
-    assert_eq!(seen(&told), [(1, Gone)]);
-    assert_eq!(seen(&t.apply_list(EndpointUpdate::Full, &ready(&[3]), |_| true, 3 * S)), [(3, Ready)]);
+    let update = t.apply_list(EndpointUpdate::Delta, &[row(1, Gone), row(9, Gone)], |_| false, 2 * S);
+    assert_eq!(lifecycles(&update), [(1, Gone)]);
+    assert_eq!(lifecycles(&t.apply_list(EndpointUpdate::Full, &ready(&[3]), |_| true, 3 * S)), [(3, Ready)]);
     assert_eq!((t.counts(), t.due()), ((1, 0), None));
-    // A list that couldn't be had changes nothing.
+    // A failed fetch of the list changes nothing.
     let failed = t.apply_list(EndpointUpdate::Failed, &[], |_| true, 4 * S);
-    assert_eq!((failed.kind, seen(&failed), t.counts()), (EndpointUpdate::Failed, vec![], (1, 0)));
+    assert_eq!((failed.kind, lifecycles(&failed), t.counts()), (EndpointUpdate::Failed, vec![], (1, 0)));
 }
 
-/// The real module, 400 calls, the subset changed in the middle: after the change nothing goes to the worker
-/// that left, what was out there ends, and calls go on at the others. Told nothing of the change it would
-/// have gone on.
+/// Runs the real module with 400 calls and changes the subset halfway: after the change no calls are sent to the
+/// worker that left, its attempts in flight finish, and the other workers get calls. Without the update the
+/// module continues to send to that worker.
 #[test]
 fn the_module_sends_nothing_to_a_worker_that_left() {
     let after = |leaves: bool| {
@@ -82,14 +82,16 @@
         let mut module = FrontEnd::new(settings, 7, now);
         let mut t = Transition::new(DRAIN);
         let first = t.apply_list(EndpointUpdate::Full, &ready(&[1, 2, 3]), |w| w <= 2, now);
-        let roster =
-            |told: ShardUpdate| Event::Endpoints { update: told.kind, endpoints: Rc::from(told.endpoints) };
-        let mut events = vec![roster(first)];
+        let endpoints_event = |update: ShardUpdate| Event::Endpoints {
+            update: update.kind,
+            endpoints: Rc::from(update.endpoints),
+        };
+        let mut events = vec![endpoints_event(first)];
         let mut sent = [0u32; 4];
         for id in 1..=400u32 {
             now += 20_000;
             if id == 200 && leaves {
-                events.push(roster(t.apply_move(&ready(&[3]), &[1], now)));
+                events.push(endpoints_event(t.apply_move(&ready(&[3]), &[1], now)));
             }
             events.push(Event::Request(Request {
                 id,
