--- a/crates/sharding/examples/weigh.rs
+++ b/crates/sharding/examples/weigh.rs
@@ -1,5 +1,6 @@
-//! The ways to divide a fleet, weighed at the size asked for: `cargo run --release -p stagehoist-sharding
-//! --example weigh`. Arithmetic over drawn ranks, the same every run; what is assumed stands in the constants.
+//! Compares ways to divide a fleet at the required size. Run with
+//! `cargo run --release -p stagehoist-sharding --example weigh`. Computes expected values over pseudorandom ranks,
+//! with the same result in every run; the assumptions are in the constants.
 
 use stagehoist_sharding::{Assignment, Division, HomeShards, HotFunction, Key, Member};
 
@@ -9,12 +10,13 @@
 const FUNCTIONS: usize = 170_000;
 const CALLS: f64 = 880_000.0;
 const SHARDS: u32 = 300;
-/// Assumed: mean run, how full copies are, when an idle connection is closed, workers replaced a day.
+/// Assumptions: mean run time of a call, utilization of copies, idle timeout of connections (times in seconds), and
+/// workers replaced per day.
 const RUN: f64 = 0.05;
 const FILL: f64 = 0.7;
 const IDLE: f64 = 60.0;
 const REPLACED: f64 = 990.0;
-/// A random subset, as large as a shard has workers.
+/// Size of a random subset: the number of workers of a shard.
 const SUBSET: f64 = WORKERS as f64 / SHARDS as f64;
 const RARE: f64 = 1.0 / 60.0;
 const DAY: f64 = 86_400.0;
@@ -29,17 +31,17 @@
     ((rate * RUN / FILL).ceil() as usize).max(1)
 }
 
-/// The time that an unused copy stays at a worker with so many slots, by Che's approximation: the copies that stand are as
-/// many as the slots. None: all fit.
-fn stays(rates: &[f64], slots: f64) -> Option<f64> {
-    let stand = |t: f64| rates.iter().map(|r| 1.0 - (-r * t).exp()).sum::<f64>();
+/// Returns the time that an unused copy stays cached at a worker with `slots` slots, by Che's approximation: the
+/// expected number of cached copies equals the number of slots. `None` if all copies fit.
+fn retention(rates: &[f64], slots: f64) -> Option<f64> {
+    let cached = |t: f64| rates.iter().map(|r| 1.0 - (-r * t).exp()).sum::<f64>();
     if rates.len() as f64 <= slots {
         return None;
     }
     let (mut low, mut high) = (0.0, 1e9);
     for _ in 0..100 {
         let middle = (low + high) / 2.0;
-        if stand(middle) < slots {
+        if cached(middle) < slots {
             low = middle
         } else {
             high = middle
@@ -48,57 +50,60 @@
     Some(low)
 }
 
-/// Cold starts of rare functions with random subsets: a worker that is `rank`th of all for a function is the first of a
-/// subset with it in `SUBSET / WORKERS * exp(-rank * SUBSET / WORKERS)` of the front ends.
+/// Returns the fraction of cold starts among calls of rare functions with random subsets. The worker at position
+/// `rank` of a function's order is the first in the subset of a fraction
+/// `SUBSET / WORKERS * exp(-rank * SUBSET / WORKERS)` of the front ends.
 fn cold_in_subsets(rates: &[f64]) -> f64 {
     let share = SUBSET / WORKERS as f64;
     let at = |rank: f64| share * (-rank * share).exp();
     let sampled = 8;
-    let mut stay = 0.0;
+    let mut mean_retention = 0.0;
     for worker in 0..sampled {
         let rank = |f: usize| (mix((f * 64 + worker) as u64) % WORKERS as u64) as f64;
         let here: Vec<f64> = rates.iter().enumerate().map(|(f, r)| r * at(rank(f))).collect();
-        stay += stays(&here, INSTANCES / WORKERS as f64).unwrap_or(1e12) / sampled as f64;
+        mean_retention += retention(&here, INSTANCES / WORKERS as f64).unwrap_or(1e12) / sampled as f64;
     }
     let (mut cold, mut all) = (0.0, 0.0);
     for rate in rates.iter().filter(|r| **r < RARE) {
         for rank in (0..WORKERS).step_by(10) {
             let here = rate * at(rank as f64);
-            cold += here * (-here * stay).exp();
+            cold += here * (-here * mean_retention).exp();
             all += here;
         }
     }
-    println!("    an unused copy stays {stay:.0} s");
+    println!("    an unused copy stays cached for {mean_retention:.0} s");
     cold / all
 }
 
-/// Calls a second of each worker and copies that stand there, with agreed homes.
+/// Returns the calls per second and the number of cached copies of each worker, with agreed homes.
 fn homes(rates: &[f64]) -> (Vec<f64>, Vec<usize>) {
-    let (mut calls, mut stand) = (vec![0.0; WORKERS], vec![0; WORKERS]);
+    let (mut calls, mut cached) = (vec![0.0; WORKERS], vec![0; WORKERS]);
     for (f, rate) in rates.iter().enumerate() {
         let copies = copies(*rate);
         for copy in 0..copies {
             let at = (mix(f as u64 ^ mix(copy as u64 + 1)) % WORKERS as u64) as usize;
             calls[at] += rate / copies as f64;
-            stand[at] += 1;
+            cached[at] += 1;
         }
     }
-    (calls, stand)
+    (calls, cached)
 }
 
-/// Connections open at a time and opened a second, to peers that are called so often a second.
+/// Returns the number of open connections and of connections opened per second, to peers called at these rates per
+/// second.
 fn connections(rates: impl Iterator<Item = f64>) -> (f64, f64) {
     rates.fold((0.0, 0.0), |a, r| (a.0 + 1.0 - (-r * IDLE).exp(), a.1 + r * (-r * IDLE).exp()))
 }
 
-/// Part of the rare calls at a front end that saw their function within the hour before, where so many see it.
-fn seen(rates: &[f64], among: f64) -> f64 {
+/// Returns the fraction of calls of rare functions that are handled by a front end which handled a call of the same
+/// function within the hour before, if `front_ends_sharing` front ends share the function's calls.
+fn seen(rates: &[f64], front_ends_sharing: f64) -> f64 {
     let rare = || rates.iter().filter(|r| **r < RARE);
-    rare().map(|r| r * (1.0 - (-r * 3_600.0 / among).exp())).sum::<f64>() / rare().sum::<f64>()
+    rare().map(|r| r * (1.0 - (-r * 3_600.0 / front_ends_sharing).exp())).sum::<f64>() / rare().sum::<f64>()
 }
 
-fn known_in_a_day(rates: &[f64], among: f64) -> f64 {
-    rates.iter().map(|r| 1.0 - (-r * DAY / among).exp()).sum()
+fn known_in_a_day(rates: &[f64], front_ends_sharing: f64) -> f64 {
+    rates.iter().map(|r| 1.0 - (-r * DAY / front_ends_sharing).exp()).sum()
 }
 
 fn row(what: &str, cold: f64, seen: f64, connections: (f64, f64), functions: f64, workers: f64) {
@@ -121,11 +126,11 @@
             "exponent {exponent}: first function {:.1}% of calls, {rare} functions under once a minute, {calls:.0} calls/s of them",
             100.0 * rates[0] / CALLS
         );
-        let (at, stand) = homes(&rates);
-        let most = stand.iter().max().copied().unwrap_or(0);
-        let over: f64 = stand.iter().map(|n| (*n as f64 - INSTANCES / WORKERS as f64).max(0.0)).sum();
+        let (at, cached) = homes(&rates);
+        let most = cached.iter().max().copied().unwrap_or(0);
+        let over: f64 = cached.iter().map(|n| (*n as f64 - INSTANCES / WORKERS as f64).max(0.0)).sum();
         println!("    homes: {most} copies on a worker at most, {over:.0} in all above its slots");
-        // A copy is lost with its worker; the next call is cold. Copies above the slots count as always cold.
+        // A copy is lost with its worker, and the next call is cold. Copies beyond the slots count as always cold.
         let replaced = REPLACED / WORKERS as f64 / DAY;
         let lost: f64 =
             rates.iter().filter(|r| **r < RARE).map(|r| (1.0 - (-r / replaced).exp()) * replaced).sum();
@@ -176,12 +181,12 @@
         println!(
             "    shards, of the mean: calls {busiest_shard:.3}, calls for each of its workers {by_worker:.3}"
         );
-        println!("    a worker of several shards, were calls dealt evenly, {hottest:.3}; busiest front end {busiest:.0}/s");
+        println!("    busiest worker with several shards if calls are distributed evenly {hottest:.3}; busiest front end {busiest:.0}/s");
         let to_shard = connections((0..in_shard as usize).map(|_| own / in_shard));
         let functions = worst(&|s| of_shard[s as usize] as f64);
         row("shards (largest)", agreed, seen(&rates, serving), to_shard, functions, in_shard);
 
-        // Each call goes on to one of two front ends that its function has; those hold a shard's part of the workers.
+        // Each call is forwarded to one of two front ends of its function, which know as many workers as a shard has.
         let peers = connections((0..FRONT_ENDS as usize).map(|_| own / FRONT_ENDS));
         let hop = (2.0 * peers.0 + to_subset.0, 2.0 * peers.1 + to_subset.1);
         row("one hop", agreed, seen(&rates, 2.0), hop, 2.0 * FUNCTIONS as f64 / FRONT_ENDS, SUBSET);
--- a/crates/sharding/tests/balance.rs
+++ b/crates/sharding/tests/balance.rs
@@ -1,4 +1,4 @@
-//! No shard much above the mean: of the workers' capacity, of the front ends, of the traffic of functions.
+//! No shard has much more than the mean of worker capacity, front ends or traffic.
 
 mod common;
 
@@ -22,27 +22,29 @@
     (0..division.shards()).map(|s| all.load(s)).collect()
 }
 
-fn plain(shards: u32, list: &[Member]) -> Vec<f64> {
+fn unbounded_loads(shards: u32, list: &[Member]) -> Vec<f64> {
     let homes = HomeShards::new(&division(shards), 0.0, &[]).unwrap();
     let mut loads = vec![0.0; shards as usize];
     list.iter().for_each(|m| loads[homes.of(m.key)[0] as usize] += 1.0);
     loads
 }
 
-/// 30,000 workers of 7 zones in 300 shards: at most 1.25 of the mean. Without the bound it isn't met.
+/// With 30,000 workers of 7 zones in 300 shards, no shard has more than 1.25 times the mean. Hashing without
+/// bounded load exceeds that.
 #[test]
-fn workers_at_the_letters_size() {
+fn workers_at_full_size() {
     let division = division(300);
     let workers = even("w", 30_000, 7);
     let of_workers = worst(&loads(&division, &workers));
     println!("workers {of_workers:.3} of the mean at most");
     assert!(of_workers <= 1.25, "{of_workers}");
-    let unbounded = worst(&plain(300, &workers));
+    let unbounded = worst(&unbounded_loads(300, &workers));
     println!("workers without bound {unbounded:.3}");
     assert!(unbounded > 1.25, "{unbounded}");
 }
 
-/// Workers of unequal size and zones of unequal size, ten draws; small fleets within one member a zone more.
+/// Ten random fleets with workers and zones of unequal size meet the bound; small fleets exceed it by at most one
+/// member per zone.
 #[test]
 fn unequal_workers() {
     for seed in 0..10 {
@@ -52,15 +54,15 @@
     }
     for (n, shards, zones) in [(24, 8, 2), (60, 8, 3), (50, 25, 2), (7, 7, 1)] {
         let loads = loads(&division(shards), &even("w", n, zones));
-        let most = loads.iter().fold(0.0, |a: f64, b| a.max(*b));
+        let max_load = loads.iter().fold(0.0, |a: f64, b| a.max(*b));
         let bound = f64::from(n) / f64::from(shards) * 1.25 + f64::from(zones);
-        assert!(most <= bound, "{n} in {shards}: {most}, bound {bound}");
+        assert!(max_load <= bound, "{n} in {shards}: {max_load}, bound {bound}");
     }
 }
 
-/// A shard that is configured to weigh ten gets ten times as many.
+/// A shard with weight 10 gets ten times as many workers and functions.
 #[test]
-fn a_shard_told_to_be_hot_has_its_weight_in_workers() {
+fn weighted_shard_has_workers_in_proportion() {
     let division = Division::weighted(20, 1, BTreeMap::from([(7, 10)])).unwrap();
     let loads = loads(&division, &even("w", 5_800, 4));
     assert!((1_800.0..=2_250.0).contains(&loads[7]), "{}", loads[7]);
@@ -71,16 +73,17 @@
     assert!((9_500..10_500).contains(&mine), "{mine}");
 }
 
-/// Traffic by shard with the first `told` functions told, by Zipf's law. A spread function's calls are drawn
-/// among its shards.
-fn traffic(shards: u32, told: usize, exponent: f64) -> (Vec<f64>, usize) {
-    traffic_of(shards, told, &zipf(FUNCTIONS, exponent))
+/// Returns the traffic of each shard by Zipf's law, with the `configured` most called functions configured as hot, and
+/// the number of spread functions. Calls of a spread function are divided evenly among its shards.
+fn traffic(shards: u32, configured: usize, exponent: f64) -> (Vec<f64>, usize) {
+    traffic_of(shards, configured, &zipf(FUNCTIONS, exponent))
 }
 
-fn traffic_of(shards: u32, told: usize, part: &[f64]) -> (Vec<f64>, usize) {
+fn traffic_of(shards: u32, configured: usize, part: &[f64]) -> (Vec<f64>, usize) {
     let name = |rank: usize| format!("function-{rank}");
-    let hot: Vec<HotFunction> =
-        (0..told).map(|r| HotFunction { name: name(r), calls: part[r] * CALLS, spread: None }).collect();
+    let hot: Vec<HotFunction> = (0..configured)
+        .map(|r| HotFunction { name: name(r), calls: part[r] * CALLS, spread: None })
+        .collect();
     let homes = HomeShards::new(&division(shards), CALLS, &hot).unwrap();
     let mut traffic = vec![0.0; shards as usize];
     let mut spread = 0;
@@ -92,38 +95,40 @@
     (traffic, spread)
 }
 
-/// 170,000 functions by Zipf's law; those above a quarter of a shard's mean are spread as they are told. With
-/// exponent 1 the first has a thirteenth of all calls, with 1.1 an eighth, with 1.5 (most called less than
-/// once a minute) over a third.
+/// 170,000 functions by Zipf's law; hot functions above a quarter of a shard's mean are spread. The most called
+/// function has a thirteenth of all calls with exponent 1, an eighth with 1.1, and over a third with 1.5, where
+/// most functions are called less than once a minute.
 #[test]
-fn traffic_of_functions_at_the_letters_size() {
-    for (exponent, told) in [(1.0, 1_000), (1.1, 1_000), (1.5, 1_000)] {
-        let (traffic, spread) = traffic(300, told, exponent);
+fn traffic_of_functions_at_full_size() {
+    for (exponent, configured) in [(1.0, 1_000), (1.1, 1_000), (1.5, 1_000)] {
+        let (traffic, spread) = traffic(300, configured, exponent);
         let worst = worst(&traffic);
-        println!("exponent {exponent}, {told} told, {spread} spread: {worst:.3} of the mean at most");
+        println!(
+            "exponent {exponent}, {configured} configured, {spread} spread: {worst:.3} of the mean at most"
+        );
         assert!(worst <= 1.25, "{worst}");
     }
 }
 
-/// Nothing told: the first function alone is many times the mean of a shard.
+/// Without configured traffic the most called function alone has many times the mean of a shard.
 #[test]
-fn without_told_traffic_the_bound_is_not_met() {
+fn without_configured_traffic_the_bound_is_exceeded() {
     let (traffic, spread) = traffic(300, 0, 1.0);
     assert_eq!(spread, 0);
-    println!("nothing told: {:.1}", worst(&traffic));
+    println!("no configured traffic: {:.1}", worst(&traffic));
     assert!(worst(&traffic) > 10.0);
 }
 
-/// Where no function exceeds its shard's mean, and only a few of the largest are told.
+/// The bound holds where no function exceeds a shard's mean and only the largest functions are configured.
 #[test]
 fn few_shards_with_no_function_above_the_mean() {
     let (traffic, _) = traffic(12, 60, 1.0);
-    println!("12 shards, 60 told: {:.3}", worst(&traffic));
+    println!("12 shards, 60 configured: {:.3}", worst(&traffic));
     assert!(worst(&traffic) <= 1.25, "{}", worst(&traffic));
 }
 
-/// One function with a tenth of all calls, told as the others are. In classes of sizes that begin anywhere, and not at a quarter of a
-/// shard's mean, it was 1.27.
+/// One configured function has a tenth of all calls. With arbitrary size classes, rather than classes aligned to
+/// a quarter of a shard's mean, the busiest shard had 1.27 of the mean.
 #[test]
 fn one_function_with_a_tenth_of_all_calls() {
     let mut part = zipf(FUNCTIONS, 1.0);
@@ -135,32 +140,41 @@
     assert!(worst(&traffic) <= 1.25, "{}", worst(&traffic));
 }
 
-/// How many a shard has, emulated systems among them, and how many shards a member has, at most and at least.
+/// Returns the minimum and the maximum number of members of a shard, including substitutes, the maximum number of
+/// shards of a member, and the number of substitute assignments.
 fn spans(list: &[Member]) -> [usize; 4] {
     let (all, _) = Assignment::of(&division(300), list.iter().copied());
     let of_shard: Vec<usize> = (0..300).map(|s| all.of_shard(s).len()).collect();
     let shards: Vec<usize> = list.iter().map(|m| all.shards(m.key).len()).collect();
-    println!("most shards of a member {:?}", shards.iter().max());
-    let beside = shards.iter().sum::<usize>() - list.len();
+    println!("maximum shards of a member {:?}", shards.iter().max());
+    let substitutes = shards.iter().sum::<usize>() - list.len();
     println!(
-        "{} members: {:?} a shard, {beside} stand in",
+        "{} members: {:?} a shard, {substitutes} substitutes",
         list.len(),
         (of_shard.iter().min(), of_shard.iter().max())
     );
-    [of_shard.iter().min(), of_shard.iter().max(), shards.iter().max(), Some(&beside)].map(|n| *n.unwrap())
+    [of_shard.iter().min(), of_shard.iter().max(), shards.iter().max(), Some(&substitutes)]
+        .map(|n| *n.unwrap())
 }
 
-/// 24 front ends and 100 workers are the mean; few stand in.
+/// A shard has 24 front ends and 100 workers on average; few members are substitutes.
 #[test]
-fn every_shard_has_its_part() {
-    let [few, many, shards, beside] = spans(&even("f", 7_200, 7));
-    assert!(few >= 22 && many <= 31 && shards <= 6 && beside <= 1_500, "{few} {many} {shards} {beside}");
-    let [few, many, shards, beside] = spans(&even("w", 30_000, 7));
-    assert!(few >= 85 && many <= 125 && shards <= 6 && beside <= 1_800, "{few} {many} {shards} {beside}");
+fn every_shard_has_about_the_mean() {
+    let [fewest, most_members, shards, substitutes] = spans(&even("f", 7_200, 7));
+    assert!(
+        fewest >= 22 && most_members <= 31 && shards <= 6 && substitutes <= 1_500,
+        "{fewest} {most_members} {shards} {substitutes}"
+    );
+    let [fewest, most_members, shards, substitutes] = spans(&even("w", 30_000, 7));
+    assert!(
+        fewest >= 85 && most_members <= 125 && shards <= 6 && substitutes <= 1_800,
+        "{fewest} {most_members} {shards} {substitutes}"
+    );
 }
 
-/// Front ends as they own by a list: hardly one has a second shard beside its own, and then its calls are at most three times the mean,
-/// while those of a front end without are at most twice. With emulated systems up to 7/8 of a share 972 had two to four, and the busiest 464 calls a second.
+/// Few front ends serve a second shard; each of them gets at most three times the mean number of calls, and a front
+/// end with one shard at most twice the mean. With substitutes up to 7/8 of a share, 972 front ends had two to four
+/// shards, and the busiest had 464 calls per second.
 #[test]
 fn no_front_end_has_many_times_the_mean() {
     let all = even("front-end", 7_200, 7);
@@ -169,22 +183,22 @@
     let front_ends = known.served().next().unwrap().1;
     let (traffic, _) = traffic(300, 1_000, 1.0);
     let each = |s: u32| traffic[s as usize] * CALLS / front_ends.of_shard(s).len() as f64;
-    let (mut beside, mut alone, mut standing_in) = (0, 0.0f64, 0.0f64);
+    let (mut substitutes, mut max_single, mut max_substitute) = (0, 0.0f64, 0.0f64);
     for member in &all {
         let shards = front_ends.shards(member.key);
         let calls = shards.iter().map(|s| each(*s)).sum();
         match shards.len() {
-            1 => alone = alone.max(calls),
-            2 => (beside, standing_in) = (beside + 1, standing_in.max(calls)),
-            many => panic!("{many} shards"),
+            1 => max_single = max_single.max(calls),
+            2 => (substitutes, max_substitute) = (substitutes + 1, max_substitute.max(calls)),
+            count => panic!("{count} shards"),
         }
     }
     println!(
-        "{beside} stand in, with {standing_in:.0} calls a second at most, the others {alone:.0}; mean 122"
+        "{substitutes} substitutes with at most {max_substitute:.0} calls per second, the others {max_single:.0}; mean 122"
     );
     let mean = CALLS / 7_200.0;
     assert!(
-        beside <= 150 && alone <= 2.0 * mean && standing_in <= 3.0 * mean,
-        "{beside} {alone} {standing_in}"
+        substitutes <= 150 && max_single <= 2.0 * mean && max_substitute <= 3.0 * mean,
+        "{substitutes} {max_single} {max_substitute}"
     );
 }
--- a/crates/sharding/tests/change.rs
+++ b/crates/sharding/tests/change.rs
@@ -1,4 +1,5 @@
-//! Half of the fleet on the new division: every queue of both is consumed, and what is divided keeps its sum.
+//! Front ends in different phases of a change: every queue of both divisions has a consumer, and divided limits keep
+//! their sum.
 
 mod common;
 
@@ -7,7 +8,7 @@
 use stagehoist_sharding::*;
 use std::collections::{BTreeSet, HashMap};
 
-/// The stages that a front end goes through, and the generations that it says it serves there.
+/// The stages of a change at a front end: the phase and the generations that it reports to serve.
 const STAGES: [(Option<TransitionPhase>, (u32, u32)); 5] = [
     (None, (1, 1)),
     (Some(TransitionPhase::Announced), (1, 1)),
@@ -28,35 +29,35 @@
 struct Fleet {
     members: Vec<Member>,
     at: Vec<usize>,
-    /// What each works with; those of one stage differ by their own shards only.
-    each: Vec<FrontEnds>,
+    /// The view of each front end; views of the same stage differ only in the owned shards.
+    views: Vec<FrontEnds>,
 }
 
 impl Fleet {
-    /// `n` front ends of which each is at the one or the other stage; a part of the `claims` says it serves
-    /// what it doesn't.
+    /// Creates `n` front ends, each at random in one of two stages. With `reports_both` all report to serve both
+    /// generations, even if they don't.
     fn new(
         n: u32,
         (old, new): (u32, u32),
         stages: (usize, usize),
-        claims: bool,
+        reports_both: bool,
         rng: &mut impl Rng,
     ) -> Fleet {
         let members = even("f", n, 2);
         let at: Vec<usize> =
             members.iter().map(|_| if rng.random_bool(0.5) { stages.0 } else { stages.1 }).collect();
-        let serves = |at: usize| if claims { (1, 2) } else { STAGES[at].1 };
+        let serves = |at: usize| if reports_both { (1, 2) } else { STAGES[at].1 };
         let row = |(m, at): (&Member, &usize)| front_ends(&[*m], serves(*at))[0];
         let list: Vec<FrontEnd> = members.iter().zip(&at).map(row).collect();
         let of = |(m, at): (&Member, &usize)| FrontEnds::of(&divisions(*at, old, new), *m, list.clone());
-        let each = members.iter().zip(&at).map(of).collect();
-        Fleet { members, at, each }
+        let views = members.iter().zip(&at).map(of).collect();
+        Fleet { members, at, views }
     }
 
-    /// Zones of the front ends that consume a shard's queue as one of a generation.
+    /// Returns, for each shard of a generation, the zones of the front ends that consume its queue.
     fn consumers(&self, generation: u32, shards: u32) -> Vec<BTreeSet<u16>> {
         let mut all = vec![BTreeSet::new(); shards as usize];
-        for (member, front_end) in self.members.iter().zip(&self.each) {
+        for (member, front_end) in self.members.iter().zip(&self.views) {
             for shard in front_end.own_key(generation) {
                 all[*shard as usize].insert(member.zone);
             }
@@ -65,13 +66,14 @@
     }
 }
 
-fn alone(fleet: &Fleet, old: u32, new: u32) -> usize {
+fn under_served_queues(fleet: &Fleet, old: u32, new: u32) -> usize {
     let of = |generation, shards| fleet.consumers(generation, shards).iter().filter(|z| z.len() < 2).count();
     let serves = |g| fleet.at.iter().any(|at| (STAGES[*at].1 .0..=STAGES[*at].1 .1).contains(&g));
     [(1, old), (2, new)].into_iter().filter(|d| serves(d.0)).map(|d| of(d.0, d.1)).sum()
 }
 
-/// Between one stage and the next, the number of shards growing and shrinking by one, by half and twice.
+/// Covers all pairs of adjacent stages, with the number of shards increased and decreased by one, halved, doubled
+/// and unchanged.
 #[test]
 fn every_queue_of_both_divisions_is_consumed_in_two_zones() {
     for seed in 0..12 {
@@ -79,24 +81,28 @@
         for (old, new) in [(8, 9), (9, 8), (8, 4), (8, 16), (8, 8)] {
             for stage in 0..4 {
                 let fleet = Fleet::new(24, (old, new), (stage, stage + 1), false, &mut rng);
-                assert_eq!(alone(&fleet, old, new), 0, "seed {seed}, {old} to {new}, stage {stage}");
+                assert_eq!(
+                    under_served_queues(&fleet, old, new),
+                    0,
+                    "seed {seed}, {old} to {new}, stage {stage}"
+                );
             }
         }
     }
 }
 
-/// Negative control: were front ends counted to a division that they don't serve yet, queues would be left
-/// alone.
+/// Negative control: if front ends are counted in a division that they don't serve yet, some queues aren't consumed
+/// in two zones.
 #[test]
-fn counted_before_they_serve_queues_are_left_alone() {
+fn front_ends_counted_too_early_leave_queues_unserved() {
     let mut rng = rng(1);
-    let left = |_| alone(&Fleet::new(24, (8, 9), (1, 2), true, &mut rng), 8, 9);
+    let left = |_| under_served_queues(&Fleet::new(24, (8, 9), (1, 2), true, &mut rng), 8, 9);
     assert!((0..12).map(left).sum::<usize>() > 0);
 }
 
-/// For each worker the sum, over the front ends that serve it, of what each may give of a budget of 1. `by`
-/// tells by how many one of a stage divides.
-fn sums(fleet: &Fleet, old: u32, new: u32, by: impl Fn(usize, &[&[u32]]) -> f64) -> f64 {
+/// Returns the maximum over all workers of the sum of the shares, of a budget of 1, that the front ends of the
+/// worker may use. `divisor` returns the divisor of a front end from its stage and the worker's shards.
+fn sums(fleet: &Fleet, old: u32, new: u32, divisor: impl Fn(usize, &[&[u32]]) -> f64) -> f64 {
     let workers = even("w", 96, 2);
     let assigned =
         [old, new].map(|n| Assignment::of(&Division::new(n, 1).unwrap(), workers.iter().copied()).0);
@@ -104,12 +110,12 @@
     for worker in &workers {
         let shards: Vec<Vec<u32>> = assigned.iter().map(|a| a.shards(worker.key)).collect();
         let mut sum = 0.0;
-        for (front_end, at) in fleet.each.iter().zip(&fleet.at) {
+        for (front_end, at) in fleet.views.iter().zip(&fleet.at) {
             let serves =
                 (0..2).any(|g| front_end.own_key(g as u32 + 1).iter().any(|s| shards[g].contains(s)));
             if serves {
                 let both = [&shards[0][..], &shards[1][..]];
-                sum += 1.0 / by(*at, if *at == 4 { &both[1..] } else { &both });
+                sum += 1.0 / divisor(*at, if *at == 4 { &both[1..] } else { &both });
             }
         }
         worst = worst.max(sum);
@@ -119,31 +125,31 @@
 
 const ZONES: [(u16, u32); 2] = [(0, 12), (1, 12)];
 
-/// The ramp of a cold worker, the ration of loads: never more than told in all, at whatever stage each front
-/// end is.
+/// The slow-start capacity of a cold worker and the load budget are never exceeded in total, in whichever of two
+/// adjacent stages each front end is.
 #[test]
-fn what_is_divided_keeps_its_sum() {
+fn divided_limits_keep_their_sum() {
     let mut worst = 0.0f64;
     for seed in 0..10 {
         let mut rng = rng(seed);
         for (old, new) in [(8, 9), (9, 8), (8, 4), (8, 16)] {
             for stage in 0..4 {
                 let fleet = Fleet::new(24, (old, new), (stage, stage + 1), false, &mut rng);
-                let by = |at, shards: &[&[u32]]| {
+                let divisor = |at, shards: &[&[u32]]| {
                     f64::from(Serving::new(&divisions(at, old, new), &ZONES).most(shards))
                 };
-                worst = worst.max(sums(&fleet, old, new, by));
+                worst = worst.max(sums(&fleet, old, new, divisor));
             }
         }
     }
-    println!("of a budget of 1 at most {worst:.2} is given");
+    println!("of a budget of 1 at most {worst:.2} is used");
     assert!(worst <= 1.0 + 1e-9 && worst > 0.6, "{worst}");
 }
 
-/// The same with one number for a front end's whole run and each shard told its part of a worker that has several, as the
-/// front ends of `serve` have it; without the parts the sum breaks.
+/// The sum also holds with one divisor for all workers, as the front ends of `serve` use it, if a worker with several
+/// shards reports to each only a part of its capacity. Without the parts the budget is exceeded.
 #[test]
-fn one_number_for_all_workers_keeps_the_sum_where_each_shard_is_told_its_part() {
+fn one_divisor_for_all_workers_keeps_the_sum_if_capacity_is_split_by_shard() {
     let (mut parts, mut whole) = (0.0f64, 0.0f64);
     for seed in 0..10 {
         let mut rng = rng(seed);
@@ -151,27 +157,28 @@
             for stage in 0..4 {
                 let fleet = Fleet::new(24, (old, new), (stage, stage + 1), false, &mut rng);
                 let worst = |at| f64::from(Serving::new(&divisions(at, old, new), &ZONES).worst());
-                // Its shards in the divisions served at this stage.
-                let among = |at: usize, shards: &[&[u32]]| match at {
+                // The number of the worker's shards in the divisions served at this stage.
+                let shard_count = |at: usize, shards: &[&[u32]]| match at {
                     0 | 1 => shards[0].len(),
                     2 => shards[0].len().max(shards[1].len()),
                     _ => shards[shards.len() - 1].len(),
                 };
-                let by = |at, shards: &[&[u32]]| worst(at) * among(at, shards) as f64;
-                parts = parts.max(sums(&fleet, old, new, by));
+                let divisor = |at, shards: &[&[u32]]| worst(at) * shard_count(at, shards) as f64;
+                parts = parts.max(sums(&fleet, old, new, divisor));
                 whole = whole.max(sums(&fleet, old, new, |at, _| worst(at)));
             }
         }
     }
     println!(
-        "of a budget of 1 at most {parts:.2} is given, {whole:.2} where the whole worker is told to each"
+        "of a budget of 1 at most {parts:.2} is used, {whole:.2} if the full capacity is reported to each shard"
     );
     assert!(parts <= 1.0 + 1e-9 && parts > 0.5 && whole > 1.0, "{parts} {whole}");
 }
 
-/// Negative controls: dividing by the greater of both divisions, and leaving out a stage.
+/// Negative controls: the budget is exceeded if front ends divide by the maximum over both divisions in place of the
+/// sum, or if a change skips phases.
 #[test]
-fn the_greater_of_both_or_a_stage_left_out_breaks_the_sum() {
+fn maximum_of_both_or_skipped_phases_exceed_the_sum() {
     let (mut greater, mut skipped) = (0.0f64, 0.0f64);
     for seed in 0..10 {
         let mut rng = rng(seed);
@@ -180,20 +187,21 @@
             let division = Division::new(n, 1).unwrap();
             shards.iter().map(|s| max_serving(&division, *s, &ZONES)).sum()
         };
-        let by = |_, shards: &[&[u32]]| f64::from(one(8, shards[0]).max(one(9, shards[1])));
-        greater = greater.max(sums(&fleet, 8, 9, by));
+        let divisor = |_, shards: &[&[u32]]| f64::from(one(8, shards[0]).max(one(9, shards[1])));
+        greater = greater.max(sums(&fleet, 8, 9, divisor));
         let fleet = Fleet::new(24, (8, 9), (0, 4), false, &mut rng);
-        let by = |at, shards: &[&[u32]]| f64::from(Serving::new(&divisions(at, 8, 9), &ZONES).most(shards));
-        skipped = skipped.max(sums(&fleet, 8, 9, by));
+        let divisor =
+            |at, shards: &[&[u32]]| f64::from(Serving::new(&divisions(at, 8, 9), &ZONES).most(shards));
+        skipped = skipped.max(sums(&fleet, 8, 9, divisor));
     }
-    println!("the greater of both: {greater:.2}, a stage left out: {skipped:.2}");
+    println!("maximum of both: {greater:.2}, phases skipped: {skipped:.2}");
     assert!(greater > 1.0 && skipped > 1.0, "{greater} {skipped}");
 }
 
-/// A tenant whose functions all are in one shard has its whole share there, one of whom nothing is configured a
-/// part everywhere; no more than that at any stage.
+/// A tenant whose functions are all in one shard has its whole quota there; a tenant without configured functions
+/// has a part in each shard. The quota isn't exceeded at any stage.
 #[test]
-fn tenants_have_their_share_and_no_more() {
+fn tenant_quotas_are_not_exceeded() {
     let parts = |n: u32, functions: &[(Key, f64)]| {
         let division = Division::new(n, 1).unwrap();
         TenantParts::new(&division, &HomeShards::new(&division, 0.0, &[]).unwrap(), functions)
@@ -218,7 +226,7 @@
                     let from = usize::from(*at == 4);
                     serving.share_of(&parts[from..], &own[from..])
                 };
-                let sum: f64 = fleet.each.iter().zip(&fleet.at).map(share).sum();
+                let sum: f64 = fleet.views.iter().zip(&fleet.at).map(share).sum();
                 assert!(sum <= 1.0 + 1e-9, "stages {stages:?}: {sum}");
                 let least = if stages == (0, 0) || stages == (2, 2) { 1.0 } else { 0.49 };
                 assert!(sum >= least - 1e-9, "stages {stages:?}: {sum}");
@@ -227,9 +235,9 @@
     }
 }
 
-/// A call for a function of another shard is reported apart, and where it belongs.
+/// A call of a function without a home in the front end's shards is placed elsewhere, with its shard.
 #[test]
-fn where_a_function_belongs() {
+fn placement_of_functions() {
     let both = divisions(2, 8, 9);
     let homes: Vec<HomeShards> = both.served().map(|d| HomeShards::new(d, 0.0, &[]).unwrap()).collect();
     let homes: Vec<&HomeShards> = homes.iter().collect();
--- a/crates/sharding/tests/zones.rs
+++ b/crates/sharding/tests/zones.rs
@@ -1,5 +1,5 @@
-//! No shard without somebody in two zones where there are two; zones that go, shards that drain, cuts between
-//! regions.
+//! Every shard has members in every zone that has members, also when zones fail, shards drain or regions are
+//! partitioned.
 
 mod common;
 
@@ -17,8 +17,8 @@
     list.iter().map(|m| m.zone).collect::<BTreeSet<u16>>().len()
 }
 
-/// Every shard has members in every zone that has any, and every member has a home.
-fn covered(all: &Assignment, division: &Division, list: &[Member]) {
+/// Asserts that every shard has members in every zone that has members, and that every member has a home.
+fn assert_covered(all: &Assignment, division: &Division, list: &[Member]) {
     for shard in 0..division.shards() {
         assert_eq!(all.zones_of(shard).len(), zones(list), "shard {shard}");
     }
@@ -34,7 +34,7 @@
         cases: 64, failure_persistence: None, rng_seed: RngSeed::Fixed(36), ..ProptestConfig::default()
     })]
 
-    /// While members come and go, down to the last one of a zone and of all.
+    /// Holds while members are removed one by one, down to the last of a zone and of the list.
     #[test]
     fn each_shard_is_covered_in_each_zone(
         seed in any::<u64>(), n in 1u32..120, shards in 1u32..60, zones in 1u16..6,
@@ -43,18 +43,18 @@
         let mut list = drawn("m", n, zones, seed);
         let mut rng = rng(seed);
         let (mut all, _) = Assignment::of(&division, list.clone());
-        covered(&all, &division, &list);
+        assert_covered(&all, &division, &list);
         while list.len() > 1 {
-            let out = list.swap_remove(rng.random_range(0..list.len()));
-            all.remove(out.key);
-            covered(&all, &division, &list);
+            let removed = list.swap_remove(rng.random_range(0..list.len()));
+            all.remove(removed.key);
+            assert_covered(&all, &division, &list);
         }
         all.remove(list[0].key);
         prop_assert!(all.is_empty() && (0..shards).all(|s| all.of_shard(s).is_empty()));
     }
 
-    /// What a list says of one zone changes nothing in another: old lists, both sides of a cut, and its
-    /// healing.
+    /// Changes to one zone's members don't affect another zone: with outdated lists, during a partition and after
+    /// it has healed.
     #[test]
     fn zones_are_divided_apart(seed in any::<u64>(), n in 8u32..200, shards in 1u32..30) {
         let division = division(shards);
@@ -63,14 +63,14 @@
         let (whole, _) = Assignment::of(&division, list.clone());
         let near: Vec<Member> = list.iter().filter(here).copied().collect();
         let far: Vec<Member> = list.iter().filter(|m| !here(m)).copied().collect();
-        // One side sees the other's members gone, one by one, and come back in another order.
+        // One side removes the members of the other one by one, and adds them again in another order.
         let mut cut = whole.clone();
         for member in &far {
             let moves = cut.remove(member.key);
             prop_assert!(moves.iter().all(|m| m.from != m.to && far.iter().any(|f| f.key == m.key)));
             prop_assert_eq!(homes(&cut, &near), homes(&whole, &near));
         }
-        covered(&cut, &division, &near);
+        assert_covered(&cut, &division, &near);
         for member in far.iter().rev() {
             cut.insert(*member).unwrap();
             prop_assert_eq!(homes(&cut, &near), homes(&whole, &near));
@@ -79,9 +79,9 @@
     }
 }
 
-/// A zone gone with all its workers: nobody of the others moves, and each shard still has workers.
+/// When a zone fails with all its workers, no worker of another zone moves, and each shard still has workers.
 #[test]
-fn a_zone_goes_with_all_its_workers() {
+fn zone_failure_moves_no_other_worker() {
     let division = division(300);
     let list = even("w", 30_000, 7);
     let (mut all, _) = Assignment::of(&division, list.iter().copied());
@@ -92,13 +92,13 @@
         assert!(moves.iter().all(|m| !before.contains_key(&m.key)));
     }
     assert_eq!(homes(&all, &rest), before);
-    covered(&all, &division, &rest);
+    assert_covered(&all, &division, &rest);
 }
 
-/// All workers of a shard drain, one after the other: others take their places, at no time is the shard
-/// without.
+/// While all workers of a shard drain one after the other, other workers replace them, and the shard has workers in
+/// each zone at any time.
 #[test]
-fn a_shard_all_of_whose_workers_drain() {
+fn drained_shard_is_refilled() {
     let division = division(20);
     let mut list = drawn("w", 400, 3, 7);
     let (mut all, _) = Assignment::of(&division, list.iter().copied());
@@ -113,16 +113,16 @@
     let mean = list.len() as f64 / 20.0;
     println!("a drained shard has {} members again, the mean is {mean:.1}", after.len());
     assert!(after.len() as f64 >= 0.8 * mean, "{} of {mean}", after.len());
-    covered(&all, &division, &list);
+    assert_covered(&all, &division, &list);
 }
 
-/// Front ends that each have a list of their own, up to some changes old: every shard is owned in two zones
-/// by front ends that live. Whoever a list leaves out, its own front end counts itself.
+/// With lists that differ between front ends by recent changes, every shard is owned by live front ends in two
+/// zones. A front end counts itself even if its list doesn't include it.
 #[test]
-fn lists_that_are_old_leave_no_queue_alone() {
+fn outdated_lists_leave_no_queue_unserved() {
     let divisions = Divisions::only(division(300));
     let all = even("f", 7_200, 7);
-    // 20 died and 20 came of late; each front end knows of a part of that.
+    // 20 front ends failed and 20 joined recently; each list includes some of these changes.
     let (dead, new) = (&all[..20], &all[20..40]);
     let mut owners = vec![BTreeSet::new(); 300];
     for seed in 0..16 {
@@ -130,7 +130,7 @@
         let mut list = all[40..].to_vec();
         list.extend(dead.iter().chain(new).filter(|_| rng.random_bool(0.5)));
         let known = front_ends(&list, (1, 1));
-        // Front ends with the same list agree, so one computation tells of all of them.
+        // Front ends with the same list compute the same assignment, so one computation covers all of them.
         let seen = FrontEnds::of(&divisions, all[40], known);
         let (_, assignment) = seen.served().next().unwrap();
         for member in all[20..].iter().skip(seed as usize).step_by(16) {
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn one_that_no_list_names_owns_its_part() {
+fn unlisted_front_end_owns_its_shards() {
     let divisions = Divisions::only(division(8));
     let all = even("f", 24, 2);
     let own = all[5];
@@ -155,7 +155,7 @@
     let mut unnamed = FrontEnds::of(&divisions, own, without);
     assert_eq!(named.own_key(1), unnamed.own_key(1));
     assert!(!named.own_key(1).is_empty() && named.own_key(2).is_empty());
-    // The death of others is made up for as soon as the list tells it.
+    // The shards of failed front ends are taken over as soon as the list is updated.
     for other in all.iter().filter(|m| m.key != own.key) {
         unnamed.changed(other.key, None);
     }
@@ -163,9 +163,9 @@
     assert!(!unnamed.changed(own.key, None));
 }
 
-/// Without a list, by number: each shard has two owners at least.
+/// Without a list, shards are owned by rank, and each has at least two owners.
 #[test]
-fn by_number_alone() {
+fn ownership_by_rank() {
     for (shards, of) in [(8, 24), (8, 3), (1, 1), (300, 7_200), (7, 2), (5, 9)] {
         let division = division(shards);
         let mut owners = vec![0; shards as usize];
@@ -177,9 +177,9 @@
     }
 }
 
-/// Over the bound the same are left out everywhere, and service goes on with the others.
+/// Of a list beyond the maximum length the same members are left out in any order, and the others stay assigned.
 #[test]
-fn a_list_over_its_bound() {
+fn list_beyond_the_maximum() {
     let list = even("w", MAX_MEMBERS as u32 + 100, 3);
     let reversed: Vec<Member> = list.iter().rev().copied().collect();
     let (one, left_out) = Assignment::of(&division(5), list.clone());
@@ -190,7 +190,7 @@
     assert_eq!(homes(&one, &list), homes(&other, &list));
 }
 
-/// The bound by which is divided is never less than what lists give, of any part of the fleet.
+/// The divisor is never less than the number of front ends of a shard, for any subset of the fleet.
 #[test]
 fn no_shard_has_more_front_ends_than_the_bound() {
     for (shards, weights) in [(8, BTreeMap::new()), (30, BTreeMap::from([(4, 5)])), (3, BTreeMap::new())] {
