--- a/crates/gateway/src/shards/ownership.rs
+++ b/crates/gateway/src/shards/ownership.rs
@@ -176,7 +176,7 @@
         let own_before: Vec<Vec<Shard>> = self.current.iter().map(|d| d.current.clone()).collect();
         let mut divisions = Vec::new();
         for (at, division) in self.divisions.served().map(Division::generation).enumerate() {
-            let owned_shards = front_ends.own_key(division).to_vec();
+            let owned_shards = front_ends.owned_shards(division).to_vec();
             for shard in own_before.get(at).into_iter().flatten().filter(|s| !owned_shards.contains(s)) {
                 self.released.insert((division, *shard), now);
             }
--- a/crates/sharding/src/ownership.rs
+++ b/crates/sharding/src/ownership.rs
@@ -93,7 +93,7 @@
     }
 
     /// Returns the local front end's shards in a served division, in ascending order; empty for other divisions.
-    pub fn own_key(&self, generation: u32) -> &[Shard] {
+    pub fn owned_shards(&self, generation: u32) -> &[Shard] {
         let at = self.served.iter().position(|s| s.0 == generation);
         at.map_or(&[], |at| &self.shards[at])
     }
--- a/crates/sharding/tests/change.rs
+++ b/crates/sharding/tests/change.rs
@@ -58,7 +58,7 @@
     fn consumers(&self, generation: u32, shards: u32) -> Vec<BTreeSet<u16>> {
         let mut all = vec![BTreeSet::new(); shards as usize];
         for (member, front_end) in self.members.iter().zip(&self.views) {
-            for shard in front_end.own_key(generation) {
+            for shard in front_end.owned_shards(generation) {
                 all[*shard as usize].insert(member.zone);
             }
         }
@@ -112,7 +112,7 @@
         let mut sum = 0.0;
         for (front_end, at) in fleet.views.iter().zip(&fleet.at) {
             let serves =
-                (0..2).any(|g| front_end.own_key(g as u32 + 1).iter().any(|s| shards[g].contains(s)));
+                (0..2).any(|g| front_end.owned_shards(g as u32 + 1).iter().any(|s| shards[g].contains(s)));
             if serves {
                 let both = [&shards[0][..], &shards[1][..]];
                 sum += 1.0 / divisor(*at, if *at == 4 { &both[1..] } else { &both });
@@ -221,7 +221,7 @@
                 let share = |(f, at): (&FrontEnds, &usize)| {
                     let divisions = divisions(*at, old, new);
                     let serving = Serving::new(&divisions, &ZONES).listed(f);
-                    let own = [f.own_key(1), f.own_key(2)];
+                    let own = [f.owned_shards(1), f.owned_shards(2)];
                     let parts = [&of_old, &of_new];
                     let from = usize::from(*at == 4);
                     serving.share_of(&parts[from..], &own[from..])
@@ -247,7 +247,8 @@
     for i in 0..2_000 {
         let key = Key::of(&format!("f{i}"));
         let (old, new) = (homes[0].of(key)[0], homes[1].of(key)[0]);
-        let place = match (front_end.own_key(2).contains(&new), front_end.own_key(1).contains(&old)) {
+        let place = match (front_end.owned_shards(2).contains(&new), front_end.owned_shards(1).contains(&old))
+        {
             (true, _) => FunctionPlacement::Owned,
             (false, true) => FunctionPlacement::Leaving,
             (false, false) => FunctionPlacement::Elsewhere(new),
--- a/crates/sharding/tests/zones.rs
+++ b/crates/sharding/tests/zones.rs
@@ -153,8 +153,8 @@
     assert_eq!(alone.queues(), (0..8).collect::<Vec<_>>());
     let named = FrontEnds::of(&divisions, own, front_ends(&all, (1, 1)));
     let mut unnamed = FrontEnds::of(&divisions, own, without);
-    assert_eq!(named.own_key(1), unnamed.own_key(1));
-    assert!(!named.own_key(1).is_empty() && named.own_key(2).is_empty());
+    assert_eq!(named.owned_shards(1), unnamed.owned_shards(1));
+    assert!(!named.owned_shards(1).is_empty() && named.owned_shards(2).is_empty());
     // The shards of failed front ends are taken over as soon as the list is updated.
     for other in all.iter().filter(|m| m.key != own.key) {
         unnamed.changed(other.key, None);
