--- a/crates/gateway/src/shards/divided.rs
+++ b/crates/gateway/src/shards/divided.rs
@@ -20,7 +20,7 @@
     let fleet_size = sharding.zones.iter().map(|z| z.1).fold(0, u32::saturating_add).max(1);
     let with_allowance =
         |most: u32| if is_listed { most.saturating_add(HANDOVER_ALLOWANCE).min(fleet_size) } else { most };
-    settings.front_ends = with_allowance(serving.worst());
+    settings.front_ends = with_allowance(serving.max_front_ends_of_any());
     let each: Vec<_> = divisions.each().filter_map(|d| Some((d, homes(sharding, d)?))).collect();
     let owned_shards: Vec<Vec<Shard>> = divisions.each().map(|d| owned(config, sharding, d)).collect();
     let owned_shards: Vec<&[Shard]> = owned_shards.iter().map(|o| &o[..]).collect();
@@ -47,7 +47,7 @@
         (0..d.shards()).filter(|s| parts.of(*s) > 0.0).collect()
     };
     let shards: Vec<Vec<Shard>> = divisions.each().zip(parts).map(of).collect();
-    serving.most(&shards.iter().map(|s| &s[..]).collect::<Vec<_>>())
+    serving.max_front_ends(&shards.iter().map(|s| &s[..]).collect::<Vec<_>>())
 }
 
 /// Returns a tenant's functions weighted by their configured calls, or equally if one of them has none configured.
--- a/crates/scale-tests/src/front_end/division.rs
+++ b/crates/scale-tests/src/front_end/division.rs
@@ -135,7 +135,7 @@
         busiest.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
         let each_zone = (FRONT_ENDS / ZONES).ceil() as u32;
         let zones: Vec<(u16, u32)> = (0..ZONES as u16).map(|z| (z, each_zone)).collect();
-        let serving = Serving::new(&divisions, &zones).worst();
+        let serving = Serving::new(&divisions, &zones).max_front_ends_of_any();
         Divided { division, front_ends, parts, traffic, busiest, serving }
     }
 
--- a/crates/sharding/src/division.rs
+++ b/crates/sharding/src/division.rs
@@ -13,9 +13,9 @@
 /// An invalid setting. The caller that read the setting adds its location.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DivisionError {
-    #[error("no shards")]
+    #[error("number of shards is 0")]
     NoShards,
-    #[error("{shards} shards, more than {MAX_SHARDS}")]
+    #[error("{shards} shards are more than the maximum {MAX_SHARDS}")]
     TooManyShards { shards: u32 },
     #[error("{shards} shards for {workers} workers: some would have none")]
     MoreShardsThanWorkers { shards: u32, workers: u32 },
@@ -31,9 +31,9 @@
     BadSpread { name: String, spread: u32, shards: u32 },
     #[error("function {name} is declared twice")]
     DuplicateFunction { name: String },
-    #[error("{configured} functions with configured traffic, more than {max}")]
+    #[error("{configured} functions with configured traffic are more than the maximum {max}")]
     TooManyHotFunctions { configured: usize, max: usize },
-    #[error("generation {new} after {old}: must be greater")]
+    #[error("generation {new} isn't greater than {old}")]
     GenerationNotIncreasing { new: u32, old: u32 },
 }
 
--- a/crates/sharding/src/serving.rs
+++ b/crates/sharding/src/serving.rs
@@ -56,16 +56,21 @@
 
     /// Returns the maximum number of front ends of any worker or function, summed over both divisions. A worker's
     /// capacity is reported to each front end in as many parts as the worker has shards.
-    pub fn worst(&self) -> u32 {
-        let worst = |d: &Division| (0..d.shards()).map(|s| self.max_front_ends_of(d, s)).max().unwrap_or(1);
-        self.divisions.each().map(worst).fold(0, u32::saturating_add).clamp(1, self.all().max(1))
+    pub fn max_front_ends_of_any(&self) -> u32 {
+        let max_of_division =
+            |d: &Division| (0..d.shards()).map(|s| self.max_in_shard(d, s)).max().unwrap_or(1);
+        self.divisions
+            .each()
+            .map(max_of_division)
+            .fold(0, u32::saturating_add)
+            .clamp(1, self.fleet_size().max(1))
     }
 
-    fn all(&self) -> u32 {
+    fn fleet_size(&self) -> u32 {
         self.ranked.unwrap_or_else(|| self.zones.iter().map(|z| z.1).fold(0, u32::saturating_add))
     }
 
-    fn max_front_ends_of(&self, division: &Division, shard: Shard) -> u32 {
+    fn max_in_shard(&self, division: &Division, shard: Shard) -> u32 {
         let ranked = self.ranked.map(|of| max_ranked(division, of));
         ranked.unwrap_or_else(|| max_serving(division, shard, self.zones))
     }
@@ -74,11 +79,16 @@
     /// shards of the old and of the new division, independently of member lists. During a change the numbers of
     /// both divisions are added: their maximum would be too small, as a worker may be served by different front
     /// ends in each division.
-    pub fn most(&self, shards: &[&[Shard]]) -> u32 {
+    pub fn max_front_ends(&self, shards: &[&[Shard]]) -> u32 {
         let of = |(d, shards): (&Division, &&[Shard])| {
-            shards.iter().map(|s| self.max_front_ends_of(d, *s)).fold(0, u32::saturating_add)
+            shards.iter().map(|s| self.max_in_shard(d, *s)).fold(0, u32::saturating_add)
         };
-        self.divisions.each().zip(shards).map(of).fold(0, u32::saturating_add).clamp(1, self.all().max(1))
+        self.divisions
+            .each()
+            .zip(shards)
+            .map(of)
+            .fold(0, u32::saturating_add)
+            .clamp(1, self.fleet_size().max(1))
     }
 
     /// Returns the fraction of a tenant's quota that a front end may grant if it owns these shards of the old and
@@ -86,7 +96,7 @@
     /// are in two adjacent phases.
     pub fn share_of(&self, parts: &[&TenantParts], own: &[&[Shard]]) -> f64 {
         let of = |((d, parts), own): ((&Division, &&TenantParts), &&[Shard])| -> f64 {
-            own.iter().map(|s| parts.of(*s) / f64::from(self.front_ends_of(d, *s).max(1))).sum()
+            own.iter().map(|s| parts.of(*s) / f64::from(self.divisor_in_shard(d, *s).max(1))).sum()
         };
         let mut each = self.divisions.each().zip(parts).zip(own).map(of);
         let (old, new) = (each.next().unwrap_or(0.0), each.next().unwrap_or(0.0));
@@ -98,9 +108,9 @@
         }
     }
 
-    fn front_ends_of(&self, division: &Division, shard: Shard) -> u32 {
+    fn divisor_in_shard(&self, division: &Division, shard: Shard) -> u32 {
         let listed = self.listed.and_then(|l| l.served().find(|s| s.0 == division.generation()));
-        listed.map_or_else(|| self.max_front_ends_of(division, shard), |l| l.1.of_shard(shard).len() as u32)
+        listed.map_or_else(|| self.max_in_shard(division, shard), |l| l.1.of_shard(shard).len() as u32)
     }
 }
 
--- a/crates/sharding/tests/change.rs
+++ b/crates/sharding/tests/change.rs
@@ -136,7 +136,7 @@
             for stage in 0..4 {
                 let fleet = Fleet::new(24, (old, new), (stage, stage + 1), false, &mut rng);
                 let divisor = |at, shards: &[&[u32]]| {
-                    f64::from(Serving::new(&divisions(at, old, new), &ZONES).most(shards))
+                    f64::from(Serving::new(&divisions(at, old, new), &ZONES).max_front_ends(shards))
                 };
                 worst = worst.max(sums(&fleet, old, new, divisor));
             }
@@ -156,7 +156,8 @@
         for (old, new) in [(8, 9), (9, 8), (8, 4), (8, 16)] {
             for stage in 0..4 {
                 let fleet = Fleet::new(24, (old, new), (stage, stage + 1), false, &mut rng);
-                let worst = |at| f64::from(Serving::new(&divisions(at, old, new), &ZONES).worst());
+                let worst =
+                    |at| f64::from(Serving::new(&divisions(at, old, new), &ZONES).max_front_ends_of_any());
                 // The number of the worker's shards in the divisions served at this stage.
                 let shard_count = |at: usize, shards: &[&[u32]]| match at {
                     0 | 1 => shards[0].len(),
@@ -190,8 +191,9 @@
         let divisor = |_, shards: &[&[u32]]| f64::from(one(8, shards[0]).max(one(9, shards[1])));
         greater = greater.max(sums(&fleet, 8, 9, divisor));
         let fleet = Fleet::new(24, (8, 9), (0, 4), false, &mut rng);
-        let divisor =
-            |at, shards: &[&[u32]]| f64::from(Serving::new(&divisions(at, 8, 9), &ZONES).most(shards));
+        let divisor = |at, shards: &[&[u32]]| {
+            f64::from(Serving::new(&divisions(at, 8, 9), &ZONES).max_front_ends(shards))
+        };
         skipped = skipped.max(sums(&fleet, 8, 9, divisor));
     }
     println!("maximum of both: {greater:.2}, phases skipped: {skipped:.2}");
