--- a/crates/cluster-state/src/apply.rs
+++ b/crates/cluster-state/src/apply.rs
@@ -74,7 +74,9 @@
         };
         if last.left.is_none() {
             if self.replaced.len() >= MAX_REPLACED {
-                return rejected(format!("{MAX_REPLACED} replaced runs may still be in progress"));
+                return rejected(format!(
+                    "{MAX_REPLACED} runs that ended without leaving may still be at work"
+                ));
             }
             let member = Member { name: name.into(), incarnation: last.incarnation };
             self.replaced.insert(member, last.joined);
--- a/crates/cluster-state/src/bounds.rs
+++ b/crates/cluster-state/src/bounds.rs
@@ -92,16 +92,16 @@
         .or_else(|| names.find_map(|(what, name)| name_rejection(what, name)))
         .or_else(|| {
             is_oversubscribed
-                .then(|| format!("pool {}: {reserved} permits reserved, more than the pool has", pool.name))
+                .then(|| format!("pool {}: {reserved} lanes reserved, more than it has", pool.name))
         })
 }
 
 fn name_rejection(what: &str, name: &str) -> Option<String> {
     if name.is_empty() {
-        return Some(format!("{what} name is empty"));
+        return Some(format!("the name of a {what} is empty"));
     }
     (name.len() > MAX_NAME_LENGTH)
-        .then(|| format!("{what} name has {} bytes, more than {MAX_NAME_LENGTH}", name.len()))
+        .then(|| format!("the name of a {what} has {} bytes, more than {MAX_NAME_LENGTH}", name.len()))
 }
 
 fn too_many(what: &str, count: usize, max: usize) -> Option<String> {
--- a/crates/platform/src/endpoint_events.rs
+++ b/crates/platform/src/endpoint_events.rs
@@ -57,7 +57,7 @@
         return Err(EndpointEventError::Records(payload.len()));
     }
     let endpoints = payload.chunks_exact(RECORD_LENGTH).map(decode_record).collect::<Result<Vec<_>, _>>()?;
-    Ok(EndpointEvent { number, kind: update_kind(kind == 1), endpoints: endpoints })
+    Ok(EndpointEvent { number, kind: update_kind(kind == 1), endpoints })
 }
 
 /// Decodes the valid records of an event that [`decode`] rejects. The result is never a full list, because an
@@ -146,11 +146,7 @@
     pub fn event(&self, kinds: &[String], zones: &[String]) -> Result<EndpointEvent, EndpointEventError> {
         let endpoints =
             self.topology.hosts.iter().map(|h| h.endpoint(kinds, zones)).collect::<Result<Vec<_>, _>>()?;
-        Ok(EndpointEvent {
-            number: self.offset,
-            kind: update_kind(self.topology.whole),
-            endpoints: endpoints,
-        })
+        Ok(EndpointEvent { number: self.offset, kind: update_kind(self.topology.whole), endpoints })
     }
 }
 
