--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -47,7 +47,7 @@
     link.run().await;
 }
 
-/// Why a connection end.
+/// Why a connection ended.
 enum ConnectionEnd {
     /// Closed in order, or the driver has exited.
     Finished,
--- a/crates/gateway/src/amqp/message.rs
+++ b/crates/gateway/src/amqp/message.rs
@@ -8,9 +8,9 @@
 //! A reply has the headers `outcome` (`served`, `refused`, `failed`) and `reason`, and a refusal also has
 //! `retry-after-ms`.
 //!
-//! In a is_fleet, the header `generation` names the generation of the function that a call is for. A call of a retired
+//! In a fleet, the header `generation` names the generation of the function that a call is for. A call of a retired
 //! function is answered with `retired-generation`, `retired-at` (milliseconds since 1970), `retired-reason` and, if
-//! configured, `successor`. In a divided is_fleet a refusal with `other-shard` has the headers `shard` and
+//! configured, `successor`. In a divided fleet a refusal with `other-shard` has the headers `shard` and
 //! `shard-generation` of the queue that the call belongs to.
 
 use crate::fleet::ClosedReason;
@@ -84,7 +84,7 @@
         .map(|ms| ms.checked_mul(1000));
     let publisher_time =
         || properties.timestamp().and_then(|s| i64::try_from(s).ok()?.checked_mul(1_000_000));
-    // A time at or before the epoch comes from a error clock and gives no waiting time.
+    // A time at or before the epoch comes from a wrong clock and gives no waiting time.
     stamped.flatten().or_else(|| Some(publisher_time()? + 500_000)).filter(|at| *at > 0)
 }
 
