--- a/crates/cluster-state/src/bounds.rs
+++ b/crates/cluster-state/src/bounds.rs
@@ -1,21 +1,21 @@
-//! Maximum sizes of the cluster state. Every replica rejects a command that exceeds one with the same reason.
+//! Maximum sizes of the cluster state. If a command exceeds one of them, every replica rejects it with the same reason.
 
 use crate::{ClusterState, Command, Member, MemberRun, Pool, PoolSize, Retirement, Tombstone};
 use std::collections::BTreeSet;
 
-/// Maximum names of members, present and left. Beyond it, the names that left longest ago are forgotten.
+/// Maximum number of names of members, present and left. Beyond it, the names that left longest ago are forgotten.
 pub const MAX_MEMBERS: usize = 4096;
-/// Maximum replaced runs that may still be in progress.
+/// Maximum number of replaced runs that may still be in progress.
 pub const MAX_REPLACED: usize = 1024;
-/// Maximum tombstones of retired functions.
+/// Maximum number of tombstones of retired functions.
 pub const MAX_TOMBSTONES: usize = 4096;
-/// Maximum pools of one fleet.
+/// Maximum number of pools of one fleet.
 pub const MAX_POOLS: usize = 256;
-/// Maximum function patterns of one pool, and maximum reservations of one pool.
+/// Maximum number of function patterns of one pool, and maximum number of its reservations.
 pub const MAX_PATTERNS: usize = 256;
-/// Maximum bytes of a name.
+/// Maximum length of a name in bytes.
 pub const MAX_NAME_LENGTH: usize = 256;
-/// Maximum bytes of a retirement's reason.
+/// Maximum length of a retirement's reason in bytes.
 pub const MAX_REASON_LENGTH: usize = 1024;
 /// Upper limit (exclusive) of the incarnation that a front end may present when joining. This or a higher value means that the
 /// front end's remembered incarnation is corrupt.
--- a/crates/cluster-state/src/inquiry.rs
+++ b/crates/cluster-state/src/inquiry.rs
@@ -4,17 +4,17 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Maximum messages in one inquiry.
+/// Maximum number of messages in one inquiry.
 pub const MAX_KEYS: usize = 256;
-/// Maximum open inquiries of one front end.
+/// Maximum number of open inquiries of one front end.
 pub const MAX_OPEN_INQUIRIES: usize = 64;
-/// How often an inquiry is sent again to the front ends that have not answered: they may be about to join.
+/// Interval at which an inquiry is sent again to the front ends that have not answered, as they may be about to join.
 const RETRY_INTERVAL: Micros = 100_000;
-/// How soon after the request a leader's list of members must arrive to be accepted. Added to the time for which a leader
-/// trusts its majority ([`crate::LeaseTerms::quorum`], 250 ms at least), it ends before another leader can be elected
-/// (400 ms).
+/// A leader's list of members is accepted only if it arrives within this time after the request. This time plus the time
+/// for which a leader trusts its majority ([`crate::LeaseTerms::quorum`], at least 250 ms) ends before another leader can
+/// be elected (400 ms).
 const MEMBERS_VALID_FOR: Micros = 100_000;
-/// When an open inquiry is discarded; its sender has given up by then.
+/// An open inquiry is discarded after this time; its sender has given up by then.
 const INQUIRY_TIMEOUT: Micros = 5_000_000;
 
 /// Identifies a message, by the properties that its caller set.
--- a/crates/cluster-state/src/lease.rs
+++ b/crates/cluster-state/src/lease.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Maximum reports awaiting a grant; the oldest is dropped beyond it.
+/// Maximum number of reports that await a grant. Beyond it, the oldest report is dropped.
 const MAX_OPEN_REPORTS: usize = 64;
 
 /// Snapshot of the cluster status that a front end's driver reads without blocking.
@@ -16,7 +16,7 @@
     pub fresh_until: Micros,
     /// Permits in addition to the guaranteed minimums, by pool and tenant.
     pub permits: Arc<BTreeMap<(String, String), u32>>,
-    /// When those permits expire, by this process's clock; [`Micros::MIN`] before the first grant.
+    /// When `permits` expire, by this process's clock; [`Micros::MIN`] before the first grant.
     pub permits_until: Micros,
     /// The number of the grant that contained the permits; 0 before the first grant.
     pub permits_grant: u64,
@@ -36,7 +36,7 @@
     sent_at: Micros,
 }
 
-/// Tracks the leases of a front end, each counted from when it was requested.
+/// Tracks the leases of a front end. Each lease is counted from the time at which its report was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     terms: LeaseTerms,
@@ -73,16 +73,16 @@
         number
     }
 
-    /// Handles a received view, and returns whether it is newer than the present one. An older view is ignored.
+    /// Stores a received view if it is newer than the present one, and returns whether it is. Any other view is ignored.
     pub fn on_view(&mut self, view: ClusterView) -> bool {
-        let newer = view.version > self.status.view.version;
-        if newer {
+        let is_newer = view.version > self.status.view.version;
+        if is_newer {
             self.status.view = Arc::new(view);
         }
-        newer
+        is_newer
     }
 
-    /// Handles a grant, and returns whether it answers a pending report. Any other grant is ignored.
+    /// Applies a grant if it answers a report that awaits one, and returns whether it does. Any other grant is ignored.
     pub fn on_grant(&mut self, grant: Grant) -> bool {
         let Some(index) = self.sent.iter().position(|report| report.number == grant.number) else {
             return false;
--- a/crates/cluster-state/src/state.rs
+++ b/crates/cluster-state/src/state.rs
@@ -47,7 +47,7 @@
     Proposed,
     /// No front end can serve the function any more, except those in `but_for`.
     InForce {
-        /// Runs that have not confirmed the retirement and may still serve the function.
+        /// Runs that may still serve the function because they have not confirmed the retirement.
         but_for: BTreeSet<Member>,
     },
 }
@@ -129,7 +129,7 @@
         function: String,
         /// The retired generation of that function.
         generation: u32,
-        /// Runs that have not confirmed the retirement and may still serve the function.
+        /// Runs that may still serve the function because they have not confirmed the retirement.
         but_for: BTreeSet<Member>,
     },
     /// Removes a tombstone that is no longer needed.
--- a/crates/cluster-state/src/wire.rs
+++ b/crates/cluster-state/src/wire.rs
@@ -62,7 +62,7 @@
     /// The version of the view that this front end has applied: it serves no call to a function retired by that view,
     /// and has no such call in progress.
     pub confirmed: Version,
-    /// Capacity of the ready workers that it knows, for pools sized by workers.
+    /// Capacity of the ready workers that this front end knows, for pools sized by workers.
     pub ready_capacity: u32,
     /// Permits in use and requested, by pool and tenant.
     pub demand: Vec<Demand>,
--- a/crates/consensus/src/replica/messages.rs
+++ b/crates/consensus/src/replica/messages.rs
@@ -56,8 +56,8 @@
     pub is_new: bool,
     /// Whether the replica votes and follows leaders.
     pub is_participating: bool,
-    /// The highest term that it knows.
+    /// The highest term that the replica knows.
     pub term: u64,
-    /// Whether the requesting replica is a voter in the membership known here.
+    /// Whether the requesting replica is a voter in the membership that the reporting replica knows.
     pub is_voter: bool,
 }
--- a/crates/consensus/src/replica/participation.rs
+++ b/crates/consensus/src/replica/participation.rs
@@ -19,9 +19,10 @@
 /// Whether a replica takes part in elections and replication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It is not known yet what was lost.
+    /// It is not known yet whether the replica lost its vote and log, or up to which term.
     Undecided,
     Returning {
+        /// Upper bound of the terms in which the replica participated before it lost its store.
         bound: u64,
     },
     Open,
--- a/crates/core/src/policy/loading.rs
+++ b/crates/core/src/policy/loading.rs
@@ -8,7 +8,7 @@
 use super::FrontEnd;
 use crate::interface::*;
 
-/// A worker that rejects a load for lack of capacity is not used for this part of the shortest latency objective.
+/// A worker that rejects a load for lack of capacity is not used for the shortest latency objective divided by this.
 const FULL_PAUSE_DIVISOR: Micros = 8;
 /// Default run time of a class without observed runs: its latency objective divided by this.
 const DEFAULT_RUN_DIVISOR: f64 = 4.0;
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Returns the worker at which a load would serve a request soonest. Workers with slow-start capacity come first, as the
-    /// request can't use a copy at a warming worker without it.
+    /// Returns the worker at which a load would serve a request soonest. Workers with slow-start capacity come first, as
+    /// the request can't use a copy at a warming worker that has no slow-start capacity left.
     fn worker_for_load(&self, function: FunctionId, request: RequestId, now: Micros) -> Option<usize> {
         let call = self.pending.get(&request)?;
         let load_time = self.load_time(function);
--- a/crates/core/src/policy/outliers.rs
+++ b/crates/core/src/policy/outliers.rs
@@ -7,7 +7,7 @@
 use crate::interface::*;
 use std::collections::BTreeMap;
 
-/// Maximum cost of health checks, as a part of the result.
+/// Upper bound of the total price of health checks, as a fraction of the value of the arriving requests.
 const MAX_HEALTH_CHECK_COST: f64 = 0.004;
 /// A worker is ejected if its error rate exceeds the mean of all workers by this multiple of the moving average's gain.
 const EJECTION_ERROR_GAINS: f64 = 2.0;
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -16,8 +16,8 @@
 pub(super) struct FleetHealth {
     /// Number of workers that are ready for requests.
     pub ready: usize,
-    /// Whether most of them are ejected. The ejections are then ignored, as a false judgement is likelier than so many
-    /// faulty workers.
+    /// Whether most of the ready workers are ejected. The ejections are then ignored, because wrong ejections are likelier
+    /// than so many faulty workers.
     pub ignore_ejections: bool,
 }
 
--- a/crates/core/src/policy/prediction.rs
+++ b/crates/core/src/policy/prediction.rs
@@ -16,7 +16,7 @@
 pub(super) const MAX_STRETCH: f64 = 3.0;
 /// Placement bias towards the workers ranked first for a function, in multiples of the load time.
 const RANK_BIAS: f64 = 0.3;
-/// Chance that a copy was evicted after it was unused for the minimum retention time.
+/// Assumed chance that a copy has been evicted once it has been unused for the minimum retention time.
 pub(super) const COPY_LOSS_RISK: f64 = 0.3;
 /// Maximum random cost, in microseconds, that makes front ends choose differently between equal workers.
 const MAX_JITTER: f64 = 1000.0;
@@ -26,7 +26,8 @@
 
 pub(super) struct Prediction {
     pub finish: Micros,
-    /// Finish time plus penalties for zones, possible requests of others and placement; the choice minimises it.
+    /// Finish time plus penalties for a possible miss, for requests that other front ends may have sent, for another
+    /// zone and for placement, and a small random cost. The worker with the lowest cost is chosen.
     pub cost: f64,
     /// Run time under the worker's contention relative to an uncontended run.
     pub slowdown: f64,
@@ -74,9 +75,10 @@
 }
 
 impl FrontEnd {
-    /// Returns the estimated number of other front ends' requests at a worker: the reported one, else the number if each
-    /// of them sent what this front end sent recently, so that each spreads its requests as the fleet needs. The cost
-    /// uses the full estimate, the predicted finish a capped one.
+    /// Returns the estimated number of other front ends' requests at a worker: the number reported recently, else an
+    /// estimate which assumes that each other front end sent as much as this one did recently. With that estimate each
+    /// front end spreads its requests as the whole fleet needs. The cost uses the full estimate, and the predicted finish
+    /// a capped one.
     pub(super) fn other_requests(&self, worker: &Worker, now: Micros) -> OtherRequests {
         let estimates = &worker.estimates;
         let is_recent = now - estimates.other_requests_at < self.shortest_objective;
@@ -115,7 +117,7 @@
             if copy.is_some() { 0 } else { (load_time * (1.0 - preference.copy_chance())) as Micros };
         // If a miss is only answered and starts no load, the risk that a preferred worker lacks the copy raises the
         // cost but not the predicted finish. Otherwise a front end with few observations would reject, without an
-        // attempt, requests for functions that others have loaded. Could harm by more misses.
+        // attempt, requests for functions that others have loaded. Could harm because more misses occur.
         let may_miss = self.settings.on_miss == OnMiss::Miss && preference.copy_chance() > 0.0;
         let miss_penalty = if may_miss { load_wait } else { 0 };
         let copy_ready = copy.map_or(now + load_wait - miss_penalty, |copy| copy.ready_at.max(now));
@@ -147,15 +149,15 @@
         }
     }
 
-    /// Returns the cost of a request to another zone, in microseconds.
+    /// Returns the cost of sending a request to another zone, in microseconds; 0 within the front end's zone.
     fn zone_cost(&self, worker: &Worker, class: u16) -> f64 {
         let is_other_zone = u32::from(worker.endpoint.zone) != self.settings.zone;
         let objective = self.settings.classes[class as usize].latency_objective as f64;
         f64::from(u8::from(is_other_zone)) * self.settings.price_cross_zone * objective
     }
 
-    /// Returns the cost that biases placement: on workers that are not preferred, low ranks and recently used copies cost
-    /// less.
+    /// Returns the cost that biases placement: 0 at a preferred worker. At any other worker it decreases with a lower rank
+    /// and a more recently used copy.
     fn affinity_cost(
         &self,
         worker: &Worker,
@@ -181,8 +183,8 @@
     concurrency * copy.map_or(1, |copy| copy.copies.max(1)) as usize
 }
 
-/// Returns when one of the `slots` is free of this front end's `own` requests for the function; the minimum time if
-/// one is free now.
+/// Returns when this front end's `own_requests` for the function leave one of the `slots` free; `Micros::MIN` if one
+/// is free now.
 fn start_of_free_slot(worker: &Worker, function: FunctionId, own_requests: usize, slots: usize) -> Micros {
     if own_requests < slots {
         return Micros::MIN;
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -13,8 +13,8 @@
 }
 
 impl FrontEnd {
-    /// Rule 2: whether another attempt may be sent. Without hedging none may be in flight, and unless the class is
-    /// idempotent none may have run.
+    /// Rule 2: whether another attempt may be sent. Without hedging, no attempt may be in flight. If an attempt may have
+    /// run, the class must be idempotent, or be idempotent with a key whose deduplication window has not elapsed.
     pub(super) fn may_send_again(&self, id: RequestId, now: Micros) -> bool {
         let Some(call) = self.pending.get(&id) else { return false };
         let is_forbidden_hedge = !self.settings.hedging && call.has_attempt_in_flight();
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -7,8 +7,8 @@
 use crate::interface::*;
 
 impl FrontEnd {
-    /// Returns the minimum share of its capacity that a worker has, as configured for its time since the start; 1 if it is
-    /// established.
+    /// Returns the share of its capacity that a warming worker has at least, as configured for the time since it began to
+    /// warm up; 1 for an established worker.
     pub(super) fn capacity_share(&self, worker: &Worker, now: Micros) -> f64 {
         let start = self.settings.start_capacity;
         let warm_up = self.settings.warm_up.max(1) as f64;
@@ -27,8 +27,8 @@
     /// Rule 4: whether a warming worker may get the request. In each slot of the configured window it gets at most the
     /// configured share and multiple of the work that established workers serve for this front end, so that the sum over
     /// all front ends stays below its capacity. The limit uses work served, not work sent; without established workers it
-    /// uses the work that arrives. A limit below one request becomes a probability, drawn for each slot. Could harm as new
-    /// workers are used late.
+    /// uses the work that arrives. A limit below one request becomes a probability, drawn for each slot. Could harm because
+    /// new workers are used late.
     pub(super) fn has_slow_start_capacity(&self, index: usize, call: &PendingCall, now: Micros) -> bool {
         let worker = &self.workers[index];
         if worker.warming_since.is_none() {
--- a/crates/core/src/policy/worker_search.rs
+++ b/crates/core/src/policy/worker_search.rs
@@ -11,7 +11,8 @@
 use super::FrontEnd;
 use crate::interface::*;
 
-/// The best predictions found, by whether a copy is expected and whether the worker has capacity.
+/// The best predictions found, by whether the request would need a load and whether the worker has capacity. At a
+/// preferred worker a request counts as needing no load.
 #[derive(Default)]
 pub(super) struct Candidates {
     pub copy_with_capacity: Option<Prediction>,
--- a/crates/core/src/wire/decode.rs
+++ b/crates/core/src/wire/decode.rs
@@ -58,7 +58,7 @@
 /// Reads and checks the header of a frame.
 ///
 /// # Errors
-/// Returns an error if the length or the count of records is impossible.
+/// Returns an error if the length or the count of records is out of range.
 pub fn batch_header(header: &[u8; BATCH_HEADER_SIZE]) -> Result<BatchHeader, WireError> {
     let length = u32_at(header, 8) as usize;
     let count = u32_at(header, 12) as usize;
--- a/crates/core/src/wire/error.rs
+++ b/crates/core/src/wire/error.rs
@@ -7,16 +7,16 @@
     #[error("unknown outcome")]
     Outcome,
     /// Unknown code of the kind of an endpoint update.
-    #[error("unknown kind {0}")]
+    #[error("unknown kind {0} of endpoint update")]
     UpdateKind(u8),
     /// An event refers to an endpoint list that was never received.
-    #[error("list {0} unknown")]
+    #[error("endpoint list {0} was never received")]
     List(u8),
     /// Unknown code of a worker's state.
-    #[error("unknown state {0} in an entry")]
+    #[error("unknown worker state {0} in an endpoint list")]
     Lifecycle(u8),
     /// The settings are not valid UTF-8.
-    #[error("settings are no text")]
+    #[error("the settings are not valid UTF-8")]
     SettingsText,
 }
 
@@ -24,32 +24,32 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingError {
     /// Not a finite number of 0 or more.
-    #[error("is not a number of nought or more")]
+    #[error("is not a finite number of at least 0")]
     Number,
     /// Neither true nor false.
     #[error("is neither true nor false")]
     Flag,
     /// A count larger than any deployment could have.
-    #[error("is absurd")]
+    #[error("is greater than the maximum value")]
     Count,
     /// The setting is required.
-    #[error("is missing or nought")]
+    #[error("is missing or 0")]
     Missing,
     /// Not one of the known words.
-    #[error("is unknown")]
+    #[error("has an unknown value")]
     Word,
     /// The value must be above 0.
-    #[error("must be above nought")]
+    #[error("must be greater than 0")]
     NotPositive,
     /// Not a list of finite numbers of 0 or more.
-    #[error("is not a list of numbers")]
+    #[error("is not a list of finite numbers of at least 0")]
     NumberList,
 }
 
 /// An error in a frame or in the settings. Positions are byte offsets from the start of the frame.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// The header declares an impossible frame length.
+    /// The header declares a frame length that is out of range.
     #[error("batch header: length {length} at byte 8 is out of range")]
     FrameLength {
         /// The length.
@@ -58,21 +58,21 @@
     /// The header declares more records than the frame can hold.
     #[error("batch header: {count} records at byte 12 do not fit in {length} bytes")]
     RecordCount {
-        /// Records by the header.
+        /// Number of records declared in the header.
         count: usize,
         /// Length of the frame.
         length: usize,
     },
     /// The frame ends before the last of its records.
-    #[error("frame cut off: {count} records announced, {available} bytes here")]
+    #[error("frame is truncated: its header declares {count} records, but only {available} bytes follow the header")]
     Truncated {
-        /// Records by the header.
+        /// Number of records declared in the header.
         count: usize,
         /// Bytes available after the header.
         available: usize,
     },
     /// A record refers to bytes beyond the frame's tail.
-    #[error("event code {code} at byte {position}: tail offset {offset}+{length} past {available} bytes")]
+    #[error("event code {code} at byte {position}: {length} units at tail offset {offset} extend past the tail of {available} bytes")]
     TailRange {
         /// Code of the event.
         code: u8,
--- a/crates/core/src/wire/settings.rs
+++ b/crates/core/src/wire/settings.rs
@@ -5,7 +5,7 @@
 use crate::interface::*;
 use std::collections::HashMap;
 
-/// Maximum number of classes or tenants.
+/// Maximum number of front ends, of classes and of tenants, and maximum zone number.
 const MAX_COUNT: f64 = 65_536.0;
 /// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: f64 = 60_000.0;
--- a/crates/core/tests/wire.rs
+++ b/crates/core/tests/wire.rs
@@ -139,10 +139,10 @@
 fn errors_of_malformed_frames_name_the_field() {
     let fail = |body: &[u8], n| decode(body, n, &mut EndpointLists::default()).unwrap_err().to_string();
     assert!(fail(&event("c8 0003"), 1).contains("unknown event code 200 at byte 16"));
-    assert!(fail(&event("46 0003"), 2).contains("cut off"));
+    assert!(fail(&event("46 0003"), 2).contains("frame is truncated"));
     assert!(fail(&event("78 00 00000000 ffffffff"), 1).contains("past"));
     assert!(fail(&event("5a 0003 00000002 ffffffff ffffffff"), 1).contains("code 90"));
-    assert!(fail(&event("14 0003 05 00000029 02"), 1).contains("list 5 unknown"));
+    assert!(fail(&event("14 0003 05 00000029 02"), 1).contains("endpoint list 5 was never received"));
 }
 
 #[test]
--- a/crates/intent-log/src/store.rs
+++ b/crates/intent-log/src/store.rs
@@ -194,7 +194,8 @@
         self.run.map(|_| LastRun { run: self.current_number, commits: self.commits })
     }
 
-    /// Returns whether an empty commit would have work: expired intents to drop, or a failed database to reopen.
+    /// Returns whether a commit is due even without new intents: to reopen a failed database, to drop expired intents of
+    /// this run or of former runs, or to remove the flag of a file with missing intents after the retention time.
     pub fn is_due(&self, now: Micros) -> bool {
         let is_first_due =
             |queue: &VecDeque<Expiring>| queue.front().is_some_and(|expiring| expiring.at <= now);
--- a/crates/sharding/src/division.rs
+++ b/crates/sharding/src/division.rs
@@ -23,15 +23,15 @@
     TooFewFrontEnds { shards: u32, front_ends: u32, max: u32 },
     #[error("shard {shard} of {shards}")]
     UnknownShard { shard: Shard, shards: u32 },
-    #[error("weight {weight} of shard {shard}, not 1 to {MAX_SHARD_WEIGHT}")]
+    #[error("weight {weight} of shard {shard} is not between 1 and {MAX_SHARD_WEIGHT}")]
     BadWeight { shard: Shard, weight: u32 },
     #[error("front end {rank} of {of} owns no shard")]
     NoOwnedShards { rank: u32, of: u32 },
-    #[error("function {name} spread over {spread} of {shards} shards")]
+    #[error("function {name} cannot be spread over {spread} of {shards} shards")]
     BadSpread { name: String, spread: u32, shards: u32 },
     #[error("function {name} is declared twice")]
     DuplicateFunction { name: String },
-    #[error("{configured} functions with configured traffic are more than the maximum {max}")]
+    #[error("traffic is configured for {configured} functions, more than the maximum {max}")]
     TooManyHotFunctions { configured: usize, max: usize },
     #[error("generation {new} isn't greater than {old}")]
     GenerationNotIncreasing { new: u32, old: u32 },
--- a/crates/sharding/src/transition.rs
+++ b/crates/sharding/src/transition.rs
@@ -39,8 +39,8 @@
     }
 
     /// Applies rows of the list, a full snapshot or a delta; `is_in_subset` returns whether a worker is in the subset.
-    /// Workers outside of the subset aren't stored unless they drain here, so the table holds at most the subset
-    /// and the workers that left it recently.
+    /// Workers outside of the subset are stored only while they are reported as draining, so the table holds at
+    /// most the subset and the workers that left it recently.
     pub fn apply_list(
         &mut self,
         update: EndpointUpdate,
