--- a/crates/cluster-state/src/allocation/account.rs
+++ b/crates/cluster-state/src/allocation/account.rs
@@ -4,7 +4,7 @@
 use crate::{Micros, PermitGrant, Report, Version};
 use std::collections::BTreeMap;
 
-/// Maximum outstanding grants of one member; beyond it the two oldest are merged into one.
+/// Maximum number of outstanding grants of one member; beyond it the two oldest are merged into one.
 const MAX_OUTSTANDING_GRANTS: usize = 64;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/core/src/policy/confirmation.rs
+++ b/crates/core/src/policy/confirmation.rs
@@ -29,15 +29,15 @@
 /// The confirmation state of a worker.
 #[derive(Default)]
 pub(super) struct Confirmation {
-    /// Send time of the latest check or attempt that shows that it accepts work; 0 if there is none.
+    /// Send time of the latest check or attempt that shows that the worker accepts work; 0 if there is none.
     pub confirmed_at: Micros,
     /// When the check in progress started.
     pub check_started_at: Option<Micros>,
-    /// Number of consecutive checks that it failed or left unanswered.
+    /// Number of consecutive checks that the worker failed or left unanswered.
     pub failures: u32,
-    /// When it failed the first of them.
+    /// When the worker failed the first of these checks.
     pub failing_since: Micros,
-    /// It is not checked again before this time.
+    /// The worker is not checked again before this time.
     pub next_check_at: Micros,
     /// Start of the current period with at least one open connection.
     pub connected_since: Option<Micros>,
--- a/crates/core/src/policy/estimates.rs
+++ b/crates/core/src/policy/estimates.rs
@@ -32,7 +32,7 @@
     /// Run time on this worker relative to the usual run time.
     pub slowdown: f64,
     pub slowdown_at: Micros,
-    /// Number of other front ends' requests here, from the worker's load reports.
+    /// Number of other front ends' requests at the worker, from its load reports.
     pub other_requests: Option<f64>,
     pub other_requests_at: Micros,
     /// Moving average of the fraction of answers that are errors.
--- a/crates/core/src/policy/intake.rs
+++ b/crates/core/src/policy/intake.rs
@@ -6,7 +6,8 @@
 use super::FrontEnd;
 use crate::interface::*;
 
-/// A deadline is moved forward by this many clock ticks, but at most by this part of the request's time budget.
+/// A request's deadline is earlier than the end of its time budget by this many clock ticks, but at most by its time
+/// budget divided by `MAX_DEADLINE_MARGIN_DIVISOR`.
 const DEADLINE_MARGIN_TICKS: Micros = 2;
 const MAX_DEADLINE_MARGIN_DIVISOR: Micros = 4;
 /// Maximum concurrency that is assumed for one copy.
--- a/crates/core/src/policy/learning.rs
+++ b/crates/core/src/policy/learning.rs
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Updates the fraction of preferred workers that had a copy which was not known.
+    /// Updates the fraction of the requests sent to preferred workers that found a copy which this front end did not know
+    /// of.
     fn record_preferred_hit(&mut self, attempt: &Attempt, end: &AttemptEnd) {
         if attempt.predicted.at_preferred_worker && matches!(end.outcome, Outcome::Ok | Miss) {
             let found_copy = end.outcome == Outcome::Ok && end.copy.state <= CopyReport::LOADED;
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -1,5 +1,6 @@
 //! The decision module: makes every routing decision of one front end. It follows Clockwork (Gujarati et al., OSDI
-//! 2020): it predicts when a request would finish on each worker, sends it to the earliest, or rejects it.
+//! 2020): it predicts when a request would finish on each worker, sends it to the worker with the earliest
+//! finish, or rejects it.
 //!
 //! | module | decides or holds |
 //! | --- | --- |
--- a/crates/core/src/policy/preferred_workers.rs
+++ b/crates/core/src/policy/preferred_workers.rs
@@ -9,7 +9,7 @@
 /// Part of a worker's capacity, or of a copy's concurrency, that the fleet's demand for a function uses at each of its
 /// preferred workers.
 const PREFERRED_FILL: f64 = 0.5;
-/// Run time of a function of which nothing is known, as a fraction of the shortest latency objective.
+/// Assumed run time of a function about which nothing is known: the shortest latency objective divided by this.
 const DEFAULT_RUN_DIVISOR: f64 = 4.0;
 
 /// Whether a worker is a preferred one of a function.
@@ -33,8 +33,8 @@
 }
 
 impl FrontEnd {
-    /// Returns the fleet's demand for a function in concurrent calls, without the call being placed. Covers many front
-    /// ends with little traffic each; could harm while popularity changes.
+    /// Returns the fleet's demand for a function in concurrent calls, excluding the call that is being placed. Covers
+    /// many front ends with little traffic each; could harm while popularity changes.
     pub(super) fn fleet_demand(&self, function: &Function, now: Micros) -> f64 {
         let time_constant = 2 * self.settings.idle_retention.max(1);
         let calls = (function.recent_calls.at(now, time_constant) - 1.0).max(0.0);
--- a/crates/core/src/policy/ranking.rs
+++ b/crates/core/src/policy/ranking.rs
@@ -23,9 +23,9 @@
 pub(super) struct Ranking {
     /// The `ranking_version` at the time of the ranking; 0 if never ranked.
     version: u64,
-    /// Number of first ranks that the stored ones were sampled from.
+    /// Number of first ranks from which the stored ranks were sampled.
     depth: usize,
-    /// Fraction of these ranks that is stored.
+    /// Fraction of these first ranks that is stored.
     pub stored_fraction: f64,
 }
 
@@ -101,7 +101,7 @@
 struct Ranked {
     /// Worker indices in rank order.
     workers: Vec<u32>,
-    /// Number of first ranks that they were sampled from.
+    /// Number of first ranks from which the workers were sampled.
     sampled_from: usize,
 }
 
--- a/crates/core/src/policy/shedding.rs
+++ b/crates/core/src/policy/shedding.rs
@@ -6,7 +6,7 @@
 use super::FrontEnd;
 use crate::interface::*;
 
-/// Number of queued requests that are examined: if another one among them can still meet its objective, it comes first.
+/// Number of queued requests that are searched for another one that can still meet its objective; it then comes first.
 const LOOKAHEAD: usize = 2;
 /// The advised retry time is drawn from 0.5 to 1.5 times the time in which the queue drains.
 const MIN_RETRY_AFTER_FACTOR: f64 = 0.5;
--- a/crates/core/src/policy/worker.rs
+++ b/crates/core/src/policy/worker.rs
@@ -17,7 +17,7 @@
     pub relative_work: f64,
     pub sent_at: Micros,
     pub predicted: Prediction,
-    /// Whether its being overdue has already been handled.
+    /// Whether the attempt was already handled as overdue.
     pub overdue_handled: bool,
 }
 
@@ -45,7 +45,7 @@
     pub in_flight: Vec<Attempt>,
     /// When it was last health-checked.
     pub checked_at: Micros,
-    /// Mean number of this front end's requests in flight here recently.
+    /// Recent mean number of this front end's requests in flight at the worker.
     pub recent_load: DecayingSum,
     pub attempts: AttemptCounter,
     pub estimates: Estimates,
@@ -64,7 +64,7 @@
         self.recent_load.value * decay(2 * (now - self.recent_load.updated_at), idle_retention)
     }
 
-    /// Returns the number of this front end's requests for a function in flight here.
+    /// Returns the number of this front end's requests for a function in flight at the worker.
     pub fn in_flight_of(&self, function: FunctionId) -> usize {
         self.in_flight.iter().filter(|attempt| attempt.function == function).count()
     }
