--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -82,7 +82,7 @@
         Ok(running) => running,
         Err(e) => return fail(&e),
     };
-    tracing::info!(front_ends = config.front_ends, metrics = ?running.metrics, "serving");
+    tracing::info!(front_ends = config.front_ends, metrics = ?running.metrics, "front ends started");
     let exited_unexpectedly = runtime.block_on(async {
         let mut exit_check = tokio::time::interval(Duration::from_millis(200));
         loop {
--- a/crates/consensus/src/replica/membership.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -39,7 +39,7 @@
         let changed = timeout(CHANGE_TIMEOUT, change(&raft, &present, &told)).await;
         match changed {
             Ok(Ok(())) => {
-                tracing::info!(target: "stagehoist_consensus", event = "membership", ?told, "changed")
+                tracing::info!(target: "stagehoist_consensus", event = "membership", ?told, "membership of keepers changed")
             }
             Ok(Err(why)) => {
                 tracing::warn!(target: "stagehoist_consensus", event = "membership", why, "membership change failed")
--- a/crates/consensus/src/replica/service_state.rs
+++ b/crates/consensus/src/replica/service_state.rs
@@ -123,7 +123,7 @@
                 Some(limits) => leadership.with_allocation(limits),
                 None => leadership,
             });
-            tracing::info!(target: "stagehoist_consensus", event = "leading", keeper = self.context.number, term,
+            tracing::info!(target: "stagehoist_consensus", event = "leadership gained", keeper = self.context.number, term,
                 "leading");
         }
     }
@@ -179,7 +179,7 @@
             self.close(old, "replaced by a new connection of the same front end");
         }
         tracing::info!(target: "stagehoist_consensus", event = "session", name = %member.name,
-            incarnation = member.incarnation, "joined");
+            incarnation = member.incarnation, "front end joined");
         let mut before = None;
         if let Some(state) = self.connections.get_mut(&connection) {
             state.member = Some(member.clone());
--- a/crates/consensus/src/replica/service_state/output.rs
+++ b/crates/consensus/src/replica/service_state/output.rs
@@ -68,7 +68,7 @@
                 self.by_name.remove(&member.name);
             }
             tracing::info!(target: "stagehoist_consensus", event = "session", name = %member.name,
-                incarnation = member.incarnation, why, "left");
+                incarnation = member.incarnation, why, "session closed");
         }
     }
 }
--- a/crates/consensus/src/replica/service_state/retirements.rs
+++ b/crates/consensus/src/replica/service_state/retirements.rs
@@ -13,7 +13,7 @@
             return self.reject_retirement(connection, retirement, "the cluster state is full");
         }
         tracing::info!(target: "stagehoist_consensus", event = "retirement", function = %retirement.function,
-            generation = retirement.generation, "proposed");
+            generation = retirement.generation, "retirement proposed");
         self.propose(Proposer::Retire(connection), Command::Retire(retirement));
     }
 
@@ -38,7 +38,7 @@
     /// Notifies the front end that its retirement is rejected permanently.
     fn send_retirement_rejected(&mut self, connection: u64, retirement: Retirement, why: String) {
         tracing::warn!(target: "stagehoist_consensus", event = "retirement", function = %retirement.function,
-            generation = retirement.generation, why, "refused");
+            generation = retirement.generation, why, "retirement rejected");
         let (function, generation) = (retirement.function, retirement.generation);
         self.send(connection, &SessionResponse::RetirementRejected { function, generation, reason: why });
     }
--- a/crates/consensus/src/session.rs
+++ b/crates/consensus/src/session.rs
@@ -179,7 +179,7 @@
             Some(SessionResponse::Elsewhere { leader }) => Err(ConnectionEnd::Elsewhere(leader)),
             Some(SessionResponse::Rejected { reason: why }) => {
                 tracing::error!(target: "stagehoist_consensus", event = "session", name = %self.client.name,
-                    why, "refused");
+                    why, "session rejected by the leader");
                 Err(ConnectionEnd::Refused)
             }
             _ => Err(ConnectionEnd::Broken),
--- a/crates/consensus/src/session/exchange.rs
+++ b/crates/consensus/src/session/exchange.rs
@@ -109,7 +109,7 @@
             Some(SessionResponse::RetirementRejected { function, generation, reason }) => {
                 self.retirements.on_rejected(&function, generation);
                 tracing::error!(target: "stagehoist_consensus", event = "retirement",
-                    name = %self.client.name, function, generation, why = reason, "retirement rejected");
+                    name = %self.client.name, function, generation, why = reason, "retirement rejected by the leader");
             }
             Some(SessionResponse::Elsewhere { leader }) => return Some(ConnectionEnd::Elsewhere(leader)),
             Some(SessionResponse::Rejected { .. }) => return Some(ConnectionEnd::Refused),
--- a/crates/gateway/src/amqp/front/consuming.rs
+++ b/crates/gateway/src/amqp/front/consuming.rs
@@ -18,7 +18,8 @@
         }
     }
 
-    /// Requests the depth of queues that have not been seen empty for a while, and adjusts the prefetch window.
+    /// Requests the depth of each consumed queue that has not been seen empty for [`DEPTH_REQUEST_INTERVAL`], at most once
+    /// in this time, and sends the broker a new prefetch count if the window requires one.
     pub(super) fn check_queues(&mut self, now: Micros) {
         if self.phase != Phase::Ready || self.draining {
             return;
@@ -115,8 +116,10 @@
                 ClientEvent::Blocked(blocked) => {
                     tracing::warn!(blocked, "broker blocked or unblocked publishing")
                 }
-                ClientEvent::Closed { code, text } => tracing::info!(code, text, "connection closed"),
-                ClientEvent::Failed(fault) => tracing::warn!(%fault, "connection failed"),
+                ClientEvent::Closed { code, text } => {
+                    tracing::info!(code, text, "connection to broker closed")
+                }
+                ClientEvent::Failed(fault) => tracing::warn!(%fault, "connection to broker failed"),
             }
         }
     }
--- a/crates/gateway/src/amqp/front/deliveries.rs
+++ b/crates/gateway/src/amqp/front/deliveries.rs
@@ -150,7 +150,7 @@
                 tracing::info!(
                     correlation,
                     doubtful,
-                    "redelivered message acknowledged: its reply was already sent"
+                    "redelivered message acknowledged without a second reply: its reply was already sent, or, if doubtful, may have been sent"
                 );
                 self.ack(delivery.tag);
             }
@@ -231,7 +231,7 @@
                 let reason = invalid.reason();
                 if !may_have_run {
                     self.counters.refused_invalid += 1;
-                    tracing::info!(correlation, reason, wrong = %invalid, "message refused: not a valid call");
+                    tracing::info!(correlation, reason, wrong = %invalid, "message rejected: not a valid call");
                 }
                 return Some(Answer::Refused { reason, retry_after: 0 });
             }
@@ -253,7 +253,7 @@
                 correlation,
                 ?home,
                 reason = OTHER_SHARD,
-                "message refused: function belongs to another shard"
+                "message rejected: function belongs to another shard"
             );
         }
         Some(Answer::Refused { reason: OTHER_SHARD, retry_after: 0 })
--- a/crates/gateway/src/amqp/front/inquiries.rs
+++ b/crates/gateway/src/amqp/front/inquiries.rs
@@ -111,7 +111,7 @@
                     ticket,
                     ?told,
                     member = &**member,
-                    "redelivered message failed: it may have run"
+                    "redelivered message failed: its call may have run"
                 );
                 self.fail_unknown(ticket, now);
             }
@@ -121,7 +121,7 @@
                 tracing::info!(
                     ticket,
                     waited_us = now - since,
-                    "redelivered message runs: no member has sent it"
+                    "redelivered message accepted: no member has sent an attempt for it"
                 );
                 // The time spent waiting is deducted from its budget, which counts from now on.
                 let budget = arrival.budget - (now - since);
--- a/crates/gateway/src/amqp/front/queues.rs
+++ b/crates/gateway/src/amqp/front/queues.rs
@@ -115,7 +115,7 @@
         {
             self.phase = Phase::Ready;
             self.backoff.reset();
-            tracing::info!("consuming");
+            tracing::info!("consuming from all queues");
         }
     }
 
--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -76,7 +76,7 @@
             let Some(stream) = self.connect(&broker.address).await else { return };
             match stream {
                 Ok(stream) => {
-                    tracing::info!(broker = broker.address, "connected");
+                    tracing::info!(broker = broker.address, "connected to broker");
                     self.front.on_connected(broker, self.clock.now());
                     if self.draining {
                         self.front.drain();
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -232,7 +232,7 @@
     }
 
     fn begin_drain(&mut self) {
-        tracing::info!(unanswered = self.core.unanswered(), "draining");
+        tracing::info!(unanswered = self.core.unanswered(), "draining front end");
         let delay = self.transport.drain();
         self.drain_by = Some(self.clock.now() - delay + self.max_drain);
     }
@@ -300,7 +300,7 @@
         let is_done = self.transport.is_drained() && self.core.unanswered() == 0;
         let is_late = self.clock.now() >= drain_by;
         if is_late && !is_done {
-            tracing::warn!(unanswered = self.core.unanswered(), "drain timed out");
+            tracing::warn!(unanswered = self.core.unanswered(), "drain of front end timed out");
             if self.transport.answers_remaining() {
                 self.core.answer_remaining(self.clock.now(), &mut self.commands);
                 self.execute_commands();
--- a/crates/gateway/src/fleet/membership.rs
+++ b/crates/gateway/src/fleet/membership.rs
@@ -131,7 +131,7 @@
             let in_force = matches!(tombstone.state, TombstoneState::InForce { .. });
             if self.logged.insert(name.clone(), (generation, in_force)) != Some((generation, in_force)) {
                 let state = if in_force { "in-force" } else { "proposed" };
-                tracing::info!(function = name, generation, state, "retired");
+                tracing::info!(function = name, generation, state, "state of function retirement changed");
             }
         }
     }
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -93,7 +93,7 @@
 pub fn publish_report(session: &watch::Sender<SessionReport>, report: SessionReport) {
     session.send_if_modified(|last| {
         if last.confirmed != report.confirmed {
-            tracing::info!(version = report.confirmed, "confirmed");
+            tracing::info!(version = report.confirmed, "version of the cluster view confirmed");
         }
         let is_changed = *last != report;
         *last = report;
--- a/crates/gateway/src/fleet/recovery.rs
+++ b/crates/gateway/src/fleet/recovery.rs
@@ -80,7 +80,7 @@
             tracing::info!(
                 stage = "open",
                 why = "the last run shut down in order, or there was none",
-                "recovery"
+                "recovery phase set at start"
             );
         }
         FleetRecovery {
@@ -164,7 +164,7 @@
                 RecoveryPhase::Ramping => "the limit passed without the cluster status",
                 RecoveryPhase::Serving => "the fleet is warm, or the time limit of the phase passed",
             };
-            tracing::info!(stage = self.phase().name(), why, ?seen, "recovery");
+            tracing::info!(stage = self.phase().name(), why, ?seen, "recovery phase changed");
         }
         self.phase() != before
     }
@@ -195,13 +195,13 @@
                     why = "workers are older than this start",
                     old,
                     listed,
-                    "recovery"
+                    "recovery phase changed"
                 );
                 (self.start, self.phases) = (Start::Warm, RecoveryPhases::open(now));
             }
             Start::Unknown => {
                 let why = "the last run did not shut down in order, and no worker is older than this start";
-                tracing::info!(stage = "waking", why, listed, "recovery");
+                tracing::info!(stage = "waking", why, listed, "recovery phase changed");
                 (self.start, self.phases) = (Start::Lost, RecoveryPhases::new(self.limits, self.seed, now));
             }
             _ => {}
--- a/crates/gateway/src/fleet/retirement_gate.rs
+++ b/crates/gateway/src/fleet/retirement_gate.rs
@@ -150,7 +150,8 @@
         !self.is_fresh(now) && self.config.is_strict(parse_internal_name(inner).0)
     }
 
-    /// Returns why nothing may be sent to a worker for an internal name now, if so.
+    /// Returns the reason why nothing may be sent to a worker for this internal name at present, or `None` if sending is
+    /// allowed.
     pub fn closed(&self, inner: &str, now: Micros) -> Option<ClosedReason> {
         let unknown =
             || (self.in_doubt(inner, now) || self.must_confirm(now)).then_some(ClosedReason::ViewNotCurrent);
--- a/crates/gateway/src/state/core/answers.rs
+++ b/crates/gateway/src/state/core/answers.rs
@@ -67,7 +67,7 @@
             _ => self.counters.refused += 1,
         }
         call.span.in_scope(|| {
-            tracing::debug!(outcome = outcome, reason, took_us = now - call.accepted_at, "answered");
+            tracing::debug!(outcome = outcome, reason, took_us = now - call.accepted_at, "call answered");
         });
         commands.push(Command::Answer { ticket: call.ticket, answer, elapsed: now - call.accepted_at });
         self.record_call_end(request, now, false);
--- a/crates/gateway/src/state/core/calls.rs
+++ b/crates/gateway/src/state/core/calls.rs
@@ -32,7 +32,7 @@
                 correlation = &*arrival.correlation,
                 function = &*arrival.function,
                 reason,
-                "rejected"
+                "call rejected"
             );
             return commands.push(Command::Answer { ticket, answer, elapsed: 0 });
         }
@@ -68,7 +68,7 @@
             self.counters.rejected_at_intake += 1;
             let retry_after = retry_after.min(self.settings.max_retry_after);
             let answer = Answer::Refused { reason: NO_PERMIT, retry_after };
-            tracing::debug!(correlation = &*arrival.correlation, reason = NO_PERMIT, "rejected");
+            tracing::debug!(correlation = &*arrival.correlation, reason = NO_PERMIT, "call rejected");
             return commands.push(Command::Answer { ticket, answer, elapsed: 0 });
         }
         self.advance_next_request();
@@ -80,7 +80,7 @@
             budget_ms = request.budget / 1000,
             work_ms = function.work.map(|w| w / 1000)
         );
-        span.in_scope(|| tracing::debug!(repeat = arrival.is_repeat, "accepted"));
+        span.in_scope(|| tracing::debug!(repeat = arrival.is_repeat, "call accepted"));
         self.counters.taken += 1;
         if !matches!(entry, Entry::Wait) {
             self.new_calls.push(id);
@@ -253,7 +253,7 @@
         let Some(call) = self.calls.get(&request) else { return };
         let (ticket, elapsed, function) =
             (call.ticket, now - call.accepted_at, call.arrival.function.clone());
-        call.span.in_scope(|| tracing::debug!(outcome = "served", took_us = elapsed, "answered"));
+        call.span.in_scope(|| tracing::debug!(outcome = "served", took_us = elapsed, "call answered"));
         self.counters.served += 1;
         self.record_call_end(request, now, true);
         let answer = self.served((&function, worker), body, content_type);
--- a/crates/gateway/src/state/core/endpoints.rs
+++ b/crates/gateway/src/state/core/endpoints.rs
@@ -177,7 +177,7 @@
             recovery.on_endpoints(&update);
         }
         if update.kind != EndpointUpdate::Failed {
-            tracing::debug!(rows = update.endpoints.len(), form = ?update.kind, "workers");
+            tracing::debug!(rows = update.endpoints.len(), form = ?update.kind, "worker update passed to the decision module");
         }
         if let Some(drains) = self.drains.as_mut() {
             drains.on_change(&update);
--- a/crates/gateway/src/state/core/execute.rs
+++ b/crates/gateway/src/state/core/execute.rs
@@ -103,7 +103,12 @@
             return;
         }
         self.counters.loads += 1;
-        tracing::debug!(worker = self.endpoints.name(worker), function = &*name, copies, "load");
+        tracing::debug!(
+            worker = self.endpoints.name(worker),
+            function = &*name,
+            copies,
+            "sending load order"
+        );
         let address = self.address(worker);
         commands.push(Command::Load { worker, address, function, name, copies, start_by });
     }
@@ -112,7 +117,7 @@
     fn log_module(&self, text: &str) {
         let number = text.split("worker ").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
         let worker = number.and_then(|number| self.endpoints.name(number));
-        tracing::info!(text, worker, "module");
+        tracing::info!(text, worker, "message from the decision module");
     }
 
     pub(super) fn send(&mut self, now: Micros, order: SendOrder, commands: &mut Vec<Command>) {
@@ -136,7 +141,12 @@
         self.counters.retries += u64::from(attempt > 0);
         let name = self.endpoints.name(worker).unwrap_or("?");
         call.span.in_scope(|| {
-            tracing::debug!(attempt, worker = name, held_us = now - call.accepted_at, "attempt")
+            tracing::debug!(
+                attempt,
+                worker = name,
+                held_us = now - call.accepted_at,
+                "attempt assigned to worker"
+            )
         });
         commands.push(Command::Attempt(Attempt {
             request,
--- a/crates/gateway/src/state/core/fleet.rs
+++ b/crates/gateway/src/state/core/fleet.rs
@@ -131,7 +131,7 @@
         let answer = self.closed_answer(closed);
         self.counters.rejected_at_intake += 1;
         let (correlation, function) = (&*arrival.correlation, &*arrival.function);
-        tracing::info!(correlation, function, reason = answer.reason(), "rejected");
+        tracing::info!(correlation, function, reason = answer.reason(), "call rejected");
         commands.push(Command::Answer { ticket: arrival.ticket, answer, elapsed: 0 });
         false
     }
--- a/crates/gateway/src/state/core/mod.rs
+++ b/crates/gateway/src/state/core/mod.rs
@@ -258,7 +258,7 @@
                 continue;
             };
             let ready = self.endpoints.ready_count();
-            call.span.in_scope(|| tracing::debug!(ready_workers = ready, "queued"));
+            call.span.in_scope(|| tracing::debug!(ready_workers = ready, "call queued"));
         }
     }
 
--- a/crates/gateway/src/state/core/pools.rs
+++ b/crates/gateway/src/state/core/pools.rs
@@ -28,7 +28,7 @@
                     let Some(call) = self.calls.get_mut(&request.id) else { continue };
                     call.permit = Some(permit);
                     let waited = now - call.accepted_at;
-                    call.span.in_scope(|| tracing::debug!(waited_us = waited, "permit granted"));
+                    call.span.in_scope(|| tracing::debug!(waited_us = waited, "permit granted to call"));
                     self.new_calls.push(request.id);
                     self.events.push(Event::Request(request));
                 }
--- a/crates/gateway/src/state/core/recovery.rs
+++ b/crates/gateway/src/state/core/recovery.rs
@@ -41,7 +41,7 @@
     fn reject_waiting(&mut self, now: Micros, arrival: Arrival, answer: Answer, commands: &mut Vec<Command>) {
         self.counters.rejected_at_intake += 1;
         let (correlation, function) = (&*arrival.correlation, &*arrival.function);
-        tracing::debug!(correlation, function, reason = answer.reason(), "rejected");
+        tracing::debug!(correlation, function, reason = answer.reason(), "call rejected");
         let took = (now - arrival.read_at).max(0);
         commands.push(Command::Answer { ticket: arrival.ticket, answer, elapsed: took });
     }
--- a/crates/harness/src/stack/front_ends.rs
+++ b/crates/harness/src/stack/front_ends.rs
@@ -84,7 +84,7 @@
 
     /// How often a front end's processes came to consume all their queues.
     pub fn times_consuming(&self, front_end: u32) -> usize {
-        self.whole_log(front_end).matches("\"consuming\"").count()
+        self.whole_log(front_end).matches("\"consuming from all queues\"").count()
     }
 
     /// Tells the front ends of a division: it comes in force for each as it starts anew.
--- a/crates/platform/src/executors/selection.rs
+++ b/crates/platform/src/executors/selection.rs
@@ -53,9 +53,10 @@
         }
     }
 
-    /// Selects a connection for a request: an idle one, else one with capacity, else one in its handshake, else a new
-    /// one. A further connection is opened only if none is idle, because every front end holds connections to every
-    /// executor.
+    /// Selects a connection for a request: an idle one, else the open one with the fewest attempts that has capacity, else
+    /// one in its handshake, else a new one. If none is idle, a further connection is also opened within the limits on
+    /// connections and handshakes of an executor, if the executor is ready. None is opened beside an idle one, because
+    /// every front end holds connections to every executor.
     pub(super) fn select(self: &Rc<Self>, worker: WorkerId, id: Option<u64>) -> Option<Rc<Connection>> {
         let (chosen, may_open) = {
             let executors = self.executors.borrow();
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -215,7 +215,7 @@
                 client = ?self.clients.counters.get(), executor = ?self.executors.counters.get(),
                 "state"
             );
-            tracing::debug!(?in_flight, "executors");
+            tracing::debug!(?in_flight, "attempts in flight on executors");
         }
     }
 
@@ -231,8 +231,8 @@
         if self.closes_at.is_none_or(|at| self.shared.clock.now() < at) {
             return false;
         }
-        // Connections are still accepted and read until the process exits: requests that arrive now are rejected, not
-        // lost.
+        // New requests are rejected from now on. Connections are still accepted and read until the process exits, so that
+        // these requests are answered and not lost.
         self.clients.stop_accepting();
         self.clients.unfinished() == (0, 0)
     }
