--- a/crates/admission/src/permits/class.rs
+++ b/crates/admission/src/permits/class.rs
@@ -5,8 +5,8 @@
 use stagehoist::Micros;
 use std::collections::HashMap;
 
-/// Calls must have been waiting for this long before the rate of ending calls is used to predict that another call would
-/// wait too long. Before that, permits may still be about to arrive.
+/// The rate of ending calls is used to predict that another call would wait too long only after calls have been waiting
+/// for this long. Before that, permits may still be about to arrive.
 const STABLE_AFTER: Micros = 500_000;
 /// Weight of a new interval between two ending calls in the exponential moving average.
 const INTERVAL_WEIGHT: f64 = 0.1;
--- a/crates/admission/src/permits/mod.rs
+++ b/crates/admission/src/permits/mod.rs
@@ -89,10 +89,10 @@
 }
 
 impl PermitPools {
-    /// Creates an instance without pools. At most `wait_limit` calls may wait in each pool, and advised retry delays are
-    /// at most `delay_limit` microseconds. The guaranteed minimum is not used before `unused_until` (see also
-    /// [`PermitPools::demand`]): the start time if workers end a run together with its connection, otherwise the start
-    /// time plus the longest run.
+    /// Creates an instance without pools. At most `wait_limit` calls may wait in each pool, and advised retry delays
+    /// are at most `delay_limit` microseconds. The guaranteed minimum is not used before `unused_until` (see also
+    /// [`PermitPools::demand`]). Callers pass the start time if workers end a run together with its connection,
+    /// otherwise the start time plus the longest run.
     pub fn new(wait_limit: usize, delay_limit: Micros, unused_until: Micros, seed: u64) -> PermitPools {
         PermitPools {
             max_waiting: wait_limit,
--- a/crates/core/src/policy/completion.rs
+++ b/crates/core/src/policy/completion.rs
@@ -76,8 +76,8 @@
             self.enqueue(end.request, EnqueueReason::CanMeetObjective, now);
             return;
         }
-        // If only one attempt is allowed, the request is lost, but a load lets the next requests find a copy. Could harm
-        // by loading functions that are called only once.
+        // If only one attempt is allowed, a miss loses the request. A load then lets the next requests find a copy.
+        // Could harm by loading functions that are called only once.
         let was_only_miss = self.settings.max_attempts == 1 && end.outcome == Miss;
         let order = LoadOrder { worker: end.worker, function };
         if was_only_miss && !self.load_budget.is_outstanding(order) {
--- a/crates/core/src/policy/confirmation.rs
+++ b/crates/core/src/policy/confirmation.rs
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Whether a worker is treated as unlisted: it failed several checks or has left one unanswered for long, and the next
-    /// check is not due.
+    /// Whether a worker is treated as unlisted: it failed several checks in a row and the next check is not due, or it
+    /// has left the current check unanswered for longer than a request waits for one.
     pub(super) fn is_withdrawn(&self, worker: &Worker, now: Micros) -> bool {
         let confirmation = &worker.confirmation;
         let has_failed =
--- a/crates/core/src/policy/endpoints.rs
+++ b/crates/core/src/policy/endpoints.rs
@@ -120,8 +120,9 @@
         self.changed_workers.insert(index);
     }
 
-    /// Adds a worker and returns its index. It reuses the slot of a worker that is long gone, so that the table does not
-    /// grow without bound as workers come and go; if there is none, it adds a slot.
+    /// Adds a worker and returns its index. The worker gets the slot of one that is long gone and has no attempts in
+    /// flight, or a new slot if there is no such worker. Reuse keeps the table from growing without bound as workers
+    /// come and go.
     fn add_worker(&mut self, endpoint: &Endpoint, now: Micros) -> usize {
         let reuse_after = REUSE_AFTER * self.settings.idle_retention.max(self.settings.retry_budget.window);
         let long_gone = self.fleet.gone.iter().take_while(|gone| now - gone.at > reuse_after);
--- a/crates/core/src/policy/intake.rs
+++ b/crates/core/src/policy/intake.rs
@@ -6,7 +6,7 @@
 use super::FrontEnd;
 use crate::interface::*;
 
-/// A request's deadline is earlier than the end of its time budget by this many clock ticks, but at most by its time
+/// A request's deadline is this many clock ticks before the end of its time budget. This margin is at most the time
 /// budget divided by `MAX_DEADLINE_MARGIN_DIVISOR`.
 const DEADLINE_MARGIN_TICKS: Micros = 2;
 const MAX_DEADLINE_MARGIN_DIVISOR: Micros = 4;
--- a/crates/core/src/policy/learning.rs
+++ b/crates/core/src/policy/learning.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Updates the fraction of the requests sent to preferred workers that found a copy which this front end did not know
-    /// of.
+    /// Updates the rate at which requests that are sent to preferred workers find a copy that this front end did not
+    /// know of.
     fn record_preferred_hit(&mut self, attempt: &Attempt, end: &AttemptEnd) {
         if attempt.predicted.at_preferred_worker && matches!(end.outcome, Outcome::Ok | Miss) {
             let found_copy = end.outcome == Outcome::Ok && end.copy.state <= CopyReport::LOADED;
--- a/crates/core/src/policy/load_budget.rs
+++ b/crates/core/src/policy/load_budget.rs
@@ -73,9 +73,9 @@
         }
     }
 
-    /// Whether the budget allows one more order, whenever it and the outstanding orders arrive up to the longest delay,
-    /// and even if no further request arrives. As requests leave a moving window, each window that begins at a known
-    /// arrival is checked, and also the last window in which an order sent now can still arrive.
+    /// Whether the budget allows one more order. It must hold whenever this order and the outstanding ones arrive, up
+    /// to the longest delay, and even if no further request arrives. Requests leave a moving window, so each window
+    /// that begins at a known arrival is checked, and also the last window in which an order sent now can still arrive.
     pub fn allows(&self, now: Micros, settings: &Settings) -> bool {
         if settings.load_window <= 0 {
             return true;
--- a/crates/core/src/policy/loading.rs
+++ b/crates/core/src/policy/loading.rs
@@ -156,8 +156,8 @@
         best.map(|(_, prediction)| prediction.worker_index)
     }
 
-    /// Orders a load: only from ready and confirmed workers (rule 3), one at a time per worker, and within the budget (rule
-    /// 5).
+    /// Orders a load if the worker is ready and confirmed (rule 3) and has no outstanding load order, and if the
+    /// settings and the budget (rule 5) allow one more order.
     pub(super) fn load(
         &mut self,
         index: usize,
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -86,8 +86,9 @@
         }
     }
 
-    /// Whether the request's last attempt is reserved for a worker with a copy, as a load order may soon bring one. If it
-    /// is also the first attempt, this needs an outstanding order: otherwise no request would be sent to a preferred
+    /// Whether the request's last attempt is reserved for a worker with a copy: an order to load the function is
+    /// outstanding at one of its ranked workers, or the budget allows an order, which may soon bring a copy. The budget
+    /// alone does not reserve an attempt that is also the first: otherwise no request would be sent to a preferred
     /// worker and discover a copy.
     fn reserves_last_attempt(&self, call: &PendingCall, function: &Function, now: Micros) -> bool {
         let is_last = call.attempts.len() as u32 + 1 >= self.settings.max_attempts;
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -13,8 +13,10 @@
 }
 
 impl FrontEnd {
-    /// Rule 2: whether another attempt may be sent. Without hedging, no attempt may be in flight. If an attempt may have
-    /// run, the class must be idempotent, or be idempotent with a key whose deduplication window has not elapsed.
+    /// Rule 2: whether another attempt may be sent. Attempts must be left, the deadline must not have passed, and
+    /// without hedging no attempt may be in flight. If an attempt may have run, the class must be idempotent, or
+    /// idempotent with a key. With a key, the first such attempt must be more recent than `SAFETY_MARGIN` of the key's
+    /// deduplication window.
     pub(super) fn may_send_again(&self, id: RequestId, now: Micros) -> bool {
         let Some(call) = self.pending.get(&id) else { return false };
         let is_forbidden_hedge = !self.settings.hedging && call.has_attempt_in_flight();
@@ -61,8 +63,9 @@
         is_repeatable_anywhere || call.never_ran()
     }
 
-    /// Retries a request with an overdue attempt at a silent worker: sends a hedged request if two attempts may be in
-    /// flight, else cancels the attempt, after which the request is queued again.
+    /// Retries an idempotent request with an overdue attempt at a silent worker, unless it is queued already. If
+    /// hedging allows another attempt, the request is queued for it. Otherwise the attempt is canceled if the settings
+    /// allow it, after which the request is queued again.
     pub(super) fn retry_overdue(&mut self, attempt: &AttemptId, now: Micros, actions: &mut Vec<Action>) {
         let Some(call) = self.pending.get(&attempt.request) else { return };
         let effect = self.settings.classes[call.request.class as usize].effect;
--- a/crates/core/src/policy/shedding.rs
+++ b/crates/core/src/policy/shedding.rs
@@ -13,8 +13,9 @@
 const MAX_RETRY_AFTER_FACTOR: f64 = 1.5;
 
 impl FrontEnd {
-    /// Handles a request that can't meet its objective: rejects it now if the queue ahead of it would not drain in time,
-    /// else queues it for its late value. Could harm when the service rate rises.
+    /// Handles a request that can't meet its objective. It is rejected now if it has no late value, if requests that
+    /// are not late are among the first in the queue, or if the queue would not drain in time. Otherwise, or with an
+    /// attempt in flight, it is queued for its late value. Could harm when the service rate rises.
     pub(super) fn give_up_objective(&mut self, id: RequestId, now: Micros, actions: &mut Vec<Action>) {
         let call = &self.pending[&id];
         let mut first = self.queue.iter().take(LOOKAHEAD);
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -24,11 +24,12 @@
         self.class_mean_run[class as usize].map_or(1.0, |run| run * count / sum)
     }
 
-    /// Rule 4: whether a warming worker may get the request. In each slot of the configured window it gets at most the
-    /// configured share and multiple of the work that established workers serve for this front end, so that the sum over
-    /// all front ends stays below its capacity. The limit uses work served, not work sent; without established workers it
-    /// uses the work that arrives. A limit below one request becomes a probability, drawn for each slot. Could harm because
-    /// new workers are used late.
+    /// Rule 4: whether a warming worker may get the request. The work that it gets in each slot of the configured
+    /// window is limited to the work that an established worker of its capacity serves for this front end, times its
+    /// current share of capacity, the overload factor and a safety margin. So the sum over all front ends stays below
+    /// its capacity. The limit uses work served, not work sent; without established workers it uses the work that
+    /// arrives. A limit below one request becomes a probability, drawn for each slot. Could harm because new workers
+    /// are used late.
     pub(super) fn has_slow_start_capacity(&self, index: usize, call: &PendingCall, now: Micros) -> bool {
         let worker = &self.workers[index];
         if worker.warming_since.is_none() {
--- a/crates/core/src/policy/worker_search.rs
+++ b/crates/core/src/policy/worker_search.rs
@@ -129,9 +129,10 @@
             && self.front_end.allows_attempt(self.call, &worker.attempts, self.now)
     }
 
-    /// Whether a request may be sent to a worker without an expected copy. If a miss is only answered, it may be sent to
-    /// preferred workers that are not known to lack the copy. If a miss starts a load, it may be sent to a worker that is
-    /// not loading; of the workers that are not preferred, only until one with capacity was found.
+    /// Whether a request may be sent to a worker without an expected copy; never to one that is loading. If a miss is
+    /// only answered, the worker must be preferred and not known to lack the copy, and the last attempt must not be
+    /// reserved for a worker with a copy. If a miss starts a load, workers that are not preferred are considered only
+    /// until one with capacity was found.
     fn may_try_without_copy(&self, worker: &Worker, is_preferred: bool, lacks_copy: bool) -> bool {
         let is_barred = self.miss_ends_attempt && (lacks_copy || self.reserved_for_copy)
             || !is_preferred && (self.miss_ends_attempt || self.candidates.load_with_capacity.is_some());
@@ -143,9 +144,9 @@
     }
 
     /// Whether the request may be sent to a worker that already had an attempt of it. This needs a copy that was loaded
-    /// there since, such as the one that its own miss caused: otherwise the request would wait until its deadline
-    /// although its copy is loaded. Also covers a slot that became free after `Full`. Could harm if copies are loaded and
-    /// evicted faster than requests are retried.
+    /// there since that attempt, for example because of the attempt's own miss. Without this rule the request would
+    /// wait until its deadline although its copy is loaded. Also covers a slot that became free after `Full`. Could
+    /// harm if copies are loaded and evicted faster than requests are retried.
     fn may_try_again(&self, worker: &Worker, copy_expected: bool) -> bool {
         let copy = worker.estimates.copies.get(&self.call.request.function);
         let loaded_since =
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,9 +1,9 @@
 //! The set of known workers: merges endpoint lists with the workers' own drain announcements into the rows that the
 //! decision module receives. Pure: takes entries and the time, returns rows.
 //!
-//! Lists lag behind, so a worker's own drain announcement overrides the list until the list has caught up: until it shows
-//! the worker draining, gone or restarted, until the worker revokes the announcement, or until a configured time has
-//! passed. A list that still reports "ready" after that time is taken to be right.
+//! Lists lag behind, so a worker's own drain announcement overrides the list. This ends when the list shows the worker
+//! draining, gone or restarted, when the worker revokes the announcement, or when a configured time has passed. A list
+//! that still reports "ready" after that time is taken to be right.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -18,8 +18,8 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Default maximum number of workers ([`EndpointSet::with_max_workers`] changes it). Of the entries beyond it, those with
-/// the last names are omitted.
+/// Default maximum number of workers ([`EndpointSet::with_max_workers`] changes it). If a list is longer, the entries
+/// with the last names are omitted.
 pub const MAX_WORKERS: usize = 10_000;
 
 /// How long a worker that was reported gone is retained, in microseconds, so that its last attempts can end.
--- a/crates/gateway/src/state/core/execute.rs
+++ b/crates/gateway/src/state/core/execute.rs
@@ -98,8 +98,8 @@
         let order = LoadOrder { sent_at: now, expires_at: now + self.settings.load_timeout };
         self.load_orders.insert((worker, function), order);
         if self.closed(&name, now).is_some() {
-            // The order is not sent, and counts as lost after its timeout. If it ended at once, the decision module would
-            // only order the next load.
+            // The order is not sent, and counts as lost after its timeout. If its end were reported at once, the
+            // decision module would only order the next load.
             return;
         }
         self.counters.loads += 1;
@@ -178,9 +178,9 @@
     }
 }
 
-/// Returns the latest time at which an attempt may begin, so that a worker which drops repeats by their key still
-/// remembers the key of the first attempt that may have run. An attempt decided in time may be written late; a quarter of
-/// the window is reserved for this delay.
+/// Returns the latest time at which an attempt may begin. A worker that drops repeats by their key must then still
+/// remember the key of the first attempt that may have run. An attempt decided in time may be written late; a quarter
+/// of the window is reserved for this delay.
 fn latest_start(call: &Call, effect: Option<Effect>) -> Micros {
     let Some(Effect::IdempotentWithKey { window, .. }) = effect else { return Micros::MAX };
     let sent_times = call.attempts.iter().flatten().map(|flight| flight.sent_at);
--- a/crates/gateway/src/workers/exchange.rs
+++ b/crates/gateway/src/workers/exchange.rs
@@ -96,8 +96,8 @@
 
 pub(super) type HttpResponse = (StatusCode, hyper::HeaderMap, Bytes, Connection);
 
-/// Sends a request and reads its complete response. If the worker closed a reused connection before anything was written,
-/// a new connection replaces it; this does not repeat the request, because it was not sent before.
+/// Sends a request and reads its complete response. If a reused connection fails before anything was written, the
+/// request is sent on another connection. This does not repeat the request, because it was not sent before.
 pub(super) async fn exchange(
     (config, pools): (&Config, &Pools),
     address: &str,
--- a/crates/recovery/src/delivery_cache.rs
+++ b/crates/recovery/src/delivery_cache.rs
@@ -129,8 +129,9 @@
     /// Processes a delivery. `ticket` is the number under which it runs if the verdict is [`Verdict::Run`].
     ///
     /// A delivery that is not flagged as redelivered is a new message, even if a caller uses an id twice. An unknown
-    /// message that is flagged was delivered to another front end, or to this one before a restart. It may have run there,
-    /// so only idempotent calls run.
+    /// message that is flagged was delivered to another front end, or to this one before a restart. It may have run
+    /// there, so only idempotent calls run; for other calls the former holders are asked if that is possible, otherwise
+    /// the call fails. If the message was ceded to another member, only idempotent calls run.
     pub fn on_delivery(
         &mut self,
         key: Option<&Key>,
--- a/crates/sharding/src/assignment.rs
+++ b/crates/sharding/src/assignment.rs
@@ -9,8 +9,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Maximum number of members. Of a longer list the members with the greatest keys are left out, the same ones
-/// in every process.
+/// Maximum number of members. If a list is longer, the members with the greatest keys are left out, the same
+/// ones in every process.
 pub const MAX_MEMBERS: usize = 65_536;
 /// Maximum number of zones. Members of the zones with the highest numbers beyond it are left out.
 pub const MAX_ZONES: usize = 64;
@@ -61,9 +61,9 @@
 #[error("more than {MAX_MEMBERS} members or {MAX_ZONES} zones")]
 pub struct CapacityExceeded;
 
-/// Members and their shards. Each member has one home. Where too few members of a zone have their home in a
-/// shard, those with the highest scores for the shard serve it in addition to their own as substitutes, so that
-/// each shard has a member in every zone that has members.
+/// Members and their shards. Each member has one home. If too few members of a zone have their home in a
+/// shard, the members with the highest scores for the shard serve it as substitutes, in addition to their
+/// own. So each shard has a member in every zone that has members.
 #[derive(Clone, Debug)]
 pub struct Assignment {
     table: Arc<Table>,
@@ -84,8 +84,9 @@
         Assignment { table, min_load: floor, zones: BTreeMap::new(), members: BTreeMap::new() }
     }
 
-    /// Assigns a full list, in any order. Of two members with the same key, the one with the smaller zone and
-    /// then the smaller weight is used. Returns also the number of members left out because of the maxima.
+    /// Assigns a full list, in any order. If two members have the same key, the one with the smaller zone is
+    /// used; if the zones are equal too, the one with the smaller weight. Returns also the number of members
+    /// left out because of the maxima.
     pub fn of(division: &Division, list: impl IntoIterator<Item = Member>) -> (Assignment, usize) {
         let mut all = Assignment::new(division);
         let left_out = all.fill(list);
--- a/crates/sharding/src/homes.rs
+++ b/crates/sharding/src/homes.rs
@@ -56,8 +56,8 @@
 }
 
 impl HomeShards {
-    /// Computes the home shards of the hot functions. `calls` is the expected total of calls per second; the sum
-    /// over the hot functions is used where that is greater.
+    /// Computes the home shards of the hot functions. `calls` is the expected total of calls per second. If
+    /// the sum over the hot functions is greater, that sum is used instead.
     pub fn new(division: &Division, calls: f64, hot: &[HotFunction]) -> Result<HomeShards, DivisionError> {
         if hot.len() > MAX_HOT_FUNCTIONS {
             return Err(DivisionError::TooManyHotFunctions { configured: hot.len(), max: MAX_HOT_FUNCTIONS });
--- a/crates/sharding/src/ownership.rs
+++ b/crates/sharding/src/ownership.rs
@@ -1,5 +1,5 @@
-//! The shards that one front end owns. A shard may have several owners, which then compete for its queue, but
-//! never none, as its queue would have no consumer.
+//! The shards that one front end owns. A shard may have several owners, which then compete for its queue. It
+//! always has at least one owner: otherwise its queue would have no consumer.
 
 use crate::assignment::{Assignment, Member};
 use crate::change::Divisions;
@@ -132,9 +132,9 @@
     place
 }
 
-/// Returns, in ascending order, the shards of a front end that has no list of front ends, from its rank among
-/// the configured number of front ends. Each shard is served by at least two ranks. The shards of a failed
-/// front end aren't reassigned, and zones are ignored.
+/// Returns the shards of a front end that has no list of front ends, in ascending order. They follow from its
+/// rank among the configured number of front ends. Each shard is served by at least two ranks. The shards of
+/// a failed front end aren't reassigned, and zones are ignored.
 pub fn ranked(division: &Division, rank: u32, of: u32) -> Result<Vec<Shard>, DivisionError> {
     if rank >= of {
         return Err(DivisionError::NoOwnedShards { rank, of });
