--- a/crates/admission/src/age.rs
+++ b/crates/admission/src/age.rs
@@ -1,9 +1,10 @@
 //! Estimates how long a message waited in its queue if the broker adds no timestamp.
 //!
 //! A queue is first in, first out. The time at which it was last seen empty and the number of messages consumed since
-//! then bound the age of each message: none is older than that time. A later depth of the queue gives the number of
-//! messages that arrived in between, and so, assuming a constant arrival rate, the arrival time of the n-th. A timestamp
-//! on the message is clamped to these bounds, so that clock skew does no harm to a queue that is kept empty.
+//! then bound the age of each message: none arrived before that time. A later depth report gives the number of messages
+//! that arrived since then. The arrival time of the n-th message follows from it if the arrival rate is assumed
+//! constant. A timestamp on the message is clamped to these bounds, so that clock skew does no harm to a queue that is
+//! kept empty.
 
 use stagehoist::Micros;
 
--- a/crates/core/src/policy/confirmation.rs
+++ b/crates/core/src/policy/confirmation.rs
@@ -9,8 +9,8 @@
 //! new work; the request waits for the result or is sent to another worker. Front ends without requests check no worker.
 //!
 //! A failed check does not prove that the worker is draining: a draining worker fails all checks, but one without free
-//! capacity fails some. A worker that fails several checks in a row is withdrawn, which treats it as unlisted, until it
-//! passes one.
+//! capacity fails some. A worker that fails several checks in a row is withdrawn: between checks it is treated as
+//! unlisted, until it passes one.
 
 use super::call::CallGroup;
 use super::estimates::Estimates;
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Whether a worker is treated as unlisted: it failed several checks in a row and the next check is not due, or it
-    /// has left the current check unanswered for longer than a request waits for one.
+    /// Whether an unconfirmed worker is treated as unlisted: it failed several checks in a row and the next check is
+    /// not due, or it has left the current check unanswered for longer than a request waits for one.
     pub(super) fn is_withdrawn(&self, worker: &Worker, now: Micros) -> bool {
         let confirmation = &worker.confirmation;
         let has_failed =
--- a/crates/core/src/policy/load_budget.rs
+++ b/crates/core/src/policy/load_budget.rs
@@ -73,9 +73,10 @@
         }
     }
 
-    /// Whether the budget allows one more order. It must hold whenever this order and the outstanding ones arrive, up
-    /// to the longest delay, and even if no further request arrives. Requests leave a moving window, so each window
-    /// that begins at a known arrival is checked, and also the last window in which an order sent now can still arrive.
+    /// Whether the budget allows one more order. The budget must hold whenever this order and the outstanding ones
+    /// arrive, up to the longest delay, and even if no further request arrives. Requests leave a moving window, so each
+    /// window that begins at a known arrival is checked, and also the last window in which an order sent now can still
+    /// arrive.
     pub fn allows(&self, now: Micros, settings: &Settings) -> bool {
         if settings.load_window <= 0 {
             return true;
--- a/crates/core/src/policy/outliers.rs
+++ b/crates/core/src/policy/outliers.rs
@@ -93,8 +93,9 @@
         }
     }
 
-    /// Whether the load of a worker matters to this front end. In a larger fleet it matters only if the worker has
-    /// recorded copies: a round over all workers would open a connection for each check and take too long.
+    /// Whether the load of a worker matters to this front end. In a fleet of more than `MAX_CONSIDERED` workers it
+    /// matters only if the worker has recorded copies: a round over all workers would open a connection for each check
+    /// and take too long.
     fn reports_matter(&self, index: usize) -> bool {
         self.workers.len() <= MAX_CONSIDERED || !self.workers[index].estimates.copies.is_empty()
     }
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -24,8 +24,8 @@
 /// The decision about a queued request.
 pub(super) enum Placement {
     Send(Prediction),
-    /// There is no worker now; after this time the request need not be considered. A time that is not in the future
-    /// rejects the request.
+    /// No worker can take the request now, and waiting past this time is of no use. If the time is not in the future,
+    /// the request is concluded now.
     WaitUntil(Micros),
 }
 
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -64,7 +64,7 @@
     }
 
     /// Retries an idempotent request with an overdue attempt at a silent worker, unless it is queued already. If
-    /// hedging allows another attempt, the request is queued for it. Otherwise the attempt is canceled if the settings
+    /// hedging allows another attempt, the request is queued for it. Otherwise the attempt is cancelled if the settings
     /// allow it, after which the request is queued again.
     pub(super) fn retry_overdue(&mut self, attempt: &AttemptId, now: Micros, actions: &mut Vec<Action>) {
         let Some(call) = self.pending.get(&attempt.request) else { return };
--- a/crates/gateway/src/state/core/fleet.rs
+++ b/crates/gateway/src/state/core/fleet.rs
@@ -167,7 +167,8 @@
     }
 
     /// Returns whether the end of an attempt ends its call because the function is closed. A successful answer is still
-    /// served, unless it must be known whether the function is retired and currently is not. Other outcomes get no retry.
+    /// served, unless the function is strict and may be retired by now without this front end knowing. After any other
+    /// outcome the call of a closed function gets no retry; it ends once none of its attempts is in flight.
     pub(super) fn ends_as_closed(&self, request: RequestId, outcome: Outcome, now: Micros) -> bool {
         let (Some(membership), Some(call)) = (self.fleet.as_ref(), self.calls.get(&request)) else {
             return false;
--- a/crates/recovery/src/phases.rs
+++ b/crates/recovery/src/phases.rs
@@ -225,8 +225,8 @@
         (self.phase, self.since, self.reported_at) = (new_phase, now, now);
     }
 
-    /// Updates the admitted share. It at most doubles per [`STEP`], up to what the evidence allows, and falls at once if the
-    /// evidence allows less.
+    /// Updates the admitted share. It at most doubles per [`STEP`], up to the share that the evidence allows or, after
+    /// the time limit, the share that grows with time. If less is allowed, it falls at once.
     fn update_share(&mut self, evidence: &RecoveryEvidence, now: Micros) {
         let limits = self.limits;
         let time_share = (now - self.since - limits.ramping) as f64 / limits.ramping.max(1) as f64;
