--- a/crates/amqp/src/client/options.rs
+++ b/crates/amqp/src/client/options.rs
@@ -6,8 +6,8 @@
     pub user: String,
     pub password: String,
     pub vhost: String,
-    /// Requested heartbeat interval in seconds; 0: none. The lower of both sides' values is used; if one side sends 0, the
-    /// value of the other.
+    /// Requested heartbeat interval in seconds; 0: none. The lower of both sides' values is used. If one side sends
+    /// 0, the value of the other side is used.
     pub heartbeat: u16,
     /// Requested maximum frame size in bytes; 0: no limit.
     pub frame_max: u32,
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -23,8 +23,9 @@
     }
 }
 
-/// A writer to standard error that drops lines rather than block: beyond a maximum per second, and while the reader
-/// of a full pipe does not read.
+/// A writer to standard error that drops lines instead of blocking. It drops lines beyond a maximum per second, and
+/// lines that a full pipe does not take because its reader does not read. It drops no line beyond the maximum and may
+/// block if `everything` is requested.
 pub struct SparseLog {
     started_at: Instant,
     /// The current second (upper 32 bits), and the lines written in it (lower 32 bits).
--- a/crates/cluster-state/src/allocation/account.rs
+++ b/crates/cluster-state/src/allocation/account.rs
@@ -83,9 +83,9 @@
         self.outstanding.retain(|g| g.given_at > before);
     }
 
-    /// Counts the permits of a pool that the member may have in use beyond its guaranteed minimum, now or later, under the
-    /// grants so far. Returns the previous count and the new one. Without reports and grants the count only falls over
-    /// time.
+    /// Counts the permits of a pool beyond the guaranteed minimum that the member may have in use, now or later,
+    /// under the grants given so far. Returns the previous count and the new one. While there are no new reports or
+    /// grants, the count can only fall over time.
     pub fn count(
         &mut self,
         pool: &str,
--- a/crates/cluster-state/src/allocation/mod.rs
+++ b/crates/cluster-state/src/allocation/mod.rs
@@ -127,7 +127,8 @@
     }
 
     /// Returns whether all permits granted by earlier leaders can no longer be in use: their leases have expired, and
-    /// either every earlier member has applied a grant of this leader or the runs started under them have ended.
+    /// either every earlier member has applied a grant of this leader, or so much time has passed that the runs
+    /// started under these leases have ended.
     pub fn may_allocate(&self, now: Micros) -> bool {
         let leases_end = self.elected_at + self.terms.takeover_wait();
         let is_known = |m: &Member| self.accounts.get(m).is_some_and(Account::is_known);
@@ -145,8 +146,8 @@
 
     /// Updates the earlier members and the pools from the cluster state.
     fn observe(&mut self, state: &ClusterState, now: Micros) {
-        // The first observation may be late: members present then may hold permits from an earlier leader, and so may
-        // replaced runs.
+        // Members seen during the takeover wait, or at the first observation even if that is later, may hold permits
+        // from an earlier leader, and so may replaced runs.
         if !self.has_observed || now < self.elected_at + self.terms.takeover_wait() {
             self.has_observed = true;
             self.earlier_members.extend(state.present());
--- a/crates/cluster-state/src/leader/commands.rs
+++ b/crates/cluster-state/src/leader/commands.rs
@@ -166,9 +166,9 @@
         now >= due
     }
 
-    /// Returns whether a new command for a tombstone may be proposed: after the retry interval, or at once when the last
-    /// exception is removed. Each change sends the view to every front end, so the interval also batches the removal of
-    /// several exceptions into one change.
+    /// Returns whether a new command for a tombstone may be proposed: if none was proposed yet, after the retry
+    /// interval, or at once when the last exception is removed. Each change sends the view to every front end, so the
+    /// interval also batches the removal of several exceptions into one change.
     fn may_propose(&mut self, progress: &RetirementProgress, excepted: usize, now: Micros) -> bool {
         let Some(last) = progress.proposed else { return true };
         let again_at = last.at + self.retry_interval();
--- a/crates/cluster-state/src/state.rs
+++ b/crates/cluster-state/src/state.rs
@@ -157,7 +157,7 @@
     Changed,
     /// The command was already applied or has been superseded.
     Unchanged,
-    /// The command exceeds a bound. A retry would be rejected again, except for a retirement without a
+    /// The command exceeds a bound. A retry would be rejected again, unless the command is a retirement without a
     /// [`Retirement::permanent_rejection`].
     Rejected {
         /// The reason, for logs.
--- a/crates/cluster-state/src/wire.rs
+++ b/crates/cluster-state/src/wire.rs
@@ -79,8 +79,8 @@
     pub in_use: u32,
     /// Calls waiting for a permit.
     pub waiting: u32,
-    /// The grant that the front end applied when it counted these ([`crate::ClusterStatus::permits_grant`]); 0: none
-    /// yet, or calls of an earlier run under its name may still be in progress.
+    /// The grant that the front end had applied when it counted these ([`crate::ClusterStatus::permits_grant`]). 0:
+    /// it had applied none yet, or calls of an earlier run under its name may still be in progress.
     pub applied: u64,
 }
 
--- a/crates/consensus/src/replica/formation.rs
+++ b/crates/consensus/src/replica/formation.rs
@@ -37,8 +37,8 @@
         if answers.values().all(|a| a.is_new) && 2 * (answers.len() + 1) > others + 1 {
             return RecoveryAction::Form;
         }
-        // This replica never voted in that membership or has been removed from it. If removed, each change that it
-        // helped to commit has reached a majority of the others.
+        // This replica never voted in that membership or has been removed from it. If it was removed, each change
+        // that it helped to commit has reached a majority of the others.
         let without = answers.values().filter(|a| !a.is_new && !a.is_voter && a.is_participating).count();
         if 2 * without > others {
             return RecoveryAction::Join;
--- a/crates/consensus/src/replica/participation.rs
+++ b/crates/consensus/src/replica/participation.rs
@@ -4,11 +4,10 @@
 //! highest term in which it participated. It rejects every leader of a term up to `bound` and every vote request until
 //! it has applied an entry of a leader of a later term.
 //!
-//! That leader was elected without this replica, which does not vote and knew of no such term before the loss. So a
-//! majority formed by the other replicas elected it. Each entry that was committed with this replica's help up to
-//! `bound` was also stored by a member of that majority when it voted, so the leader's log has all of these entries.
-//! Once this replica has applied an entry of that leader's term, its log has them too, and it participates without
-//! limits.
+//! This replica does not vote, and before the loss it knew of no term above `bound`. So a majority formed by the
+//! other replicas elected that leader. Each entry that was committed with this replica's help up to `bound` was also
+//! stored by a member of that majority when it voted, so the leader's log has all of these entries. Once this replica
+//! has applied an entry of that leader's term, its log has them too, and it participates without limits.
 
 use crate::types::LogId;
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/consensus/src/replica/service.rs
+++ b/crates/consensus/src/replica/service.rs
@@ -100,9 +100,9 @@
 }
 
 impl Acks {
-    /// Raft reports the age of the acknowledgement in whole milliseconds, at the time of its report. A new report was
-    /// made after the last check, so subtracting the age from the time of that check gives a time that is not later
-    /// than the true one.
+    /// Raft reports how old the acknowledgement is at the time of the report, in whole milliseconds. A new report was
+    /// made after the last check. The time of that check minus the age, rounded up, is therefore not later than the
+    /// true time of the acknowledgement.
     fn update(&mut self, metrics: &mut watch::Receiver<Metrics>, now: Micros) {
         if metrics.has_changed().unwrap_or(false) {
             let age = metrics.borrow_and_update().millis_since_quorum_ack;
--- a/crates/consensus/src/replica/service_state/inquiries.rs
+++ b/crates/consensus/src/replica/service_state/inquiries.rs
@@ -13,8 +13,8 @@
 /// Together with the 100 ms that an inquirer allows, this is less than the shortest election timeout.
 const MAJORITY_ACK_VALIDITY: Micros = 250_000;
 
-/// The members in `names` to which an inquiry is forwarded: those in `to`, which have not answered yet, or all if `to` is
-/// empty. Uses a set, as both lists grow with the fleet.
+/// The members in `names` to which an inquiry is forwarded: those that are also in `to`, which lists the members that
+/// have not answered yet, or all if `to` is empty. Uses a set, as both lists grow with the fleet.
 fn remaining_members<'a, T: Ord>(names: &'a [T], to: &[T]) -> Vec<&'a T> {
     let remaining: BTreeSet<&T> = to.iter().collect();
     names.iter().filter(|name| remaining.is_empty() || remaining.contains(name)).collect()
--- a/crates/consensus/src/session/permits.rs
+++ b/crates/consensus/src/session/permits.rs
@@ -10,8 +10,8 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-/// Maximum time between two reports if there are pools; it bounds how long permits that other front ends need stay
-/// unreleased.
+/// Maximum time between two reports if there are pools. It bounds how long this front end holds unneeded permits that
+/// other front ends need.
 const PERMIT_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 /// Minimum time between a report and one sent because calls began to wait. Under load calls begin to wait all
 /// the time, so these reports are spaced wider.
--- a/crates/consensus/src/session/retirements.rs
+++ b/crates/consensus/src/session/retirements.rs
@@ -1,5 +1,5 @@
-//! Retirements that the view does not contain yet: proposed again until it does or until they are rejected
-//! permanently.
+//! Retirements that the view does not contain yet. Each is proposed again until the view contains it or it is
+//! rejected permanently.
 
 #[cfg(test)]
 mod tests;
@@ -87,8 +87,8 @@
         self.queue.retain(|r| r.function != function || r.generation != generation);
     }
 
-    /// Removes the retirements that a view contains. If it contains a queued one, or has fewer tombstones than before,
-    /// there is capacity, so the next retry is sooner.
+    /// Removes the retirements that a view contains. If the view contains a queued retirement, or has fewer
+    /// tombstones than the previous view, the cluster state has capacity, so the next retry is sooner.
     pub(super) fn on_view(&mut self, view: &ClusterView, random: &mut impl Rng) {
         let before = self.queue.len();
         self.queue.retain(|r| view.retired(&r.function, r.generation).is_none());
--- a/crates/gateway/src/amqp/front/counters.rs
+++ b/crates/gateway/src/amqp/front/counters.rs
@@ -20,8 +20,8 @@
     pub joined: u64,
     pub withheld: u64,
     pub failed_unknown: u64,
-    /// Redelivered messages that were unknown here and for which members were asked; `run_by_intents` counts those
-    /// that ran because no member had sent them.
+    /// Redelivered messages that were unknown here, so that members were asked about them. `run_by_intents` counts
+    /// those of them that ran because no member had sent them.
     pub inquired: u64,
     pub run_by_intents: u64,
     /// Calls accepted for a function that is leaving the owned shards; `other_shard` counts calls refused because
--- a/crates/gateway/src/amqp/front/deliveries.rs
+++ b/crates/gateway/src/amqp/front/deliveries.rs
@@ -110,8 +110,8 @@
         routing_key: &str,
     ) -> Effect {
         let configured = match request {
-            // An earlier recipient may have run it in time: that it is too late now does not prove that it has not
-            // run.
+            // An earlier recipient may have run the call in time. The message is too late now, but this does not
+            // prove that the call has not run.
             Err(InvalidMessage::TooLate) => Reader::function(properties, routing_key)
                 .ok()
                 .and_then(|name| FunctionProperties::configured(&self.config, &name)),
--- a/crates/gateway/src/amqp/front/inquiries.rs
+++ b/crates/gateway/src/amqp/front/inquiries.rs
@@ -16,8 +16,8 @@
     inquiries: Inquiries<Rc<str>>,
     waiting: HashMap<Ticket, (Micros, Arrival)>,
     questions: Vec<Question>,
-    /// Whether the members that may be asked about this run know it. Until then non-idempotent calls are refused,
-    /// because nobody could find out later what became of them.
+    /// Whether this run is known to the members that may be asked about it. While it is unknown to them,
+    /// non-idempotent calls are refused, because nobody could find out later what became of these calls.
     known: bool,
 }
 
--- a/crates/gateway/src/amqp/front/replies.rs
+++ b/crates/gateway/src/amqp/front/replies.rs
@@ -74,8 +74,8 @@
         if let Some(sequence) = client.publish(self.channel, publish, &properties, &body) {
             self.counters.replies += 1;
             if self.config.transactions {
-                // The reply and the acknowledgement take effect together or not at all, so a redelivered message has
-                // had no reply: its state is never doubtful.
+                // The reply and the acknowledgement take effect together or not at all. A redelivered message has
+                // therefore had no reply, and its reply state is never doubtful.
                 let tag = delivery.tag;
                 if let Some(key) = &delivery.key {
                     self.memory.on_reply_state(key, ReplyState::NotSent);
--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -37,8 +37,8 @@
     state: watch::Sender<LinkState>,
 ) {
     let mut front = Front::new(config.clone(), seed, clock.now());
-    // Without a subscription the module requests the list only when calls arrive, and no call would arrive before the
-    // list: don't wait.
+    // With `list-subscribe yes`, the module requests the first list only when calls arrive. If the front end waited for
+    // that list, no call would arrive, so it does not wait.
     if config.list_initial_wait > 0 && !config.list_subscribe {
         front.await_endpoints(clock.now() + config.list_initial_wait);
     }
--- a/crates/gateway/src/amqp/message.rs
+++ b/crates/gateway/src/amqp/message.rs
@@ -74,8 +74,9 @@
     }
 }
 
-/// Returns when a message was published, in microseconds since the Unix epoch, if it has a time: the broker's stamp,
-/// else the publisher's `timestamp`. That one counts whole seconds, so the middle of the second is returned.
+/// Returns when a message was published, in microseconds since the Unix epoch: the broker's stamp, else the
+/// publisher's `timestamp`, else `None`. The publisher's `timestamp` counts whole seconds, so the middle of the
+/// second is returned.
 pub fn stamp(properties: &BasicProperties) -> Option<Micros> {
     let headers = properties.headers().as_ref();
     let stamped = headers
--- a/crates/gateway/src/discovery/front_ends.rs
+++ b/crates/gateway/src/discovery/front_ends.rs
@@ -1,6 +1,6 @@
-//! The list of front ends, from the same kinds of sources as that of workers: Consul's health API, where an instance's ID
-//! is the name, its metadata contain `zone` and its tags `generation-N` name the divisions that it serves; or a file, one
-//! front end a line:
+//! The list of front ends, from the same kinds of sources as the worker list. With Consul's health API, an instance's
+//! ID is the name, its metadata contain `zone`, and its tags `generation-N` name the divisions that it serves. A file
+//! has one front end a line:
 //!
 //! ```text
 //! # NAME generations G|G-G [zone Z]
--- a/crates/gateway/src/fleet/egress.rs
+++ b/crates/gateway/src/fleet/egress.rs
@@ -74,10 +74,10 @@
     }
 }
 
-/// Accompanies an answer until the broker has it, or it is known that the broker will not get it. While the original
-/// permit exists, no view whose tombstones include its function is confirmed. A clone, such as that in the cached
-/// copy for a redelivered message, does not delay the confirmation, so it must not be sent once the function is
-/// retired.
+/// Accompanies an answer until the broker has the answer, or it is known that the broker will not get it. While the
+/// original permit exists, no view whose tombstones include its function is confirmed. A clone does not delay the
+/// confirmation, so an answer with a cloned permit, such as the cached copy for a redelivered message, must not be
+/// sent once the function is retired.
 pub struct EgressPermit {
     egress: EgressCheck,
     inner: Rc<str>,
--- a/crates/gateway/src/fleet/membership.rs
+++ b/crates/gateway/src/fleet/membership.rs
@@ -61,7 +61,8 @@
     }
 
     /// Handles an applied view; `in_progress` are the calls in progress under its tombstones, with their internal
-    /// names. Of several views the first is confirmed first, so a stream of views can't delay confirmation forever.
+    /// names. While a view waits for its confirmation, newer views do not replace it, so that a stream of views can't
+    /// delay confirmation forever.
     pub fn applied(&mut self, in_progress: Vec<(RequestId, Rc<str>)>) {
         let version = self.egress.gate().view().version;
         if self.pending.is_some() || version <= self.confirmed {
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -66,8 +66,8 @@
     }
 }
 
-/// Waits for the cluster status, at most for this time; nothing is consumed before. After that, functions that are
-/// not strict are served according to the last known state.
+/// Waits for the cluster status, at most for this time. Nothing is consumed before the wait ends. After that,
+/// functions that are not strict are served according to the last known state.
 pub async fn await_first_status(
     status: Option<watch::Receiver<ClusterStatus>>,
     clock: Clock,
--- a/crates/gateway/src/fleet/pool_admission.rs
+++ b/crates/gateway/src/fleet/pool_admission.rs
@@ -123,8 +123,8 @@
         self.permits.configure(&rules, now);
     }
 
-    /// Returns the pool of a function, given by its internal name: of the matching patterns an exact name wins, else
-    /// the longest.
+    /// Returns the pool of a function, given by its internal name. If several patterns match, an exact name wins over
+    /// patterns with `*`, and the longest of these wins otherwise.
     fn pool(&self, inner: &str) -> Option<usize> {
         let (name, _) = parse_internal_name(inner);
         let match_rank = |pattern: &String| match pattern.strip_suffix('*') {
--- a/crates/gateway/src/fleet/retirement_gate.rs
+++ b/crates/gateway/src/fleet/retirement_gate.rs
@@ -39,8 +39,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClosedReason {
     Retired(Box<Retired>),
-    /// It is unknown whether the function is retired by now, and the function is strict or this front end was
-    /// stopped.
+    /// It is unknown whether the function is retired by now. The call or answer must not proceed, because the
+    /// function is strict or this front end was stopped.
     ViewNotCurrent,
     /// The generation is neither retired nor the configured one.
     UnknownGeneration,
--- a/crates/gateway/src/fleet/retirement_states.rs
+++ b/crates/gateway/src/fleet/retirement_states.rs
@@ -135,9 +135,9 @@
 }
 
 async fn write(temporary: &Path, path: &Path, bytes: &[u8]) -> io::Result<()> {
-    // Not flushed to the disk: that took over a second while other processes wrote much, and the cluster state is the
-    // durable copy. After a power loss the file is either complete and older, or recognized as damaged; both are
-    // replaced.
+    // The file is not flushed to the disk: a flush took over a second while other processes wrote much, and the
+    // cluster state is the durable copy. After a power loss the file is either complete and older, or recognized as
+    // damaged; both are replaced.
     tokio::fs::write(temporary, bytes).await?;
     tokio::fs::rename(temporary, path).await
 }
--- a/crates/gateway/src/shards/divided.rs
+++ b/crates/gateway/src/shards/divided.rs
@@ -5,9 +5,9 @@
 use stagehoist_config::{Config, Sharding};
 use stagehoist_sharding::{Division, Divisions, HomeShards, Key, Serving, Shard, TenantParts};
 
-/// Allowance for front ends of a shard beyond the maximum by one list that all have. It covers the time in which only
-/// some know the next list and shards are handed over: two for each front end that is added while another one leaves,
-/// and as many again.
+/// A shard has at most a computed number of front ends if all of them have the same list. This allowance is added to
+/// that maximum for the time in which only some know the next list and shards are handed over: two for each front end
+/// that is added while another one leaves, and as many again.
 const HANDOVER_ALLOWANCE: u32 = 4;
 
 /// Sets how many front ends share the module's workers and its tenants' quotas in a divided fleet.
@@ -40,8 +40,8 @@
 }
 
 /// Returns the maximum number of front ends that have calls of a tenant at the same time. The module gets its divisor
-/// once, while owned shards change with the list, so all front ends get the same share, and only those that have the
-/// tenant's calls count.
+/// only once, but the owned shards change with the list. All front ends therefore get the same share, and only front
+/// ends that have the tenant's calls count.
 fn max_front_ends_with_calls(serving: &Serving<'_>, divisions: &Divisions, parts: &[&TenantParts]) -> u32 {
     let of = |(d, parts): (&Division, &&TenantParts)| -> Vec<Shard> {
         (0..d.shards()).filter(|s| parts.of(*s) > 0.0).collect()
--- a/crates/gateway/src/shards/ownership.rs
+++ b/crates/gateway/src/shards/ownership.rs
@@ -1,9 +1,9 @@
 //! Computes which shards a front end of a divided fleet owns according to the list of front ends, without I/O.
 //!
 //! Nothing is owned before the first complete list. A shard that is gained is owned at once. A shard that is lost is
-//! handed over: its queue is consumed until the new owners know the list too; then its calls and workers are retained
-//! for the same time again, for messages already on their way from the cancelled queue. A failed list changes
-//! nothing.
+//! handed over: its queue is consumed until the new owners know the list too. Then the queue is cancelled, and the
+//! shard's calls and workers are retained for the same time again, because messages may already be on their way from
+//! the queue. A failed list changes nothing.
 
 use crate::discovery::front_ends::Entry;
 use stagehoist::Micros;
@@ -53,8 +53,8 @@
     front_ends: Option<FrontEnds>,
     /// The other front ends of this zone. The membership of another zone does not affect the shards owned here.
     known: BTreeMap<Key, FrontEnd>,
-    /// Shards that are no longer owned, with their division's generation, and when they were lost; bounded by the
-    /// divisions.
+    /// Shards that are no longer owned, keyed by their division's generation and the shard, with the time at which
+    /// each was lost. The divisions bound how many there are.
     released: BTreeMap<(u32, Shard), Micros>,
     current: Vec<OwnedShards>,
     omitted: usize,
@@ -139,8 +139,9 @@
         self.current.iter().filter_map(of).min()
     }
 
-    /// Returns the other front ends of this zone, limited so that the table can hold them beside this one; every
-    /// front end omits the same ones. A name that is listed twice counts once, by its last line.
+    /// Returns the other front ends of this zone. The table must hold them and this front end, so the excess of a
+    /// list that is too long is omitted: the last entries by key, so that every front end omits the same ones. A name
+    /// that is listed twice counts once, by its last line.
     fn zone_members(&mut self, list: &[Entry]) -> BTreeMap<Key, FrontEnd> {
         let is_own_zone = |e: &&Entry| self.zone.as_ref().is_none_or(|z| *z == e.zone);
         let member = |e: &Entry| {
--- a/crates/gateway/src/shards/placement.rs
+++ b/crates/gateway/src/shards/placement.rs
@@ -40,9 +40,9 @@
         }
     }
 
-    /// Returns the generation and shard that a call should have been sent to, by the division on whose queue it
-    /// arrived, because its caller routes by that division. During a change the other division may not yet, or no
-    /// longer, be served by all.
+    /// Returns the generation and shard that a call should have been sent to. The division is that of the queue on
+    /// which the call arrived, because the caller routes by it. During a change of divisions, some front ends may not
+    /// yet, or no longer, serve the other division.
     pub fn home(&self, queue: usize, function: &str, call: u64) -> Option<(u32, Shard)> {
         let newest = self.0.len().checked_sub(1)?;
         let at = self.1.get(queue).map_or(newest, |arrival| arrival.0);
--- a/crates/platform/src/bounds.rs
+++ b/crates/platform/src/bounds.rs
@@ -32,8 +32,8 @@
 }
 
 impl Bounds {
-    /// Derives the bounds. Well-behaved clients hold a third of the descriptors; clients get half, because some
-    /// misbehave, and executors get the rest.
+    /// Derives the bounds. Clients get half of the descriptors, and executors get the rest except for a reserve.
+    /// Well-behaved clients hold only a third of all descriptors; the margin exists because some clients misbehave.
     pub fn new(limits: &Limits) -> Bounds {
         let sockets = limits.sockets;
         let clients = sockets / 2;
@@ -62,10 +62,10 @@
     pub active_at: Micros,
 }
 
-/// Returns the connection to evict for a new one: the one that is inactive for the longest time among those that had
-/// time to send a request and did not, else the one that is idle for the longest time. None if all have open
-/// requests. A connection that was just accepted ranks with those that have sent requests, because its first request
-/// is in transit.
+/// Returns the connection to evict for a new one. Connections with open requests are never evicted; None if there are
+/// no others. Connections that had time to send a request and did not are evicted first, then the others. In each
+/// group the one that is inactive for the longest time is chosen. A connection that was just accepted ranks with
+/// those that have sent requests, because its first request is in transit.
 pub fn victim<K: Copy>(activity: impl Iterator<Item = (K, ConnectionActivity)>, now: Micros) -> Option<K> {
     let is_spared = |s: &ConnectionActivity| s.has_requested || now - s.active_at < FIRST_REQUEST_TRANSIT;
     activity
--- a/crates/platform/src/clients/accept.rs
+++ b/crates/platform/src/clients/accept.rs
@@ -72,8 +72,8 @@
         is_full
     }
 
-    /// Unlists and returns the connection to evict. Connections with unread input are skipped, as it may be a
-    /// request.
+    /// Unlists and returns the connection to evict. Connections with unread input are skipped, because that input may
+    /// be a request.
     fn take_victim(&self) -> Option<Rc<ClientConnection>> {
         let (mut skipped, now) = (Vec::new(), self.shared.clock.now());
         for _ in 0..MAX_EVICTION_CANDIDATES {
--- a/crates/platform/src/clients/calls.rs
+++ b/crates/platform/src/clients/calls.rs
@@ -69,8 +69,8 @@
             function: request.function,
             properties: Some(request.properties),
             tenant: request.tenant,
-            // The time that the request may have waited in its socket is subtracted through `read_at`; the expected
-            // wait of its answer is subtracted here.
+            // The expected wait of the answer is subtracted here. The time that the request may have waited in its
+            // socket is not: `read_at` accounts for it.
             budget: (request.budget - lag).min(remaining.saturating_add(late)),
             read_at: now - late,
             is_repeat: false,
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -59,8 +59,8 @@
     conns: RefCell<HashMap<u64, Rc<ClientConnection>>>,
     calls: RefCell<HashMap<Ticket, AcceptedCall>>,
     references: RefCell<HashMap<u64, Ticket>>,
-    /// When each call was cancelled or its client disconnected; kept while a part of the call may still be queued for
-    /// writing.
+    /// When each call was cancelled or its client disconnected. An entry is kept while a part of the call may still
+    /// be queued for writing.
     cancelled: RefCell<HashMap<Ticket, Micros>>,
     held_bytes: Cell<usize>,
     next_ticket: Cell<Ticket>,
--- a/crates/platform/src/connection/ending.rs
+++ b/crates/platform/src/connection/ending.rs
@@ -7,10 +7,10 @@
 
 impl ConnectionState {
     /// Abandons a request. An unwritten request is removed from the queue. The connection counts as silent if the
-    /// request was written at least `patience` ago and nothing was read since. A partly written request is not
-    /// completed, because the executor would then start it; nothing more is written on the connection
-    /// ([`ConnectionState::is_truncated`]), and the requests queued on it must be withdrawn. Returns true if the
-    /// connection is to be closed, because it is truncated and awaits nothing that was started.
+    /// write of the request began at least `timeout` ago and nothing was read since. A partly written request is not
+    /// completed, because the executor would then start it. In that case nothing more is written on the connection
+    /// ([`ConnectionState::is_truncated`]), and the caller must withdraw the requests queued on it. Returns true if
+    /// the connection is to be closed: it is truncated and awaits no answer to a request that was started.
     pub fn abandon(&mut self, id: u64, text: &str, now: Micros, timeout: Micros) -> bool {
         let tag = Tag::Call(id);
         let Some(open) = self.pending.remove(&tag) else { return false };
@@ -96,8 +96,9 @@
         }
     }
 
-    /// Withdraws everything that is not started, because the executor or this connection accepts nothing new. If it
-    /// is the connection, the outcome is `Full`: the cause is on this side and must not count against the executor.
+    /// Withdraws everything that is not started, because the executor or this connection accepts nothing new. If the
+    /// connection is truncated, the outcome is `Full`: the cause is on this side and must not count against the
+    /// executor. Otherwise the outcome is `ConnectFailed`, and health checks stay queued.
     pub fn withdraw(&mut self, now: Micros, inputs: &mut Vec<Input>) {
         let outcome = if self.is_truncated { Outcome::Full } else { Outcome::ConnectFailed };
         let unstarted = |o: &PendingExchange| {
@@ -163,8 +164,8 @@
         };
         self.withdraw_overdue(now, load_timeout, inputs);
         // A load order that counts as lost must not reach the executor later, so the connection is closed while the
-        // order may be on its way. That is the case if it is not completely written, whatever was read meanwhile, or
-        // if nothing was read since it was written.
+        // order may be on its way. An order may be on its way if it is not completely written (whatever was read
+        // meanwhile), or if nothing was read since its last byte was written.
         let may_be_in_transit = |o: &PendingExchange| {
             matches!(o.exchange, Exchange::Load { .. })
                 && is_overdue(o)
--- a/crates/platform/src/connection/mod.rs
+++ b/crates/platform/src/connection/mod.rs
@@ -127,8 +127,8 @@
 pub enum Closure {
     /// The connection was refused or not established in time: nothing was written.
     NotConnected,
-    /// A failure of this machine, such as a lack of descriptors, prevented the connection: nothing was written, and
-    /// it does not count against the executor.
+    /// A failure of this machine, such as a lack of descriptors, prevented the connection. Nothing was written, and
+    /// the failure does not count against the executor.
     LocalFailure,
     /// The connection broke or was closed.
     Broken,
--- a/crates/platform/src/executors/writing.rs
+++ b/crates/platform/src/executors/writing.rs
@@ -24,8 +24,8 @@
         protocol.withdraw_overdue(self.shared.clock.now(), self.limits.load_timeout, &mut inputs);
         self.queued_inputs.borrow_mut().extend(inputs);
         if protocol.wants_write() && is_closed_by_peer(connection) {
-            // The connection was closed after its selection; requests that were not started are known not to have
-            // run.
+            // The executor closed the connection after it had been selected. Requests that were not started are known
+            // not to have run.
             return connection.end(Closure::Broken);
         }
         loop {
--- a/crates/platform/src/replay.rs
+++ b/crates/platform/src/replay.rs
@@ -1,6 +1,6 @@
 //! Replays all events of the bus from the first one: merges them, and applies them as one event once they have
-//! reached the last event seen before. Applied one by one, a worker that is known to drain would be ready again until
-//! its drain event is replayed.
+//! reached the last event seen before. If they were applied one by one, a worker that is known to drain would seem
+//! ready again until its drain event is replayed.
 
 use crate::endpoint_events::EndpointEvent;
 use stagehoist::{EndpointUpdate, Lifecycle, WorkerId};
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -90,8 +90,8 @@
     // The initial endpoint events are queued before any call, so that the module processes them first.
     let (events, last) = &settings.known;
     let _ = inputs.send(Input::EndpointUpdate { kind: EndpointUpdate::Full, endpoints: Vec::new() }).await;
-    // Merged into one event: the queue holds a limited number of inputs before the driver runs, and the first batch
-    // must contain all initial events.
+    // The initial events are merged into one, because the first batch must contain all of them and the queue holds a
+    // limited number of inputs before the driver runs.
     let mut known = Replay::all(events);
     let starts = StartTimes::initial(&mut known.endpoints, clock.now());
     executors.apply(known.kind, &known.endpoints);
--- a/crates/platform/src/shared.rs
+++ b/crates/platform/src/shared.rs
@@ -43,15 +43,15 @@
         }
     }
 
-    /// Returns the current time, and the estimated time for which data read now waited in its socket because this
-    /// process did not run.
+    /// Returns the current time, and an estimate of how long data read now waited in its socket because this process
+    /// did not run.
     pub fn read_time(&self) -> (Micros, Micros) {
         let now = self.clock.now();
         (now, self.stalls.borrow().delay(now))
     }
 
-    /// Returns the current time, and the maximum time for which data read now, or a signal, waited because this
-    /// process did not run.
+    /// Returns the current time, and the maximum time for which data read now (or a signal handled now) waited
+    /// because this process did not run.
     pub fn earliest_time(&self) -> (Micros, Micros) {
         let now = self.clock.now();
         (now, self.stalls.borrow().longest_delay(now))
--- a/crates/platform/src/start_times.rs
+++ b/crates/platform/src/start_times.rs
@@ -1,7 +1,8 @@
-//! Determines when executors started, on the clock of this process. An event dates a start by a wall clock, of this
-//! machine or of another, and wall clocks are stepped by seconds or even by an hour. A start that is reported while
-//! this process runs therefore counts from when its event was read, which is late by the transit time of the event
-//! and never early. Starts of the initial list count as dated, but not in the future.
+//! Determines when executors started, on the clock of this process. An event dates a start by the wall clock of this
+//! machine or of another one, and wall clocks are stepped by seconds or even by an hour. If a start is reported while
+//! this process runs, the time at which its event was read therefore counts as the start time. That time is late by
+//! the transit time of the event and never early. The starts in the initial list count as dated, but a date in the
+//! future counts as now.
 
 use stagehoist::{Micros, WorkerId};
 use stagehoist_endpoints::NumberedEndpoint;
--- a/crates/platform/src/subscription.rs
+++ b/crates/platform/src/subscription.rs
@@ -80,9 +80,9 @@
     }
 
     /// Returns until when the received events are known to be complete: as long as a connection is open that was not
-    /// silent for too long. An event counts as published once it is in the bus. The platform's relief while the bus
-    /// is unreachable (2 s after a break, 4 s after a silence) can't be used, because it ends with the outage, which
-    /// may end briefly and unnoticed.
+    /// silent for too long. An event counts as published once it is in the bus. While the bus is unreachable, the
+    /// platform grants a relief (2 s after a break, 4 s after a silence). It can't be used, because the relief ends
+    /// with the outage, and an outage may end briefly and unnoticed.
     pub fn valid_until(&self) -> Micros {
         self.valid_until
     }
@@ -94,7 +94,7 @@
     }
 
     /// Extends the validity after an empty frame, which shows that the bus has nothing more to send. An event does
-    /// not show it, because others may follow, as after an outage.
+    /// not show this, because other events may follow it, for example after an outage.
     fn extend_validity(&mut self, read_at: Micros) {
         if self.replay.is_none() {
             self.valid_until = self.valid_until.max(read_at + SILENCE_TIMEOUT);
