--- a/crates/admission/src/intake.rs
+++ b/crates/admission/src/intake.rs
@@ -27,10 +27,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
     /// The limit on held calls is reached.
-    #[error("limit on held calls reached")]
+    #[error("the limit on held calls is reached")]
     Calls,
     /// The limit on held bytes is reached.
-    #[error("limit on held bytes reached")]
+    #[error("the limit on held bytes is reached")]
     Bytes,
 }
 
--- a/crates/cluster-state/src/allocation/mod.rs
+++ b/crates/cluster-state/src/allocation/mod.rs
@@ -102,7 +102,7 @@
     }
 
     /// Handles the report of a present member while the leader may grant leases. Returns the permits of the grant, by pool
-    /// and tenant. An outdated or duplicate report changes nothing and gets none.
+    /// and tenant. An outdated or duplicate report changes nothing and gets no permits.
     pub fn report(
         &mut self,
         state: &ClusterState,
--- a/crates/cluster-state/src/leader.rs
+++ b/crates/cluster-state/src/leader.rs
@@ -80,9 +80,9 @@
         self.allocator.as_ref()
     }
 
-    /// Handles a member's report and returns the grant. `acked` is the time, by this replica's clock, at which a majority
-    /// is known to have followed this leader: of the latest acknowledged request to each replica of that majority, the
-    /// earliest send time. Returns `None` if `acked` is more than [`LeaseTerms::quorum`] ago, or if the member is not present.
+    /// Handles a member's report and returns the grant. `acked` is the latest time, by this replica's clock, at which a
+    /// majority is known to have followed this leader. It is the earliest of the times at which the latest acknowledged
+    /// requests to the replicas of that majority were sent. Returns `None` if `acked` is more than [`LeaseTerms::quorum`] ago, or if the member is not present.
     pub fn report(
         &mut self,
         state: &ClusterState,
--- a/crates/config/tests/sharding.rs
+++ b/crates/config/tests/sharding.rs
@@ -106,7 +106,7 @@
     assert_fault(
         "shards 8 generation 1 workers 7\n",
         1,
-        "8: 8 shards for 7 workers: some would have none; expected at most as many shards as workers",
+        "8: 8 shards for 7 workers: some shards would have no worker; expected at most as many shards as workers",
     );
     assert_fault(
         "shards 8 generation 1 workers 10001\n",
@@ -127,7 +127,7 @@
     assert_fault(
         "shards 200 generation 1\n",
         1,
-        "8: 200 shards for 12 front ends of a zone: each would serve more than 16",
+        "8: 200 shards for 12 front ends of a zone: each front end would serve more than 16 shards",
     );
     assert_fault(
         "shards 8 generation 1 next 9\n",
--- a/crates/consensus/src/replica/network.rs
+++ b/crates/consensus/src/replica/network.rs
@@ -170,7 +170,7 @@
         self.peers
             .send_request(self.to, request, time_limit)
             .await
-            .ok_or_else(|| unreachable("no response in time"))
+            .ok_or_else(|| unreachable("no response from the peer was received in time"))
     }
 }
 
--- a/crates/consensus/src/session_file.rs
+++ b/crates/consensus/src/session_file.rs
@@ -86,7 +86,8 @@
 
 fn quarantine(path: &Path) -> Result<PathBuf> {
     let free = (1..10_000).map(|n| path.with_extension(format!("damaged-{n}"))).find(|p| !p.exists());
-    let aside = free.ok_or_else(|| Error::other("no free file name for the quarantined session file"))?;
+    let aside =
+        free.ok_or_else(|| Error::other("all file names for a quarantined session file are taken"))?;
     std::fs::rename(path, &aside)?;
     Ok(aside)
 }
--- a/crates/consensus/src/store/open.rs
+++ b/crates/consensus/src/store/open.rs
@@ -43,8 +43,8 @@
     let path = folder.join(FILE);
     let store_error = |why: String| ConsensusError::Store { path: path.clone(), reason: why };
     std::fs::create_dir_all(folder).map_err(|e| store_error(e.to_string()))?;
-    let guard =
-        StoreFingerprint::open(&folder.join(GUARD)).map_err(|e| store_error(format!("guard file: {e}")))?;
+    let guard = StoreFingerprint::open(&folder.join(GUARD))
+        .map_err(|e| store_error(format!("can't open the guard file: {e}")))?;
     let fingerprint = guard.fingerprint();
     let existed = path.exists();
     let opened = catch_unwind(AssertUnwindSafe(|| open_database(&path)));
@@ -156,7 +156,8 @@
         PathBuf::from(name)
     };
     let free = (1..).map(name).find(|p| !p.exists());
-    let aside = free.ok_or_else(|| std::io::Error::other("no free file name for the quarantined store"))?;
+    let aside =
+        free.ok_or_else(|| std::io::Error::other("all file names for a quarantined store are taken"))?;
     std::fs::rename(path, &aside)?;
     if let Some(folder) = path.parent() {
         std::fs::File::open(folder)?.sync_all()?;
--- a/crates/core/src/bin/stagehoist-adapter.rs
+++ b/crates/core/src/bin/stagehoist-adapter.rs
@@ -18,9 +18,9 @@
 
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
-    #[error("batch header cut off at byte {0}")]
+    #[error("the input ends inside a batch header, after {0} bytes of the header")]
     HeaderTruncated(usize),
-    #[error("frame cut off at byte {position} of {length}")]
+    #[error("the input ends inside a frame, at byte {position} of {length}")]
     FrameTruncated { position: usize, length: usize },
     #[error(transparent)]
     Wire(#[from] WireError),
--- a/crates/core/src/policy/dispatch.rs
+++ b/crates/core/src/policy/dispatch.rs
@@ -156,7 +156,8 @@
         false
     }
 
-    /// Records whether a request's function wants another copy: if the request waits, or would be late at a copy.
+    /// Records a wanted load of a request's function, or removes it. A load is wanted if the request waits or would
+    /// finish too late at an expected copy, and the function has a positive load priority.
     fn update_wanted_load(&mut self, id: RequestId, placement: &Placement, now: Micros) {
         let Some(call) = self.pending.get(&id) else { return };
         let function = call.request.function;
--- a/crates/core/src/policy/prediction.rs
+++ b/crates/core/src/policy/prediction.rs
@@ -183,8 +183,8 @@
     concurrency * copy.map_or(1, |copy| copy.copies.max(1)) as usize
 }
 
-/// Returns when this front end's `own_requests` for the function leave one of the `slots` free; `Micros::MIN` if one
-/// is free now.
+/// Returns the time at which one of the function's `slots` on the worker is predicted to be free of this front end's
+/// `own_requests`; `Micros::MIN` if a slot is free now.
 fn start_of_free_slot(worker: &Worker, function: FunctionId, own_requests: usize, slots: usize) -> Micros {
     if own_requests < slots {
         return Micros::MIN;
--- a/crates/core/src/policy/ranking.rs
+++ b/crates/core/src/policy/ranking.rs
@@ -1,5 +1,5 @@
-//! Ranking: the workers that a function's requests may be sent to without a known copy, in an order that all front
-//! ends share, and the workers that are known to hold the function.
+//! Ranking: for each function, the workers that may get its requests although no copy is known there, in an order that
+//! is the same at all front ends, and the workers that are known to hold the function.
 //!
 //! For a large fleet only the first ranks are stored. If a function's demand fills more workers than are stored, each
 //! front end stores a different sample of the first ranks, so that together the front ends use all of them.
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -7,8 +7,8 @@
 use crate::interface::*;
 
 impl FrontEnd {
-    /// Returns the share of its capacity that a warming worker has at least, as configured for the time since it began to
-    /// warm up; 1 for an established worker.
+    /// Returns the minimum share of its capacity that a warming worker has: it rises linearly from the configured start
+    /// capacity to 1 during the configured warm-up. Returns 1 for an established worker.
     pub(super) fn capacity_share(&self, worker: &Worker, now: Micros) -> f64 {
         let start = self.settings.start_capacity;
         let warm_up = self.settings.warm_up.max(1) as f64;
--- a/crates/core/src/wire/error.rs
+++ b/crates/core/src/wire/error.rs
@@ -3,8 +3,8 @@
 /// What is wrong with a field of an event.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldError {
-    /// Unknown outcome code.
-    #[error("unknown outcome")]
+    /// Unknown code of an attempt's outcome.
+    #[error("unknown code of an attempt's outcome")]
     Outcome,
     /// Unknown code of the kind of an endpoint update.
     #[error("unknown kind {0} of endpoint update")]
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
     /// The header declares a frame length that is out of range.
-    #[error("batch header: length {length} at byte 8 is out of range")]
+    #[error("batch header: the frame length {length} at byte 8 is out of range")]
     FrameLength {
         /// The length.
         length: usize,
@@ -64,7 +64,7 @@
         length: usize,
     },
     /// The frame ends before the last of its records.
-    #[error("frame is truncated: its header declares {count} records, but only {available} bytes follow the header")]
+    #[error("the frame is truncated: the batch header declares {count} records, but only {available} bytes follow the header")]
     Truncated {
         /// Number of records declared in the header.
         count: usize,
@@ -72,7 +72,7 @@
         available: usize,
     },
     /// A record refers to bytes beyond the frame's tail.
-    #[error("event code {code} at byte {position}: {length} units at tail offset {offset} extend past the tail of {available} bytes")]
+    #[error("event code {code} at byte {position}: a field refers to {length} units at tail offset {offset}, past the frame's tail of {available} bytes")]
     TailRange {
         /// Code of the event.
         code: u8,
--- a/crates/core/src/wire/fields.rs
+++ b/crates/core/src/wire/fields.rs
@@ -8,7 +8,7 @@
 const MICROS_PER_MILLI: f64 = 1000.0;
 
 fn bytes_at<const N: usize>(record: &[u8], position: usize) -> [u8; N] {
-    record[position..position + N].try_into().expect("a record has its full size")
+    record[position..position + N].try_into().expect("the slice has exactly N bytes")
 }
 
 pub(super) fn u16_at(record: &[u8], position: usize) -> u16 {
--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -164,7 +164,7 @@
                 return if socket.closing {
                     ConnectionEnd::Finished
                 } else {
-                    ConnectionEnd::Lost("closed".into())
+                    ConnectionEnd::Lost("the AMQP connection ended".into())
                 };
             }
             let due = self.front.due().unwrap_or(Micros::MAX).min(socket.last_tick + POLL_INTERVAL);
@@ -247,7 +247,7 @@
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                 socket.write_blocked_since.get_or_insert(now);
                 if is_timed_out(socket.write_blocked_since, now) {
-                    return Err(ConnectionEnd::Lost("broker is not reading".into()));
+                    return Err(ConnectionEnd::Lost("the broker is not reading".into()));
                 }
                 Ok(true)
             }
@@ -270,7 +270,7 @@
             self.front.on_socket_drained(now);
         }
         match socket.stream.try_read(&mut socket.buffer) {
-            Ok(0) => return Err(ConnectionEnd::Lost("closed by the broker".into())),
+            Ok(0) => return Err(ConnectionEnd::Lost("the broker closed the connection".into())),
             Ok(read) => {
                 let stopped_for = std::mem::take(&mut socket.stopped_for);
                 self.front.receive(&socket.buffer[..read], now, stopped_for);
--- a/crates/gateway/src/amqp/message.rs
+++ b/crates/gateway/src/amqp/message.rs
@@ -40,21 +40,21 @@
 /// Why a message is not a valid call; [`InvalidMessage::reason`] goes into the reply's header `reason`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidMessage {
-    #[error("header function is not a text")]
+    #[error("the header 'function' is not a text")]
     MalformedFunction,
-    #[error("header generation is not a whole number of at least 1")]
+    #[error("the header 'generation' is not a whole number of at least 1")]
     MalformedGeneration,
-    #[error("header tenant is not a text")]
+    #[error("the header 'tenant' is not a text")]
     MalformedTenant,
-    #[error("header tenant names an unknown tenant")]
+    #[error("the header 'tenant' names a tenant that is not configured")]
     UnknownTenant,
-    #[error("expiration is not a whole number of milliseconds")]
+    #[error("the message's expiration is not a whole number of milliseconds")]
     MalformedExpiration,
-    #[error("neither header function nor routing key names a function")]
+    #[error("neither the header 'function' nor the routing key names a function")]
     NoFunction,
-    #[error("body exceeds the configured maximum")]
+    #[error("the message's body exceeds the configured maximum")]
     TooLarge,
-    #[error("message expired before it was received")]
+    #[error("the message expired before it was received")]
     TooLate,
 }
 
--- a/crates/gateway/src/discovery/consul.rs
+++ b/crates/gateway/src/discovery/consul.rs
@@ -233,7 +233,7 @@
             let request = request.map_err(|e| to_text(&e))?;
             let response = sender.send_request(request).await.map_err(|e| to_text(&e))?;
             if !response.status().is_success() {
-                return Err(format!("status {}", response.status()));
+                return Err(format!("Consul responded with status {}", response.status()));
             }
             let index = response.headers().get("x-consul-index");
             let index = index.and_then(|v| v.to_str().ok()).and_then(|v| v.parse().ok());
--- a/crates/gateway/src/discovery/front_ends.rs
+++ b/crates/gateway/src/discovery/front_ends.rs
@@ -87,7 +87,7 @@
                 key => return Err(error(format!("unknown key {key}"))),
             }
         }
-        let serves = serves.ok_or_else(|| error("generations are missing".into()))?;
+        let serves = serves.ok_or_else(|| error("the generations are missing".into()))?;
         entries.push(Entry { name: (*name).into(), zone, serves });
     }
     Ok(entries)
--- a/crates/gateway/src/fleet/retirements.rs
+++ b/crates/gateway/src/fleet/retirements.rs
@@ -44,7 +44,8 @@
     let (mut lines, mut faults) = (Vec::new(), Vec::new());
     for (number, line) in complete.split('\n').enumerate() {
         if lines.len() >= MAX_LINES {
-            faults.push((number + 1, format!("more than {MAX_LINES} lines; the rest is ignored")));
+            faults
+                .push((number + 1, format!("the file has more than {MAX_LINES} lines; the rest is ignored")));
             break;
         }
         match parse_line(line) {
@@ -59,12 +60,12 @@
     let mut words = line.split_whitespace().take_while(|w| !w.starts_with('#'));
     let Some(function) = words.next() else { return Ok(None) };
     if function.chars().any(char::is_control) || function.len() > 255 {
-        return Err("the name is longer than 255 bytes or contains control characters".into());
+        return Err("the function's name is longer than 255 bytes or contains control characters".into());
     }
     let generation = words.next().ok_or("the generation is missing")?;
     let generation = match generation.parse::<u32>() {
         Ok(n) if n > 0 => n,
-        _ => return Err(format!("generation is {generation:?}, expected a whole number of at least 1")),
+        _ => return Err(format!("the generation is {generation:?}, expected a whole number of at least 1")),
     };
     let (mut successor, mut reason): (Option<String>, Option<String>) = (None, None);
     for word in words {
@@ -77,7 +78,7 @@
                 successor = Some(name.into());
             }
             (None, Some(("reason", first))) => reason = Some(first.into()),
-            _ => return Err(format!("unknown word {word:?}")),
+            _ => return Err(format!("the line contains the unknown or repeated word {word:?}")),
         }
     }
     let mut reason = reason.unwrap_or_default();
@@ -156,7 +157,7 @@
     let mut bytes = Vec::new();
     tokio::fs::File::open(path).await?.take(MAX_FILE_SIZE + 1).read_to_end(&mut bytes).await?;
     if bytes.len() as u64 > MAX_FILE_SIZE {
-        return Err(std::io::Error::new(std::io::ErrorKind::FileTooLarge, "too large"));
+        return Err(std::io::Error::new(std::io::ErrorKind::FileTooLarge, "the file is too large"));
     }
     // A line that is not valid UTF-8 is a fault by itself; the other lines are still used.
     Ok(String::from_utf8_lossy(&bytes).into_owned())
--- a/crates/intent-log/src/error.rs
+++ b/crates/intent-log/src/error.rs
@@ -18,10 +18,10 @@
         last: u64,
     },
     /// The contents of the file are invalid.
-    #[error("intent store is damaged: {0}")]
+    #[error("the intent store is damaged: {0}")]
     Damaged(String),
     /// The database failed to read or write.
-    #[error("intent store cannot be read or written: {0}")]
+    #[error("the intent store cannot be read or written: {0}")]
     Unavailable(String),
     /// The folder cannot be created or written.
     #[error("cannot use the intent log folder: {0}")]
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -142,7 +142,7 @@
             let flags = OFlags::NONBLOCK.bits() as i32;
             let mut file = File::options().read(true).custom_flags(flags).open(path)?;
             if !file.metadata()?.is_file() {
-                return Err(io::Error::other("not a regular file"));
+                return Err(io::Error::other("the path does not refer to a regular file"));
             }
             let mut text = String::new();
             file.read_to_string(&mut text)?;
@@ -219,7 +219,8 @@
         let memory = memory.into_iter().flatten().filter_map(Value::as_f64).fold(0.0, f64::max);
         Ok(PlatformSettings {
             listen: address("listen", &file.listen)?,
-            seed: fields::hex16(file.seed.as_bytes()).ok_or_else(|| field("seed", &"not 16 hex digits"))?,
+            seed: fields::hex16(file.seed.as_bytes())
+                .ok_or_else(|| field("seed", &"the seed is not 16 hex digits"))?,
             bus: address("bus", &file.bus)?,
             known,
             report_fields: report.into_iter().flatten().map(name_of).collect(),
--- a/crates/platform/src/connection/mod.rs
+++ b/crates/platform/src/connection/mod.rs
@@ -32,15 +32,15 @@
 /// Why the input of an executor is a protocol violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolViolation {
-    #[error("malformed header line")]
+    #[error("a header line of an executor is malformed")]
     Line,
-    #[error("header line too long")]
+    #[error("a header line of an executor exceeds the maximum length")]
     Endless,
-    #[error("body length is wrong or too large")]
+    #[error("the body length in an executor's answer is invalid, too large or does not match the body")]
     Length,
-    #[error("incomplete answer")]
+    #[error("an executor's answer was not complete before the timeout")]
     Short,
-    #[error("executor silent since a load order that timed out")]
+    #[error("the executor has sent nothing since a load order that timed out")]
     Silent,
 }
 
--- a/crates/platform/src/endpoint_events.rs
+++ b/crates/platform/src/endpoint_events.rs
@@ -12,13 +12,13 @@
 /// Why an event can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointEventError {
-    #[error("payload of {0} bytes is not a whole number of records")]
+    #[error("the event's payload of {0} bytes is not a whole number of records")]
     Records(usize),
-    #[error("unknown state {0}")]
+    #[error("the event contains an executor with unknown state {0}")]
     State(u8),
-    #[error("unknown kind of event {0}")]
+    #[error("the event has unknown kind {0}")]
     Kind(u8),
-    #[error("invalid {field} '{value}'")]
+    #[error("the executor's field {field} has the invalid value '{value}'")]
     Field { field: &'static str, value: String },
 }
 
--- a/crates/platform/src/fields.rs
+++ b/crates/platform/src/fields.rs
@@ -8,7 +8,7 @@
 
 /// A field list is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("malformed field list")]
+#[error("the field list is malformed")]
 pub struct FieldsError;
 
 /// Returns the fields of a list in order; none for an empty one or for `-`.
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -49,19 +49,19 @@
 /// Why a request is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    #[error("wrong number of words")]
+    #[error("the request has a wrong number of words")]
     Words,
-    #[error("malformed field list")]
+    #[error("the request's field list is malformed")]
     Fields,
-    #[error("the id is missing or is not 16 hex digits")]
+    #[error("the request's id is missing or is not 16 hex digits")]
     Id,
-    #[error("unknown class")]
+    #[error("the class is not configured")]
     Class,
-    #[error("unknown tenant")]
+    #[error("the tenant is missing or not configured")]
     Tenant,
-    #[error("the function is missing or is not 16 hex digits")]
+    #[error("the request's function is missing or is not 16 hex digits")]
     Function,
-    #[error("a property is not a number or is out of range")]
+    #[error("a property of the request is missing, not a number or out of range")]
     Property,
 }
 
--- a/crates/platform/src/resp.rs
+++ b/crates/platform/src/resp.rs
@@ -19,11 +19,11 @@
 /// Why a client's input is malformed; the rest of the connection's input can't be parsed either.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RespError {
-    #[error("not an array of bulk strings")]
+    #[error("the client's input is not an array of bulk strings")]
     Form,
-    #[error("a length is not a number in range")]
+    #[error("a length in the client's input is not a number or is out of range")]
     Length,
-    #[error("too long")]
+    #[error("an array, a string or a length line in the client's input exceeds its maximum")]
     TooLong,
 }
 
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -59,18 +59,20 @@
         Ok(text) => text.parse().map_err(|_| RunError::Listen(text))?,
         Err(_) => settings.listen,
     };
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(io("runtime".into()))?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(io("can't start the async runtime".into()))?;
     let local = LocalSet::new();
     local.block_on(&runtime, serve(settings, listen))
 }
 
 async fn serve(settings: PlatformSettings, listen: SocketAddr) -> Result<(), RunError> {
-    let handle = |kind: SignalKind| signal(kind).map_err(io("signals".into()));
+    let handle = |kind: SignalKind| signal(kind).map_err(io("can't install a signal handler".into()));
     let (mut term, mut int, hup) =
         (handle(SignalKind::terminate())?, handle(SignalKind::interrupt())?, handle(SignalKind::hangup())?);
-    let listener = TcpListener::bind(listen).await.map_err(io(format!("listen on {listen}")))?;
-    let listen = listener.local_addr().map_err(io(format!("listen on {listen}")))?;
+    let listener = TcpListener::bind(listen).await.map_err(io(format!("can't listen on {listen}")))?;
+    let listen = listener.local_addr().map_err(io(format!("can't listen on {listen}")))?;
     let clock = Clock::new();
     let (inputs, incoming) = mpsc::channel(driver::INPUT_QUEUE_CAPACITY);
     let shared = Rc::new(Shared::new(clock, inputs.clone()));
--- a/crates/platform/src/subscription.rs
+++ b/crates/platform/src/subscription.rs
@@ -21,13 +21,13 @@
 /// Why the input of the event bus can't be parsed or continued; the connection is of no further use.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubscriptionError {
-    #[error("invalid frame length: {0} bytes")]
+    #[error("the length of a frame, {0} bytes, is out of range")]
     Length(usize),
     #[error("event {number}: {error}")]
     Event { number: u64, error: endpoint_events::EndpointEventError },
-    #[error("gap in the events: expected {expected}, got {got}")]
+    #[error("events are missing: expected event {expected}, received event {got}")]
     Gap { expected: u64, got: u64 },
-    #[error("the bus regressed to event {got} after {last}")]
+    #[error("the event bus regressed to event {got} after event {last}")]
     Regressed { last: u64, got: u64 },
 }
 
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -184,10 +184,10 @@
         let mut read_buffer = self.shared.read_buffer.borrow_mut();
         // Also read after the timeout, because this process itself may have been late.
         let length = match uninterrupted(|| stream.try_read(&mut read_buffer)) {
-            Ok(0) => return Some("closed".into()),
+            Ok(0) => return Some("the event bus closed the connection".into()),
             Ok(n) => n,
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                return is_silent.then(|| "silent".into());
+                return is_silent.then(|| "the event bus sent nothing before the timeout".into());
             }
             Err(e) => return Some(e.to_string()),
         };
--- a/crates/sharding/src/assignment.rs
+++ b/crates/sharding/src/assignment.rs
@@ -12,7 +12,7 @@
 /// Maximum number of members. Of a longer list the members with the greatest keys are left out, the same ones
 /// in every process.
 pub const MAX_MEMBERS: usize = 65_536;
-/// Maximum number of zones. Members of the zones with the highest numbers beyond it are left out.
+/// Maximum number of zones. If there are more, the members of the zones with the highest numbers are left out.
 pub const MAX_ZONES: usize = 64;
 /// A zone is rebuilt if more than one in this many of its members change at once: placing one member takes 2 us
 /// in a rebuild and 62 us as a single change.
@@ -58,7 +58,7 @@
 
 /// A member was not added because the maximum number of members or zones is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("more than {MAX_MEMBERS} members or {MAX_ZONES} zones")]
+#[error("the assignment would have more than {MAX_MEMBERS} members or {MAX_ZONES} zones")]
 pub struct CapacityExceeded;
 
 /// Members and their shards. Each member has one home. Where too few members of a zone have their home in a
--- a/crates/sharding/src/division.rs
+++ b/crates/sharding/src/division.rs
@@ -13,15 +13,15 @@
 /// An invalid setting. The caller that read the setting adds its location.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DivisionError {
-    #[error("number of shards is 0")]
+    #[error("the number of shards is 0")]
     NoShards,
     #[error("{shards} shards are more than the maximum {MAX_SHARDS}")]
     TooManyShards { shards: u32 },
-    #[error("{shards} shards for {workers} workers: some would have none")]
+    #[error("{shards} shards for {workers} workers: some shards would have no worker")]
     MoreShardsThanWorkers { shards: u32, workers: u32 },
-    #[error("{shards} shards for {front_ends} front ends of a zone: each would serve more than {max}")]
+    #[error("{shards} shards for {front_ends} front ends of a zone: each front end would serve more than {max} shards")]
     TooFewFrontEnds { shards: u32, front_ends: u32, max: u32 },
-    #[error("shard {shard} of {shards}")]
+    #[error("shard {shard} does not exist: the number of shards is {shards}")]
     UnknownShard { shard: Shard, shards: u32 },
     #[error("weight {weight} of shard {shard} is not between 1 and {MAX_SHARD_WEIGHT}")]
     BadWeight { shard: Shard, weight: u32 },
@@ -33,7 +33,7 @@
     DuplicateFunction { name: String },
     #[error("traffic is configured for {configured} functions, more than the maximum {max}")]
     TooManyHotFunctions { configured: usize, max: usize },
-    #[error("generation {new} isn't greater than {old}")]
+    #[error("generation {new} of the new division into shards is not greater than generation {old} of the current one")]
     GenerationNotIncreasing { new: u32, old: u32 },
 }
 
