--- a/crates/gateway/src/amqp/link.rs
+++ b/crates/gateway/src/amqp/link.rs
@@ -37,8 +37,8 @@
     state: watch::Sender<LinkState>,
 ) {
     let mut front = Front::new(config.clone(), seed, clock.now());
-    // Without a subscription the module requests the list only when calls arrive, and no call would arrive before the
-    // list: don't wait.
+    // With `list-subscribe yes`, the module requests the first list only when calls arrive. If the front end waited for
+    // that list, no call would arrive, so it does not wait.
     if config.list_initial_wait > 0 && !config.list_subscribe {
         front.await_endpoints(clock.now() + config.list_initial_wait);
     }
@@ -76,7 +76,7 @@
             let Some(stream) = self.connect(&broker.address).await else { return };
             match stream {
                 Ok(stream) => {
-                    tracing::info!(broker = broker.address, "connected");
+                    tracing::info!(broker = broker.address, "connected to broker");
                     self.front.on_connected(broker, self.clock.now());
                     if self.draining {
                         self.front.drain();
@@ -164,7 +164,7 @@
                 return if socket.closing {
                     ConnectionEnd::Finished
                 } else {
-                    ConnectionEnd::Lost("closed".into())
+                    ConnectionEnd::Lost("the AMQP connection ended".into())
                 };
             }
             let due = self.front.due().unwrap_or(Micros::MAX).min(socket.last_tick + POLL_INTERVAL);
@@ -247,7 +247,7 @@
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                 socket.write_blocked_since.get_or_insert(now);
                 if is_timed_out(socket.write_blocked_since, now) {
-                    return Err(ConnectionEnd::Lost("broker is not reading".into()));
+                    return Err(ConnectionEnd::Lost("the broker is not reading".into()));
                 }
                 Ok(true)
             }
@@ -270,7 +270,7 @@
             self.front.on_socket_drained(now);
         }
         match socket.stream.try_read(&mut socket.buffer) {
-            Ok(0) => return Err(ConnectionEnd::Lost("closed by the broker".into())),
+            Ok(0) => return Err(ConnectionEnd::Lost("the broker closed the connection".into())),
             Ok(read) => {
                 let stopped_for = std::mem::take(&mut socket.stopped_for);
                 self.front.receive(&socket.buffer[..read], now, stopped_for);
--- a/crates/gateway/src/discovery/front_ends.rs
+++ b/crates/gateway/src/discovery/front_ends.rs
@@ -1,6 +1,6 @@
-//! The list of front ends, from the same kinds of sources as that of workers: Consul's health API, where an instance's ID
-//! is the name, its metadata contain `zone` and its tags `generation-N` name the divisions that it serves; or a file, one
-//! front end a line:
+//! The list of front ends, from the same kinds of sources as the worker list. With Consul's health API, an instance's
+//! ID is the name, its metadata contain `zone`, and its tags `generation-N` name the divisions that it serves. A file
+//! has one front end a line:
 //!
 //! ```text
 //! # NAME generations G|G-G [zone Z]
@@ -87,7 +87,7 @@
                 key => return Err(error(format!("unknown key {key}"))),
             }
         }
-        let serves = serves.ok_or_else(|| error("generations are missing".into()))?;
+        let serves = serves.ok_or_else(|| error("the generations are missing".into()))?;
         entries.push(Entry { name: (*name).into(), zone, serves });
     }
     Ok(entries)
--- a/crates/gateway/src/fleet/retirement_gate.rs
+++ b/crates/gateway/src/fleet/retirement_gate.rs
@@ -39,8 +39,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClosedReason {
     Retired(Box<Retired>),
-    /// It is unknown whether the function is retired by now, and the function is strict or this front end was
-    /// stopped.
+    /// It is unknown whether the function is retired by now. The call or answer must not proceed, because the
+    /// function is strict or this front end was stopped.
     ViewNotCurrent,
     /// The generation is neither retired nor the configured one.
     UnknownGeneration,
@@ -150,7 +150,8 @@
         !self.is_fresh(now) && self.config.is_strict(parse_internal_name(inner).0)
     }
 
-    /// Returns why nothing may be sent to a worker for an internal name now, if so.
+    /// Returns the reason why nothing may be sent to a worker for this internal name at present, or `None` if sending is
+    /// allowed.
     pub fn closed(&self, inner: &str, now: Micros) -> Option<ClosedReason> {
         let unknown =
             || (self.in_doubt(inner, now) || self.must_confirm(now)).then_some(ClosedReason::ViewNotCurrent);
--- a/crates/gateway/src/state/core/execute.rs
+++ b/crates/gateway/src/state/core/execute.rs
@@ -98,12 +98,17 @@
         let order = LoadOrder { sent_at: now, expires_at: now + self.settings.load_timeout };
         self.load_orders.insert((worker, function), order);
         if self.closed(&name, now).is_some() {
-            // The order is not sent, and counts as lost after its timeout. If it ended at once, the decision module would
-            // only order the next load.
+            // The order is not sent, and counts as lost after its timeout. If its end were reported at once, the
+            // decision module would only order the next load.
             return;
         }
         self.counters.loads += 1;
-        tracing::debug!(worker = self.endpoints.name(worker), function = &*name, copies, "load");
+        tracing::debug!(
+            worker = self.endpoints.name(worker),
+            function = &*name,
+            copies,
+            "sending load order"
+        );
         let address = self.address(worker);
         commands.push(Command::Load { worker, address, function, name, copies, start_by });
     }
@@ -112,7 +117,7 @@
     fn log_module(&self, text: &str) {
         let number = text.split("worker ").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
         let worker = number.and_then(|number| self.endpoints.name(number));
-        tracing::info!(text, worker, "module");
+        tracing::info!(text, worker, "message from the decision module");
     }
 
     pub(super) fn send(&mut self, now: Micros, order: SendOrder, commands: &mut Vec<Command>) {
@@ -136,7 +141,12 @@
         self.counters.retries += u64::from(attempt > 0);
         let name = self.endpoints.name(worker).unwrap_or("?");
         call.span.in_scope(|| {
-            tracing::debug!(attempt, worker = name, held_us = now - call.accepted_at, "attempt")
+            tracing::debug!(
+                attempt,
+                worker = name,
+                held_us = now - call.accepted_at,
+                "attempt assigned to worker"
+            )
         });
         commands.push(Command::Attempt(Attempt {
             request,
@@ -178,9 +188,9 @@
     }
 }
 
-/// Returns the latest time at which an attempt may begin, so that a worker which drops repeats by their key still
-/// remembers the key of the first attempt that may have run. An attempt decided in time may be written late; a quarter of
-/// the window is reserved for this delay.
+/// Returns the latest time at which an attempt may begin. A worker that drops repeats by their key must then still
+/// remember the key of the first attempt that may have run. An attempt decided in time may be written late; a quarter
+/// of the window is reserved for this delay.
 fn latest_start(call: &Call, effect: Option<Effect>) -> Micros {
     let Some(Effect::IdempotentWithKey { window, .. }) = effect else { return Micros::MAX };
     let sent_times = call.attempts.iter().flatten().map(|flight| flight.sent_at);
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -59,18 +59,20 @@
         Ok(text) => text.parse().map_err(|_| RunError::Listen(text))?,
         Err(_) => settings.listen,
     };
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(io("runtime".into()))?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(io("can't start the async runtime".into()))?;
     let local = LocalSet::new();
     local.block_on(&runtime, serve(settings, listen))
 }
 
 async fn serve(settings: PlatformSettings, listen: SocketAddr) -> Result<(), RunError> {
-    let handle = |kind: SignalKind| signal(kind).map_err(io("signals".into()));
+    let handle = |kind: SignalKind| signal(kind).map_err(io("can't install a signal handler".into()));
     let (mut term, mut int, hup) =
         (handle(SignalKind::terminate())?, handle(SignalKind::interrupt())?, handle(SignalKind::hangup())?);
-    let listener = TcpListener::bind(listen).await.map_err(io(format!("listen on {listen}")))?;
-    let listen = listener.local_addr().map_err(io(format!("listen on {listen}")))?;
+    let listener = TcpListener::bind(listen).await.map_err(io(format!("can't listen on {listen}")))?;
+    let listen = listener.local_addr().map_err(io(format!("can't listen on {listen}")))?;
     let clock = Clock::new();
     let (inputs, incoming) = mpsc::channel(driver::INPUT_QUEUE_CAPACITY);
     let shared = Rc::new(Shared::new(clock, inputs.clone()));
@@ -90,8 +92,8 @@
     // The initial endpoint events are queued before any call, so that the module processes them first.
     let (events, last) = &settings.known;
     let _ = inputs.send(Input::EndpointUpdate { kind: EndpointUpdate::Full, endpoints: Vec::new() }).await;
-    // Merged into one event: the queue holds a limited number of inputs before the driver runs, and the first batch
-    // must contain all initial events.
+    // The initial events are merged into one, because the first batch must contain all of them and the queue holds a
+    // limited number of inputs before the driver runs.
     let mut known = Replay::all(events);
     let starts = StartTimes::initial(&mut known.endpoints, clock.now());
     executors.apply(known.kind, &known.endpoints);
@@ -215,7 +217,7 @@
                 client = ?self.clients.counters.get(), executor = ?self.executors.counters.get(),
                 "state"
             );
-            tracing::debug!(?in_flight, "executors");
+            tracing::debug!(?in_flight, "attempts in flight on executors");
         }
     }
 
@@ -231,8 +233,8 @@
         if self.closes_at.is_none_or(|at| self.shared.clock.now() < at) {
             return false;
         }
-        // Connections are still accepted and read until the process exits: requests that arrive now are rejected, not
-        // lost.
+        // New requests are rejected from now on. Connections are still accepted and read until the process exits, so that
+        // these requests are answered and not lost.
         self.clients.stop_accepting();
         self.clients.unfinished() == (0, 0)
     }
