--- a/crates/platform/src/descriptors.rs
+++ b/crates/platform/src/descriptors.rs
@@ -125,7 +125,7 @@
         self.executors_first().await;
     }
 
-    /// Returns once no connection to an executor waits for a descriptor, or after [`EXECUTORS_FIRST_TIMEOUT`].
+    /// Returns once no connection to an executor waits for a descriptor, or after `EXECUTORS_FIRST_TIMEOUT`.
     pub async fn executors_first(&self) {
         let by = Instant::now() + EXECUTORS_FIRST_TIMEOUT;
         while self.waiting.get() > 0 && timeout_at(by, self.changed.notified()).await.is_ok() {}
