--- a/crates/cluster-state/src/leader/commands.rs
+++ b/crates/cluster-state/src/leader/commands.rs
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Returns the commands that are due. Evaluates nothing before [`Leader::next_due`], and after it every run and
-    /// tombstone once.
+    /// Returns the commands that are due. A call before [`Leader::next_due`] evaluates nothing; a call at or after it
+    /// evaluates every run and every tombstone once.
     pub fn due_commands(&mut self, state: &ClusterState, now: Micros) -> Vec<Command> {
         if self.next_due(state, now).is_none_or(|next| next > now) {
             return Vec::new();
--- a/crates/core/src/interface/event.rs
+++ b/crates/core/src/interface/event.rs
@@ -108,9 +108,9 @@
         /// Its entries.
         endpoints: Rc<[Endpoint]>,
     },
-    /// The source guarantees that the endpoint list is up to date until this time, by the clock of the events. Changes
-    /// that the source would have reported after that time count as known, though no report of them arrived. Without
-    /// this event a list is valid forever.
+    /// The source guarantees that the endpoint list is complete up to this time, on the clock of the events. A later
+    /// change counts as known to this front end even though no report of it arrived. Without this event, a list is
+    /// valid forever.
     EndpointListValid {
         /// End of the validity; may be in the past.
         until: Micros,
--- a/crates/core/src/policy/worker_search.rs
+++ b/crates/core/src/policy/worker_search.rs
@@ -143,10 +143,12 @@
         self.call.attempts.iter().filter(|attempt| attempt.worker == worker.endpoint.worker)
     }
 
-    /// Whether the request may be sent to a worker that already had an attempt of it. This needs a copy that was loaded
-    /// there since that attempt, for example because of the attempt's own miss. Without this rule the request would
-    /// wait until its deadline although its copy is loaded. Also covers a slot that became free after `Full`. Could
-    /// harm if copies are loaded and evicted faster than requests are retried.
+    /// Whether the request may be sent again to a worker that already had attempts of it; each of them must allow this.
+    /// Not while the attempt is in flight. If it never ran: if no untried worker is left, or if a copy is expected
+    /// there that was loaded since, for example because of the attempt's own miss. If it may have run: if a copy is
+    /// expected there and the class is idempotent. If such a worker were excluded for good, the request would wait
+    /// until its deadline although its copy is loaded there, or although a slot became free there after `Full`. Sending
+    /// again may do harm if copies are loaded and evicted faster than requests are retried.
     fn may_try_again(&self, worker: &Worker, copy_expected: bool) -> bool {
         let copy = worker.estimates.copies.get(&self.call.request.function);
         let loaded_since =
--- a/crates/core/src/wire/error.rs
+++ b/crates/core/src/wire/error.rs
@@ -72,7 +72,10 @@
         available: usize,
     },
     /// A record refers to bytes beyond the frame's tail.
-    #[error("event code {code} at byte {position}: a field refers to {length} units at tail offset {offset}, past the frame's tail of {available} bytes")]
+    #[error(
+        "event code {code} at byte {position}: a field refers to {length} units from byte {offset} of the frame's \
+         tail, which is past its end at {available} bytes"
+    )]
     TailRange {
         /// Code of the event.
         code: u8,
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -27,8 +27,9 @@
 const ACCEPT_AFTER_SIGTERM: Micros = 750_000;
 /// Maximum deadline that a drain waits for; a restart does not wait for longer ones.
 const MAX_DEADLINE: Micros = 3_000_000;
-/// Time from SIGTERM to the last answer, in addition to the longest deadline. SIGKILL follows 0.7 s after that
-/// deadline; the remaining time is for closing the sockets in order and for the process to exit.
+/// The last answer is written at the latest this long after the longest deadline, counted from SIGTERM. SIGKILL follows
+/// 0.7 s after the longest deadline; the time in between is for closing the sockets in order and for the process to
+/// exit.
 const DRAIN_MARGIN: Micros = 570_000;
 /// Calls that arrive during the drain are abandoned this long before the drain ends, so that they end through the
 /// usual path.
--- a/crates/platform/src/subscription.rs
+++ b/crates/platform/src/subscription.rs
@@ -79,10 +79,11 @@
         }
     }
 
-    /// Returns until when the received events are known to be complete: as long as a connection is open that was not
-    /// silent for too long. An event counts as published once it is in the bus. While the bus is unreachable, the
-    /// platform grants a relief (2 s after a break, 4 s after a silence). It can't be used, because the relief ends
-    /// with the outage, and an outage may end briefly and unnoticed.
+    /// Returns the time until which the received events are known to be complete. It advances only while a connection
+    /// is open and has not been silent for too long, because an event counts as published, and thus as known to this
+    /// front end, once it is in the bus. While the bus is unreachable, the platform allows front ends some time before
+    /// such an event counts (2 s after a break, 4 s after a silence). This allowance is not used: it ends with the
+    /// outage, and an outage may end briefly without this front end noticing.
     pub fn valid_until(&self) -> Micros {
         self.valid_until
     }
--- a/crates/recovery/src/delivery_cache.rs
+++ b/crates/recovery/src/delivery_cache.rs
@@ -209,7 +209,8 @@
         if self.entries.get(&created.key).is_some_and(|entry| entry.created_at == created.at) {
             let removed = self.entries.remove(&created.key);
             if removed.is_some_and(|e| matches!(e.known, MessageState::Running(_))) {
-                // The message may still be before its first attempt, without an intent.
+                // The message's call may not have had its first attempt yet, so the intent log may hold no intent that
+                // shows that the message is in progress here.
                 self.unknown_until = now + self.retention;
             }
         }
