--- a/crates/consensus/src/replica/service_state.rs
+++ b/crates/consensus/src/replica/service_state.rs
@@ -123,8 +123,8 @@
                 Some(limits) => leadership.with_allocation(limits),
                 None => leadership,
             });
-            tracing::info!(target: "stagehoist_consensus", event = "leadership gained", keeper = self.context.number, term,
-                "leading");
+            tracing::info!(target: "stagehoist_consensus", event = "leading", keeper = self.context.number, term,
+                "leadership gained");
         }
     }
 
